--- a/internal/simwire/host.go
+++ b/internal/simprotocol/host.go
@@ -1,6 +1,6 @@
-// Package simwire speaks the simulator's lines: it reads events into calls of the
+// Package simprotocol speaks the simulator's lines: it reads events into calls of the
 // decision module and writes what the calls return. It decides nothing.
-package simwire
+package simprotocol
 
 import (
 	"bufio"
@@ -13,13 +13,13 @@
 	"strings"
 	"time"
 
-	"tamarindshore/choice"
-	"tamarindshore/internal/terms"
+	"tamarindshore/balancer"
+	"tamarindshore/internal/platformsettings"
 )
 
 // hosted is one manager, with what its lines must be checked against.
 type hosted struct {
-	manager *choice.Manager
+	manager *balancer.Manager
 	born    time.Duration // clock at its start
 	now     time.Duration
 	groups  []string
@@ -111,16 +111,16 @@
 		if err != nil && c.err == nil {
 			return errors.New("salt: not a whole number")
 		}
-		t, names, err := terms.Read([]byte(c.text("setup")))
+		t, names, err := platformsettings.Read([]byte(c.text("setup")))
 		if c.err != nil {
 			return c.err
 		} else if err != nil {
 			return fmt.Errorf("setup: %v", err)
 		}
 		h.managers[who] = &hosted{born: clock, groups: names}
-		h.call(who, func() choice.Orders {
-			h.managers[who].manager = choice.New(seed, t)
-			return choice.Orders{}
+		h.call(who, func() balancer.Orders {
+			h.managers[who].manager = balancer.New(seed, t)
+			return balancer.Orders{}
 		})
 		return nil
 	}
@@ -128,7 +128,7 @@
 	if one == nil {
 		return fmt.Errorf("instance %d is not known", who)
 	}
-	now, call := clock-one.born, func() choice.Orders { return choice.Orders{} }
+	now, call := clock-one.born, func() balancer.Orders { return balancer.Orders{} }
 	one.now = now
 	m := one.manager
 	switch kind {
@@ -145,7 +145,7 @@
 		if err := c.end(); err != nil {
 			return err
 		}
-		entries := []choice.Entry{}
+		entries := []balancer.Entry{}
 		for range count {
 			row, ok := next()
 			if !ok {
@@ -157,7 +157,7 @@
 			}
 			entries = append(entries, e)
 		}
-		call = func() choice.Orders {
+		call = func() balancer.Orders {
 			if scope == "Error" {
 				return m.ListFailed(now)
 			}
@@ -165,53 +165,53 @@
 		}
 	case "REMINDER":
 		c.whole("label", 0, math.MaxInt64)
-		call = func() choice.Orders { return m.Woke(now) }
+		call = func() balancer.Orders { return m.Woke(now) }
 	case "HEALTH_RESULT":
-		server := choice.ServerID(c.id("worker"))
+		server := balancer.ServerID(c.id("worker"))
 		code := c.oneOf("code", "delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused")
 		took := c.span("elapsedUs")
 		load := c.load("pressure")
-		answer := choice.Silent
+		answer := balancer.Silent
 		if code == "dial_failed" {
-			answer = choice.Unreached
+			answer = balancer.Unreached
 		}
 		switch code {
 		case "delivered":
-			answer = choice.Answered
+			answer = balancer.Answered
 		case "app_error":
-			answer = choice.Erred
+			answer = balancer.Erred
 		case "shed":
-			answer = choice.Full
+			answer = balancer.Full
 		}
-		call = func() choice.Orders { return m.Probed(now, server, answer, took, load) }
+		call = func() balancer.Orders { return m.Probed(now, server, answer, took, load) }
 	case "DIALLED_IN":
 		rate := c.number("part")
 		c.truth("flag")
-		proxy := choice.ProxyID(c.whole("sidecar", 0, 65535))
-		zone := choice.ZoneID(c.id("dc"))
-		call = func() choice.Orders { return m.Joined(now, proxy, zone, rate) }
+		proxy := balancer.ProxyID(c.whole("sidecar", 0, 65535))
+		zone := balancer.ZoneID(c.id("dc"))
+		call = func() balancer.Orders { return m.Joined(now, proxy, zone, rate) }
 	case "STREAM_DOWN":
-		proxy := choice.ProxyID(c.whole("sidecar", 0, 65535))
-		call = func() choice.Orders { return m.Left(now, proxy) }
+		proxy := balancer.ProxyID(c.whole("sidecar", 0, 65535))
+		call = func() balancer.Orders { return m.Left(now, proxy) }
 	case "OBSERVED":
-		r := choice.Report{Server: choice.ServerID(c.id("worker"))}
+		r := balancer.Report{Server: balancer.ServerID(c.id("worker"))}
 		r.Failed = int(c.whole("failed", 0, math.MaxInt32))
 		r.Tries = int(c.whole("many", 0, math.MaxInt32))
 		r.Latency, r.Span = c.span("elapsedUs"), c.span("spanUs")
-		r.Zone, r.Load = choice.ZoneID(c.id("dc")), c.load("pressure")
-		call = func() choice.Orders { return m.Heard(now, r) }
+		r.Zone, r.Load = balancer.ZoneID(c.id("dc")), c.load("pressure")
+		call = func() balancer.Orders { return m.Heard(now, r) }
 	case "OFFERED_LOAD":
-		u := choice.Usage{Proxy: choice.ProxyID(c.whole("sidecar", 0, 65535))}
-		u.Group = choice.GroupID(slices.Index(one.groups, c.oneOf("kind", one.groups...)))
+		u := balancer.Usage{Proxy: balancer.ProxyID(c.whole("sidecar", 0, 65535))}
+		u.Group = balancer.GroupID(slices.Index(one.groups, c.oneOf("kind", one.groups...)))
 		u.Flows = int(c.whole("many", 0, math.MaxInt32))
 		u.Dropped = int(c.whole("failed", 0, math.MaxInt32))
 		u.Span = c.span("spanUs")
-		call = func() choice.Orders { return m.Used(now, u) }
+		call = func() balancer.Orders { return m.Used(now, u) }
 	case "INSTALLED":
-		proxy := choice.ProxyID(c.whole("sidecar", 0, 65535))
-		mark := choice.MarkID(c.whole("serial", 0, 65535))
+		proxy := balancer.ProxyID(c.whole("sidecar", 0, 65535))
+		mark := balancer.MarkID(c.whole("serial", 0, 65535))
 		c.span("elapsedUs")
-		call = func() choice.Orders { return m.Applied(now, proxy, mark) }
+		call = func() balancer.Orders { return m.Applied(now, proxy, mark) }
 	case "FROM_PEER":
 		c.whole("originPeer", 0, math.MaxInt32)
 		c.text("data")
@@ -239,7 +239,7 @@
 }
 
 // call runs a decision and writes its orders; a panic in it is a fault of that manager alone.
-func (h *Host) call(who int64, decide func() choice.Orders) {
+func (h *Host) call(who int64, decide func() balancer.Orders) {
 	one := h.managers[who]
 	if one.failed {
 		return
@@ -255,7 +255,7 @@
 	h.write(who, one, o)
 }
 
-func (h *Host) write(who int64, one *hosted, o choice.Orders) {
+func (h *Host) write(who int64, one *hosted, o balancer.Orders) {
 	number := func(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 	for _, s := range o.Withdraw {
 		fmt.Fprintf(h.out, "PULL\t%d\t%s\t1\n", who, s)
--- a/internal/simwire/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -1,10 +1,10 @@
-package simwire
+package simprotocol
 
 import (
 	"strings"
 	"testing"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 )
 
 const setup = `{"classes":[{"name":"quote","aimUs":2000000,"hardLimitUs":6000000,"worth":1,"repeat":"idempotent"}],` +
@@ -73,8 +73,8 @@
 	var out strings.Builder
 	h := newHost(&out)
 	h.managers[3] = &hosted{}
-	h.call(3, func() choice.Orders { panic("cause\nof it") })
-	h.call(3, func() choice.Orders { panic("again") })
+	h.call(3, func() balancer.Orders { panic("cause\nof it") })
+	h.call(3, func() balancer.Orders { panic("again") })
 	h.out.Flush()
 	if out.String() != "INTERNAL_ERROR\t3\tcause of it\n" {
 		t.Errorf("%q", out.String())
--- a/internal/simwire/read.go
+++ b/internal/simprotocol/read.go
@@ -1,4 +1,4 @@
-package simwire
+package simprotocol
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 )
 
 // cells walks the values of one line; the first thing wrong with them stays in err.
@@ -112,18 +112,18 @@
 }
 
 // entry reads one line of a list; a start of 0 or none is long ago.
-func entry(line string, born time.Duration) (choice.Entry, error) {
+func entry(line string, born time.Duration) (balancer.Entry, error) {
 	c := &cells{parts: strings.Split(line, "\t")}
 	if c.text("M") != "M" {
-		return choice.Entry{}, errors.New("an M line is due")
+		return balancer.Entry{}, errors.New("an M line is due")
 	}
-	e := choice.Entry{}
+	e := balancer.Entry{}
 	c.text("unitGroup")
-	e.Zone = choice.ZoneID(c.id("dc"))
+	e.Zone = balancer.ZoneID(c.id("dc"))
 	if started := c.span("lastStartUs"); started > 0 {
 		e.Started, e.Fresh = started-born, true
 	}
-	e.Server = choice.ServerID(c.id("worker"))
+	e.Server = balancer.ServerID(c.id("worker"))
 	if c.at < len(c.parts) && c.parts[c.at] == "-" {
 		c.at, e.Weight = c.at+1, 1
 	} else {
@@ -131,9 +131,9 @@
 	}
 	switch c.oneOf("health", "ready", "draining", "gone") {
 	case "draining":
-		e.State = choice.Draining
+		e.State = balancer.Draining
 	case "gone":
-		e.State = choice.Gone
+		e.State = balancer.Gone
 	}
 	c.text("shape")
 	return e, c.end()
--- a/internal/subset/balance_test.go
+++ b/internal/subset/balance_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 )
 
 // The size that is planned for.
@@ -21,11 +21,11 @@
 )
 
 // planServerID spreads the plan's servers over its zones in turn.
-func planServerID(n int) choice.ServerID { return choice.ServerID(fmt.Sprintf("s-%05x", n)) }
+func planServerID(n int) balancer.ServerID { return balancer.ServerID(fmt.Sprintf("s-%05x", n)) }
 
 // spread counts the plan's spill memberships, by server and by manager: each manager's home is one zone. All managers
 // share one ring of servers in order, of which each takes what its limit covers.
-func spread(name func(manager int) string) (perServer map[choice.ServerID]int, perManager, zonesCovered []int) {
+func spread(name func(manager int) string) (perServer map[balancer.ServerID]int, perManager, zonesCovered []int) {
 	const copies = 2 // the ring twice over, so that a manager's part of it is never cut
 	places := make([]*record, planServers, copies*planServers)
 	for n := range places {
@@ -35,7 +35,7 @@
 	}
 	slices.SortFunc(places, (*record).compare)
 	places = append(places, places...)
-	perServer = make(map[choice.ServerID]int, planServers)
+	perServer = make(map[balancer.ServerID]int, planServers)
 	for m := range planManagers {
 		origin, home := managerPosition(name(m)), zoneName(m%planZones)
 		at, _ := slices.BinarySearchFunc(places[:planServers], origin, func(r *record, origin uint64) int {
@@ -47,7 +47,7 @@
 		}
 		foreign := func(r *record) bool { return r.server.Zone != home }
 		limit := near.limitFor(planSpill, planServers-planServers/planZones, foreign)
-		size, zones := 0, map[choice.ZoneID]bool{}
+		size, zones := 0, map[balancer.ZoneID]bool{}
 		for _, r := range near.records[:near.covered(limit)] {
 			if foreign(r) {
 				perServer[r.server.Server]++
--- a/internal/subset/failure_test.go
+++ b/internal/subset/failure_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 )
 
 // raised is a run in steady state: zone 0 is home.
@@ -54,7 +54,7 @@
 func TestAHomeZoneThatTheListDropsIsMadeUpFor(t *testing.T) {
 	servers := fleetOf(20, 273)
 	r := raised(servers, 100)
-	r.list(false, in(choice.Gone, ofZone(servers, 0)...)...)
+	r.list(false, in(balancer.Gone, ofZone(servers, 0)...)...)
 	r.seconds(1)
 	if n := r.serving(0); n < 260 || n > 800 {
 		t.Errorf("%d servers of other zones serve in the second after 273 were removed", n)
@@ -72,7 +72,7 @@
 		home = append(home, serverOf(0, 1000+n))
 	}
 	r := raised(slices.Concat(home, fleetOf(20, 100)), 100)
-	r.list(false, in(choice.Gone, slices.Concat(home, ofZone(fleetOf(1, 100), 0))...)...)
+	r.list(false, in(balancer.Gone, slices.Concat(home, ofZone(fleetOf(1, 100), 0))...)...)
 	r.seconds(1)
 	if n := float64(r.serving(0)); n < widenBelow*700 {
 		t.Errorf("%.0f servers of other zones serve in the second after 600 were removed", n)
@@ -147,16 +147,16 @@
 	r.fail(ofZone(servers, 0)...)
 	r.seconds(5)
 	clear(r.fleet.failed)
-	last := map[choice.ServerID]choice.Condition{}
-	lifted, drainedAt := map[choice.ServerID]bool{}, map[choice.ServerID]time.Duration{}
+	last := map[balancer.ServerID]balancer.Condition{}
+	lifted, drainedAt := map[balancer.ServerID]bool{}, map[balancer.ServerID]time.Duration{}
 	for range 900 {
 		u := r.look()
 		for _, one := range u.Servers {
 			was, left := last[one.Server]
-			if one.State == choice.Gone && (!left || was != choice.Draining || r.now-drainedAt[one.Server] < drainGrace) {
+			if one.State == balancer.Gone && (!left || was != balancer.Draining || r.now-drainedAt[one.Server] < drainGrace) {
 				t.Fatalf("%s is gone %v after it began to drain", one.Server, r.now-drainedAt[one.Server])
 			}
-			if one.State == choice.Draining {
+			if one.State == balancer.Draining {
 				drainedAt[one.Server] = r.now
 			}
 			last[one.Server] = one.State
@@ -202,7 +202,7 @@
 	}
 }
 
-func difference(a, b map[choice.ServerID]bool) (missing []choice.ServerID) {
+func difference(a, b map[balancer.ServerID]bool) (missing []balancer.ServerID) {
 	for id := range a {
 		if !b[id] {
 			missing = append(missing, id)
@@ -254,7 +254,7 @@
 	for i, old := range servers {
 		if i%10 < 6 {
 			fresh := serverOf(i/100, 1000+i)
-			r.list(false, in(choice.Gone, old)[0], fresh)
+			r.list(false, in(balancer.Gone, old)[0], fresh)
 		}
 		if i%40 == 0 {
 			r.seconds(1)
@@ -289,7 +289,7 @@
 	if n := len(difference(before, r.members())); n > 12 {
 		t.Errorf("%d of %d members left for one zone in 21", n, len(before))
 	}
-	r.list(false, in(choice.Gone, servers[2000:]...)...)
+	r.list(false, in(balancer.Gone, servers[2000:]...)...)
 	r.seconds(200)
 	if after := r.members(); !maps.Equal(before, after) {
 		t.Errorf("%d members were %d once the zone had come and gone", len(after), len(before))
@@ -350,7 +350,7 @@
 func TestAThousandManagersOpenAtOnce(t *testing.T) {
 	const managers, zones, each, spill = 1000, 20, 60, 60
 	servers := fleetOf(zones, each)
-	subsets := map[choice.ServerID]int{}
+	subsets := map[balancer.ServerID]int{}
 	for m := range managers {
 		r := newRun(fmt.Sprint("n", m), spill)
 		r.list(true, servers...)
@@ -377,7 +377,7 @@
 	r.list(true, servers...)
 	r.join(zoneName(0))
 	for i := 0; b.Loop(); i++ {
-		r.subset.Listed(time.Second, false, in(choice.Condition(i%2), servers[i%len(servers)]))
+		r.subset.Listed(time.Second, false, in(balancer.Condition(i%2), servers[i%len(servers)]))
 	}
 }
 
@@ -406,10 +406,10 @@
 // Before a proxy joins there is nobody to serve: nothing is handed on. Then it is the whole subset, in one list.
 func TestNothingIsHandedOnBeforeTheFirstProxy(t *testing.T) {
 	servers := fleetOf(10, 20)
-	servers[25].State = choice.Draining
+	servers[25].State = balancer.Draining
 	r := newRun("n9", 10)
 	r.list(true, servers...)
-	r.list(false, in(choice.Draining, servers[30])...)
+	r.list(false, in(balancer.Draining, servers[30])...)
 	r.seconds(10)
 	if n := len(r.fleet.entries); n > 0 {
 		t.Errorf("%d servers are handed on before the first proxy", n)
@@ -419,7 +419,7 @@
 		t.Errorf("whole %v, %d members", u.Whole, len(r.members()))
 	}
 	for _, i := range []int{25, 30} {
-		if e := r.fleet.entries[servers[i].Server]; e.State != choice.Draining {
+		if e := r.fleet.entries[servers[i].Server]; e.State != balancer.Draining {
 			t.Errorf("%s drains and is handed on as %+v", servers[i].Server, e)
 		}
 	}
@@ -437,16 +437,16 @@
 		}
 	}
 	drained, removed, back := outsiders[0], outsiders[1], outsiders[2]
-	r.list(false, in(choice.Draining, drained, back)...)
-	r.list(false, in(choice.Gone, removed)...)
+	r.list(false, in(balancer.Draining, drained, back)...)
+	r.list(false, in(balancer.Gone, removed)...)
 	for _, s := range []Server{drained, removed, back} {
-		if e := r.fleet.entries[s.Server]; e.State != choice.Draining {
+		if e := r.fleet.entries[s.Server]; e.State != balancer.Draining {
 			t.Errorf("%s is handed on as %+v", s.Server, e)
 		}
 	}
 	for range 200 {
 		r.look()
-		if e, known := r.fleet.entries[drained.Server]; !known || e.State != choice.Draining {
+		if e, known := r.fleet.entries[drained.Server]; !known || e.State != balancer.Draining {
 			t.Fatalf("%s drains still and is handed on as %+v", drained.Server, e)
 		}
 	}
--- a/internal/subset/records.go
+++ b/internal/subset/records.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 )
 
 // phase says what the decision module was told of a server.
@@ -49,9 +49,9 @@
 	}
 	switch {
 	case r.phase == released:
-		out.State = choice.Gone
+		out.State = balancer.Gone
 	case r.phase == leaving:
-		out.State = choice.Draining
+		out.State = balancer.Draining
 	}
 	return out
 }
@@ -66,7 +66,7 @@
 		s.count(r, -1)
 		server.Address = cmp.Or(server.Address, r.server.Address)
 	}
-	r.listed = server.State != choice.Gone || r.server.Server != "" && r.server.State != choice.Gone
+	r.listed = server.State != balancer.Gone || r.server.Server != "" && r.server.State != balancer.Gone
 	r.server = server
 	s.count(r, 1)
 	return r
@@ -74,14 +74,14 @@
 
 // count adds a server to the sizes of its zone, or takes it off.
 func (s *Subset) count(r *record, by int) {
-	if r.server.State != choice.Gone {
+	if r.server.State != balancer.Gone {
 		s.zone(r.server.Zone).listed += by
 	}
 }
 
 // replaceAll takes over a whole list. Servers that are not in it are gone.
 func (s *Subset) replaceAll(servers []Server) {
-	listed := make(map[choice.ServerID]bool, len(servers))
+	listed := make(map[balancer.ServerID]bool, len(servers))
 	for _, server := range servers {
 		listed[server.Server] = true
 		s.store(server)
@@ -89,7 +89,7 @@
 	for id, r := range s.records {
 		if !listed[id] {
 			s.count(r, -1)
-			r.server.State = choice.Gone
+			r.server.State = balancer.Gone
 		}
 		if r.unused() {
 			delete(s.records, id)
@@ -99,7 +99,7 @@
 }
 
 // unused tells whether neither the list nor the decision module has a server.
-func (r *record) unused() bool { return r.phase == outside && r.server.State == choice.Gone }
+func (r *record) unused() bool { return r.phase == outside && r.server.State == balancer.Gone }
 
 func (s *Subset) dropIfUnused(r *record) {
 	if r.unused() {
@@ -126,7 +126,7 @@
 			continue
 		}
 		members++
-		if r.server.State != choice.Gone && !s.selects(r) {
+		if r.server.State != balancer.Gone && !s.selects(r) {
 			surplus = append(surplus, r)
 		}
 	}
@@ -140,12 +140,12 @@
 // finishLeaving hands on as gone what has drained for long enough, and drops what the decision module has forgotten.
 func (s *Subset) finishLeaving(now time.Duration, fleet Fleet) {
 	for id, r := range s.handed {
-		if r.phase == leaving && r.server.State != choice.Draining && now-r.since >= drainGrace {
+		if r.phase == leaving && r.server.State != balancer.Draining && now-r.since >= drainGrace {
 			r.enter(released, now)
 			s.tell(r)
 			continue
 		}
-		ended := r.phase == released || r.server.State == choice.Gone
+		ended := r.phase == released || r.server.State == balancer.Gone
 		if !ended || now == r.since {
 			continue
 		}
@@ -160,7 +160,7 @@
 
 // returnKnown makes a released server a member again where it is selected anew before it is forgotten.
 func (s *Subset) returnKnown(now time.Duration, r *record) {
-	if r.phase == released && r.server.State == choice.Ready && s.selects(r) {
+	if r.phase == released && r.server.State == balancer.Ready && s.selects(r) {
 		s.admit(now, r)
 	}
 }
@@ -170,11 +170,11 @@
 // or is gone stays.
 func (s *Subset) forget(now time.Duration, r *record) {
 	delete(s.handed, r.server.Server)
-	if r.server.State == choice.Ready {
+	if r.server.State == balancer.Ready {
 		s.update.Readmit = append(s.update.Readmit, r.server.Server)
 	}
 	r.enter(outside, now)
-	r.listed = r.server.State != choice.Gone
+	r.listed = r.server.State != balancer.Gone
 	s.settle(now, r)
 	s.dropIfUnused(r)
 }
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -10,7 +10,7 @@
 
 	"github.com/zeebo/blake3"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 )
 
 // goldenStep is 2^64 divided by the golden ratio. Its multiples are spread evenly over the ring, however many there are:
@@ -43,7 +43,7 @@
 func newRing(manager string) ring { return ring{origin: managerPosition(manager)} }
 
 // distance is how far a server lies behind the manager, once round.
-func (r *ring) distance(id choice.ServerID) uint64 { return position(string(id)) - r.origin }
+func (r *ring) distance(id balancer.ServerID) uint64 { return position(string(id)) - r.origin }
 
 // compare orders records by distance.
 func (r *record) compare(other *record) int {
@@ -67,7 +67,7 @@
 }
 
 // rebuild takes over all records at once.
-func (r *ring) rebuild(records map[choice.ServerID]*record) {
+func (r *ring) rebuild(records map[balancer.ServerID]*record) {
 	r.records = make([]*record, 0, len(records))
 	for _, one := range records {
 		one.onRing = true
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -24,7 +24,7 @@
 	"slices"
 	"time"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 )
 
 const (
@@ -43,15 +43,15 @@
 
 // Server is one entry of the list and where the server listens.
 type Server struct {
-	choice.Entry
+	balancer.Entry
 	Address string // empty where the list did not tell
 }
 
 // Update is what the decision module has to be told, in the order of the fields.
 type Update struct {
-	Readmit []choice.ServerID // withdrawals to lift: these servers left, and the module has forgotten them
-	Whole   bool              // Servers are the whole list; servers that are not among them are gone
-	Servers []Server          // by id
+	Readmit []balancer.ServerID // withdrawals to lift: these servers left, and the module has forgotten them
+	Whole   bool                // Servers are the whole list; servers that are not among them are gone
+	Servers []Server            // by id
 	Notes   []string
 }
 
@@ -61,7 +61,7 @@
 // Fleet is the decision module's view of the servers that it was handed.
 type Fleet interface {
 	// Sees tells whether a server is known, whether it may get flows, and what part of its climb is over.
-	Sees(id choice.ServerID) (known, open bool, climbed float64)
+	Sees(id balancer.ServerID) (known, open bool, climbed float64)
 	// Ready is how many servers may get flows, and how many of them are warm.
 	Ready() (all, warm int)
 }
@@ -88,9 +88,9 @@
 type Subset struct {
 	settings Settings
 	ring     ring
-	records  map[choice.ServerID]*record
-	handed   map[choice.ServerID]*record // those that the decision module may know
-	zones    map[choice.ZoneID]*zone
+	records  map[balancer.ServerID]*record
+	handed   map[balancer.ServerID]*record // those that the decision module may know
+	zones    map[balancer.ZoneID]*zone
 	width    width
 	limit    limit // as last applied
 	started  bool  // a proxy has joined
@@ -102,9 +102,9 @@
 	return &Subset{
 		settings: settings,
 		ring:     newRing(settings.Manager),
-		records:  map[choice.ServerID]*record{},
-		handed:   map[choice.ServerID]*record{},
-		zones:    map[choice.ZoneID]*zone{},
+		records:  map[balancer.ServerID]*record{},
+		handed:   map[balancer.ServerID]*record{},
+		zones:    map[balancer.ZoneID]*zone{},
 		width:    newWidth(),
 	}
 }
@@ -134,7 +134,7 @@
 }
 
 // Joined takes a proxy of a zone. The first one makes the zone home.
-func (s *Subset) Joined(now time.Duration, id choice.ZoneID) Update {
+func (s *Subset) Joined(now time.Duration, id balancer.ZoneID) Update {
 	z := s.zone(id)
 	z.proxies++
 	if !z.home {
@@ -147,7 +147,7 @@
 }
 
 // Left takes a proxy's leave. Its zone stays home for a while, and then its servers leave few by few.
-func (s *Subset) Left(now time.Duration, id choice.ZoneID) {
+func (s *Subset) Left(now time.Duration, id balancer.ZoneID) {
 	z := s.zone(id)
 	if z.proxies--; z.proxies == 0 {
 		z.emptyAt = now
@@ -168,7 +168,7 @@
 }
 
 // Knows tells whether the list names a server, member or not.
-func (s *Subset) Knows(id choice.ServerID) bool { return s.records[id] != nil }
+func (s *Subset) Knows(id balancer.ServerID) bool { return s.records[id] != nil }
 
 // Counts tells the sizes of the subset.
 func (s *Subset) Counts() Counts {
@@ -184,7 +184,7 @@
 }
 
 // zone gives what is kept of a zone.
-func (s *Subset) zone(id choice.ZoneID) *zone {
+func (s *Subset) zone(id balancer.ZoneID) *zone {
 	z := s.zones[id]
 	if z == nil {
 		z = &zone{}
@@ -214,7 +214,7 @@
 // newLimit is what the list, the home zones and the width ask for.
 func (s *Subset) newLimit() limit {
 	return s.ring.limitFor(s.width.factor*float64(s.settings.Spill), s.foreign(), func(r *record) bool {
-		return r.server.State != choice.Gone && !s.zone(r.server.Zone).home
+		return r.server.State != balancer.Gone && !s.zone(r.server.Zone).home
 	})
 }
 
@@ -246,7 +246,7 @@
 	if !s.started {
 		return
 	}
-	ready := r.server.State == choice.Ready
+	ready := r.server.State == balancer.Ready
 	switch {
 	case ready && r.phase == leaving && s.selects(r):
 		s.admit(now, r)
@@ -274,7 +274,7 @@
 func (s *Subset) tell(r *record) {
 	if r.phase != outside && !r.told {
 		r.told = true
-		s.update.Servers = append(s.update.Servers, Server{Entry: choice.Entry{Server: r.server.Server}})
+		s.update.Servers = append(s.update.Servers, Server{Entry: balancer.Entry{Server: r.server.Server}})
 	}
 }
 
@@ -290,7 +290,7 @@
 	if u.Whole {
 		u.Servers = u.Servers[:0]
 		for id := range s.handed {
-			u.Servers = append(u.Servers, Server{Entry: choice.Entry{Server: id}})
+			u.Servers = append(u.Servers, Server{Entry: balancer.Entry{Server: id}})
 		}
 	}
 	for i, told := range u.Servers {
@@ -299,7 +299,7 @@
 		u.Servers[i] = record.handOn()
 	}
 	if u.Whole { // who is absent from the whole list is gone
-		u.Servers = slices.DeleteFunc(u.Servers, func(one Server) bool { return one.State == choice.Gone })
+		u.Servers = slices.DeleteFunc(u.Servers, func(one Server) bool { return one.State == balancer.Gone })
 	}
 	slices.SortFunc(u.Servers, func(a, b Server) int { return cmp.Compare(a.Server, b.Server) })
 	return u
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -9,34 +9,34 @@
 
 	"pgregory.net/rapid"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 )
 
 // fakeFleet stands for the decision module: it keeps what it is handed, and says what is in service.
 type fakeFleet struct {
-	entries map[choice.ServerID]choice.Entry
-	failed  map[choice.ServerID]bool
+	entries map[balancer.ServerID]balancer.Entry
+	failed  map[balancer.ServerID]bool
 	climbed float64
 	now     time.Duration
 	probing time.Duration // until a server that was added is in service
-	addedAt map[choice.ServerID]time.Duration
-	goneAt  map[choice.ServerID]time.Duration
+	addedAt map[balancer.ServerID]time.Duration
+	goneAt  map[balancer.ServerID]time.Duration
 }
 
 func newFakeFleet() *fakeFleet {
-	return &fakeFleet{entries: map[choice.ServerID]choice.Entry{}, failed: map[choice.ServerID]bool{}, climbed: 1,
-		addedAt: map[choice.ServerID]time.Duration{}, goneAt: map[choice.ServerID]time.Duration{}}
+	return &fakeFleet{entries: map[balancer.ServerID]balancer.Entry{}, failed: map[balancer.ServerID]bool{}, climbed: 1,
+		addedAt: map[balancer.ServerID]time.Duration{}, goneAt: map[balancer.ServerID]time.Duration{}}
 }
 
 // forgetAfter is how long the decision module remembers a server that is gone.
 const forgetAfter = time.Minute
 
-func (f *fakeFleet) open(id choice.ServerID) bool {
+func (f *fakeFleet) open(id balancer.ServerID) bool {
 	e, known := f.entries[id]
-	return known && e.State == choice.Ready && !f.failed[id] && f.now-f.addedAt[id] >= f.probing
+	return known && e.State == balancer.Ready && !f.failed[id] && f.now-f.addedAt[id] >= f.probing
 }
 
-func (f *fakeFleet) Sees(id choice.ServerID) (known, open bool, climbed float64) {
+func (f *fakeFleet) Sees(id balancer.ServerID) (known, open bool, climbed float64) {
 	_, known = f.entries[id]
 	return known, f.open(id), f.climbed
 }
@@ -52,14 +52,14 @@
 
 // take applies an update as the decision module does.
 func (f *fakeFleet) take(now time.Duration, u Update) {
-	handed := map[choice.ServerID]bool{}
+	handed := map[balancer.ServerID]bool{}
 	for _, one := range u.Servers {
 		handed[one.Server] = true
 		if _, known := f.entries[one.Server]; !known {
 			f.addedAt[one.Server] = now
 		}
 		f.entries[one.Server] = one.Entry
-		if one.State != choice.Gone {
+		if one.State != balancer.Gone {
 			delete(f.goneAt, one.Server)
 		} else if _, gone := f.goneAt[one.Server]; !gone {
 			f.goneAt[one.Server] = now
@@ -67,7 +67,7 @@
 	}
 	for id, e := range f.entries {
 		if u.Whole && !handed[id] {
-			e.State = choice.Gone
+			e.State = balancer.Gone
 			f.entries[id] = e
 			if _, gone := f.goneAt[id]; !gone {
 				f.goneAt[id] = now
@@ -108,7 +108,7 @@
 	return r
 }
 
-func (r *run) join(zone choice.ZoneID) Update { return r.take(r.subset.Joined(r.now, zone)) }
+func (r *run) join(zone balancer.ZoneID) Update { return r.take(r.subset.Joined(r.now, zone)) }
 
 // seconds looks once a second.
 func (r *run) seconds(n int) {
@@ -125,21 +125,21 @@
 }
 
 // members are the servers that the fleet may send flows to, but for failures.
-func (r *run) members() map[choice.ServerID]bool {
-	ids := map[choice.ServerID]bool{}
+func (r *run) members() map[balancer.ServerID]bool {
+	ids := map[balancer.ServerID]bool{}
 	for id, e := range r.fleet.entries {
-		if e.State == choice.Ready {
+		if e.State == balancer.Ready {
 			ids[id] = true
 		}
 	}
 	return ids
 }
 
-func zoneName(z int) choice.ZoneID { return choice.ZoneID(fmt.Sprintf("z%02d", z)) }
+func zoneName(z int) balancer.ZoneID { return balancer.ZoneID(fmt.Sprintf("z%02d", z)) }
 
 func serverOf(zone, number int) Server {
-	id := choice.ServerID(fmt.Sprintf("s-%02d-%05d", zone, number))
-	return Server{Entry: choice.Entry{Server: id, Zone: zoneName(zone), Weight: 1}, Address: fmt.Sprintf("10.0.%d.%d:80", zone, number)}
+	id := balancer.ServerID(fmt.Sprintf("s-%02d-%05d", zone, number))
+	return Server{Entry: balancer.Entry{Server: id, Zone: zoneName(zone), Weight: 1}, Address: fmt.Sprintf("10.0.%d.%d:80", zone, number)}
 }
 
 // fleetOf lists servers of some zones, equally large.
@@ -152,7 +152,7 @@
 	return servers
 }
 
-func in(state choice.Condition, servers ...Server) []Server {
+func in(state balancer.Condition, servers ...Server) []Server {
 	changed := slices.Clone(servers)
 	for i := range changed {
 		changed[i].State = state
@@ -230,7 +230,7 @@
 
 // Members are settled by names: another manager has others, and a recorded choice stays as it is on every machine.
 func TestMembersDependOnNamesAlone(t *testing.T) {
-	var ids [2][]choice.ServerID
+	var ids [2][]balancer.ServerID
 	for i, name := range []string{"n1", "n2"} {
 		r := newRun(name, 6).joinElsewhere()
 		r.list(true, fleetOf(4, 25)...)
@@ -299,13 +299,13 @@
 func TestSubsetsAreBalanced(t *testing.T) {
 	const managers, zones, each, spill = 2000, 8, 100, 40
 	servers := fleetOf(zones, each)
-	subsets, sizes := map[choice.ServerID]int{}, []int{}
+	subsets, sizes := map[balancer.ServerID]int{}, []int{}
 	for m := range managers {
 		r := newRun(fmt.Sprint("n", m), spill).joinElsewhere()
 		r.list(true, servers...)
 		members := r.members()
 		sizes = append(sizes, len(members))
-		inZone := map[choice.ZoneID]int{}
+		inZone := map[balancer.ZoneID]int{}
 		for id := range members {
 			subsets[id]++
 			inZone[r.subset.records[id].server.Zone]++
@@ -334,12 +334,12 @@
 		servers, zones := drawFleet(t)
 		r := newRun("n5", rapid.IntRange(1, 40).Draw(t, "spill"))
 		r.list(true, servers...)
-		state := map[choice.ServerID]choice.Condition{}
+		state := map[balancer.ServerID]balancer.Condition{}
 		joined := map[int]int{}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
 				some := rapid.SliceOfN(rapid.SampledFrom(servers), 1, 20).Draw(t, "servers")
-				to := rapid.SampledFrom([]choice.Condition{choice.Ready, choice.Draining, choice.Gone}).Draw(t, "state")
+				to := rapid.SampledFrom([]balancer.Condition{balancer.Ready, balancer.Draining, balancer.Gone}).Draw(t, "state")
 				for _, s := range some {
 					state[s.Server] = to
 				}
@@ -348,11 +348,11 @@
 			"whole list": func(t *rapid.T) {
 				absent := rapid.SliceOfN(rapid.SampledFrom(servers), 0, 10).Draw(t, "absent")
 				for _, s := range absent { // gone, without another word
-					state[s.Server] = choice.Gone
+					state[s.Server] = balancer.Gone
 				}
 				var all []Server
 				for _, s := range servers {
-					if s.State = state[s.Server]; s.State != choice.Gone {
+					if s.State = state[s.Server]; s.State != balancer.Gone {
 						all = append(all, s)
 					}
 				}
@@ -375,14 +375,14 @@
 			"time": func(t *rapid.T) { r.seconds(rapid.IntRange(1, 40).Draw(t, "seconds")) },
 			"": func(t *rapid.T) {
 				for id, e := range r.fleet.entries {
-					if e.State == choice.Ready && state[id] != choice.Ready {
+					if e.State == balancer.Ready && state[id] != balancer.Ready {
 						t.Fatalf("%s is handed on as ready, and the list says %v", id, state[id])
 					}
 				}
 				for id, to := range state {
 					known, _, _ := r.fleet.Sees(id)
 					forgotten := r.subset.records[id] != nil && r.subset.records[id].phase == released // until the next look
-					if r.subset.started && to == choice.Draining && !known && !forgotten {
+					if r.subset.started && to == balancer.Draining && !known && !forgotten {
 						t.Fatalf("%s drains and is not handed on", id)
 					}
 				}
@@ -390,7 +390,7 @@
 					for _, s := range ofZone(servers, z) {
 						known, _, _ := r.fleet.Sees(s.Server)
 						waits := r.subset.records[s.Server] != nil && r.subset.records[s.Server].phase == released
-						if n > 0 && state[s.Server] == choice.Ready && !waits && (!known || r.fleet.entries[s.Server].State != choice.Ready) {
+						if n > 0 && state[s.Server] == balancer.Ready && !waits && (!known || r.fleet.entries[s.Server].State != balancer.Ready) {
 							t.Fatalf("%s of a home zone is ready and not handed on", s.Server)
 						}
 					}
--- a/internal/subset/width.go
+++ b/internal/subset/width.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 )
 
 const (
@@ -125,8 +125,8 @@
 
 // service counts members in service by zone. While none at all is, the module calls all of them open, and new ones do
 // not count either.
-func (s *Subset) service(now time.Duration, fleet Fleet, empty bool) map[choice.ZoneID]zoneService {
-	service := map[choice.ZoneID]zoneService{}
+func (s *Subset) service(now time.Duration, fleet Fleet, empty bool) map[balancer.ZoneID]zoneService {
+	service := map[balancer.ZoneID]zoneService{}
 	if empty {
 		return service
 	}
@@ -139,7 +139,7 @@
 		if open {
 			in.serving++
 			in.warm += climbed
-		} else if r.server.State == choice.Ready && now-r.since < settleTime {
+		} else if r.server.State == balancer.Ready && now-r.since < settleTime {
 			in.serving++
 		}
 		service[r.server.Zone] = in
--- a/internal/versions/chain.go
+++ b/internal/versions/chain.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 	"tamarindshore/client/tables"
 )
 
@@ -92,7 +92,7 @@
 }
 
 // ops are a call's orders as changes of a state. Bindings are no part of it.
-func ops(o choice.Orders) (all []tables.Op) {
+func ops(o balancer.Orders) (all []tables.Op) {
 	for _, s := range o.Withdraw {
 		all = append(all, tables.Op{Kind: tables.Withdraw, Server: string(s)})
 	}
@@ -111,7 +111,7 @@
 
 // Propose looks at orders before they go out, and makes a version of what may. What must go out at once goes whatever
 // else is wrong: drains, lines that take weight from who may get no flows, lines for a table without any, bindings.
-func (c *Chain) Propose(now time.Duration, o choice.Orders, cause string, see Seer) (r Result) {
+func (c *Chain) Propose(now time.Duration, o balancer.Orders, cause string, see Seer) (r Result) {
 	c.now = now
 	r.Orders = o
 	r.Orders.Lines = slices.Clone(o.Lines)
@@ -177,10 +177,10 @@
 // not all, was at fault.
 func (c *Chain) onlyUrgent(p *proposal, at fault) (apart bool) {
 	all, before := at.server == "" && at.table < 0, p.orders.Count()
-	p.orders.Lines = slices.DeleteFunc(p.orders.Lines, func(l choice.Line) bool {
+	p.orders.Lines = slices.DeleteFunc(p.orders.Lines, func(l balancer.Line) bool {
 		return (all || l.Server == at.server || int(l.Table) == at.table) && !p.urgent(l)
 	})
-	p.orders.Readmit = slices.DeleteFunc(slices.Clone(p.orders.Readmit), func(s choice.ServerID) bool { return all || s == at.server })
+	p.orders.Readmit = slices.DeleteFunc(slices.Clone(p.orders.Readmit), func(s balancer.ServerID) bool { return all || s == at.server })
 	if all {
 		p.orders.Levels = nil
 	}
@@ -188,7 +188,7 @@
 }
 
 // add appends a version, and drops the oldest beyond what is kept.
-func (c *Chain) add(s *tables.State, cause string, mark choice.MarkID, by []tables.Op) *Version {
+func (c *Chain) add(s *tables.State, cause string, mark balancer.MarkID, by []tables.Op) *Version {
 	v := &Version{ID: tables.ID{Epoch: c.t.Epoch, Number: 1}, Digest: s.Digest(), At: c.t.Began.Add(c.now), Cause: cause, Layout: c.layout, Ops: by, State: s, Mark: mark}
 	if h := c.Head(); h != nil {
 		v.ID.Number = h.ID.Number + 1
@@ -220,7 +220,7 @@
 }
 
 // Outcome tells that the orders under a mark, and all before them, were carried out.
-func (c *Chain) Outcome(now time.Duration, mark choice.MarkID) {
+func (c *Chain) Outcome(now time.Duration, mark balancer.MarkID) {
 	c.now = now
 	for i := len(c.versions) - 1; i >= 0; i-- {
 		if c.versions[i].Mark == mark && mark != 0 {
@@ -247,16 +247,16 @@
 func (c *Chain) Standing() Pin { return pinned(c.State()) }
 
 func pinned(s *tables.State) Pin {
-	p := Pin{Tables: map[choice.TableID]map[choice.ServerID]float64{}, Levels: map[choice.TableID]map[uint]choice.Level{}}
+	p := Pin{Tables: map[balancer.TableID]map[balancer.ServerID]float64{}, Levels: map[balancer.TableID]map[uint]balancer.Level{}}
 	for _, id := range s.IDs() {
-		t, lines, levels := s.Table(id), map[choice.ServerID]float64{}, map[uint]choice.Level{}
+		t, lines, levels := s.Table(id), map[balancer.ServerID]float64{}, map[uint]balancer.Level{}
 		for server, w := range t.Lines {
-			lines[choice.ServerID(server)] = w
+			lines[balancer.ServerID(server)] = w
 		}
 		for mask, l := range t.Levels {
-			levels[uint(mask)] = choice.Level{Table: choice.TableID(id), Groups: uint(mask), Amount: l.Amount, Tries: choice.Tries(l.Tries)}
+			levels[uint(mask)] = balancer.Level{Table: balancer.TableID(id), Groups: uint(mask), Amount: l.Amount, Tries: balancer.Tries(l.Tries)}
 		}
-		p.Tables[choice.TableID(id)], p.Levels[choice.TableID(id)] = lines, levels
+		p.Tables[balancer.TableID(id)], p.Levels[balancer.TableID(id)] = lines, levels
 	}
 	return p
 }
@@ -264,12 +264,12 @@
 // StillDraining corrects a list as last held by the drains that were in force: guards against a list older than a
 // drain, which would give a server flows again. One that started since then is another process. Times of starts count
 // from when the manager began.
-func StillDraining(entries []choice.Entry, drains map[string]time.Time, began time.Time) []choice.Entry {
+func StillDraining(entries []balancer.Entry, drains map[string]time.Time, began time.Time) []balancer.Entry {
 	entries = slices.Clone(entries)
 	for i, e := range entries {
 		since, drained := drains[string(e.Server)]
-		if drained && e.State == choice.Ready && !(e.Fresh && e.Started > since.Sub(began)) {
-			entries[i].State = choice.Draining
+		if drained && e.State == balancer.Ready && !(e.Fresh && e.Started > since.Sub(began)) {
+			entries[i].State = balancer.Draining
 		}
 	}
 	return entries
--- a/internal/versions/check.go
+++ b/internal/versions/check.go
@@ -4,21 +4,21 @@
 	"fmt"
 	"math"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 	"tamarindshore/client/tables"
 )
 
 // proposal is one version before it is used.
 type proposal struct {
 	now, next *tables.State // what stands, and what it would come to
-	orders    *choice.Orders
+	orders    *balancer.Orders
 	see       Seer
 }
 
 // fault is what a rule finds wrong, and at whom: a server's orders, a table's lines, or, with neither, the whole version.
 type fault struct {
 	what   string // empty where nothing is wrong
-	server choice.ServerID
+	server balancer.ServerID
 	table  int // below 0: none
 }
 
@@ -42,7 +42,7 @@
 
 // urgent tells whether a line must go out whatever else is wrong: it takes weight from a server that may get no
 // flows or is cold, or it is for a table none of whose lines can be picked.
-func (p *proposal) urgent(l choice.Line) bool {
+func (p *proposal) urgent(l balancer.Line) bool {
 	if math.IsNaN(l.Weight) || math.IsInf(l.Weight, 0) || l.Weight < 0 {
 		return false
 	}
@@ -54,7 +54,7 @@
 // usable tells whether some line of a table can be picked.
 func (p *proposal) usable(of *tables.State, id uint32) bool {
 	for s, w := range of.Table(id).Lines {
-		if w > 0 && !of.Withdrawn(s) && p.see.Sees(choice.ServerID(s)).Open {
+		if w > 0 && !of.Withdrawn(s) && p.see.Sees(balancer.ServerID(s)).Open {
 			return true
 		}
 	}
@@ -123,9 +123,9 @@
 	}
 	total := 0.0
 	for _, id := range p.next.IDs() {
-		total += p.see.Flows(choice.TableID(id))
+		total += p.see.Flows(balancer.TableID(id))
 	}
-	seen := map[choice.ServerID]bool{}
+	seen := map[balancer.ServerID]bool{}
 	for _, l := range p.orders.Lines {
 		s := p.see.Sees(l.Server)
 		if s.Climbed >= 1 || seen[l.Server] || p.urgent(l) || l.Weight <= p.now.Table(uint32(l.Table)).Lines[string(l.Server)] {
@@ -136,7 +136,7 @@
 		for _, id := range p.next.IDs() {
 			t := p.next.Table(id)
 			if w := t.Lines[string(l.Server)]; w > 0 {
-				gets += p.see.Flows(choice.TableID(id)) * w / weight(t)
+				gets += p.see.Flows(balancer.TableID(id)) * w / weight(t)
 			}
 		}
 		if part := total / float64(all); gets > c.t.ColdMost*s.Climbed*part && total > 0 {
@@ -165,12 +165,12 @@
 	a, b := p.now.Table(id), p.next.Table(id)
 	left, sumA, sumB := 0.0, 0.0, 0.0
 	for s, w := range a.Lines {
-		if p.see.Sees(choice.ServerID(s)).Open && !p.now.Withdrawn(s) {
+		if p.see.Sees(balancer.ServerID(s)).Open && !p.now.Withdrawn(s) {
 			sumA += w
 		}
 	}
 	for s, w := range b.Lines {
-		if p.see.Sees(choice.ServerID(s)).Open && !p.next.Withdrawn(s) {
+		if p.see.Sees(balancer.ServerID(s)).Open && !p.next.Withdrawn(s) {
 			sumB += w
 		}
 	}
@@ -178,7 +178,7 @@
 		return 0
 	}
 	for s, w := range a.Lines {
-		if p.see.Sees(choice.ServerID(s)).Open && !p.now.Withdrawn(s) {
+		if p.see.Sees(balancer.ServerID(s)).Open && !p.now.Withdrawn(s) {
 			left += max(0, w/sumA-b.Lines[s]/sumB)
 		}
 	}
@@ -199,7 +199,7 @@
 		most = c.t.GlideMost
 	}
 	for _, id := range p.next.IDs() {
-		flows := max(p.see.Flows(choice.TableID(id)), 1e-9)
+		flows := max(p.see.Flows(balancer.TableID(id)), 1e-9)
 		if all += flows; changed[id] {
 			moved += flows * p.moved(id)
 		}
--- a/internal/versions/hold.go
+++ b/internal/versions/hold.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 	"tamarindshore/client/tables"
 )
 
@@ -111,7 +111,7 @@
 func (c *Chain) today(s *tables.State, see Seer) (Pin, error) {
 	pin := pinned(s)
 	for _, id := range c.State().IDs() {
-		lines := pin.Tables[choice.TableID(id)]
+		lines := pin.Tables[balancer.TableID(id)]
 		for server, w := range lines {
 			sight := see.Sees(server)
 			if !sight.Known || !sight.Open {
--- a/internal/versions/types.go
+++ b/internal/versions/types.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"tamarindshore/choice"
+	"tamarindshore/balancer"
 	"tamarindshore/client/tables"
 )
 
@@ -42,9 +42,9 @@
 
 // Seer is who knows the fleet now.
 type Seer interface {
-	Sees(choice.ServerID) Sight
-	Flows(choice.TableID) float64 // a second, that come to a table's proxies
-	Ready() (all, warm int)       // servers that may get flows
+	Sees(balancer.ServerID) Sight
+	Flows(balancer.TableID) float64 // a second, that come to a table's proxies
+	Ready() (all, warm int)         // servers that may get flows
 }
 
 // Version is one state of all tables that was sent.
@@ -58,7 +58,7 @@
 	Key    string // of the way back that made it
 	Ops    []tables.Op
 	State  *tables.State
-	Mark   choice.MarkID // of the orders that carried it
+	Mark   balancer.MarkID // of the orders that carried it
 
 	Settled bool // it was carried out; until then the one before may still stand
 	size    int
@@ -66,14 +66,14 @@
 
 // Result is what became of a proposal.
 type Result struct {
-	Orders  choice.Orders // that may go out
-	Changed bool          // they are not those proposed: the module must hear what stands
-	Version *Version      // nil where nothing changed
+	Orders  balancer.Orders // that may go out
+	Changed bool            // they are not those proposed: the module must hear what stands
+	Version *Version        // nil where nothing changed
 	Notes   []string
 }
 
 // Pin is what tables are brought to and held at.
 type Pin struct {
-	Tables map[choice.TableID]map[choice.ServerID]float64
-	Levels map[choice.TableID]map[uint]choice.Level
+	Tables map[balancer.TableID]map[balancer.ServerID]float64
+	Levels map[balancer.TableID]map[uint]balancer.Level
 }
