--- a/internal/sharding/fold.go
+++ b/internal/sharding/fold.go
@@ -26,7 +26,7 @@
 
 type part struct {
 	proxy balancer.ProxyID
-	group balancer.GroupID
+	group balancer.ClassID
 }
 
 // NewMail holds about so many samples.
@@ -78,23 +78,23 @@
 
 func (m *Mail) merge(sample any) {
 	switch s := sample.(type) {
-	case balancer.Report:
+	case balancer.LoadReport:
 		at, same := m.reports[pair{s.Server, s.Zone}]
 		if !same {
 			m.reports[pair{s.Server, s.Zone}] = len(m.waits)
 			break
 		}
-		m.waits[at] = Sum(m.waits[at].(balancer.Report), s)
+		m.waits[at] = Sum(m.waits[at].(balancer.LoadReport), s)
 		m.Folds++
 		return
-	case balancer.Usage:
-		at, same := m.usages[part{s.Proxy, s.Group}]
+	case balancer.UsageReport:
+		at, same := m.usages[part{s.Proxy, s.Class}]
 		if !same {
-			m.usages[part{s.Proxy, s.Group}] = len(m.waits)
+			m.usages[part{s.Proxy, s.Class}] = len(m.waits)
 			break
 		}
-		u := m.waits[at].(balancer.Usage)
-		u.Flows, u.Dropped, u.Span = u.Flows+s.Flows, u.Dropped+s.Dropped, u.Span+s.Span
+		u := m.waits[at].(balancer.UsageReport)
+		u.Requests, u.Dropped, u.Interval = u.Requests+s.Requests, u.Dropped+s.Dropped, u.Interval+s.Interval
 		m.waits[at] = u
 		m.Folds++
 		return
@@ -103,15 +103,15 @@
 }
 
 // Sum is what two reports of the same pair say together; the later one's load counts, if it tells any.
-func Sum(a, b balancer.Report) balancer.Report {
-	good := float64(a.Tries-a.Failed)*float64(a.Latency) + float64(b.Tries-b.Failed)*float64(b.Latency)
-	sum := balancer.Report{Server: a.Server, Zone: a.Zone, Tries: a.Tries + b.Tries, Failed: a.Failed + b.Failed,
-		Span: a.Span + b.Span, Load: b.Load}
-	if n := sum.Tries - sum.Failed; n > 0 {
+func Sum(a, b balancer.LoadReport) balancer.LoadReport {
+	good := float64(a.Attempts-a.Failed)*float64(a.Latency) + float64(b.Attempts-b.Failed)*float64(b.Latency)
+	sum := balancer.LoadReport{Server: a.Server, Zone: a.Zone, Attempts: a.Attempts + b.Attempts, Failed: a.Failed + b.Failed,
+		Interval: a.Interval + b.Interval, InFlight: b.InFlight}
+	if n := sum.Attempts - sum.Failed; n > 0 {
 		sum.Latency = time.Duration(good / float64(n))
 	}
-	if b.Load < 0 {
-		sum.Load = a.Load
+	if b.InFlight < 0 {
+		sum.InFlight = a.InFlight
 	}
 	return sum
 }
--- a/internal/sharding/keeper_test.go
+++ b/internal/sharding/keeper_test.go
@@ -165,23 +165,23 @@
 
 func TestFoldKeepsCountsAndRates(t *testing.T) {
 	m := NewMail(4)
-	u := balancer.Usage{Proxy: 1, Group: 2, Flows: 3, Dropped: 1, Span: time.Second}
-	r := balancer.Report{Server: "s", Zone: "a", Tries: 10, Failed: 5, Latency: time.Second, Span: time.Second, Load: 7}
-	late := balancer.Report{Server: "s", Zone: "a", Tries: 5, Latency: 2 * time.Second, Span: time.Second, Load: -1}
+	u := balancer.UsageReport{Proxy: 1, Class: 2, Requests: 3, Dropped: 1, Interval: time.Second}
+	r := balancer.LoadReport{Server: "s", Zone: "a", Attempts: 10, Failed: 5, Latency: time.Second, Interval: time.Second, InFlight: 7}
+	late := balancer.LoadReport{Server: "s", Zone: "a", Attempts: 5, Latency: 2 * time.Second, Interval: time.Second, InFlight: -1}
 	m.Put([]any{u, r, u, late})
 	if !m.Room() || m.Len() != 2 || m.Folds != 2 {
 		t.Fatalf("%d wait after %d folds", m.Len(), m.Folds)
 	}
 	m.Put([]any{u})
 	got := m.Next(9, nil)
-	if sum := got[0].(balancer.Usage); sum.Flows != 9 || sum.Dropped != 3 || sum.Span != 3*time.Second {
+	if sum := got[0].(balancer.UsageReport); sum.Requests != 9 || sum.Dropped != 3 || sum.Interval != 3*time.Second {
 		t.Errorf("%+v", sum)
 	}
-	if sum := got[1].(balancer.Report); sum.Tries != 15 || sum.Failed != 5 || sum.Latency != 1500*time.Millisecond || sum.Load != 7 {
+	if sum := got[1].(balancer.LoadReport); sum.Attempts != 15 || sum.Failed != 5 || sum.Latency != 1500*time.Millisecond || sum.InFlight != 7 {
 		t.Errorf("%+v", sum)
 	}
 	for i := range 4 {
-		m.Put([]any{balancer.Usage{Proxy: balancer.ProxyID(i)}})
+		m.Put([]any{balancer.UsageReport{Proxy: balancer.ProxyID(i)}})
 	}
 	if m.Room() || m.Len() != 4 {
 		t.Errorf("%d wait: as many as exist, and no room for more", m.Len())
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -118,9 +118,9 @@
 			return fmt.Errorf("setup: %v", err)
 		}
 		h.managers[who] = &hosted{born: clock, groups: names}
-		h.call(who, func() balancer.Orders {
+		h.call(who, func() balancer.Commands {
 			h.managers[who].manager = balancer.New(seed, t)
-			return balancer.Orders{}
+			return balancer.Commands{}
 		})
 		return nil
 	}
@@ -128,7 +128,7 @@
 	if one == nil {
 		return fmt.Errorf("instance %d is not known", who)
 	}
-	now, call := clock-one.born, func() balancer.Orders { return balancer.Orders{} }
+	now, call := clock-one.born, func() balancer.Commands { return balancer.Commands{} }
 	one.now = now
 	m := one.manager
 	switch kind {
@@ -145,7 +145,7 @@
 		if err := c.end(); err != nil {
 			return err
 		}
-		entries := []balancer.Entry{}
+		entries := []balancer.Endpoint{}
 		for range count {
 			row, ok := next()
 			if !ok {
@@ -157,61 +157,61 @@
 			}
 			entries = append(entries, e)
 		}
-		call = func() balancer.Orders {
+		call = func() balancer.Commands {
 			if scope == "Error" {
-				return m.ListFailed(now)
+				return m.HandleEndpointListError(now)
 			}
-			return m.Listed(now, scope != "Partial", entries)
+			return m.HandleEndpointList(now, scope != "Partial", entries)
 		}
 	case "REMINDER":
 		c.whole("label", 0, math.MaxInt64)
-		call = func() balancer.Orders { return m.Woke(now) }
+		call = func() balancer.Commands { return m.HandleTimer(now) }
 	case "HEALTH_RESULT":
 		server := balancer.ServerID(c.id("worker"))
 		code := c.oneOf("code", "delivered", "app_error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused")
 		took := c.span("elapsedUs")
 		load := c.load("pressure")
-		answer := balancer.Silent
+		answer := balancer.HealthCheckTimedOut
 		if code == "dial_failed" {
-			answer = balancer.Unreached
+			answer = balancer.HealthCheckUnreachable
 		}
 		switch code {
 		case "delivered":
-			answer = balancer.Answered
+			answer = balancer.HealthCheckPassed
 		case "app_error":
-			answer = balancer.Erred
+			answer = balancer.HealthCheckInvalid
 		case "shed":
-			answer = balancer.Full
+			answer = balancer.HealthCheckRejected
 		}
-		call = func() balancer.Orders { return m.Probed(now, server, answer, took, load) }
+		call = func() balancer.Commands { return m.HandleHealthCheck(now, server, answer, took, load) }
 	case "DIALLED_IN":
 		rate := c.number("part")
 		c.truth("flag")
 		proxy := balancer.ProxyID(c.whole("sidecar", 0, 65535))
 		zone := balancer.ZoneID(c.id("dc"))
-		call = func() balancer.Orders { return m.Joined(now, proxy, zone, rate) }
+		call = func() balancer.Commands { return m.HandleProxyConnected(now, proxy, zone, rate) }
 	case "STREAM_DOWN":
 		proxy := balancer.ProxyID(c.whole("sidecar", 0, 65535))
-		call = func() balancer.Orders { return m.Left(now, proxy) }
+		call = func() balancer.Commands { return m.HandleProxyDisconnected(now, proxy) }
 	case "OBSERVED":
-		r := balancer.Report{Server: balancer.ServerID(c.id("worker"))}
+		r := balancer.LoadReport{Server: balancer.ServerID(c.id("worker"))}
 		r.Failed = int(c.whole("failed", 0, math.MaxInt32))
-		r.Tries = int(c.whole("many", 0, math.MaxInt32))
-		r.Latency, r.Span = c.span("elapsedUs"), c.span("spanUs")
-		r.Zone, r.Load = balancer.ZoneID(c.id("dc")), c.load("pressure")
-		call = func() balancer.Orders { return m.Heard(now, r) }
+		r.Attempts = int(c.whole("many", 0, math.MaxInt32))
+		r.Latency, r.Interval = c.span("elapsedUs"), c.span("spanUs")
+		r.Zone, r.InFlight = balancer.ZoneID(c.id("dc")), c.load("pressure")
+		call = func() balancer.Commands { return m.HandleLoadReport(now, r) }
 	case "OFFERED_LOAD":
-		u := balancer.Usage{Proxy: balancer.ProxyID(c.whole("sidecar", 0, 65535))}
-		u.Group = balancer.GroupID(slices.Index(one.groups, c.oneOf("kind", one.groups...)))
-		u.Flows = int(c.whole("many", 0, math.MaxInt32))
+		u := balancer.UsageReport{Proxy: balancer.ProxyID(c.whole("sidecar", 0, 65535))}
+		u.Class = balancer.ClassID(slices.Index(one.groups, c.oneOf("kind", one.groups...)))
+		u.Requests = int(c.whole("many", 0, math.MaxInt32))
 		u.Dropped = int(c.whole("failed", 0, math.MaxInt32))
-		u.Span = c.span("spanUs")
-		call = func() balancer.Orders { return m.Used(now, u) }
+		u.Interval = c.span("spanUs")
+		call = func() balancer.Commands { return m.HandleUsageReport(now, u) }
 	case "INSTALLED":
 		proxy := balancer.ProxyID(c.whole("sidecar", 0, 65535))
-		mark := balancer.MarkID(c.whole("serial", 0, 65535))
+		mark := balancer.BarrierID(c.whole("serial", 0, 65535))
 		c.span("elapsedUs")
-		call = func() balancer.Orders { return m.Applied(now, proxy, mark) }
+		call = func() balancer.Commands { return m.HandleBarrierAck(now, proxy, mark) }
 	case "FROM_PEER":
 		c.whole("originPeer", 0, math.MaxInt32)
 		c.text("data")
@@ -239,7 +239,7 @@
 }
 
 // call runs a decision and writes its orders; a panic in it is a fault of that manager alone.
-func (h *Host) call(who int64, decide func() balancer.Orders) {
+func (h *Host) call(who int64, decide func() balancer.Commands) {
 	one := h.managers[who]
 	if one.failed {
 		return
@@ -255,38 +255,38 @@
 	h.write(who, one, o)
 }
 
-func (h *Host) write(who int64, one *hosted, o balancer.Orders) {
+func (h *Host) write(who int64, one *hosted, o balancer.Commands) {
 	number := func(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 	for _, s := range o.Withdraw {
 		fmt.Fprintf(h.out, "PULL\t%d\t%s\t1\n", who, s)
 	}
-	for _, l := range o.Lines {
+	for _, l := range o.Weights {
 		fmt.Fprintf(h.out, "SET_WEIGHT\t%d\t%s\t%s\t%d\n", who, number(l.Weight), l.Server, l.Table)
 	}
-	for _, l := range o.Levels {
-		fmt.Fprintf(h.out, "RATION\t%d\t%d\t%d\t%s\t%d\n", who, l.Table, l.Groups, number(l.Amount), l.Tries)
+	for _, l := range o.AdmissionLevels {
+		fmt.Fprintf(h.out, "RATION\t%d\t%d\t%d\t%s\t%d\n", who, l.Table, l.Classes, number(l.Amount), l.Retry)
 	}
-	for _, s := range o.Readmit {
+	for _, s := range o.Restore {
 		fmt.Fprintf(h.out, "PULL\t%d\t%s\t0\n", who, s)
 	}
-	for _, b := range o.Bind {
-		fmt.Fprintf(h.out, "SUBSCRIBE_TO\t%d\t%d\t%d\t%d\n", who, b.Groups, b.Proxy, b.Table)
+	for _, b := range o.Assign {
+		fmt.Fprintf(h.out, "SUBSCRIBE_TO\t%d\t%d\t%d\t%d\n", who, b.Classes, b.Proxy, b.Table)
 	}
-	if o.Mark > 0 {
-		one.manager.Entered(one.now, o.Mark) // a reply takes effect at once
-		fmt.Fprintf(h.out, "CHECKPOINT\t%d\t%d\t0\n", who, o.Mark)
+	if o.Barrier > 0 {
+		one.manager.HandleCommandsSent(one.now, o.Barrier) // a reply takes effect at once
+		fmt.Fprintf(h.out, "CHECKPOINT\t%d\t%d\t0\n", who, o.Barrier)
 	}
-	for _, s := range o.Probe {
+	for _, s := range o.HealthCheck {
 		fmt.Fprintf(h.out, "PING\t%d\t%s\n", who, s)
 	}
-	if o.Listen {
+	if o.Subscribe {
 		fmt.Fprintf(h.out, "LISTEN\t%d\t1\n", who)
 	}
-	if o.Wake > 0 {
-		at := (o.Wake + one.born + time.Microsecond - 1) / time.Microsecond
+	if o.NextTimer > 0 {
+		at := (o.NextTimer + one.born + time.Microsecond - 1) / time.Microsecond
 		fmt.Fprintf(h.out, "SLEEP\t%d\t1\t%d\n", who, int64(at))
 	}
-	for _, n := range o.Notes {
+	for _, n := range o.LogRecords {
 		fmt.Fprintf(h.out, "JOURNAL_LINE\t%d\t%s\n", who, n)
 	}
 }
--- a/internal/simprotocol/host_test.go
+++ b/internal/simprotocol/host_test.go
@@ -73,8 +73,8 @@
 	var out strings.Builder
 	h := newHost(&out)
 	h.managers[3] = &hosted{}
-	h.call(3, func() balancer.Orders { panic("cause\nof it") })
-	h.call(3, func() balancer.Orders { panic("again") })
+	h.call(3, func() balancer.Commands { panic("cause\nof it") })
+	h.call(3, func() balancer.Commands { panic("again") })
 	h.out.Flush()
 	if out.String() != "INTERNAL_ERROR\t3\tcause of it\n" {
 		t.Errorf("%q", out.String())
--- a/internal/simprotocol/read.go
+++ b/internal/simprotocol/read.go
@@ -112,16 +112,16 @@
 }
 
 // entry reads one line of a list; a start of 0 or none is long ago.
-func entry(line string, born time.Duration) (balancer.Entry, error) {
+func entry(line string, born time.Duration) (balancer.Endpoint, error) {
 	c := &cells{parts: strings.Split(line, "\t")}
 	if c.text("M") != "M" {
-		return balancer.Entry{}, errors.New("an M line is due")
+		return balancer.Endpoint{}, errors.New("an M line is due")
 	}
-	e := balancer.Entry{}
+	e := balancer.Endpoint{}
 	c.text("unitGroup")
 	e.Zone = balancer.ZoneID(c.id("dc"))
 	if started := c.span("lastStartUs"); started > 0 {
-		e.Started, e.Fresh = started-born, true
+		e.Started, e.RecentlyStarted = started-born, true
 	}
 	e.Server = balancer.ServerID(c.id("worker"))
 	if c.at < len(c.parts) && c.parts[c.at] == "-" {
@@ -133,7 +133,7 @@
 	case "draining":
 		e.State = balancer.Draining
 	case "gone":
-		e.State = balancer.Gone
+		e.State = balancer.Removed
 	}
 	c.text("shape")
 	return e, c.end()
--- a/internal/subset/failure_test.go
+++ b/internal/subset/failure_test.go
@@ -54,7 +54,7 @@
 func TestAHomeZoneThatTheListDropsIsMadeUpFor(t *testing.T) {
 	servers := fleetOf(20, 273)
 	r := raised(servers, 100)
-	r.list(false, in(balancer.Gone, ofZone(servers, 0)...)...)
+	r.list(false, in(balancer.Removed, ofZone(servers, 0)...)...)
 	r.seconds(1)
 	if n := r.serving(0); n < 260 || n > 800 {
 		t.Errorf("%d servers of other zones serve in the second after 273 were removed", n)
@@ -72,7 +72,7 @@
 		home = append(home, serverOf(0, 1000+n))
 	}
 	r := raised(slices.Concat(home, fleetOf(20, 100)), 100)
-	r.list(false, in(balancer.Gone, slices.Concat(home, ofZone(fleetOf(1, 100), 0))...)...)
+	r.list(false, in(balancer.Removed, slices.Concat(home, ofZone(fleetOf(1, 100), 0))...)...)
 	r.seconds(1)
 	if n := float64(r.serving(0)); n < widenBelow*700 {
 		t.Errorf("%.0f servers of other zones serve in the second after 600 were removed", n)
@@ -147,13 +147,13 @@
 	r.fail(ofZone(servers, 0)...)
 	r.seconds(5)
 	clear(r.fleet.failed)
-	last := map[balancer.ServerID]balancer.Condition{}
+	last := map[balancer.ServerID]balancer.ServerState{}
 	lifted, drainedAt := map[balancer.ServerID]bool{}, map[balancer.ServerID]time.Duration{}
 	for range 900 {
 		u := r.look()
 		for _, one := range u.Servers {
 			was, left := last[one.Server]
-			if one.State == balancer.Gone && (!left || was != balancer.Draining || r.now-drainedAt[one.Server] < drainGrace) {
+			if one.State == balancer.Removed && (!left || was != balancer.Draining || r.now-drainedAt[one.Server] < drainGrace) {
 				t.Fatalf("%s is gone %v after it began to drain", one.Server, r.now-drainedAt[one.Server])
 			}
 			if one.State == balancer.Draining {
@@ -162,7 +162,7 @@
 			last[one.Server] = one.State
 		}
 		for _, id := range u.Readmit {
-			if known, _, _ := r.fleet.Sees(id); known {
+			if known, _, _ := r.fleet.ServerStatus(id); known {
 				t.Fatalf("%s is let back in and still known", id)
 			}
 			lifted[id] = true
@@ -254,7 +254,7 @@
 	for i, old := range servers {
 		if i%10 < 6 {
 			fresh := serverOf(i/100, 1000+i)
-			r.list(false, in(balancer.Gone, old)[0], fresh)
+			r.list(false, in(balancer.Removed, old)[0], fresh)
 		}
 		if i%40 == 0 {
 			r.seconds(1)
@@ -289,7 +289,7 @@
 	if n := len(difference(before, r.members())); n > 12 {
 		t.Errorf("%d of %d members left for one zone in 21", n, len(before))
 	}
-	r.list(false, in(balancer.Gone, servers[2000:]...)...)
+	r.list(false, in(balancer.Removed, servers[2000:]...)...)
 	r.seconds(200)
 	if after := r.members(); !maps.Equal(before, after) {
 		t.Errorf("%d members were %d once the zone had come and gone", len(after), len(before))
@@ -324,24 +324,24 @@
 func TestAWarmServerDoesNotClimb(t *testing.T) {
 	servers := fleetOf(4, 20)
 	for i := range servers {
-		servers[i].Fresh, servers[i].Started = true, 10*time.Second
+		servers[i].RecentlyStarted, servers[i].Started = true, 10*time.Second
 	}
 	r := newRun("n9", 1)
 	r.now = time.Minute
 	r.list(true, servers...)
 	r.join(zoneName(0))
 	one := servers[0].Server
-	if e := r.fleet.entries[one]; e.Fresh {
+	if e := r.fleet.entries[one]; e.RecentlyStarted {
 		t.Error("it is handed on as a fresh process")
 	}
 	r.list(false, servers[0])
-	if e := r.fleet.entries[one]; e.Fresh {
+	if e := r.fleet.entries[one]; e.RecentlyStarted {
 		t.Error("it is handed on as a fresh process when it is told again")
 	}
 	restarted := servers[0]
 	restarted.Started = 50 * time.Second
 	r.list(false, restarted)
-	if e := r.fleet.entries[one]; !e.Fresh || e.Started != restarted.Started {
+	if e := r.fleet.entries[one]; !e.RecentlyStarted || e.Started != restarted.Started {
 		t.Error("a restart is not handed on")
 	}
 }
@@ -377,7 +377,7 @@
 	r.list(true, servers...)
 	r.join(zoneName(0))
 	for i := 0; b.Loop(); i++ {
-		r.subset.Listed(time.Second, false, in(balancer.Condition(i%2), servers[i%len(servers)]))
+		r.subset.Listed(time.Second, false, in(balancer.ServerState(i%2), servers[i%len(servers)]))
 	}
 }
 
@@ -438,7 +438,7 @@
 	}
 	drained, removed, back := outsiders[0], outsiders[1], outsiders[2]
 	r.list(false, in(balancer.Draining, drained, back)...)
-	r.list(false, in(balancer.Gone, removed)...)
+	r.list(false, in(balancer.Removed, removed)...)
 	for _, s := range []Server{drained, removed, back} {
 		if e := r.fleet.entries[s.Server]; e.State != balancer.Draining {
 			t.Errorf("%s is handed on as %+v", s.Server, e)
@@ -450,7 +450,7 @@
 			t.Fatalf("%s drains still and is handed on as %+v", drained.Server, e)
 		}
 	}
-	if known, _, _ := r.fleet.Sees(removed.Server); known || r.subset.Knows(removed.Server) {
+	if known, _, _ := r.fleet.ServerStatus(removed.Server); known || r.subset.Knows(removed.Server) {
 		t.Errorf("%s is not forgotten", removed.Server)
 	}
 	r.list(false, back)
@@ -458,7 +458,7 @@
 	for range 200 {
 		lifted = lifted || slices.Contains(r.look().Readmit, back.Server)
 	}
-	if known, _, _ := r.fleet.Sees(back.Server); known || !lifted {
+	if known, _, _ := r.fleet.ServerStatus(back.Server); known || !lifted {
 		t.Errorf("%s is ready again: known %v, its withdrawal is lifted %v", back.Server, known, lifted)
 	}
 }
--- a/internal/subset/records.go
+++ b/internal/subset/records.go
@@ -37,7 +37,7 @@
 
 // markWarm notes whether a server that becomes a member is warm already.
 func (r *record) markWarm(now, warmAfter time.Duration) {
-	r.warm = r.server.Fresh && now-r.server.Started >= warmAfter
+	r.warm = r.server.RecentlyStarted && now-r.server.Started >= warmAfter
 	r.warmStart = r.server.Started
 }
 
@@ -45,11 +45,11 @@
 func (r *record) handOn() Server {
 	out := r.server
 	if r.warm && out.Started <= r.warmStart {
-		out.Fresh, out.Started = false, 0
+		out.RecentlyStarted, out.Started = false, 0
 	}
 	switch {
 	case r.phase == released:
-		out.State = balancer.Gone
+		out.State = balancer.Removed
 	case r.phase == leaving:
 		out.State = balancer.Draining
 	}
@@ -66,7 +66,7 @@
 		s.count(r, -1)
 		server.Address = cmp.Or(server.Address, r.server.Address)
 	}
-	r.listed = server.State != balancer.Gone || r.server.Server != "" && r.server.State != balancer.Gone
+	r.listed = server.State != balancer.Removed || r.server.Server != "" && r.server.State != balancer.Removed
 	r.server = server
 	s.count(r, 1)
 	return r
@@ -74,7 +74,7 @@
 
 // count adds a server to the sizes of its zone, or takes it off.
 func (s *Subset) count(r *record, by int) {
-	if r.server.State != balancer.Gone {
+	if r.server.State != balancer.Removed {
 		s.zone(r.server.Zone).listed += by
 	}
 }
@@ -89,7 +89,7 @@
 	for id, r := range s.records {
 		if !listed[id] {
 			s.count(r, -1)
-			r.server.State = balancer.Gone
+			r.server.State = balancer.Removed
 		}
 		if r.unused() {
 			delete(s.records, id)
@@ -99,7 +99,7 @@
 }
 
 // unused tells whether neither the list nor the decision module has a server.
-func (r *record) unused() bool { return r.phase == outside && r.server.State == balancer.Gone }
+func (r *record) unused() bool { return r.phase == outside && r.server.State == balancer.Removed }
 
 func (s *Subset) dropIfUnused(r *record) {
 	if r.unused() {
@@ -126,7 +126,7 @@
 			continue
 		}
 		members++
-		if r.server.State != balancer.Gone && !s.selects(r) {
+		if r.server.State != balancer.Removed && !s.selects(r) {
 			surplus = append(surplus, r)
 		}
 	}
@@ -145,11 +145,11 @@
 			s.tell(r)
 			continue
 		}
-		ended := r.phase == released || r.server.State == balancer.Gone
+		ended := r.phase == released || r.server.State == balancer.Removed
 		if !ended || now == r.since {
 			continue
 		}
-		if known, _, _ := fleet.Sees(id); known {
+		if known, _, _ := fleet.ServerStatus(id); known {
 			s.returnKnown(now, r)
 		} else {
 			s.forget(now, r)
@@ -174,7 +174,7 @@
 		s.update.Readmit = append(s.update.Readmit, r.server.Server)
 	}
 	r.enter(outside, now)
-	r.listed = r.server.State != balancer.Gone
+	r.listed = r.server.State != balancer.Removed
 	s.settle(now, r)
 	s.dropIfUnused(r)
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -43,7 +43,7 @@
 
 // Server is one entry of the list and where the server listens.
 type Server struct {
-	balancer.Entry
+	balancer.Endpoint
 	Address string // empty where the list did not tell
 }
 
@@ -61,9 +61,9 @@
 // Fleet is the decision module's view of the servers that it was handed.
 type Fleet interface {
 	// Sees tells whether a server is known, whether it may get flows, and what part of its climb is over.
-	Sees(id balancer.ServerID) (known, open bool, climbed float64)
+	ServerStatus(id balancer.ServerID) (known, open bool, climbed float64)
 	// Ready is how many servers may get flows, and how many of them are warm.
-	Ready() (all, warm int)
+	ReadyServers() (all, warm int)
 }
 
 // Counts describe the subset at one time.
@@ -214,7 +214,7 @@
 // newLimit is what the list, the home zones and the width ask for.
 func (s *Subset) newLimit() limit {
 	return s.ring.limitFor(s.width.factor*float64(s.settings.Spill), s.foreign(), func(r *record) bool {
-		return r.server.State != balancer.Gone && !s.zone(r.server.Zone).home
+		return r.server.State != balancer.Removed && !s.zone(r.server.Zone).home
 	})
 }
 
@@ -274,7 +274,7 @@
 func (s *Subset) tell(r *record) {
 	if r.phase != outside && !r.told {
 		r.told = true
-		s.update.Servers = append(s.update.Servers, Server{Entry: balancer.Entry{Server: r.server.Server}})
+		s.update.Servers = append(s.update.Servers, Server{Endpoint: balancer.Endpoint{Server: r.server.Server}})
 	}
 }
 
@@ -290,7 +290,7 @@
 	if u.Whole {
 		u.Servers = u.Servers[:0]
 		for id := range s.handed {
-			u.Servers = append(u.Servers, Server{Entry: balancer.Entry{Server: id}})
+			u.Servers = append(u.Servers, Server{Endpoint: balancer.Endpoint{Server: id}})
 		}
 	}
 	for i, told := range u.Servers {
@@ -299,7 +299,7 @@
 		u.Servers[i] = record.handOn()
 	}
 	if u.Whole { // who is absent from the whole list is gone
-		u.Servers = slices.DeleteFunc(u.Servers, func(one Server) bool { return one.State == balancer.Gone })
+		u.Servers = slices.DeleteFunc(u.Servers, func(one Server) bool { return one.State == balancer.Removed })
 	}
 	slices.SortFunc(u.Servers, func(a, b Server) int { return cmp.Compare(a.Server, b.Server) })
 	return u
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -14,7 +14,7 @@
 
 // fakeFleet stands for the decision module: it keeps what it is handed, and says what is in service.
 type fakeFleet struct {
-	entries map[balancer.ServerID]balancer.Entry
+	entries map[balancer.ServerID]balancer.Endpoint
 	failed  map[balancer.ServerID]bool
 	climbed float64
 	now     time.Duration
@@ -24,7 +24,7 @@
 }
 
 func newFakeFleet() *fakeFleet {
-	return &fakeFleet{entries: map[balancer.ServerID]balancer.Entry{}, failed: map[balancer.ServerID]bool{}, climbed: 1,
+	return &fakeFleet{entries: map[balancer.ServerID]balancer.Endpoint{}, failed: map[balancer.ServerID]bool{}, climbed: 1,
 		addedAt: map[balancer.ServerID]time.Duration{}, goneAt: map[balancer.ServerID]time.Duration{}}
 }
 
@@ -36,12 +36,12 @@
 	return known && e.State == balancer.Ready && !f.failed[id] && f.now-f.addedAt[id] >= f.probing
 }
 
-func (f *fakeFleet) Sees(id balancer.ServerID) (known, open bool, climbed float64) {
+func (f *fakeFleet) ServerStatus(id balancer.ServerID) (known, open bool, climbed float64) {
 	_, known = f.entries[id]
 	return known, f.open(id), f.climbed
 }
 
-func (f *fakeFleet) Ready() (all, warm int) {
+func (f *fakeFleet) ReadyServers() (all, warm int) {
 	for id := range f.entries {
 		if f.open(id) {
 			all++
@@ -58,8 +58,8 @@
 		if _, known := f.entries[one.Server]; !known {
 			f.addedAt[one.Server] = now
 		}
-		f.entries[one.Server] = one.Entry
-		if one.State != balancer.Gone {
+		f.entries[one.Server] = one.Endpoint
+		if one.State != balancer.Removed {
 			delete(f.goneAt, one.Server)
 		} else if _, gone := f.goneAt[one.Server]; !gone {
 			f.goneAt[one.Server] = now
@@ -67,7 +67,7 @@
 	}
 	for id, e := range f.entries {
 		if u.Whole && !handed[id] {
-			e.State = balancer.Gone
+			e.State = balancer.Removed
 			f.entries[id] = e
 			if _, gone := f.goneAt[id]; !gone {
 				f.goneAt[id] = now
@@ -139,7 +139,7 @@
 
 func serverOf(zone, number int) Server {
 	id := balancer.ServerID(fmt.Sprintf("s-%02d-%05d", zone, number))
-	return Server{Entry: balancer.Entry{Server: id, Zone: zoneName(zone), Weight: 1}, Address: fmt.Sprintf("10.0.%d.%d:80", zone, number)}
+	return Server{Endpoint: balancer.Endpoint{Server: id, Zone: zoneName(zone), Weight: 1}, Address: fmt.Sprintf("10.0.%d.%d:80", zone, number)}
 }
 
 // fleetOf lists servers of some zones, equally large.
@@ -152,7 +152,7 @@
 	return servers
 }
 
-func in(state balancer.Condition, servers ...Server) []Server {
+func in(state balancer.ServerState, servers ...Server) []Server {
 	changed := slices.Clone(servers)
 	for i := range changed {
 		changed[i].State = state
@@ -334,12 +334,12 @@
 		servers, zones := drawFleet(t)
 		r := newRun("n5", rapid.IntRange(1, 40).Draw(t, "spill"))
 		r.list(true, servers...)
-		state := map[balancer.ServerID]balancer.Condition{}
+		state := map[balancer.ServerID]balancer.ServerState{}
 		joined := map[int]int{}
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
 				some := rapid.SliceOfN(rapid.SampledFrom(servers), 1, 20).Draw(t, "servers")
-				to := rapid.SampledFrom([]balancer.Condition{balancer.Ready, balancer.Draining, balancer.Gone}).Draw(t, "state")
+				to := rapid.SampledFrom([]balancer.ServerState{balancer.Ready, balancer.Draining, balancer.Removed}).Draw(t, "state")
 				for _, s := range some {
 					state[s.Server] = to
 				}
@@ -348,11 +348,11 @@
 			"whole list": func(t *rapid.T) {
 				absent := rapid.SliceOfN(rapid.SampledFrom(servers), 0, 10).Draw(t, "absent")
 				for _, s := range absent { // gone, without another word
-					state[s.Server] = balancer.Gone
+					state[s.Server] = balancer.Removed
 				}
 				var all []Server
 				for _, s := range servers {
-					if s.State = state[s.Server]; s.State != balancer.Gone {
+					if s.State = state[s.Server]; s.State != balancer.Removed {
 						all = append(all, s)
 					}
 				}
@@ -380,7 +380,7 @@
 					}
 				}
 				for id, to := range state {
-					known, _, _ := r.fleet.Sees(id)
+					known, _, _ := r.fleet.ServerStatus(id)
 					forgotten := r.subset.records[id] != nil && r.subset.records[id].phase == released // until the next look
 					if r.subset.started && to == balancer.Draining && !known && !forgotten {
 						t.Fatalf("%s drains and is not handed on", id)
@@ -388,7 +388,7 @@
 				}
 				for z, n := range joined {
 					for _, s := range ofZone(servers, z) {
-						known, _, _ := r.fleet.Sees(s.Server)
+						known, _, _ := r.fleet.ServerStatus(s.Server)
 						waits := r.subset.records[s.Server] != nil && r.subset.records[s.Server].phase == released
 						if n > 0 && state[s.Server] == balancer.Ready && !waits && (!known || r.fleet.entries[s.Server].State != balancer.Ready) {
 							t.Fatalf("%s of a home zone is ready and not handed on", s.Server)
--- a/internal/subset/width.go
+++ b/internal/subset/width.go
@@ -85,7 +85,7 @@
 
 // demand holds the members in service against what the zones should have.
 func (s *Subset) demand(now time.Duration, fleet Fleet) demand {
-	all, _ := fleet.Ready()
+	all, _ := fleet.ReadyServers()
 	d := demand{spill: float64(s.settings.Spill), available: float64(s.foreign())}
 	d.empty = all == 0 && s.hasSettled(now)
 	service := s.service(now, fleet, d.empty)
@@ -135,7 +135,7 @@
 			continue
 		}
 		in := service[r.server.Zone]
-		_, open, climbed := fleet.Sees(id)
+		_, open, climbed := fleet.ServerStatus(id)
 		if open {
 			in.serving++
 			in.warm += climbed
--- a/internal/versions/chain.go
+++ b/internal/versions/chain.go
@@ -92,18 +92,18 @@
 }
 
 // ops are a call's orders as changes of a state. Bindings are no part of it.
-func ops(o balancer.Orders) (all []tables.Op) {
+func ops(o balancer.Commands) (all []tables.Op) {
 	for _, s := range o.Withdraw {
 		all = append(all, tables.Op{Kind: tables.Withdraw, Server: string(s)})
 	}
-	for _, l := range o.Lines {
+	for _, l := range o.Weights {
 		all = append(all, tables.Op{Kind: tables.SetLine, Table: uint32(l.Table), Server: string(l.Server), Weight: l.Weight})
 	}
-	for _, l := range o.Levels {
-		all = append(all, tables.Op{Kind: tables.SetLevel, Table: uint32(l.Table), Mask: uint64(l.Groups),
-			Level: tables.Level{Amount: l.Amount, Tries: uint8(l.Tries)}})
+	for _, l := range o.AdmissionLevels {
+		all = append(all, tables.Op{Kind: tables.SetLevel, Table: uint32(l.Table), Mask: uint64(l.Classes),
+			Level: tables.Level{Amount: l.Amount, Tries: uint8(l.Retry)}})
 	}
-	for _, s := range o.Readmit {
+	for _, s := range o.Restore {
 		all = append(all, tables.Op{Kind: tables.Readmit, Server: string(s)})
 	}
 	return all
@@ -111,11 +111,11 @@
 
 // Propose looks at orders before they go out, and makes a version of what may. What must go out at once goes whatever
 // else is wrong: drains, lines that take weight from who may get no flows, lines for a table without any, bindings.
-func (c *Chain) Propose(now time.Duration, o balancer.Orders, cause string, see Seer) (r Result) {
+func (c *Chain) Propose(now time.Duration, o balancer.Commands, cause string, see FleetView) (r Result) {
 	c.now = now
 	r.Orders = o
-	r.Orders.Lines = slices.Clone(o.Lines)
-	if len(o.Withdraw)+len(o.Lines)+len(o.Levels)+len(o.Readmit) == 0 {
+	r.Orders.Weights = slices.Clone(o.Weights)
+	if len(o.Withdraw)+len(o.Weights)+len(o.AdmissionLevels)+len(o.Restore) == 0 {
 		return r
 	}
 	p := &proposal{now: c.State(), orders: &r.Orders, see: see}
@@ -152,12 +152,12 @@
 		rule, at = c.look(p)
 	}
 	if r.Orders.Count() == 0 {
-		r.Orders.Mark = 0
+		r.Orders.Barrier = 0
 	}
 	if p.next.Digest() == p.now.Digest() {
 		return r
 	}
-	r.Version = c.add(p.next, cause, r.Orders.Mark, ops(r.Orders))
+	r.Version = c.add(p.next, cause, r.Orders.Barrier, ops(r.Orders))
 	return r
 }
 
@@ -177,18 +177,18 @@
 // not all, was at fault.
 func (c *Chain) onlyUrgent(p *proposal, at fault) (apart bool) {
 	all, before := at.server == "" && at.table < 0, p.orders.Count()
-	p.orders.Lines = slices.DeleteFunc(p.orders.Lines, func(l balancer.Line) bool {
+	p.orders.Weights = slices.DeleteFunc(p.orders.Weights, func(l balancer.EndpointWeight) bool {
 		return (all || l.Server == at.server || int(l.Table) == at.table) && !p.urgent(l)
 	})
-	p.orders.Readmit = slices.DeleteFunc(slices.Clone(p.orders.Readmit), func(s balancer.ServerID) bool { return all || s == at.server })
+	p.orders.Restore = slices.DeleteFunc(slices.Clone(p.orders.Restore), func(s balancer.ServerID) bool { return all || s == at.server })
 	if all {
-		p.orders.Levels = nil
+		p.orders.AdmissionLevels = nil
 	}
 	return !all && p.orders.Count() < before
 }
 
 // add appends a version, and drops the oldest beyond what is kept.
-func (c *Chain) add(s *tables.State, cause string, mark balancer.MarkID, by []tables.Op) *Version {
+func (c *Chain) add(s *tables.State, cause string, mark balancer.BarrierID, by []tables.Op) *Version {
 	v := &Version{ID: tables.ID{Epoch: c.t.Epoch, Number: 1}, Digest: s.Digest(), At: c.t.Began.Add(c.now), Cause: cause, Layout: c.layout, Ops: by, State: s, Mark: mark}
 	if h := c.Head(); h != nil {
 		v.ID.Number = h.ID.Number + 1
@@ -220,7 +220,7 @@
 }
 
 // Outcome tells that the orders under a mark, and all before them, were carried out.
-func (c *Chain) Outcome(now time.Duration, mark balancer.MarkID) {
+func (c *Chain) Outcome(now time.Duration, mark balancer.BarrierID) {
 	c.now = now
 	for i := len(c.versions) - 1; i >= 0; i-- {
 		if c.versions[i].Mark == mark && mark != 0 {
@@ -247,14 +247,14 @@
 func (c *Chain) Standing() Pin { return pinned(c.State()) }
 
 func pinned(s *tables.State) Pin {
-	p := Pin{Tables: map[balancer.TableID]map[balancer.ServerID]float64{}, Levels: map[balancer.TableID]map[uint]balancer.Level{}}
+	p := Pin{Tables: map[balancer.TableID]map[balancer.ServerID]float64{}, Levels: map[balancer.TableID]map[uint]balancer.AdmissionLevel{}}
 	for _, id := range s.IDs() {
-		t, lines, levels := s.Table(id), map[balancer.ServerID]float64{}, map[uint]balancer.Level{}
+		t, lines, levels := s.Table(id), map[balancer.ServerID]float64{}, map[uint]balancer.AdmissionLevel{}
 		for server, w := range t.Lines {
 			lines[balancer.ServerID(server)] = w
 		}
 		for mask, l := range t.Levels {
-			levels[uint(mask)] = balancer.Level{Table: balancer.TableID(id), Groups: uint(mask), Amount: l.Amount, Tries: balancer.Tries(l.Tries)}
+			levels[uint(mask)] = balancer.AdmissionLevel{Table: balancer.TableID(id), Classes: uint(mask), Amount: l.Amount, Retry: balancer.RetryPolicy(l.Tries)}
 		}
 		p.Tables[balancer.TableID(id)], p.Levels[balancer.TableID(id)] = lines, levels
 	}
@@ -264,11 +264,11 @@
 // StillDraining corrects a list as last held by the drains that were in force: guards against a list older than a
 // drain, which would give a server flows again. One that started since then is another process. Times of starts count
 // from when the manager began.
-func StillDraining(entries []balancer.Entry, drains map[string]time.Time, began time.Time) []balancer.Entry {
+func StillDraining(entries []balancer.Endpoint, drains map[string]time.Time, began time.Time) []balancer.Endpoint {
 	entries = slices.Clone(entries)
 	for i, e := range entries {
 		since, drained := drains[string(e.Server)]
-		if drained && e.State == balancer.Ready && !(e.Fresh && e.Started > since.Sub(began)) {
+		if drained && e.State == balancer.Ready && !(e.RecentlyStarted && e.Started > since.Sub(began)) {
 			entries[i].State = balancer.Draining
 		}
 	}
--- a/internal/versions/chain_test.go
+++ b/internal/versions/chain_test.go
@@ -14,28 +14,28 @@
 )
 
 // fleet is what a test says of servers; those it does not name are open and warm.
-type fleet map[balancer.ServerID]Sight
+type fleet map[balancer.ServerID]ServerStatus
 
-func (f fleet) Sees(s balancer.ServerID) Sight {
+func (f fleet) ServerStatus(s balancer.ServerID) ServerStatus {
 	if sight, told := f[s]; told {
 		return sight
 	}
-	return Sight{Known: true, Open: true, Climbed: 1}
+	return ServerStatus{Known: true, Open: true, Climbed: 1}
 }
-func (f fleet) Flows(balancer.TableID) float64 { return 40 }
-func (f fleet) Ready() (all, warm int)         { return 4, 3 }
+func (f fleet) RequestRate(balancer.TableID) float64 { return 40 }
+func (f fleet) ReadyServers() (all, warm int)        { return 4, 3 }
 
 var all = fleet{}
 
-func line(t int, s string, w float64) balancer.Line {
-	return balancer.Line{Table: balancer.TableID(t), Server: balancer.ServerID(s), Weight: w}
+func line(t int, s string, w float64) balancer.EndpointWeight {
+	return balancer.EndpointWeight{Table: balancer.TableID(t), Server: balancer.ServerID(s), Weight: w}
 }
 
 // chain stands at two tables with two servers each, in its first version.
 func chain(t *testing.T) *Chain {
 	c := New(Usual(7))
-	r := c.Propose(time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 100), line(0, "a1", 100), line(1, "b0", 100), line(1, "b1", 100)},
-		Mark: 1}, "list", all)
+	r := c.Propose(time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 100), line(0, "a1", 100), line(1, "b0", 100), line(1, "b1", 100)},
+		Barrier: 1}, "list", all)
 	if r.Changed || r.Version == nil || r.Version.ID != (tables.ID{Epoch: 7, Number: 1}) {
 		t.Fatalf("%+v", r)
 	}
@@ -53,28 +53,28 @@
 func TestAVersionThatFailsACheckIsNotSentAndTheLastStands(t *testing.T) {
 	nan := math.NaN()
 	for rule, one := range map[string]struct {
-		o   balancer.Orders
+		o   balancer.Commands
 		see fleet
 	}{
-		"finite": {balancer.Orders{Lines: []balancer.Line{line(0, "a0", nan)}}, all},
-		"known":  {balancer.Orders{Lines: []balancer.Line{line(0, "ghost", 5)}}, fleet{"ghost": {}}},
-		"closed": {balancer.Orders{Lines: []balancer.Line{line(0, "a0", 150)}}, fleet{"a0": {Known: true}}},
-		"bare":   {balancer.Orders{Lines: []balancer.Line{line(0, "a0", 0), line(0, "a1", 0)}}, all},
-		"cold":   {balancer.Orders{Lines: []balancer.Line{line(0, "a0", 400)}}, fleet{"a0": {Known: true, Open: true, Climbed: 0.1}}},
+		"finite": {balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", nan)}}, all},
+		"known":  {balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "ghost", 5)}}, fleet{"ghost": {}}},
+		"closed": {balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 150)}}, fleet{"a0": {Known: true}}},
+		"bare":   {balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 0), line(0, "a1", 0)}}, all},
+		"cold":   {balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 400)}}, fleet{"a0": {Known: true, Open: true, Climbed: 0.1}}},
 	} {
 		c := chain(t)
 		before := c.State().Digest()
-		one.o.Lines = append(one.o.Lines, line(1, "b0", 90))
-		one.o.Levels, one.o.Bind, one.o.Mark = []balancer.Level{{Table: 1, Groups: 1, Amount: 0.5}}, []balancer.Place{{Proxy: 3, Table: 0}}, 2
+		one.o.Weights = append(one.o.Weights, line(1, "b0", 90))
+		one.o.AdmissionLevels, one.o.Assign, one.o.Barrier = []balancer.AdmissionLevel{{Table: 1, Classes: 1, Amount: 0.5}}, []balancer.TableAssignment{{Proxy: 3, Table: 0}}, 2
 		r := c.Propose(2*time.Second, one.o, "health", one.see)
-		rest := len(r.Orders.Lines) + len(r.Orders.Levels) // of another table: held back only where the version can't be read
+		rest := len(r.Orders.Weights) + len(r.Orders.AdmissionLevels) // of another table: held back only where the version can't be read
 		if !r.Changed || (c.State().Digest() == before) != (rule == "finite") || rest != either(rule == "finite", 0, 2) || c.State().Table(0).Lines["a0"] != 100 {
 			t.Errorf("%s: %+v", rule, r)
 		}
 		if len(r.Notes) != 1 || !strings.HasPrefix(r.Notes[0], "version held back by "+rule+": ") {
 			t.Errorf("%s: %q", rule, r.Notes)
 		}
-		if len(r.Orders.Bind) != 1 || r.Orders.Mark != 2 {
+		if len(r.Orders.Assign) != 1 || r.Orders.Barrier != 2 {
 			t.Errorf("%s: a proxy waits for a server: %+v", rule, r.Orders)
 		}
 		if again := c.Propose(3*time.Second, one.o, "health", one.see); len(again.Notes) > 0 {
@@ -85,9 +85,9 @@
 
 func TestADrainIsNotHeldUpByAFailedCheckOfSomethingElse(t *testing.T) {
 	c := chain(t)
-	r := c.Propose(2*time.Second, balancer.Orders{Withdraw: []balancer.ServerID{"a0"}, Lines: []balancer.Line{line(0, "a0", 1), line(1, "b0", math.Inf(1))}},
+	r := c.Propose(2*time.Second, balancer.Commands{Withdraw: []balancer.ServerID{"a0"}, Weights: []balancer.EndpointWeight{line(0, "a0", 1), line(1, "b0", math.Inf(1))}},
 		"list", fleet{"a0": {Known: true}})
-	if r.Version == nil || !slices.Equal(r.Orders.Withdraw, []balancer.ServerID{"a0"}) || len(r.Orders.Lines) != 1 || !c.State().Withdrawn("a0") {
+	if r.Version == nil || !slices.Equal(r.Orders.Withdraw, []balancer.ServerID{"a0"}) || len(r.Orders.Weights) != 1 || !c.State().Withdrawn("a0") {
 		t.Errorf("%+v", r)
 	}
 	if c.State().Table(1).Lines["b0"] != 100 {
@@ -98,8 +98,8 @@
 func TestATableWithoutALineIsLaidAtOnce(t *testing.T) {
 	c := chain(t)
 	gone := fleet{"a0": {Known: true}, "a1": {Known: true}}
-	r := c.Propose(2*time.Second, balancer.Orders{Withdraw: []balancer.ServerID{"a0", "a1"}, Lines: []balancer.Line{line(0, "b0", 100), line(1, "b1", math.NaN())}}, "list", gone)
-	if len(r.Orders.Lines) != 1 || c.State().Table(0).Lines["b0"] != 100 {
+	r := c.Propose(2*time.Second, balancer.Commands{Withdraw: []balancer.ServerID{"a0", "a1"}, Weights: []balancer.EndpointWeight{line(0, "b0", 100), line(1, "b1", math.NaN())}}, "list", gone)
+	if len(r.Orders.Weights) != 1 || c.State().Table(0).Lines["b0"] != 100 {
 		t.Errorf("%+v", r.Orders)
 	}
 }
@@ -108,8 +108,8 @@
 func TestWhatIsUrgentHoldsUpNothingElse(t *testing.T) {
 	c := chain(t)
 	see := fleet{"a0": {Known: true}, "a1": {Known: true}, "c0": {Known: true, Open: true, Climbed: 0.01}}
-	r := c.Propose(2*time.Second, balancer.Orders{Withdraw: []balancer.ServerID{"a0", "a1"}, Lines: []balancer.Line{line(0, "c0", 100), line(1, "b0", 90)}}, "list", see)
-	if r.Changed || len(r.Orders.Lines) != 2 {
+	r := c.Propose(2*time.Second, balancer.Commands{Withdraw: []balancer.ServerID{"a0", "a1"}, Weights: []balancer.EndpointWeight{line(0, "c0", 100), line(1, "b0", 90)}}, "list", see)
+	if r.Changed || len(r.Orders.Weights) != 2 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -117,11 +117,11 @@
 func TestAVersionThatMovesTooMuchGoesInSteps(t *testing.T) {
 	c := chain(t)
 	c.t.MovedMost = 0.1
-	want := []balancer.Line{line(0, "a0", 10), line(0, "a1", 190)}
+	want := []balancer.EndpointWeight{line(0, "a0", 10), line(0, "a1", 190)}
 	steps := 0
 	for s := 2; s < 20 && c.State().Table(0).Lines["a0"] > 10.5; s++ {
 		before := c.State()
-		r := c.Propose(time.Duration(s)*time.Second, balancer.Orders{Lines: slices.Clone(want)}, "health", all)
+		r := c.Propose(time.Duration(s)*time.Second, balancer.Commands{Weights: slices.Clone(want)}, "health", all)
 		moved := (&proposal{now: before, next: c.State(), see: all}).moved(0)
 		if r.Version == nil || moved > 0.21 { // 0.1 of all flows, of which half come to this table
 			t.Fatalf("%.2f moved at once", moved)
@@ -134,7 +134,7 @@
 	// what a closed server leaves is no move
 	c = chain(t)
 	c.t.MovedMost = 0.2
-	if r := c.Propose(2*time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 0)}}, "silence", fleet{"a0": {Known: true}}); r.Changed {
+	if r := c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 0)}}, "silence", fleet{"a0": {Known: true}}); r.Changed {
 		t.Errorf("%+v", r)
 	}
 }
@@ -142,15 +142,17 @@
 // Guards against a jump, once a hold ends, to what was decided meanwhile.
 func TestAfterAHoldVersionsGoBySmallSteps(t *testing.T) {
 	c := chain(t)
-	level := func(amount float64) []balancer.Level { return []balancer.Level{{Table: 0, Groups: 1, Amount: amount}} }
-	c.Propose(time.Second, balancer.Orders{Levels: level(0.5)}, "line", all)
+	level := func(amount float64) []balancer.AdmissionLevel {
+		return []balancer.AdmissionLevel{{Table: 0, Classes: 1, Amount: amount}}
+	}
+	c.Propose(time.Second, balancer.Commands{AdmissionLevels: level(0.5)}, "line", all)
 	c.hold = &hold{until: 2 * time.Second, pin: Pin{}}
 	if ended, _ := c.Looked(2*time.Second, all); !ended {
 		t.Fatal("the hold does not end")
 	}
 	was := *c
 	c.hold = &hold{until: time.Minute, pin: Pin{}}
-	c.Propose(2*time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 10), line(0, "a1", 190)}}, "way back", all)
+	c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 10), line(0, "a1", 190)}}, "way back", all)
 	if got := c.State().Table(0).Lines["a0"]; got != 10 {
 		t.Errorf("a way back goes by steps, to %v", got)
 	}
@@ -158,7 +160,7 @@
 	steps := 0
 	for s := 3; s < 20 && c.State().Table(0).Lines["a0"] > 10.5; s++ {
 		before := c.State()
-		o := balancer.Orders{Lines: []balancer.Line{line(0, "a0", 10), line(0, "a1", 190)}, Levels: level(1)}
+		o := balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 10), line(0, "a1", 190)}, AdmissionLevels: level(1)}
 		c.Propose(time.Duration(s)*time.Second, o, "pin", all)
 		moved := (&proposal{now: before, next: c.State(), see: all}).moved(0)
 		let := c.State().Table(0).Levels[1].Amount - before.Table(0).Levels[1].Amount
@@ -167,8 +169,8 @@
 		}
 		steps++
 	}
-	c.Propose(30*time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 10), line(0, "a1", 190)}}, "health", all)
-	c.Propose(31*time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 190), line(0, "a1", 10)}, Levels: level(1)}, "health", all)
+	c.Propose(30*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 10), line(0, "a1", 190)}}, "health", all)
+	c.Propose(31*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 190), line(0, "a1", 10)}, AdmissionLevels: level(1)}, "health", all)
 	if steps < 3 || c.State().Table(0).Lines["a0"] != 190 {
 		t.Errorf("%d steps, and then to %v", steps, c.State().Table(0).Lines)
 	}
@@ -177,7 +179,7 @@
 func TestAWayBackTakesEffectOnceAndKeepsTodaysTruth(t *testing.T) {
 	c := chain(t)
 	first := c.Head().ID
-	c.Propose(2*time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 20), line(1, "b0", 20)}, Mark: 2}, "health", all)
+	c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 20), line(1, "b0", 20)}, Barrier: 2}, "health", all)
 	today := fleet{"b0": {Known: true}, "b1": {Known: true, Open: true, Climbed: 0.25}}
 	d, fresh, err := c.RollBack(3*time.Second, first, "k1", 0, today)
 	pin, held := c.Pinned()
@@ -187,7 +189,7 @@
 	if pin.Tables[0]["a0"] != 100 || pin.Tables[1]["b0"] != 0 || pin.Tables[1]["b1"] != 25 {
 		t.Errorf("%v", pin.Tables)
 	}
-	c.Propose(4*time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 100)}}, "pin", today)
+	c.Propose(4*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 100)}}, "pin", today)
 	if v := c.Head(); v.Key != "k1" || v.ID.Number != 3 {
 		t.Errorf("%+v", v)
 	}
@@ -202,7 +204,7 @@
 func TestOfTwoWaysBackTheLaterHolds(t *testing.T) {
 	c := chain(t)
 	first := c.Head().ID
-	c.Propose(2*time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 20)}}, "health", all)
+	c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 20)}}, "health", all)
 	second := c.Head().ID
 	c.RollBack(3*time.Second, first, "x", 0, all)
 	c.RollBack(3*time.Second, second, "y", 0, all)
@@ -266,8 +268,8 @@
 func TestAnUnknownOutcomeLeavesEitherBase(t *testing.T) {
 	c := chain(t)
 	c.Outcome(time.Second, 1)
-	c.Propose(2*time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 20)}, Mark: 2}, "health", all)
-	c.Propose(3*time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 30)}, Mark: 3}, "health", all)
+	c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 20)}, Barrier: 2}, "health", all)
+	c.Propose(3*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 30)}, Barrier: 3}, "health", all)
 	id := func(n uint64) tables.ID { return tables.ID{Epoch: 7, Number: n} }
 	if got := c.Bases(); !slices.Equal(got, []tables.ID{id(3), id(2), id(1)}) {
 		t.Errorf("%v", got)
@@ -282,7 +284,7 @@
 	c := chain(t)
 	c.t.KeepMost, c.t.KeepBytes = 50, 1<<14
 	for i := range 500 {
-		c.Propose(time.Duration(i)*time.Second, balancer.Orders{Lines: []balancer.Line{line(i%2, "a0", float64(100+i))}}, "health", all)
+		c.Propose(time.Duration(i)*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(i%2, "a0", float64(100+i))}}, "health", all)
 	}
 	if n := len(c.Versions()); n > 50 || n < 10 || c.size > 1<<14 {
 		t.Errorf("%d versions in %d bytes", n, c.size)
@@ -298,7 +300,7 @@
 
 func TestNothingNewIsNoVersion(t *testing.T) {
 	c := chain(t)
-	if r := c.Propose(2*time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 100)}, Bind: []balancer.Place{{}}, Mark: 4}, "x", all); r.Version != nil || r.Changed {
+	if r := c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 100)}, Assign: []balancer.TableAssignment{{}}, Barrier: 4}, "x", all); r.Version != nil || r.Changed {
 		t.Errorf("%+v", r)
 	}
 }
@@ -306,7 +308,7 @@
 func TestADrainOutlivesAListThatIsOlderThanIt(t *testing.T) {
 	began := time.Unix(1000, 0)
 	drains := map[string]time.Time{"old": began.Add(-5 * time.Second), "fresh": began.Add(-5 * time.Second)}
-	list := []balancer.Entry{{Server: "old", Fresh: true, Started: -time.Minute}, {Server: "fresh", Fresh: true, Started: -time.Second}, {Server: "other"}}
+	list := []balancer.Endpoint{{Server: "old", RecentlyStarted: true, Started: -time.Minute}, {Server: "fresh", RecentlyStarted: true, Started: -time.Second}, {Server: "other"}}
 	got := StillDraining(list, drains, began)
 	if got[0].State != balancer.Draining || got[1].State != balancer.Ready || got[2].State != balancer.Ready || list[0].State != balancer.Ready {
 		t.Errorf("%+v", got)
@@ -317,17 +319,17 @@
 	for _, lines := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(lines), func(b *testing.B) {
 			c := New(Usual(1))
-			var o balancer.Orders
+			var o balancer.Commands
 			for i := range lines {
-				o.Lines = append(o.Lines, line(i/50, fmt.Sprintf("s-%05d", i), 100))
+				o.Weights = append(o.Weights, line(i/50, fmt.Sprintf("s-%05d", i), 100))
 			}
 			c.Propose(0, o, "list", all)
 			i := 0
 			for b.Loop() {
 				i++
-				o := balancer.Orders{}
+				o := balancer.Commands{}
 				for j := range max(1, lines/100) {
-					o.Lines = append(o.Lines, line(j*2, fmt.Sprintf("s-%05d", j*100), float64(100+i%7)))
+					o.Weights = append(o.Weights, line(j*2, fmt.Sprintf("s-%05d", j*100), float64(100+i%7)))
 				}
 				if r := c.Propose(0, o, "health", all); r.Version == nil && i%7 != 0 {
 					b.Fatalf("%+v", r)
--- a/internal/versions/check.go
+++ b/internal/versions/check.go
@@ -11,8 +11,8 @@
 // proposal is one version before it is used.
 type proposal struct {
 	now, next *tables.State // what stands, and what it would come to
-	orders    *balancer.Orders
-	see       Seer
+	orders    *balancer.Commands
+	see       FleetView
 }
 
 // fault is what a rule finds wrong, and at whom: a server's orders, a table's lines, or, with neither, the whole version.
@@ -42,11 +42,11 @@
 
 // urgent tells whether a line must go out whatever else is wrong: it takes weight from a server that may get no
 // flows or is cold, or it is for a table none of whose lines can be picked.
-func (p *proposal) urgent(l balancer.Line) bool {
+func (p *proposal) urgent(l balancer.EndpointWeight) bool {
 	if math.IsNaN(l.Weight) || math.IsInf(l.Weight, 0) || l.Weight < 0 {
 		return false
 	}
-	t, s := p.now.Table(uint32(l.Table)), p.see.Sees(l.Server)
+	t, s := p.now.Table(uint32(l.Table)), p.see.ServerStatus(l.Server)
 	lower := l.Weight < t.Lines[string(l.Server)]
 	return lower && (!s.Open || s.Climbed < 1) || s.Open && s.Known && !p.usable(p.now, uint32(l.Table))
 }
@@ -54,7 +54,7 @@
 // usable tells whether some line of a table can be picked.
 func (p *proposal) usable(of *tables.State, id uint32) bool {
 	for s, w := range of.Table(id).Lines {
-		if w > 0 && !of.Withdrawn(s) && p.see.Sees(balancer.ServerID(s)).Open {
+		if w > 0 && !of.Withdrawn(s) && p.see.ServerStatus(balancer.ServerID(s)).Open {
 			return true
 		}
 	}
@@ -62,12 +62,12 @@
 }
 
 func (c *Chain) notFinite(p *proposal) fault {
-	for _, l := range p.orders.Lines {
+	for _, l := range p.orders.Weights {
 		if !(l.Weight >= 0) || math.IsInf(l.Weight, 1) {
 			return whole("weight %v of %s in table %d", l.Weight, l.Server, l.Table)
 		}
 	}
-	for _, l := range p.orders.Levels {
+	for _, l := range p.orders.AdmissionLevels {
 		if !(l.Amount >= 0) || math.IsInf(l.Amount, 1) {
 			return whole("level %v in table %d", l.Amount, l.Table)
 		}
@@ -76,8 +76,8 @@
 }
 
 func (c *Chain) notKnown(p *proposal) fault {
-	for _, l := range p.orders.Lines {
-		if l.Weight > 0 && !p.see.Sees(l.Server).Known {
+	for _, l := range p.orders.Weights {
+		if l.Weight > 0 && !p.see.ServerStatus(l.Server).Known {
 			return fault{fmt.Sprintf("%s in table %d is not known", l.Server, l.Table), l.Server, -1}
 		}
 	}
@@ -87,14 +87,14 @@
 // toClosed guards against a line that is laid or raised for a server that drains, is gone or does not answer, and
 // against letting such a one back in.
 func (c *Chain) toClosed(p *proposal) fault {
-	for _, l := range p.orders.Lines {
+	for _, l := range p.orders.Weights {
 		was := p.now.Table(uint32(l.Table)).Lines[string(l.Server)]
-		if l.Weight > was && !p.see.Sees(l.Server).Open {
+		if l.Weight > was && !p.see.ServerStatus(l.Server).Open {
 			return fault{fmt.Sprintf("%s in table %d gets %v after %v, and may get no flows", l.Server, l.Table, l.Weight, was), l.Server, -1}
 		}
 	}
-	for _, s := range p.orders.Readmit {
-		if !p.see.Sees(s).Open {
+	for _, s := range p.orders.Restore {
+		if !p.see.ServerStatus(s).Open {
 			return fault{fmt.Sprintf("%s is let back in, and may get no flows", s), s, -1}
 		}
 	}
@@ -103,10 +103,10 @@
 
 // leavesBare guards against a table that loses its last line while servers are open.
 func (c *Chain) leavesBare(p *proposal) fault {
-	if all, _ := p.see.Ready(); all == 0 {
+	if all, _ := p.see.ReadyServers(); all == 0 {
 		return fault{}
 	}
-	for _, l := range p.orders.Lines {
+	for _, l := range p.orders.Weights {
 		if id := uint32(l.Table); l.Weight == 0 && p.usable(p.now, id) && !p.usable(p.next, id) {
 			return fault{fmt.Sprintf("table %d loses %s and has no line left", id, l.Server), "", int(id)}
 		}
@@ -117,17 +117,17 @@
 // tooMuchCold guards against a climbing server that gets far more than its climbing part of all flows, while others
 // are warm.
 func (c *Chain) tooMuchCold(p *proposal) fault {
-	all, warm := p.see.Ready()
+	all, warm := p.see.ReadyServers()
 	if warm == 0 {
 		return fault{}
 	}
 	total := 0.0
 	for _, id := range p.next.IDs() {
-		total += p.see.Flows(balancer.TableID(id))
+		total += p.see.RequestRate(balancer.TableID(id))
 	}
 	seen := map[balancer.ServerID]bool{}
-	for _, l := range p.orders.Lines {
-		s := p.see.Sees(l.Server)
+	for _, l := range p.orders.Weights {
+		s := p.see.ServerStatus(l.Server)
 		if s.Climbed >= 1 || seen[l.Server] || p.urgent(l) || l.Weight <= p.now.Table(uint32(l.Table)).Lines[string(l.Server)] {
 			continue
 		}
@@ -136,7 +136,7 @@
 		for _, id := range p.next.IDs() {
 			t := p.next.Table(id)
 			if w := t.Lines[string(l.Server)]; w > 0 {
-				gets += p.see.Flows(balancer.TableID(id)) * w / weight(t)
+				gets += p.see.RequestRate(balancer.TableID(id)) * w / weight(t)
 			}
 		}
 		if part := total / float64(all); gets > c.t.ColdMost*s.Climbed*part && total > 0 {
@@ -165,12 +165,12 @@
 	a, b := p.now.Table(id), p.next.Table(id)
 	left, sumA, sumB := 0.0, 0.0, 0.0
 	for s, w := range a.Lines {
-		if p.see.Sees(balancer.ServerID(s)).Open && !p.now.Withdrawn(s) {
+		if p.see.ServerStatus(balancer.ServerID(s)).Open && !p.now.Withdrawn(s) {
 			sumA += w
 		}
 	}
 	for s, w := range b.Lines {
-		if p.see.Sees(balancer.ServerID(s)).Open && !p.next.Withdrawn(s) {
+		if p.see.ServerStatus(balancer.ServerID(s)).Open && !p.next.Withdrawn(s) {
 			sumB += w
 		}
 	}
@@ -178,7 +178,7 @@
 		return 0
 	}
 	for s, w := range a.Lines {
-		if p.see.Sees(balancer.ServerID(s)).Open && !p.now.Withdrawn(s) {
+		if p.see.ServerStatus(balancer.ServerID(s)).Open && !p.now.Withdrawn(s) {
 			left += max(0, w/sumA-b.Lines[s]/sumB)
 		}
 	}
@@ -190,7 +190,7 @@
 // it is small, and its servers are replaced together. The rest follows with later versions. What guards a rule goes whole.
 func (c *Chain) step(p *proposal) (notes []string) {
 	changed := map[uint32]bool{}
-	for _, l := range p.orders.Lines {
+	for _, l := range p.orders.Weights {
 		changed[uint32(l.Table)] = true
 	}
 	gliding := c.gliding && c.hold == nil // a way back goes at once, also soon after another
@@ -199,23 +199,23 @@
 		most = c.t.GlideMost
 	}
 	for _, id := range p.next.IDs() {
-		flows := max(p.see.Flows(balancer.TableID(id)), 1e-9)
+		flows := max(p.see.RequestRate(balancer.TableID(id)), 1e-9)
 		if all += flows; changed[id] {
 			moved += flows * p.moved(id)
 		}
 	}
 	far := moved > most*all
-	for i, l := range p.orders.Lines {
+	for i, l := range p.orders.Weights {
 		if far && !p.urgent(l) {
 			was := p.now.Table(uint32(l.Table)).Lines[string(l.Server)]
-			p.orders.Lines[i].Weight = math.Round((was+(l.Weight-was)*most*all/moved)*1000) / 1000
+			p.orders.Weights[i].Weight = math.Round((was+(l.Weight-was)*most*all/moved)*1000) / 1000
 		}
 	}
-	for i, l := range p.orders.Levels {
-		was, stands := p.now.Table(uint32(l.Table)).Levels[uint64(l.Groups)]
+	for i, l := range p.orders.AdmissionLevels {
+		was, stands := p.now.Table(uint32(l.Table)).Levels[uint64(l.Classes)]
 		if gliding && stands && max(was.Amount, l.Amount) <= 1 && math.Abs(l.Amount-was.Amount) > c.t.GlideMost {
 			far = true
-			p.orders.Levels[i].Amount = min(max(l.Amount, was.Amount-c.t.GlideMost), was.Amount+c.t.GlideMost)
+			p.orders.AdmissionLevels[i].Amount = min(max(l.Amount, was.Amount-c.t.GlideMost), was.Amount+c.t.GlideMost)
 		}
 	}
 	if !far {
--- a/internal/versions/hold.go
+++ b/internal/versions/hold.go
@@ -82,7 +82,7 @@
 // RollBack goes back to what a version says of the servers that are open today, and holds it. It is refused where
 // that would leave a table without any server, or where the tables' numbers meant something else. Under a key that was
 // used for it before, it does nothing more.
-func (c *Chain) RollBack(now time.Duration, to tables.ID, key string, held time.Duration, see Seer) (d Done, fresh bool, err error) {
+func (c *Chain) RollBack(now time.Duration, to tables.ID, key string, held time.Duration, see FleetView) (d Done, fresh bool, err error) {
 	c.now = now
 	what := "rollback to " + to.String()
 	if d, known, err := c.before(key, what); known || err != nil {
@@ -108,12 +108,12 @@
 }
 
 // today is a state with the servers that may get flows now; a cold one gets its climbing part.
-func (c *Chain) today(s *tables.State, see Seer) (Pin, error) {
+func (c *Chain) today(s *tables.State, see FleetView) (Pin, error) {
 	pin := pinned(s)
 	for _, id := range c.State().IDs() {
 		lines := pin.Tables[balancer.TableID(id)]
 		for server, w := range lines {
-			sight := see.Sees(server)
+			sight := see.ServerStatus(server)
 			if !sight.Known || !sight.Open {
 				delete(lines, server)
 			} else if sight.Climbed < 1 {
@@ -138,7 +138,7 @@
 }
 
 // Hold keeps the tables as they stand.
-func (c *Chain) Hold(now time.Duration, key string, held time.Duration, see Seer) (d Done, fresh bool, err error) {
+func (c *Chain) Hold(now time.Duration, key string, held time.Duration, see FleetView) (d Done, fresh bool, err error) {
 	c.now = now
 	if d, known, err := c.before(key, "hold"); known || err != nil {
 		return d, false, err
@@ -177,7 +177,7 @@
 }
 
 // Looked ends a hold whose time is over, or of whose weight too little is left. It tells whether one ended.
-func (c *Chain) Looked(now time.Duration, see Seer) (ended bool, notes []string) {
+func (c *Chain) Looked(now time.Duration, see FleetView) (ended bool, notes []string) {
 	c.now = now
 	if c.hold == nil {
 		return false, nil
@@ -196,12 +196,12 @@
 }
 
 // left is the part of what is pinned that servers which may get flows have.
-func (c *Chain) left(see Seer) float64 {
+func (c *Chain) left(see FleetView) float64 {
 	sum := 0.0
 	for _, id := range slices.Sorted(maps.Keys(c.hold.pin.Tables)) {
 		lines := c.hold.pin.Tables[id]
 		for _, s := range slices.Sorted(maps.Keys(lines)) {
-			if see.Sees(s).Open {
+			if see.ServerStatus(s).Open {
 				sum += lines[s]
 			}
 		}
@@ -210,7 +210,7 @@
 }
 
 // Holding tells what is held; false where nothing is.
-func (c *Chain) Holding(see Seer) (Held, bool) {
+func (c *Chain) Holding(see FleetView) (Held, bool) {
 	if c.hold == nil {
 		return Held{}, false
 	}
--- a/internal/versions/peer_test.go
+++ b/internal/versions/peer_test.go
@@ -26,8 +26,8 @@
 	if d, wake := p.Next(0, c.View()); d != nil || wake != 0 {
 		t.Error("sent what it holds")
 	}
-	c.Propose(time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a0", 50)}}, "health", all)
-	c.Propose(time.Second, balancer.Orders{Lines: []balancer.Line{line(0, "a1", 60)}}, "health", all)
+	c.Propose(time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 50)}}, "health", all)
+	c.Propose(time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a1", 60)}}, "health", all)
 	d, _ := p.Next(time.Second, c.View())
 	if d == nil || d.Whole() || len(d.Ops) != 2 || d.ID != c.Head().ID {
 		t.Fatalf("%+v", d)
@@ -189,17 +189,17 @@
 	befell, now := 0, time.Duration(0)
 	for step := 0; befell < 10_000 && step < 100_000; step++ {
 		if now += 20 * time.Millisecond; step%3 == 0 {
-			c.Propose(now, balancer.Orders{Lines: []balancer.Line{line(step%2, fmt.Sprintf("%c%d", 'a'+step%2, step%4/2), 50+float64(r.chance.IntN(100)))}}, "health", all)
+			c.Propose(now, balancer.Commands{Weights: []balancer.EndpointWeight{line(step%2, fmt.Sprintf("%c%d", 'a'+step%2, step%4/2), 50+float64(r.chance.IntN(100)))}}, "health", all)
 		}
 		if step%997 == 996 { // a way back in the middle of a push
 			if _, fresh, err := c.RollBack(now, c.Versions()[len(c.Versions())/2].ID, fmt.Sprint("k", step), time.Hour, all); err != nil || !fresh {
 				t.Fatal(err)
 			}
 			pin, _ := c.Pinned()
-			var o balancer.Orders
+			var o balancer.Commands
 			for id, lines := range pin.Tables {
 				for s, w := range lines {
-					o.Lines = append(o.Lines, line(int(id), string(s), w))
+					o.Weights = append(o.Weights, line(int(id), string(s), w))
 				}
 			}
 			c.Propose(now, o, "rollback", all)
--- a/internal/versions/types.go
+++ b/internal/versions/types.go
@@ -34,17 +34,17 @@
 }
 
 // Sight is what the manager knows of a server now.
-type Sight struct {
+type ServerStatus struct {
 	Known   bool
 	Open    bool    // it may get flows: it neither drains nor is gone, and it answers
 	Climbed float64 // part of its climb; 1 where it is warm
 }
 
 // Seer is who knows the fleet now.
-type Seer interface {
-	Sees(balancer.ServerID) Sight
-	Flows(balancer.TableID) float64 // a second, that come to a table's proxies
-	Ready() (all, warm int)         // servers that may get flows
+type FleetView interface {
+	ServerStatus(balancer.ServerID) ServerStatus
+	RequestRate(balancer.TableID) float64 // a second, that come to a table's proxies
+	ReadyServers() (all, warm int)        // servers that may get flows
 }
 
 // Version is one state of all tables that was sent.
@@ -58,7 +58,7 @@
 	Key    string // of the way back that made it
 	Ops    []tables.Op
 	State  *tables.State
-	Mark   balancer.MarkID // of the orders that carried it
+	Mark   balancer.BarrierID // of the orders that carried it
 
 	Settled bool // it was carried out; until then the one before may still stand
 	size    int
@@ -66,14 +66,14 @@
 
 // Result is what became of a proposal.
 type Result struct {
-	Orders  balancer.Orders // that may go out
-	Changed bool            // they are not those proposed: the module must hear what stands
-	Version *Version        // nil where nothing changed
+	Orders  balancer.Commands // that may go out
+	Changed bool              // they are not those proposed: the module must hear what stands
+	Version *Version          // nil where nothing changed
 	Notes   []string
 }
 
 // Pin is what tables are brought to and held at.
 type Pin struct {
 	Tables map[balancer.TableID]map[balancer.ServerID]float64
-	Levels map[balancer.TableID]map[uint]balancer.Level
+	Levels map[balancer.TableID]map[uint]balancer.AdmissionLevel
 }
