--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -1,7 +1,6 @@
 package balancer_test
 
 import (
-	"bufio"
 	"encoding/hex"
 	"fmt"
 	"os"
@@ -25,69 +24,98 @@
 	{Name: "tight", Zones: 4, Servers: 40, Proxies: 400, Rate: 1, Capacity: 12, Draining: 0.4, Churn: 20 * time.Millisecond, Messages: 12},
 }
 
-// The digests were taken before the module's conditions were made to follow change instead of size.
-func TestOrdersStayTheSame(t *testing.T) {
-	known := map[string]string{}
-	file, err := os.Open("testdata/golden.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer file.Close()
-	for in := bufio.NewScanner(file); in.Scan(); {
-		name, digest, _ := strings.Cut(in.Text(), " ")
-		known[name] = digest
-	}
-	for _, s := range shapes {
+// goldenRun is what one run of a shape must come to.
+type goldenRun struct {
+	commands       int    // commands for proxies
+	commandsDigest string // over all commands and their times, without log records
+	records        int
+	recordsDigest  string // over each record's event, time and figures, without the wording
+}
+
+func (r goldenRun) String() string {
+	return fmt.Sprintf("%d %s %d %s", r.commands, r.commandsDigest, r.records, r.recordsDigest)
+}
+
+func TestCommandsAndLogRecordsStayTheSame(t *testing.T) {
+	known := readGolden(t)
+	for _, shape := range shapes {
 		for seed := range uint64(3) {
-			name := fmt.Sprintf("%s/%d", s.Name, seed)
+			name := fmt.Sprintf("%s/%d", shape.Name, seed)
 			t.Run(name, func(t *testing.T) {
-				if got := digest(s, seed); got != known[name] {
-					t.Errorf("%s %s, not %s", name, got, known[name])
+				got, byEvent := play(shape, seed)
+				if got.String() != known[name] {
+					t.Errorf("%s %v, not %s; records by event: %v", name, got, known[name], byEvent)
 				}
 			})
 		}
 	}
 }
 
-// asBefore prints orders in the form of when the digests were taken: a place had no groups, and has none where no group
-// keeps to its zone.
-func asBefore(o balancer.Commands) any {
-	type place struct {
-		Proxy balancer.ProxyID
-		Table balancer.TableID
+func readGolden(t *testing.T) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile("testdata/golden.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	known := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, run, _ := strings.Cut(strings.TrimSpace(line), " ")
+		known[name] = run
 	}
-	var bind []place
-	for _, b := range o.Assign {
-		if b.Classes != 0 {
-			return o
+	return known
+}
+
+// play runs forty seconds of a shape and digests what the manager commands and what it logs.
+func play(shape fleetmodel.Shape, seed uint64) (run goldenRun, byEvent map[string]int) {
+	fleet := fleetmodel.New(shape, seed)
+	commandsSum := blake3.New()
+	recordsSum := blake3.New()
+	byEvent = map[string]int{}
+	fleet.Seen = func(now time.Duration, commands balancer.Commands) {
+		fmt.Fprintf(commandsSum, "%d %v\n", now, withoutRecords(commands))
+		run.commands += commands.Count()
+		for _, record := range commands.LogRecords {
+			event, figures := figuresOf(record)
+			fmt.Fprintf(recordsSum, "%d %s %q\n", now, event, figures)
+			byEvent[event]++
+			run.records++
 		}
-		bind = append(bind, place{b.Proxy, b.Table})
 	}
-	return struct {
-		Withdraw []balancer.ServerID
-		Lines    []balancer.EndpointWeight
-		Levels   []balancer.AdmissionLevel
-		Readmit  []balancer.ServerID
-		Bind     []place
-		Mark     balancer.BarrierID
-		Probe    []balancer.ServerID
-		Listen   bool
-		Wake     time.Duration
-		Notes    []string
-	}{o.Withdraw, o.Weights, o.AdmissionLevels, o.Restore, bind, o.Barrier, o.HealthCheck, o.Subscribe, o.NextTimer, o.LogRecords}
+	fleet.Open()
+	for second := range 40 {
+		fleet.Second(second, 40)
+	}
+	run.commandsDigest = hex.EncodeToString(commandsSum.Sum(nil)[:16])
+	run.recordsDigest = hex.EncodeToString(recordsSum.Sum(nil)[:16])
+	return run, byEvent
 }
 
-func digest(s fleetmodel.Shape, seed uint64) string {
-	f, sum, orders := fleetmodel.New(s, seed), blake3.New(), 0
-	f.Seen = func(now time.Duration, o balancer.Commands) {
-		fmt.Fprintf(sum, "%d %v\n", now, asBefore(o))
-		orders += o.Count()
+// withoutRecords has a fixed form for the digest: all commands but the log records, and assignments without classes
+// where they are for all of them.
+func withoutRecords(c balancer.Commands) any {
+	type assignment struct {
+		Proxy balancer.ProxyID
+		Table balancer.TableID
 	}
-	f.Open()
-	for n := range 40 {
-		f.Second(n, 40)
+	var assign []assignment
+	for _, a := range c.Assign {
+		if a.Classes != 0 {
+			c.LogRecords = nil
+			return c
+		}
+		assign = append(assign, assignment{a.Proxy, a.Table})
 	}
-	return fmt.Sprintf("%d %s", orders, hex.EncodeToString(sum.Sum(nil)[:16]))
+	return struct {
+		Withdraw        []balancer.ServerID
+		Weights         []balancer.EndpointWeight
+		AdmissionLevels []balancer.AdmissionLevel
+		Restore         []balancer.ServerID
+		Assign          []assignment
+		Barrier         balancer.BarrierID
+		HealthCheck     []balancer.ServerID
+		Subscribe       bool
+		NextTimer       time.Duration
+	}{c.Withdraw, c.Weights, c.AdmissionLevels, c.Restore, assign, c.Barrier, c.HealthCheck, c.Subscribe, c.NextTimer}
 }
 
 // BenchmarkSecond is a second of inputs: a report for each server and zone, a usage for each proxy and group.
