--- a/client/tables/delta.go
+++ b/client/tables/delta.go
@@ -11,7 +11,8 @@
 
 // ID is a version's place: numbers count within an epoch, and a later epoch is another writer's.
 type ID struct {
-	Epoch, Number uint64
+	Epoch  uint64 `json:"Epoch"`
+	Number uint64 `json:"Number"`
 }
 
 // String is EPOCH.NUMBER.
--- a/client/tables/state.go
+++ b/client/tables/state.go
@@ -23,8 +23,8 @@
 
 // Level is what a table lets in of some traffic groups: a share or a rate, and how a proxy tries again.
 type Level struct {
-	Amount float64
-	Tries  uint8
+	Amount float64 `json:"Amount"`
+	Tries  uint8   `json:"Tries"`
 }
 
 // Table is one shared weighted table. It never changes: a change makes another.
@@ -56,12 +56,12 @@
 
 // Op is one change of a state.
 type Op struct {
-	Kind   Kind
-	Table  uint32
-	Server string
-	Weight float64
-	Mask   uint64
-	Level  Level
+	Kind   Kind    `json:"Kind"`
+	Table  uint32  `json:"Table"`
+	Server string  `json:"Server"`
+	Weight float64 `json:"Weight"`
+	Mask   uint64  `json:"Mask"`
+	Level  Level   `json:"Level"`
 }
 
 const longestName = 255 // bytes of a server's id
--- a/internal/store/list.go
+++ b/internal/store/list.go
@@ -60,9 +60,9 @@
 
 // head is what is told of the list as a whole: a lost or doubled entry shows in it.
 type head struct {
-	Generation int64
-	Entries    int
-	Digest     entryDigest // of all entries together
+	Generation int64       `json:"Generation"`
+	Entries    int         `json:"Entries"`
+	Digest     entryDigest `json:"Digest"` // of all entries together
 }
 
 // entryDigest is the digest of an entry's value, or the exclusive or of several.
