--- a/client/examples/relay/main.go
+++ b/client/examples/relay/main.go
@@ -30,9 +30,9 @@
 
 func made(s *tables.State, id uint32) *table {
 	t := &table{}
-	lines, sum := s.Table(id).Lines, 0.0
+	lines, sum := s.Table(id).Weights, 0.0
 	for server := range lines {
-		if !s.Withdrawn(server) {
+		if !s.IsWithdrawn(server) {
 			t.servers = append(t.servers, server)
 		}
 	}
@@ -85,16 +85,16 @@
 	}
 	var now atomic.Pointer[table]
 	f := &follow.Follower{
-		Name: "example", Keys: keys, Holder: tables.NewHolder(keys, tables.Patience{First: time.Second, Most: time.Minute}, rand.Uint64()),
+		Name: "example", Keys: keys, Replica: tables.NewReplica(keys, tables.RetrySettings{InitialInterval: time.Second, MaxInterval: time.Minute}, rand.Uint64()),
 		Dial: func(ctx context.Context) (net.Conn, error) {
 			return (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", os.Args[1])
 		},
-		Changed: func(held tables.Held, s *tables.State) {
+		OnApplied: func(held tables.VersionRef, s *tables.State) {
 			now.Store(made(s, uint32(id)))
 			server, some := now.Load().pick()
 			fmt.Printf("version %v %v: %d servers to pick from, such as %q %v\n", held.ID, held.Digest, len(now.Load().servers), server, some)
 		},
-		Refused: func(o tables.Outcome, err error) { fmt.Printf("refused: %v: %v\n", o, err) },
+		OnRejected: func(o tables.Outcome, err error) { fmt.Printf("refused: %v: %v\n", o, err) },
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
--- a/client/follow/frames.go
+++ b/client/follow/frames.go
@@ -16,18 +16,18 @@
 
 // Kinds of frames, by their first byte; docs/tables-format.md specifies them.
 const (
-	Nonce   = 'N' // from the manager: 16 bytes that the greeting must answer
-	Hello   = 'H' // from the holder: who it is and what it holds, authenticated
-	Version = 'D' // from the manager: an encoded delta
-	Ack     = 'A' // from the holder: what it runs now
-	Refused = 'R' // from the holder: why, and what it runs
-	Whole   = 'W' // from the holder: it wants a whole table; what it runs
+	FrameNonce           = 'N' // from the manager: 16 bytes that the greeting must answer
+	FrameHello           = 'H' // from the holder: who it is and what it holds, authenticated
+	FrameDelta           = 'D' // from the manager: an encoded delta
+	FrameAck             = 'A' // from the holder: what it runs now
+	FrameRejection       = 'R' // from the holder: why, and what it runs
+	FrameSnapshotRequest = 'W' // from the holder: it wants a whole table; what it runs
 )
 
 const heldLen = 8 + 8 + 32
 
 // Write writes one frame.
-func Write(w io.Writer, kind byte, body []byte) error {
+func WriteFrame(w io.Writer, kind byte, body []byte) error {
 	b := append(make([]byte, 0, 5+len(body)), kind)
 	b = append(binary.BigEndian.AppendUint32(b, uint32(len(body))), body...)
 	_, err := w.Write(b)
@@ -35,7 +35,7 @@
 }
 
 // Read reads one frame of at most so many bytes.
-func Read(r io.Reader, most int) (kind byte, body []byte, err error) {
+func ReadFrame(r io.Reader, most int) (kind byte, body []byte, err error) {
 	var head [5]byte
 	if _, err = io.ReadFull(r, head[:]); err != nil {
 		return 0, nil, err
@@ -50,14 +50,14 @@
 }
 
 // AppendHeld adds what a holder runs.
-func AppendHeld(b []byte, h tables.Held) []byte {
+func AppendVersionRef(b []byte, h tables.VersionRef) []byte {
 	b = binary.BigEndian.AppendUint64(b, h.ID.Epoch)
 	b = binary.BigEndian.AppendUint64(b, h.ID.Number)
 	return append(b, h.Digest[:]...)
 }
 
 // ReadHeld takes it apart.
-func ReadHeld(b []byte) (h tables.Held, rest []byte, err error) {
+func ParseVersionRef(b []byte) (h tables.VersionRef, rest []byte, err error) {
 	if len(b) < heldLen {
 		return h, nil, errors.New("what is held is cut off")
 	}
@@ -67,10 +67,10 @@
 }
 
 // Greet is a greeting's body: what is held, a name, and the proof by a key that answers the nonce.
-func Greet(nonce []byte, key tables.Key, name string, h tables.Held) []byte {
-	b := append(AppendHeld(nil, h), name...)
+func EncodeHello(nonce []byte, key tables.Key, name string, h tables.VersionRef) []byte {
+	b := append(AppendVersionRef(nil, h), name...)
 	b = append(b, key.ID[:]...)
-	sum := key.Sum(proof(nonce, b))
+	sum := key.Sign(proof(nonce, b))
 	return append(b, sum[:]...)
 }
 
@@ -80,15 +80,15 @@
 }
 
 // Greeted checks a greeting.
-func Greeted(nonce []byte, keys tables.Keys, b []byte) (name string, h tables.Held, err error) {
+func VerifyHello(nonce []byte, keys tables.Keys, b []byte) (name string, h tables.VersionRef, err error) {
 	if len(b) < heldLen+4+32 || len(b) > heldLen+64+4+32 {
 		return "", h, errors.New("a greeting is too short or too long")
 	}
 	body, sum := b[:len(b)-32], [32]byte(b[len(b)-32:])
 	id := tables.KeyID(body[len(body)-4:])
-	if !keys.Check(id, proof(nonce, body), sum) {
+	if !keys.Verify(id, proof(nonce, body), sum) {
 		return "", h, fmt.Errorf("key %x is not valid here, or its proof is wrong", id)
 	}
-	h, rest, err := ReadHeld(body[:len(body)-4])
+	h, rest, err := ParseVersionRef(body[:len(body)-4])
 	return string(rest), h, err
 }
--- a/client/tables/delta.go
+++ b/client/tables/delta.go
@@ -25,18 +25,18 @@
 
 // Delta leads from one state to the next. A whole one leads from the empty state.
 type Delta struct {
-	ID     ID
-	Base   ID // of a whole one: zero
-	From   Digest
-	To     Digest
-	At     uint64 // Unix milliseconds
-	Cause  string
-	Ops    []Op
-	Signer KeyID
+	ID          ID
+	Base        ID // of a whole one: zero
+	BaseDigest  Digest
+	Digest      Digest
+	CreatedAtMs uint64 // Unix milliseconds
+	Cause       string
+	Ops         []Op
+	KeyID       KeyID
 }
 
 // Whole tells whether it leads from the empty state.
-func (d *Delta) Whole() bool { return d.Base == ID{} }
+func (d *Delta) IsSnapshot() bool { return d.Base == ID{} }
 
 // KeyID names a key without telling it.
 type KeyID [4]byte
@@ -82,12 +82,12 @@
 }
 
 // Longest is the most bytes of an encoded delta.
-const Longest = 16 << 20
+const MaxDeltaBytes = 16 << 20
 
 // Errors of Decode. Each is wrapped with what was found.
 var (
-	ErrSpoilt      = errors.New("spoilt")
-	ErrUnauthentic = errors.New("not authentic")
+	ErrMalformed       = errors.New("spoilt")
+	ErrUnauthenticated = errors.New("not authentic")
 )
 
 const magic = "TSD1"
@@ -98,23 +98,23 @@
 		return nil, errors.New("no key to sign with")
 	}
 	b := append(make([]byte, 0, 160+len(d.Ops)*24), magic...)
-	for _, n := range []uint64{d.ID.Epoch, d.ID.Number, d.Base.Epoch, d.Base.Number, d.At} {
+	for _, n := range []uint64{d.ID.Epoch, d.ID.Number, d.Base.Epoch, d.Base.Number, d.CreatedAtMs} {
 		b = binary.AppendUvarint(b, n)
 	}
-	b = append(append(b, d.From[:]...), d.To[:]...)
+	b = append(append(b, d.BaseDigest[:]...), d.Digest[:]...)
 	b = appendText(b, d.Cause)
 	b = binary.AppendUvarint(b, uint64(len(d.Ops)))
 	for _, o := range d.Ops {
 		b = append(b, byte(o.Kind))
 		switch o.Kind {
-		case SetLine:
+		case SetWeight:
 			b = appendText(binary.AppendUvarint(b, uint64(o.Table)), o.Server)
 			b = binary.BigEndian.AppendUint64(b, math.Float64bits(o.Weight))
-		case SetLevel:
-			b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(o.Table)), o.Mask)
-			b = binary.BigEndian.AppendUint64(b, math.Float64bits(o.Level.Amount))
-			b = append(b, o.Level.Tries)
-		case Clear:
+		case SetAdmissionLevel:
+			b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(o.Table)), o.Classes)
+			b = binary.BigEndian.AppendUint64(b, math.Float64bits(o.AdmissionLevel.Amount))
+			b = append(b, o.AdmissionLevel.Retry)
+		case ClearTable:
 			b = binary.AppendUvarint(b, uint64(o.Table))
 		default:
 			b = appendText(b, o.Server)
@@ -122,8 +122,8 @@
 	}
 	b = append(b, keys[0].ID[:]...)
 	sum := keys[0].mac(b)
-	if b = append(b, sum[:]...); len(b) > Longest {
-		return nil, fmt.Errorf("a delta of %d bytes is longer than %d", len(b), Longest)
+	if b = append(b, sum[:]...); len(b) > MaxDeltaBytes {
+		return nil, fmt.Errorf("a delta of %d bytes is longer than %d", len(b), MaxDeltaBytes)
 	}
 	return b, nil
 }
@@ -136,7 +136,7 @@
 
 func (r *reader) fail(what string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("%w: %s", ErrSpoilt, what)
+		r.err = fmt.Errorf("%w: %s", ErrMalformed, what)
 	}
 	r.b = nil
 }
@@ -183,39 +183,39 @@
 // Decode reads a delta and checks its form and its authentication; nothing of it is applied.
 func Decode(b []byte, keys Keys) (*Delta, error) {
 	const tail = 4 + 32
-	if len(b) > Longest || len(b) < len(magic)+5+64+2+tail || string(b[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: %d bytes are no delta", ErrSpoilt, len(b))
+	if len(b) > MaxDeltaBytes || len(b) < len(magic)+5+64+2+tail || string(b[:len(magic)]) != magic {
+		return nil, fmt.Errorf("%w: %d bytes are no delta", ErrMalformed, len(b))
 	}
 	body, sum := b[:len(b)-32], [32]byte(b[len(b)-32:])
 	id := KeyID(body[len(body)-4:])
 	key, known := keys.find(id)
 	if !known {
-		return nil, fmt.Errorf("%w: key %x is not valid here", ErrUnauthentic, id)
+		return nil, fmt.Errorf("%w: key %x is not valid here", ErrUnauthenticated, id)
 	}
 	if mac := key.mac(body); !equal(mac, sum) {
-		return nil, fmt.Errorf("%w: the sum by key %x is wrong", ErrUnauthentic, id)
+		return nil, fmt.Errorf("%w: the sum by key %x is wrong", ErrUnauthenticated, id)
 	}
 	r := &reader{b: body[len(magic) : len(body)-4]}
-	d := &Delta{Signer: id}
+	d := &Delta{KeyID: id}
 	d.ID = ID{r.number(), r.number()}
 	d.Base = ID{r.number(), r.number()}
-	d.At = r.number()
-	d.From, d.To = Digest(r.bytes(32)), Digest(r.bytes(32))
+	d.CreatedAtMs = r.number()
+	d.BaseDigest, d.Digest = Digest(r.bytes(32)), Digest(r.bytes(32))
 	d.Cause = r.text(4096)
 	n := r.number()
 	if n > uint64(len(r.b)) {
 		r.fail("more ops than bytes")
 	}
 	for i := uint64(0); i < n && r.err == nil; i++ {
-		o := Op{Kind: Kind(r.bytes(1)[0])}
+		o := Op{Kind: OpKind(r.bytes(1)[0])}
 		switch o.Kind {
-		case SetLine:
+		case SetWeight:
 			o.Table, o.Server, o.Weight = r.table(), r.text(longestName), r.figure()
-		case SetLevel:
-			o.Table, o.Mask = r.table(), r.number()
-			o.Level.Amount = r.figure()
-			o.Level.Tries = r.bytes(1)[0]
-		case Clear:
+		case SetAdmissionLevel:
+			o.Table, o.Classes = r.table(), r.number()
+			o.AdmissionLevel.Amount = r.figure()
+			o.AdmissionLevel.Retry = r.bytes(1)[0]
+		case ClearTable:
 			o.Table = r.table()
 		default:
 			o.Server = r.text(longestName)
@@ -244,10 +244,10 @@
 }
 
 // Sum proves that this key was at hand: BLAKE3 keyed over what is given.
-func (k Key) Sum(b []byte) [32]byte { return k.mac(append([]byte("TSSum1"), b...)) }
+func (k Key) Sign(b []byte) [32]byte { return k.mac(append([]byte("TSSum1"), b...)) }
 
 // Check tells whether a sum is that of the key named, if it is valid.
-func (k Keys) Check(id KeyID, b []byte, sum [32]byte) bool {
+func (k Keys) Verify(id KeyID, b []byte, sum [32]byte) bool {
 	key, known := k.find(id)
-	return known && equal(key.Sum(b), sum)
+	return known && equal(key.Sign(b), sum)
 }
--- a/client/tables/tables_test.go
+++ b/client/tables/tables_test.go
@@ -22,8 +22,8 @@
 }
 
 var first = []Op{
-	{Kind: SetLine, Table: 0, Server: "s-1", Weight: 100}, {Kind: SetLine, Table: 0, Server: "s-2", Weight: 62.5},
-	{Kind: SetLevel, Table: 0, Mask: 2, Level: Level{0.75, 1}}, {Kind: SetLine, Table: 300, Server: "s-1", Weight: 1}, {Kind: Withdraw, Server: "s-3"},
+	{Kind: SetWeight, Table: 0, Server: "s-1", Weight: 100}, {Kind: SetWeight, Table: 0, Server: "s-2", Weight: 62.5},
+	{Kind: SetAdmissionLevel, Table: 0, Classes: 2, AdmissionLevel: AdmissionLevel{0.75, 1}}, {Kind: SetWeight, Table: 300, Server: "s-1", Weight: 1}, {Kind: Withdraw, Server: "s-3"},
 }
 
 func apply(t testing.TB, s *State, ops ...Op) *State {
@@ -36,7 +36,7 @@
 
 // encoded is the delta between two states.
 func encoded(t testing.TB, id, base ID, from, to *State, keys Keys) []byte {
-	d := Delta{ID: id, Base: base, From: from.Digest(), To: to.Digest(), At: 1_790_000_000_000, Cause: "list", Ops: Diff(from, to)}
+	d := Delta{ID: id, Base: base, BaseDigest: from.Digest(), Digest: to.Digest(), CreatedAtMs: 1_790_000_000_000, Cause: "list", Ops: Diff(from, to)}
 	b, err := d.Encode(keys)
 	if err != nil {
 		t.Fatal(err)
@@ -46,13 +46,13 @@
 
 // The vectors of docs/tables-format.md.
 func TestVectors(t *testing.T) {
-	s := apply(t, Empty(), first...)
+	s := apply(t, EmptyState(), first...)
 	for what, pair := range map[string][2]string{
-		"empty state": {hexOf(Empty().Digest()), "c296e466d3a3c04967adaefc7f3585e50555b18e960678bdc1fc3c921c68e2f2"},
+		"empty state": {hexOf(EmptyState().Digest()), "c296e466d3a3c04967adaefc7f3585e50555b18e960678bdc1fc3c921c68e2f2"},
 		"state":       {hexOf(s.Digest()), "829320f60405661aa54ec2a155fa64ea8b842c451118548d044d68ea36394535"},
 		"table 0":     {hex.EncodeToString(s.Table(0).canonical([]byte("TSTb1"))), "54535462310203732d31405900000000000003732d32404f40000000000001023fe800000000000001"},
 		"key":         {hex.EncodeToString(func() []byte { id := key(t, 7).ID; return id[:] }()), "01e90df8"},
-		"delta": {hex.EncodeToString(encoded(t, ID{3, 1}, ID{}, Empty(), s, Keys{key(t, 7)})), "545344310301000080d8c1a28c34c296e466d3a3c04967adaefc7f3585e50555b18e960678bdc1fc3c921c68e2f2" +
+		"delta": {hex.EncodeToString(encoded(t, ID{3, 1}, ID{}, EmptyState(), s, Keys{key(t, 7)})), "545344310301000080d8c1a28c34c296e466d3a3c04967adaefc7f3585e50555b18e960678bdc1fc3c921c68e2f2" +
 			"829320f60405661aa54ec2a155fa64ea8b842c451118548d044d68ea36394535046c697374050303732d33010003732d3140590000" +
 			"00000000010003732d32404f4000000000000200023fe80000000000000101ac0203732d313ff000000000000001e90df8d191ced5" +
 			"1563ef110805014a5b9c9fb837e6ec5e98867b1af510c4a31a04fd75"},
@@ -66,37 +66,37 @@
 func hexOf(d Digest) string { return hex.EncodeToString(d[:]) }
 
 func TestTheDigestIsThatOfTheContent(t *testing.T) {
-	a := apply(t, Empty(), first...)
-	b := apply(t, Empty(), first[4], first[3], first[2], first[1], first[0], Op{Kind: SetLine, Table: 9, Server: "x", Weight: 1},
-		Op{Kind: Clear, Table: 9})
+	a := apply(t, EmptyState(), first...)
+	b := apply(t, EmptyState(), first[4], first[3], first[2], first[1], first[0], Op{Kind: SetWeight, Table: 9, Server: "x", Weight: 1},
+		Op{Kind: ClearTable, Table: 9})
 	if a.Digest() != b.Digest() {
 		t.Error("the order of ops, or a table without anything, shows")
 	}
-	if c := apply(t, a, Op{Kind: SetLine, Table: 0, Server: "s-1", Weight: math.Nextafter(100, 101)}); c.Digest() == a.Digest() {
+	if c := apply(t, a, Op{Kind: SetWeight, Table: 0, Server: "s-1", Weight: math.Nextafter(100, 101)}); c.Digest() == a.Digest() {
 		t.Error("a weight does not show")
 	}
-	if a.Table(0).Lines["s-1"] != 100 {
+	if a.Table(0).Weights["s-1"] != 100 {
 		t.Error("a state changed")
 	}
 }
 
 func TestApplyTakesAllOpsOrNone(t *testing.T) {
-	a := apply(t, Empty(), first...)
-	for _, bad := range []Op{{Kind: SetLine, Server: "x", Weight: math.NaN()}, {Kind: SetLine, Server: "x", Weight: -1},
-		{Kind: SetLine, Server: "x", Weight: math.Inf(1)}, {Kind: SetLine, Weight: 1}, {Kind: Withdraw}, {Kind: 9},
-		{Kind: SetLevel, Level: Level{Amount: -1}}, {Kind: Readmit, Server: strings.Repeat("x", 256)}} {
-		if next, err := a.Apply([]Op{{Kind: Clear, Table: 0}, bad}); err == nil || next != nil {
+	a := apply(t, EmptyState(), first...)
+	for _, bad := range []Op{{Kind: SetWeight, Server: "x", Weight: math.NaN()}, {Kind: SetWeight, Server: "x", Weight: -1},
+		{Kind: SetWeight, Server: "x", Weight: math.Inf(1)}, {Kind: SetWeight, Weight: 1}, {Kind: Withdraw}, {Kind: 9},
+		{Kind: SetAdmissionLevel, AdmissionLevel: AdmissionLevel{Amount: -1}}, {Kind: Restore, Server: strings.Repeat("x", 256)}} {
+		if next, err := a.Apply([]Op{{Kind: ClearTable, Table: 0}, bad}); err == nil || next != nil {
 			t.Errorf("%+v is taken", bad)
 		}
 	}
-	if a.Digest() != apply(t, Empty(), first...).Digest() {
+	if a.Digest() != apply(t, EmptyState(), first...).Digest() {
 		t.Error("a state changed")
 	}
 }
 
-func holder(t testing.TB) (*Holder, *State) {
-	h, s := NewHolder(Keys{key(t, 7)}, Patience{100 * time.Millisecond, time.Second}, 1), apply(t, Empty(), first...)
-	if o, err := h.Receive(0, encoded(t, ID{3, 5}, ID{}, Empty(), s, Keys{key(t, 7)})); o != Applied {
+func holder(t testing.TB) (*Replica, *State) {
+	h, s := NewReplica(Keys{key(t, 7)}, RetrySettings{100 * time.Millisecond, time.Second}, 1), apply(t, EmptyState(), first...)
+	if o, err := h.Receive(0, encoded(t, ID{3, 5}, ID{}, EmptyState(), s, Keys{key(t, 7)})); o != Applied {
 		t.Fatal(o, err)
 	}
 	return h, s
@@ -105,10 +105,10 @@
 func TestAHolderKeepsItsLastGoodVersion(t *testing.T) {
 	k := Keys{key(t, 7)}
 	h, s := holder(t)
-	next := apply(t, s, Op{Kind: SetLine, Table: 0, Server: "s-1", Weight: 50})
-	other := apply(t, s, Op{Kind: SetLine, Table: 0, Server: "s-9", Weight: 50})
+	next := apply(t, s, Op{Kind: SetWeight, Table: 0, Server: "s-1", Weight: 50})
+	other := apply(t, s, Op{Kind: SetWeight, Table: 0, Server: "s-9", Weight: 50})
 	good := encoded(t, ID{3, 6}, ID{3, 5}, s, next, k)
-	lies := Delta{ID: ID{3, 6}, Base: ID{3, 5}, From: s.Digest(), To: other.Digest(), Ops: Diff(s, next)}
+	lies := Delta{ID: ID{3, 6}, Base: ID{3, 5}, BaseDigest: s.Digest(), Digest: other.Digest(), Ops: Diff(s, next)}
 	wrong, _ := lies.Encode(k)
 	flipped := bytes.Clone(good)
 	flipped[len(flipped)-1] ^= 1
@@ -116,30 +116,30 @@
 		b    []byte
 		want Outcome
 	}{
-		"bad sum, right digest": {flipped, Unauthentic},
-		"unknown key":           {encoded(t, ID{3, 6}, ID{3, 5}, s, next, Keys{key(t, 8)}), Unauthentic},
-		"cut in the middle":     {good[:len(good)/2], Spoilt},
-		"a byte short":          {good[:len(good)-1], Unauthentic},
-		"nothing":               {nil, Spoilt},
+		"bad sum, right digest": {flipped, Unauthenticated},
+		"unknown key":           {encoded(t, ID{3, 6}, ID{3, 5}, s, next, Keys{key(t, 8)}), Unauthenticated},
+		"cut in the middle":     {good[:len(good)/2], Malformed},
+		"a byte short":          {good[:len(good)-1], Unauthenticated},
+		"nothing":               {nil, Malformed},
 		"wrong digest":          {wrong, WrongDigest},
 		"gap":                   {encoded(t, ID{3, 8}, ID{3, 7}, next, s, k), Gap},
 		"unknown base":          {encoded(t, ID{3, 6}, ID{3, 5}, other, next, k), UnknownBase},
-		"older epoch":           {encoded(t, ID{2, 99}, ID{}, Empty(), next, k), OlderEpoch},
-		"older number":          {encoded(t, ID{3, 4}, ID{}, Empty(), next, k), Again},
+		"older epoch":           {encoded(t, ID{2, 99}, ID{}, EmptyState(), next, k), OlderEpoch},
+		"older number":          {encoded(t, ID{3, 4}, ID{}, EmptyState(), next, k), AlreadyApplied},
 		"two writers":           {encoded(t, ID{3, 5}, ID{3, 4}, s, other, k), Conflict},
-		"twice":                 {encoded(t, ID{3, 5}, ID{}, Empty(), s, k), Again},
+		"twice":                 {encoded(t, ID{3, 5}, ID{}, EmptyState(), s, k), AlreadyApplied},
 	} {
-		if o, err := h.Receive(0, one.b); o != one.want || (err == nil) != (o == Again) {
+		if o, err := h.Receive(0, one.b); o != one.want || (err == nil) != (o == AlreadyApplied) {
 			t.Errorf("%s: %v %v", name, o, err)
 		}
-		if h.Held() != (Held{ID{3, 5}, s.Digest()}) || h.State().Digest() != s.Digest() {
-			t.Fatalf("%s: %v is held", name, h.Held())
+		if h.Version() != (VersionRef{ID{3, 5}, s.Digest()}) || h.State().Digest() != s.Digest() {
+			t.Fatalf("%s: %v is held", name, h.Version())
 		}
 	}
 	if o, err := h.Receive(0, good); o != Applied || h.State().Digest() != next.Digest() {
 		t.Error(o, err)
 	}
-	if o, _ := h.Receive(0, good); o != Again {
+	if o, _ := h.Receive(0, good); o != AlreadyApplied {
 		t.Errorf("applied twice: %v", o)
 	}
 }
@@ -158,15 +158,15 @@
 func TestKeysAreTurnedOverWithBothValid(t *testing.T) {
 	h, s := holder(t)
 	next := apply(t, s, Op{Kind: Withdraw, Server: "s-1"})
-	h.Turn(Keys{key(t, 8), key(t, 7)})
+	h.SetKeys(Keys{key(t, 8), key(t, 7)})
 	if o, err := h.Receive(0, encoded(t, ID{3, 6}, ID{3, 5}, s, next, Keys{key(t, 8), key(t, 7)})); o != Applied {
 		t.Error(o, err)
 	}
 	if o, err := h.Receive(0, encoded(t, ID{3, 7}, ID{3, 6}, next, s, Keys{key(t, 7)})); o != Applied {
 		t.Error(o, err)
 	}
-	h.Turn(Keys{key(t, 8)})
-	if o, _ := h.Receive(0, encoded(t, ID{3, 8}, ID{3, 7}, s, next, Keys{key(t, 7)})); o != Unauthentic {
+	h.SetKeys(Keys{key(t, 8)})
+	if o, _ := h.Receive(0, encoded(t, ID{3, 8}, ID{3, 7}, s, next, Keys{key(t, 7)})); o != Unauthenticated {
 		t.Error(o)
 	}
 }
@@ -174,7 +174,7 @@
 func TestAsksAreBoundedAndSpread(t *testing.T) {
 	at := map[time.Duration]bool{}
 	for seed := range uint64(50) {
-		h := NewHolder(Keys{key(t, 7)}, Patience{100 * time.Millisecond, time.Second}, seed)
+		h := NewReplica(Keys{key(t, 7)}, RetrySettings{100 * time.Millisecond, time.Second}, seed)
 		h.Receive(0, nil)
 		_, first := h.Ask(0)
 		at[first] = true
@@ -196,13 +196,13 @@
 
 func TestDiffLeadsFromAnyStateToAnyOther(t *testing.T) {
 	op := rapid.Custom(func(t *rapid.T) Op {
-		return Op{Kind: Kind(rapid.IntRange(1, 5).Draw(t, "kind")), Table: uint32(rapid.IntRange(0, 3).Draw(t, "table")),
+		return Op{Kind: OpKind(rapid.IntRange(1, 5).Draw(t, "kind")), Table: uint32(rapid.IntRange(0, 3).Draw(t, "table")),
 			Server: string(rune('a' + rapid.IntRange(0, 4).Draw(t, "server"))), Weight: float64(rapid.IntRange(0, 3).Draw(t, "weight")),
-			Mask: uint64(rapid.IntRange(1, 3).Draw(t, "mask")), Level: Level{float64(rapid.IntRange(0, 2).Draw(t, "amount")), 1}}
+			Classes: uint64(rapid.IntRange(1, 3).Draw(t, "mask")), AdmissionLevel: AdmissionLevel{float64(rapid.IntRange(0, 2).Draw(t, "amount")), 1}}
 	})
 	rapid.Check(t, func(rt *rapid.T) {
-		a := apply(t, Empty(), rapid.SliceOfN(op, 0, 30).Draw(rt, "a")...)
-		b := apply(t, Empty(), rapid.SliceOfN(op, 0, 30).Draw(rt, "b")...)
+		a := apply(t, EmptyState(), rapid.SliceOfN(op, 0, 30).Draw(rt, "a")...)
+		b := apply(t, EmptyState(), rapid.SliceOfN(op, 0, 30).Draw(rt, "b")...)
 		if got := apply(t, a, Diff(a, b)...); got.Digest() != b.Digest() {
 			rt.Fatalf("%v leads to %v", Diff(a, b), got)
 		}
@@ -211,15 +211,15 @@
 
 func FuzzDecode(f *testing.F) {
 	k := Keys{key(f, 7)}
-	s := apply(f, Empty(), first...)
-	f.Add(encoded(f, ID{3, 1}, ID{}, Empty(), s, k)[4:])
+	s := apply(f, EmptyState(), first...)
+	f.Add(encoded(f, ID{3, 1}, ID{}, EmptyState(), s, k)[4:])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		// what is signed is read to its end, whatever it holds: the sum is put right
 		b := append(append([]byte(magic), body...), k[0].ID[:]...)
 		sum := k[0].mac(b)
 		d, err := Decode(append(b, sum[:]...), k)
 		if err != nil {
-			if !errors.Is(err, ErrSpoilt) {
+			if !errors.Is(err, ErrMalformed) {
 				t.Error(err)
 			}
 			return
@@ -237,18 +237,18 @@
 		var ops, moved []Op
 		for i := range lines {
 			name := "s-" + hex.EncodeToString([]byte{byte(i >> 8), byte(i), 3})
-			ops = append(ops, Op{Kind: SetLine, Table: uint32(i / 50), Server: name, Weight: 100 + float64(i%9)})
+			ops = append(ops, Op{Kind: SetWeight, Table: uint32(i / 50), Server: name, Weight: 100 + float64(i%9)})
 			if i%100 == 7 {
-				moved = append(moved, Op{Kind: SetLine, Table: uint32(i / 50), Server: name, Weight: 50})
+				moved = append(moved, Op{Kind: SetWeight, Table: uint32(i / 50), Server: name, Weight: 50})
 			}
 		}
-		s := apply(b, Empty(), ops...)
+		s := apply(b, EmptyState(), ops...)
 		next := apply(b, s, moved...)
-		whole, delta := encoded(b, ID{1, 2}, ID{}, Empty(), next, k), encoded(b, ID{1, 2}, ID{1, 1}, s, next, k)
+		whole, delta := encoded(b, ID{1, 2}, ID{}, EmptyState(), next, k), encoded(b, ID{1, 2}, ID{1, 1}, s, next, k)
 		for name, text := range map[string][]byte{"whole": whole, "delta": delta} {
 			b.Run(fmt.Sprintf("%s/%d", name, lines), func(b *testing.B) {
 				for b.Loop() {
-					h := &Holder{keys: k, state: s, held: Held{ID{1, 1}, s.Digest()}}
+					h := &Replica{keys: k, state: s, held: VersionRef{ID{1, 1}, s.Digest()}}
 					if o, err := h.Receive(0, text); o != Applied {
 						b.Fatal(o, err)
 					}
--- a/cmd/tamarindshore/tables.go
+++ b/cmd/tamarindshore/tables.go
@@ -110,12 +110,12 @@
 
 // Run checks a store.
 func (s storeCheck) Run() error {
-	kept, err := store.Look(s.Path, store.Usual())
+	kept, err := store.Check(s.Path, store.DefaultLimits())
 	if err != nil {
 		return err
 	}
 	fmt.Printf("%s: epoch %d, %d versions, %d drains, %d commands, state %v, a list of %d servers at version %d\n", s.Path, kept.Epoch,
-		len(kept.Versions), len(kept.Drains), len(kept.Done), kept.State.Digest(), len(kept.List.Entries), kept.List.Generation)
+		len(kept.Versions), len(kept.Drains), len(kept.CompletedCommands), kept.State.Digest(), len(kept.ServerList.Entries), kept.ServerList.Generation)
 	return nil
 }
 
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	if err := store.Compact(s.Path, store.Usual()); err != nil {
+	if err := store.Compact(s.Path, store.DefaultLimits()); err != nil {
 		return err
 	}
 	after, err := os.Stat(s.Path)
@@ -138,11 +138,11 @@
 
 // Run prints a store.
 func (s storeExport) Run() error {
-	kept, err := store.Look(s.Path, store.Usual())
+	kept, err := store.Check(s.Path, store.DefaultLimits())
 	if err != nil {
 		return err
 	}
 	out := json.NewEncoder(os.Stdout)
 	out.SetIndent("", " ")
-	return out.Encode(map[string]any{"epoch": kept.Epoch, "versions": kept.Versions, "drains": kept.Drains, "done": kept.Done, "list": kept.List})
+	return out.Encode(map[string]any{"epoch": kept.Epoch, "versions": kept.Versions, "drains": kept.Drains, "done": kept.CompletedCommands, "list": kept.ServerList})
 }
--- a/internal/faultsim/rules.go
+++ b/internal/faultsim/rules.go
@@ -155,8 +155,8 @@
 		}
 	}
 	state := w.chain.State()
-	for _, id := range state.IDs() {
-		for s, weight := range state.Table(id).Lines {
+	for _, id := range state.TableIDs() {
+		for s, weight := range state.Table(id).Weights {
 			if w.tables[balancer.TableID(id)][balancer.ServerID(s)] != weight {
 				r.fail("progress", "relay", "table %d has %v for %s, and the chain %v", id, w.tables[balancer.TableID(id)][balancer.ServerID(s)], s, weight)
 			}
--- a/internal/faultsim/world.go
+++ b/internal/faultsim/world.go
@@ -120,8 +120,8 @@
 	w.gen++
 	w.born, w.last, w.stalled, w.wake, w.calling, w.backlog = w.now, 0, 0, 0, false, nil
 	w.manager = balancer.New(w.script.Seed+uint64(w.gen)*7919, w.sc.Terms())
-	t := versions.Usual(uint64(w.gen))
-	t.Began = time.Unix(1_790_000_000, 0).Add(w.now)
+	t := versions.DefaultSettings(uint64(w.gen))
+	t.StartedAt = time.Unix(1_790_000_000, 0).Add(w.now)
 	w.chain = versions.New(t)
 	clear(w.tables)
 	clear(w.pulled)
@@ -206,12 +206,12 @@
 	for _, n := range res.Notes {
 		w.say("version %s", n)
 	}
-	if res.Changed {
-		pin, state := w.chain.Standing(), w.chain.State()
-		w.manager.HandleTablesReset(w.last, pin.Tables, pin.Levels, func(s balancer.ServerID) bool { return state.Withdrawn(string(s)) })
+	if res.Modified {
+		pin, state := w.chain.CurrentTables(), w.chain.State()
+		w.manager.HandleTablesReset(w.last, pin.Weights, pin.AdmissionLevels, func(s balancer.ServerID) bool { return state.IsWithdrawn(string(s)) })
 	}
-	if !commands.Empty(res.Orders) {
-		w.backlog = append(w.backlog, res.Orders)
+	if !commands.Empty(res.Commands) {
+		w.backlog = append(w.backlog, res.Commands)
 		if len(w.backlog) > 8 {
 			w.backlog = []balancer.Commands{commands.Fold(w.backlog...)}
 		}
@@ -223,7 +223,7 @@
 
 func (s fleetView) ServerStatus(id balancer.ServerID) versions.ServerStatus {
 	known, open, climbed := s.m.ServerStatus(id)
-	return versions.ServerStatus{Known: known, Open: open, Climbed: climbed}
+	return versions.ServerStatus{Known: known, Available: open, WarmFraction: climbed}
 }
 func (s fleetView) RequestRate(id balancer.TableID) float64 { return s.m.RequestRate(id) }
 func (s fleetView) ReadyServers() (all, warm int)           { return s.m.ReadyServers() }
--- a/internal/faultsim/world_checks.go
+++ b/internal/faultsim/world_checks.go
@@ -10,9 +10,11 @@
 func (w *World) pin() {
 	pin, held := w.chain.Pinned()
 	if !held {
-		pin = versions.Pin{}
+		pin = versions.PinnedTables{}
 	}
-	w.input(func(now time.Duration) balancer.Commands { return w.manager.HandlePin(now, pin.Tables, pin.Levels) })
+	w.input(func(now time.Duration) balancer.Commands {
+		return w.manager.HandlePin(now, pin.Weights, pin.AdmissionLevels)
+	})
 }
 
 // look judges what stands, ten times a second.
@@ -65,7 +67,7 @@
 // second sends the sums of a second, late; and lets a hold end that is over.
 func (w *World) second() {
 	w.after(time.Second, w.second)
-	if ended, _ := w.chain.Looked(w.last, fleetView{w.manager}); ended && w.now >= w.stalled {
+	if ended, _ := w.chain.ExpireHold(w.last, fleetView{w.manager}); ended && w.now >= w.stalled {
 		w.pin()
 	}
 	gen := w.gen
--- a/internal/faultsim/world_relay.go
+++ b/internal/faultsim/world_relay.go
@@ -57,7 +57,7 @@
 		w.carryOut(o, false)
 		later(3*time.Millisecond, func() {
 			w.manager.HandleCommandsSent(w.last, o.Barrier)
-			w.chain.Outcome(w.last, o.Barrier)
+			w.chain.HandleBarrierAck(w.last, o.Barrier)
 			if wait.Count() > 0 {
 				later(rest, func() { w.again(balancer.Commands{}, wait, false) })
 				return
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -130,42 +130,42 @@
 
 func (r *router) staff(a Ask, id, other tables.ID) (lines []string, err error) {
 	c, see := r.chain, r.sight()
-	did := func(d versions.Done, fresh bool, err error) ([]string, error) {
+	did := func(d versions.CompletedCommand, fresh bool, err error) ([]string, error) {
 		if err != nil {
 			return nil, err
 		}
 		if !fresh {
-			return []string{fmt.Sprintf("done before, at %s: %s", d.At.Format(time.RFC3339), d.What)}, nil
+			return []string{fmt.Sprintf("done before, at %s: %s", d.CompletedAt.Format(time.RFC3339), d.Command)}, nil
 		}
 		r.pin()
 		r.done(d)
-		return []string{fmt.Sprintf("%s: done under key %q, from version %v on", d.What, d.Key, d.Head)}, nil
+		return []string{fmt.Sprintf("%s: done under key %q, from version %v on", d.Command, d.Key, d.Head)}, nil
 	}
 	switch a.Do {
 	case "log":
-		if h, held := c.Holding(see); held {
-			lines = append(lines, fmt.Sprintf("held by key %q until %s, %.2f of its weight is left", h.Key, h.Until.Format(time.RFC3339), h.Left))
+		if h, held := c.CurrentHold(see); held {
+			lines = append(lines, fmt.Sprintf("held by key %q until %s, %.2f of its weight is left", h.Key, h.Until.Format(time.RFC3339), h.RemainingFraction))
 		}
-		bases := c.Bases()
+		bases := c.PossibleBases()
 		for _, v := range slices.Backward(c.Versions()) {
 			may := ""
 			if len(bases) > 1 && slices.Contains(bases, v.ID) {
 				may = " may stand"
 			}
-			lines = append(lines, fmt.Sprintf("%v %v %s %s%s%s", v.ID, v.Digest, v.At.Format(time.RFC3339Nano), v.Cause, by(v.Key), may))
+			lines = append(lines, fmt.Sprintf("%v %v %s %s%s%s", v.ID, v.Digest, v.CreatedAt.Format(time.RFC3339Nano), v.Cause, by(v.CommandKey), may))
 		}
 	case "show":
-		v, err := c.Find(id)
+		v, err := c.FindVersion(id)
 		if err != nil {
 			return nil, err
 		}
 		lines = shown(v.State)
 	case "diff":
-		v, err := c.Find(id)
+		v, err := c.FindVersion(id)
 		if err != nil {
 			return nil, err
 		}
-		w, err := c.Find(other)
+		w, err := c.FindVersion(other)
 		if err != nil {
 			return nil, err
 		}
@@ -195,14 +195,14 @@
 
 // shown is a state for people.
 func shown(s *tables.State) (lines []string) {
-	for _, id := range s.IDs() {
-		for _, o := range tables.Diff(tables.Empty(), s) {
-			if o.Table == id && (o.Kind == tables.SetLine || o.Kind == tables.SetLevel) {
+	for _, id := range s.TableIDs() {
+		for _, o := range tables.Diff(tables.EmptyState(), s) {
+			if o.Table == id && (o.Kind == tables.SetWeight || o.Kind == tables.SetAdmissionLevel) {
 				lines = append(lines, spelled(o))
 			}
 		}
 	}
-	for _, w := range s.AllWithdrawn() {
+	for _, w := range s.WithdrawnServers() {
 		lines = append(lines, "withdrawn "+w)
 	}
 	return lines
@@ -210,20 +210,20 @@
 
 func spelled(o tables.Op) string {
 	switch o.Kind {
-	case tables.SetLine:
+	case tables.SetWeight:
 		return fmt.Sprintf("table %d %s %g", o.Table, o.Server, o.Weight)
-	case tables.SetLevel:
-		return fmt.Sprintf("table %d groups %b let in %g tries %d", o.Table, o.Mask, o.Level.Amount, o.Level.Tries)
+	case tables.SetAdmissionLevel:
+		return fmt.Sprintf("table %d groups %b let in %g tries %d", o.Table, o.Classes, o.AdmissionLevel.Amount, o.AdmissionLevel.Retry)
 	case tables.Withdraw:
 		return "withdraw " + o.Server
-	case tables.Readmit:
+	case tables.Restore:
 		return "let back in " + o.Server
 	}
 	return fmt.Sprintf("table %d empty", o.Table)
 }
 
 // done keeps a command that was carried out.
-func (r *router) done(d versions.Done) {
+func (r *router) done(d versions.CompletedCommand) {
 	if r.storeWriter != nil {
 		r.storeWriter.done(d)
 	}
--- a/internal/node/feed.go
+++ b/internal/node/feed.go
@@ -25,7 +25,7 @@
 	born    time.Time
 	most    int
 	keys    atomic.Pointer[tables.Keys]
-	trying  versions.Trying
+	trying  versions.RetrySettings
 	holders atomic.Int64
 
 	mu      sync.Mutex
@@ -63,7 +63,7 @@
 }
 
 func newFeed(keys tables.Keys, most int, m *metrics) *feed {
-	f := &feed{metrics: m, born: time.Now(), most: most, trying: versions.UsualTrying(), newer: make(chan struct{}), encoded: map[encodedKey][]byte{}}
+	f := &feed{metrics: m, born: time.Now(), most: most, trying: versions.DefaultRetrySettings(), newer: make(chan struct{}), encoded: map[encodedKey][]byte{}}
 	f.keys.Store(&keys)
 	return f
 }
@@ -86,7 +86,7 @@
 
 // encode writes a delta once for all that hold its base.
 func (f *feed) encode(d *tables.Delta) ([]byte, error) {
-	k := encodedKey{d.ID, d.Base, d.From}
+	k := encodedKey{d.ID, d.Base, d.BaseDigest}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if b, done := f.encoded[k]; done {
@@ -140,15 +140,15 @@
 	nonce := make([]byte, 16)
 	rand.Read(nonce)
 	c.SetDeadline(time.Now().Add(greetWithin))
-	if follow.Write(c, follow.Nonce, nonce) != nil {
+	if follow.WriteFrame(c, follow.FrameNonce, nonce) != nil {
 		return
 	}
-	kind, body, err := follow.Read(c, 256)
-	if err != nil || kind != follow.Hello {
+	kind, body, err := follow.ReadFrame(c, 256)
+	if err != nil || kind != follow.FrameHello {
 		f.metrics.add(holdersRefused, 1)
 		return
 	}
-	name, held, err := follow.Greeted(nonce, *f.keys.Load(), body)
+	name, held, err := follow.VerifyHello(nonce, *f.keys.Load(), body)
 	if err != nil {
 		f.metrics.add(holdersRefused, 1)
 		f.metrics.logLimited("holder", "from", c.RemoteAddr().String(), "error", err)
@@ -160,7 +160,7 @@
 	go func() {
 		defer close(answers)
 		for {
-			kind, body, err := follow.Read(c, 256)
+			kind, body, err := follow.ReadFrame(c, 256)
 			if err != nil {
 				return
 			}
@@ -174,7 +174,7 @@
 	p := versions.NewPeer(f.trying, held, uint64(nonce[0])<<8|uint64(nonce[1]))
 	for {
 		view, newer := f.now()
-		d, wake := p.Next(time.Since(f.born), view)
+		d, wake := p.NextDelta(time.Since(f.born), view)
 		if d != nil {
 			b, err := f.encode(d)
 			if err != nil {
@@ -182,7 +182,7 @@
 				return
 			}
 			c.SetWriteDeadline(time.Now().Add(sendWithin))
-			if follow.Write(c, follow.Version, b) != nil {
+			if follow.WriteFrame(c, follow.FrameDelta, b) != nil {
 				return
 			}
 			f.metrics.add(versionsSent, 1)
@@ -208,24 +208,24 @@
 // handleReply takes an answer; false ends the connection.
 func (f *feed) handleReply(p *versions.Peer, name string, a reply) bool {
 	why, body := tables.Applied, a.body
-	if a.kind == follow.Refused && len(body) > 0 {
+	if a.kind == follow.FrameRejection && len(body) > 0 {
 		why, body = tables.Outcome(body[0]), body[1:]
 	}
-	held, _, err := follow.ReadHeld(body)
+	held, _, err := follow.ParseVersionRef(body)
 	if err != nil || why < tables.Applied || why > tables.Conflict {
 		return false
 	}
 	switch a.kind {
-	case follow.Ack:
+	case follow.FrameAck:
 		f.metrics.add(versionsAcked, 1)
-		p.Acked(held)
-	case follow.Whole:
-		p.AskedWhole(held)
-	case follow.Refused:
+		p.HandleAck(held)
+	case follow.FrameSnapshotRequest:
+		p.HandleSnapshotRequest(held)
+	case follow.FrameRejection:
 		f.metrics.add(versionsRefused, 1)
 		f.metrics.logLimited("refused_version", "holder", name, "why", why.String(), "holds", held.ID.String())
-		p.Refused(time.Since(f.born), why, held)
-		if p.Over() {
+		p.HandleRejection(time.Since(f.born), why, held)
+		if p.Superseded() {
 			f.metrics.logLimited("taken_over", "holder", name, "holds", held.ID.String())
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -99,29 +99,29 @@
 
 // openStore opens the store, if the settings name one, and continues the chain of versions from what it kept.
 func (n *Node) openStore() error {
-	epoch, kept := uint64(n.born.UnixMilli()), store.Kept{}
+	epoch, kept := uint64(n.born.UnixMilli()), store.Contents{}
 	if path := n.start.Store; path != "" {
 		var err error
-		if n.store, kept, err = store.Open(path, epoch, store.Usual(), nil); err != nil {
+		if n.store, kept, err = store.Open(path, epoch, store.DefaultLimits(), nil); err != nil {
 			return fmt.Errorf("store: %s: %v", path, err)
 		}
 		epoch = n.store.Epoch()
 		n.router.storeWriter = newStoreWriter(n.store, kept, n.metrics, n.life.Done())
-		n.beginWithStoredList(kept.List)
+		n.beginWithStoredList(kept.ServerList)
 	}
-	terms := versions.Usual(epoch)
-	terms.Began = n.born
-	terms.LinesMost = max(1, int(n.start.Terms.QueueCapacity))
+	terms := versions.DefaultSettings(epoch)
+	terms.StartedAt = n.born
+	terms.MaxCommands = max(1, int(n.start.Terms.QueueCapacity))
 	n.router.chain = versions.New(terms)
 	n.router.chain.Recover(recovered(kept))
-	n.known.entries = versions.StillDraining(n.known.entries, kept.Drains, n.born)
+	n.known.entries = versions.ApplyStoredDrains(n.known.entries, kept.Drains, n.born)
 	return nil
 }
 
 // beginWithStoredList takes the list that the store kept in place of the one told at the start, where it is the later
 // one.
-func (n *Node) beginWithStoredList(kept store.List) {
-	if versions.StoredListIsLater(n.known.generation, kept.Generation, len(kept.Entries)) {
+func (n *Node) beginWithStoredList(kept store.ServerList) {
+	if versions.StoredListIsNewer(n.known.generation, kept.Generation, len(kept.Entries)) {
 		stored, _, err := n.decoder.listOf(kept.Generation, true, instancesOf(kept.Entries))
 		if err == nil {
 			n.known = stored
@@ -133,24 +133,24 @@
 }
 
 // recovered are the versions and commands of a store, as the chain takes them.
-func recovered(kept store.Kept) (old []*versions.Version, done []versions.Done) {
-	state := tables.Empty()
+func recovered(kept store.Contents) (old []*versions.Version, done []versions.CompletedCommand) {
+	state := tables.EmptyState()
 	for _, v := range kept.Versions {
-		if v.Whole {
-			state = tables.Empty()
+		if v.Snapshot {
+			state = tables.EmptyState()
 		}
 		next, err := state.Apply(v.Ops)
 		if err != nil {
 			return nil, nil // the store has looked at it; nothing is better than a part
 		}
 		state = next
-		old = append(old, &versions.Version{ID: v.ID, Parent: v.Parent, Digest: v.Digest, At: v.At, Cause: v.Cause, Layout: v.Layout,
-			Key: v.Key, Ops: v.Ops, State: next})
+		old = append(old, &versions.Version{ID: v.ID, Parent: v.Parent, Digest: v.Digest, CreatedAt: v.CreatedAt, Cause: v.Cause, Layout: v.Layout,
+			CommandKey: v.CommandKey, Ops: v.Ops, State: next})
 	}
-	for _, d := range kept.Done {
-		done = append(done, versions.Done(d))
+	for _, d := range kept.CompletedCommands {
+		done = append(done, versions.CompletedCommand(d))
 	}
-	slices.SortFunc(done, func(a, b versions.Done) int { return a.At.Compare(b.At) })
+	slices.SortFunc(done, func(a, b versions.CompletedCommand) int { return a.CompletedAt.Compare(b.CompletedAt) })
 	return old, done
 }
 
--- a/internal/node/route.go
+++ b/internal/node/route.go
@@ -191,7 +191,7 @@
 func (r *router) handleCallSettled(in callSettled) {
 	r.manager.HandleCommandsSent(r.now, in.mark)
 	if r.chain != nil && in.all {
-		r.chain.Outcome(r.now, in.mark)
+		r.chain.HandleBarrierAck(r.now, in.mark)
 	}
 }
 
@@ -287,15 +287,15 @@
 
 // version asks the chain what of some orders may go out. Where that is not all, the module hears what stands.
 func (r *router) version(o balancer.Commands) balancer.Commands {
-	r.chain.Laid(r.manager.Layout())
+	r.chain.SetLayout(r.manager.Layout())
 	res := r.chain.Propose(r.now, o, cause(o), r.sight())
 	for _, n := range res.Notes {
 		r.metrics.logEvent("version", "note", n)
 	}
-	if res.Changed {
+	if res.Modified {
 		r.metrics.add(versionsHeld, 1)
-		pin, state := r.chain.Standing(), r.chain.State()
-		r.manager.HandleTablesReset(r.now, pin.Tables, pin.Levels, func(s balancer.ServerID) bool { return state.Withdrawn(string(s)) })
+		pin, state := r.chain.CurrentTables(), r.chain.State()
+		r.manager.HandleTablesReset(r.now, pin.Weights, pin.AdmissionLevels, func(s balancer.ServerID) bool { return state.IsWithdrawn(string(s)) })
 	}
 	if res.Version != nil {
 		r.metrics.add(versionsMade, 1)
@@ -306,7 +306,7 @@
 			r.feed.publish(r.chain.View())
 		}
 	}
-	return res.Orders
+	return res.Commands
 }
 
 // cause says in a few words what a version changes.
@@ -320,7 +320,7 @@
 		return
 	}
 	r.lookAt = r.now + time.Second
-	ended, notes := r.chain.Looked(r.now, r.sight())
+	ended, notes := r.chain.ExpireHold(r.now, r.sight())
 	for _, n := range notes {
 		r.metrics.logEvent("version", "note", n)
 	}
@@ -334,9 +334,9 @@
 	r.tick()
 	pin, held := r.chain.Pinned()
 	if !held {
-		pin = versions.Pin{}
+		pin = versions.PinnedTables{}
 	}
-	r.decided(r.manager.HandlePin(r.now, pin.Tables, pin.Levels))
+	r.decided(r.manager.HandlePin(r.now, pin.Weights, pin.AdmissionLevels))
 }
 
 // sight is the module's view of the fleet, as the chain asks for it.
@@ -354,7 +354,7 @@
 
 func (s fleetView) ServerStatus(id balancer.ServerID) versions.ServerStatus {
 	known, open, climbed := s.m.ServerStatus(id)
-	return versions.ServerStatus{Known: known, Open: open || !known && s.lifted[id], Climbed: climbed}
+	return versions.ServerStatus{Known: known, Available: open || !known && s.lifted[id], WarmFraction: climbed}
 }
 func (s fleetView) RequestRate(id balancer.TableID) float64 { return s.m.RequestRate(id) }
 func (s fleetView) ReadyServers() (all, warm int)           { return s.m.ReadyServers() }
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -101,12 +101,12 @@
 	if err := v.Daemon.Stop(false); err != nil {
 		t.Fatal(err)
 	}
-	kept, _, err := store.Open(v.store, 0, store.Usual(), nil)
+	kept, _, err := store.Open(v.store, 0, store.DefaultLimits(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	faulty := store.ListChange{Whole: true, Generation: 900, Entries: []store.ListEntry{{ID: "s-1", Zone: "a", Lifecycle: "confused"}}}
-	if err := kept.Save(store.Change{List: &faulty}); err != nil {
+	faulty := store.ListChange{Complete: true, Generation: 900, Entries: []store.ListEntry{{ID: "s-1", Zone: "a", Lifecycle: "confused"}}}
+	if err := kept.Save(store.Change{ServerList: &faulty}); err != nil {
 		t.Fatal(err)
 	}
 	kept.Close()
@@ -132,7 +132,7 @@
 		t.Errorf("%d changes with %d entries wait", len(writer.waiting.lists), entries)
 	}
 	last := folded(writer.waiting.lists)
-	if len(last) != 1 || !last[0].Whole || last[0].Generation != changes || len(last[0].Entries) != servers {
+	if len(last) != 1 || !last[0].Complete || last[0].Generation != changes || len(last[0].Entries) != servers {
 		t.Fatalf("%+v", last)
 	}
 	for _, entry := range last[0].Entries {
--- a/internal/node/store_writer.go
+++ b/internal/node/store_writer.go
@@ -31,7 +31,7 @@
 // unsaved is what waits for the store.
 type unsaved struct {
 	versions []*versions.Version
-	commands []versions.Done
+	commands []versions.CompletedCommand
 	lists    []store.ListChange
 }
 
@@ -61,7 +61,7 @@
 	storeRetry         = 5 * time.Second
 )
 
-func newStoreWriter(s *store.Store, kept store.Kept, m *metrics, stop <-chan struct{}) *storeWriter {
+func newStoreWriter(s *store.Store, kept store.Contents, m *metrics, stop <-chan struct{}) *storeWriter {
 	v := &storeWriter{
 		store:      s,
 		metrics:    m,
@@ -88,8 +88,8 @@
 	v.add(unsaved{versions: []*versions.Version{one}})
 }
 
-func (v *storeWriter) done(command versions.Done) {
-	v.add(unsaved{commands: []versions.Done{command}})
+func (v *storeWriter) done(command versions.CompletedCommand) {
+	v.add(unsaved{commands: []versions.CompletedCommand{command}})
 }
 
 // list takes what discovery told of its list.
@@ -97,7 +97,7 @@
 	if in.stored {
 		return
 	}
-	change := store.ListChange{Whole: in.snapshot, Entries: entriesOf(in.instances)}
+	change := store.ListChange{Complete: in.snapshot, Entries: entriesOf(in.instances)}
 	if in.complete {
 		change.Generation = in.generation
 	}
@@ -112,7 +112,7 @@
 	}
 	all := changes[0]
 	for _, change := range changes[1:] {
-		all = all.Fold(change)
+		all = all.Merge(change)
 	}
 	return []store.ListChange{all}
 }
@@ -176,7 +176,7 @@
 		return false
 	}
 	if v.failing {
-		v.metrics.logEvent("store_again", "versions", len(change.Versions), "commands", len(change.Done))
+		v.metrics.logEvent("store_again", "versions", len(change.Versions), "commands", len(change.CompletedCommands))
 	}
 	v.failing = false
 	v.saved = saved
@@ -198,7 +198,7 @@
 // changeOf is what waits in the form of the store, and the digest of its last version.
 func (v *storeWriter) changeOf(waiting unsaved) (change store.Change, saved tables.Digest) {
 	if len(waiting.lists) > 0 {
-		change.List = &waiting.lists[0]
+		change.ServerList = &waiting.lists[0]
 	}
 	saved = v.saved
 	for _, one := range waiting.versions {
@@ -209,7 +209,7 @@
 		change.Drains = v.drainsOf(waiting.versions[n-1])
 	}
 	for _, command := range waiting.commands {
-		change.Done = append(change.Done, store.Done(command))
+		change.CompletedCommands = append(change.CompletedCommands, store.CompletedCommand(command))
 	}
 	return change, saved
 }
@@ -217,18 +217,18 @@
 // storedVersion is a version in the form of the store: whole where the one before it was not saved.
 func storedVersion(one *versions.Version, saved tables.Digest) store.Version {
 	stored := store.Version{
-		ID:     one.ID,
-		Digest: one.Digest,
-		Parent: one.Parent,
-		At:     one.At,
-		Cause:  one.Cause,
-		Layout: one.Layout,
-		Key:    one.Key,
-		Ops:    one.Ops,
+		ID:         one.ID,
+		Digest:     one.Digest,
+		Parent:     one.Parent,
+		CreatedAt:  one.CreatedAt,
+		Cause:      one.Cause,
+		Layout:     one.Layout,
+		CommandKey: one.CommandKey,
+		Ops:        one.Ops,
 	}
 	if one.Parent != saved {
-		stored.Whole = true
-		stored.Ops = tables.Diff(tables.Empty(), one.State)
+		stored.Snapshot = true
+		stored.Ops = tables.Diff(tables.EmptyState(), one.State)
 	}
 	return stored
 }
@@ -236,8 +236,8 @@
 // drainsOf are the servers that a version withdraws, since when.
 func (v *storeWriter) drainsOf(last *versions.Version) map[string]time.Time {
 	drains := map[string]time.Time{}
-	for _, server := range last.State.AllWithdrawn() {
-		drains[server] = last.At
+	for _, server := range last.State.WithdrawnServers() {
+		drains[server] = last.CreatedAt
 		if since := v.drains[server]; !since.IsZero() {
 			drains[server] = since
 		}
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -97,7 +97,7 @@
 	clear(r.filter.lifted)
 	var withdrawn []balancer.ServerID
 	for _, id := range servers {
-		if r.chain == nil || r.chain.State().Withdrawn(string(id)) {
+		if r.chain == nil || r.chain.State().IsWithdrawn(string(id)) {
 			withdrawn = append(withdrawn, id)
 			r.filter.lifted[id] = true
 		}
--- a/internal/node/subset_test.go
+++ b/internal/node/subset_test.go
@@ -49,8 +49,8 @@
 		probes: make(chan probeTarget, wide.ProbesWait), listen: make(chan struct{}, 1), opened: func() {}, metrics: newMetrics(time.Hour, zerolog.Nop()),
 		proxies: map[balancer.ProxyID]bool{}, unseen: map[balancer.ProxyID]bool{}, servers: map[balancer.ServerID]string{}, now: rigStart}
 	r.backlog = newBacklog(limits.CallsWait, r.metrics)
-	chain := versions.Usual(1)
-	chain.Began, chain.LinesMost = time.Now(), 1<<20
+	chain := versions.DefaultSettings(1)
+	chain.StartedAt, chain.MaxCommands = time.Now(), 1<<20
 	r.chain = versions.New(chain)
 	r.filter = newSubsetFilter(config.Start{Name: name, Spill: spill, Terms: site})
 	return &subsetRig{t: t, router: r, list: map[balancer.ServerID]balancer.Endpoint{}, failed: map[balancer.ServerID]bool{},
@@ -194,11 +194,11 @@
 // named tells whether a table would send flows to a server.
 func (g *subsetRig) named(id balancer.ServerID) bool {
 	state := g.router.chain.State()
-	if state.Withdrawn(string(id)) {
+	if state.IsWithdrawn(string(id)) {
 		return false
 	}
-	for _, table := range state.IDs() {
-		if state.Table(table).Lines[string(id)] > 0 {
+	for _, table := range state.TableIDs() {
+		if state.Table(table).Weights[string(id)] > 0 {
 			return true
 		}
 	}
@@ -236,8 +236,8 @@
 // usable counts the lines that a proxy's table would pick, and those of them that lead to a server in service.
 func (g *subsetRig) usable(p balancer.ProxyID) (lines, sound int) {
 	state := g.router.chain.State()
-	for id, weight := range state.Table(uint32(g.bound[p])).Lines {
-		if weight <= 0 || state.Withdrawn(id) {
+	for id, weight := range state.Table(uint32(g.bound[p])).Weights {
+		if weight <= 0 || state.IsWithdrawn(id) {
 			continue
 		}
 		lines++
@@ -630,12 +630,12 @@
 	}
 	g.change(g.set(balancer.Draining, outsider))
 	g.second()
-	if !g.router.chain.State().Withdrawn(string(outsider)) {
+	if !g.router.chain.State().IsWithdrawn(string(outsider)) {
 		t.Error("it is not withdrawn")
 	}
 	g.change(g.restart(outsider))
 	g.seconds(150, func() { g.mustServe("at rest") })
-	if g.router.chain.State().Withdrawn(string(outsider)) {
+	if g.router.chain.State().IsWithdrawn(string(outsider)) {
 		t.Error("it is withdrawn still")
 	}
 }
@@ -661,7 +661,7 @@
 		t.Fatalf("%d servers of other zones while home is lost, %d later", len(wide), len(narrow))
 	}
 	for _, id := range wide {
-		if !slices.Contains(narrow, id) && g.router.chain.State().Withdrawn(string(id)) {
+		if !slices.Contains(narrow, id) && g.router.chain.State().IsWithdrawn(string(id)) {
 			t.Errorf("%s left, is forgotten and still withdrawn", id)
 		}
 	}
--- a/internal/node/versions_rig_test.go
+++ b/internal/node/versions_rig_test.go
@@ -153,11 +153,11 @@
 }
 
 // tail follows the feed with a holder.
-func tail(t testing.TB, address string, n int, changed func(tables.Held)) *tables.Holder {
-	h := tables.NewHolder(tables.Keys{keyOf(t, testKey)}, tables.Patience{First: 50 * time.Millisecond, Most: time.Second}, uint64(n))
-	f := &follow.Follower{Name: fmt.Sprint("h", n), Keys: tables.Keys{keyOf(t, testKey)}, Holder: h, Most: 200 * time.Millisecond,
-		Dial:    func(ctx context.Context) (net.Conn, error) { return (&net.Dialer{}).DialContext(ctx, "tcp", address) },
-		Changed: func(held tables.Held, _ *tables.State) { changed(held) }}
+func tail(t testing.TB, address string, n int, changed func(tables.VersionRef)) *tables.Replica {
+	h := tables.NewReplica(tables.Keys{keyOf(t, testKey)}, tables.RetrySettings{InitialInterval: 50 * time.Millisecond, MaxInterval: time.Second}, uint64(n))
+	f := &follow.Follower{Name: fmt.Sprint("h", n), Keys: tables.Keys{keyOf(t, testKey)}, Replica: h, MaxBackoff: 200 * time.Millisecond,
+		Dial:      func(ctx context.Context) (net.Conn, error) { return (&net.Dialer{}).DialContext(ctx, "tcp", address) },
+		OnApplied: func(held tables.VersionRef, _ *tables.State) { changed(held) }}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -174,14 +174,16 @@
 // latest keeps what each of some holders runs.
 type latest struct {
 	mu   sync.Mutex
-	held map[int]tables.Held
+	held map[int]tables.VersionRef
 	n    map[int]map[tables.ID]int
 }
 
-func newLatest() *latest { return &latest{held: map[int]tables.Held{}, n: map[int]map[tables.ID]int{}} }
+func newLatest() *latest {
+	return &latest{held: map[int]tables.VersionRef{}, n: map[int]map[tables.ID]int{}}
+}
 
-func (l *latest) of(i int) func(tables.Held) {
-	return func(h tables.Held) {
+func (l *latest) of(i int) func(tables.VersionRef) {
+	return func(h tables.VersionRef) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.n[i] == nil {
@@ -236,11 +238,11 @@
 				go func() { io.Copy(to, c); to.Close() }()
 				in := bufio.NewReader(to)
 				for {
-					kind, body, err := follow.Read(in, tables.Longest)
+					kind, body, err := follow.ReadFrame(in, tables.MaxDeltaBytes)
 					if err != nil {
 						return
 					}
-					if kind == follow.Version && spoil.Load() && chance.IntN(2) == 0 {
+					if kind == follow.FrameDelta && spoil.Load() && chance.IntN(2) == 0 {
 						switch chance.IntN(3) {
 						case 0:
 							body[chance.IntN(len(body))] ^= 1 << chance.IntN(8)
@@ -250,7 +252,7 @@
 							return // cut between a push and its acknowledgement
 						}
 					}
-					if follow.Write(c, kind, body) != nil {
+					if follow.WriteFrame(c, kind, body) != nil {
 						return
 					}
 				}
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -124,10 +124,10 @@
 		"silent":  func(net.Conn, []byte) {},
 		"rubbish": func(c net.Conn, _ []byte) { io.WriteString(c, "GET / HTTP/1.1\r\n\r\n") },
 		"other key": func(c net.Conn, nonce []byte) {
-			follow.Write(c, follow.Hello, follow.Greet(nonce, keyOf(t, bytes.Repeat([]byte{6}, 32)), "x", tables.Held{}))
+			follow.WriteFrame(c, follow.FrameHello, follow.EncodeHello(nonce, keyOf(t, bytes.Repeat([]byte{6}, 32)), "x", tables.VersionRef{}))
 		},
 		"replay": func(c net.Conn, _ []byte) {
-			follow.Write(c, follow.Hello, follow.Greet(make([]byte, 16), keyOf(t, testKey), "x", tables.Held{}))
+			follow.WriteFrame(c, follow.FrameHello, follow.EncodeHello(make([]byte, 16), keyOf(t, testKey), "x", tables.VersionRef{}))
 		},
 	} {
 		c, err := net.Dial("tcp", v.feed)
@@ -135,12 +135,12 @@
 			t.Fatal(err)
 		}
 		c.SetDeadline(time.Now().Add(4 * time.Second))
-		kind, nonce, err := follow.Read(c, 64)
-		if err != nil || kind != follow.Nonce {
+		kind, nonce, err := follow.ReadFrame(c, 64)
+		if err != nil || kind != follow.FrameNonce {
 			t.Fatal(kind, err)
 		}
 		say(c, nonce)
-		if kind, _, err := follow.Read(c, 1<<20); err == nil {
+		if kind, _, err := follow.ReadFrame(c, 1<<20); err == nil {
 			t.Errorf("%s: got a frame %c", what, kind)
 		} else if late, ok := err.(net.Error); ok && late.Timeout() {
 			t.Errorf("%s: still open", what)
@@ -152,14 +152,14 @@
 // A store that fails costs no decision; once it is back, what it missed is saved as a whole.
 func TestAStoreThatFailsIsToldOnceAndCaughtUp(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "v.db")
-	s, kept, err := store.Open(path, 1, store.Usual(), nil)
+	s, kept, err := store.Open(path, 1, store.DefaultLimits(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
 	b := newMetrics(0, zerolog.New(&log))
 	va := &storeWriter{store: s, metrics: b, filled: make(chan struct{}, 1), saved: kept.State.Digest()}
-	c := versions.New(versions.Usual(1))
+	c := versions.New(versions.DefaultSettings(1))
 	propose := func(w float64) {
 		r := c.Propose(0, balancer.Commands{Weights: []balancer.EndpointWeight{{Table: 0, Server: balancer.ServerID(fmt.Sprint("s", w)), Weight: w}}}, "x", anyone{})
 		va.version(r.Version)
@@ -178,14 +178,14 @@
 	if n := strings.Count(log.String(), "store_failed"); n != 1 || len(va.waiting.versions) > maxWaitingVersions {
 		t.Errorf("told %d times, %d wait", n, len(va.waiting.versions))
 	}
-	if va.store, _, err = store.Open(path, 1, store.Usual(), nil); err != nil {
+	if va.store, _, err = store.Open(path, 1, store.DefaultLimits(), nil); err != nil {
 		t.Fatal(err)
 	}
 	if !va.save() || !strings.Contains(log.String(), "store_again") {
 		t.Error("not caught up")
 	}
 	va.store.Close()
-	if kept, err := store.Look(path, store.Usual()); err != nil || kept.State.Digest() != c.State().Digest() {
+	if kept, err := store.Check(path, store.DefaultLimits()); err != nil || kept.State.Digest() != c.State().Digest() {
 		t.Error(err)
 	}
 }
@@ -193,7 +193,7 @@
 type anyone struct{}
 
 func (anyone) ServerStatus(balancer.ServerID) versions.ServerStatus {
-	return versions.ServerStatus{Known: true, Open: true, Climbed: 1}
+	return versions.ServerStatus{Known: true, Available: true, WarmFraction: 1}
 }
 func (anyone) RequestRate(balancer.TableID) float64 { return 1 }
 func (anyone) ReadyServers() (int, int)             { return 1, 1 }
--- a/internal/store/list.go
+++ b/internal/store/list.go
@@ -23,17 +23,17 @@
 
 // ListChange is what discovery told of its list.
 type ListChange struct {
-	Whole      bool  // the entries are all that are listed
+	Complete   bool  // the entries are all that are listed
 	Generation int64 // up to which nothing is missing; 0: as before
 	Entries    []ListEntry
 }
 
 // Fold joins a later change to an earlier one.
-func (c ListChange) Fold(later ListChange) ListChange {
-	if later.Whole {
+func (c ListChange) Merge(later ListChange) ListChange {
+	if later.Complete {
 		return later
 	}
-	folded := ListChange{Whole: c.Whole, Generation: max(c.Generation, later.Generation)}
+	folded := ListChange{Complete: c.Complete, Generation: max(c.Generation, later.Generation)}
 	place := map[string]int{}
 	for _, entry := range slices.Concat(c.Entries, later.Entries) {
 		at, known := place[entry.ID]
@@ -48,7 +48,7 @@
 }
 
 // List is the server list as it was last held, by name.
-type List struct {
+type ServerList struct {
 	Generation int64       `json:"generation"` // 0: none is kept
 	Entries    []ListEntry `json:"entries"`
 }
@@ -77,7 +77,7 @@
 
 // saveList carries out a change. A list whose generation was never told is not used, but grows all the same.
 func saveList(tx *bbolt.Tx, change ListChange) error {
-	if change.Whole {
+	if change.Complete {
 		if err := emptyList(tx); err != nil {
 			return err
 		}
@@ -137,13 +137,13 @@
 }
 
 // loadList reads and checks the list. A store of an earlier release has none.
-func loadList(tx *bbolt.Tx) (List, error) {
+func loadList(tx *bbolt.Tx) (ServerList, error) {
 	told, err := readHead(tx)
 	bucket := tx.Bucket(list)
 	if err != nil || bucket == nil || told.Generation == 0 {
-		return List{}, err
+		return ServerList{}, err
 	}
-	kept, found := List{Generation: told.Generation}, head{Generation: told.Generation}
+	kept, found := ServerList{Generation: told.Generation}, head{Generation: told.Generation}
 	err = bucket.ForEach(func(_, value []byte) error {
 		var entry ListEntry
 		if err := unseal(value, &entry); err != nil {
@@ -155,10 +155,10 @@
 		return nil
 	})
 	if err != nil {
-		return List{}, err
+		return ServerList{}, err
 	}
 	if found != told {
-		return List{}, fmt.Errorf("%w: the list has %d entries that are not the %d kept", ErrDamaged, found.Entries, told.Entries)
+		return ServerList{}, fmt.Errorf("%w: the list has %d entries that are not the %d kept", ErrDamaged, found.Entries, told.Entries)
 	}
 	return kept, nil
 }
--- a/internal/store/list_test.go
+++ b/internal/store/list_test.go
@@ -14,12 +14,12 @@
 func entry(id, lifecycle string) ListEntry { return ListEntry{ID: id, Zone: "a", Lifecycle: lifecycle} }
 
 func whole(generation int64, entries ...ListEntry) ListChange {
-	return ListChange{Whole: true, Generation: generation, Entries: entries}
+	return ListChange{Complete: true, Generation: generation, Entries: entries}
 }
 
 // listOf is the change of the list beside a version: a server more each time, and the one before the last is gone.
 func listOf(number uint64) *ListChange {
-	change := ListChange{Whole: number == 1, Generation: int64(number), Entries: []ListEntry{entry(fmt.Sprint("s-", number), "up")}}
+	change := ListChange{Complete: number == 1, Generation: int64(number), Entries: []ListEntry{entry(fmt.Sprint("s-", number), "up")}}
 	if number > 2 {
 		change.Entries = append(change.Entries, entry(fmt.Sprint("s-", number-2), "removed"))
 	}
@@ -27,7 +27,7 @@
 }
 
 // isListOf tells whether a list is the one beside a version.
-func isListOf(kept List, number uint64) bool {
+func isListOf(kept ServerList, number uint64) bool {
 	var want []ListEntry
 	for n := max(1, number-1); n <= number; n++ {
 		want = append(want, entry(fmt.Sprint("s-", n), "up"))
@@ -37,22 +37,22 @@
 }
 
 // keptList is the list of a store after changes, each saved by itself.
-func keptList(t *testing.T, changes ...ListChange) List {
+func keptList(t *testing.T, changes ...ListChange) ServerList {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "s.db")
 	s, _ := opened(t, path)
 	for _, change := range changes {
-		if err := s.Save(Change{List: &change}); err != nil {
+		if err := s.Save(Change{ServerList: &change}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	s.Close()
 	s, kept := opened(t, path)
 	s.Close()
-	return kept.List
+	return kept.ServerList
 }
 
-func expectList(t *testing.T, what string, got List, generation int64, want ...ListEntry) {
+func expectList(t *testing.T, what string, got ServerList, generation int64, want ...ListEntry) {
 	t.Helper()
 	if got.Generation != generation || !slices.EqualFunc(got.Entries, want, func(a, b ListEntry) bool { return a == b }) {
 		t.Errorf("%s: %+v, not %d %+v", what, got, generation, want)
@@ -73,7 +73,7 @@
 func TestAChangeBehindAGapDoesNotMoveTheGeneration(t *testing.T) {
 	gap := ListChange{Entries: []ListEntry{entry("s-1", "draining")}}
 	expectList(t, "gap", keptList(t, whole(41, entry("s-1", "up")), gap), 41, entry("s-1", "draining"))
-	expectList(t, "no generation yet", keptList(t, ListChange{Whole: true, Entries: []ListEntry{entry("s-1", "up")}}), 0)
+	expectList(t, "no generation yet", keptList(t, ListChange{Complete: true, Entries: []ListEntry{entry("s-1", "up")}}), 0)
 }
 
 func TestFoldedChangesComeToTheSame(t *testing.T) {
@@ -85,16 +85,16 @@
 	}
 	folded := changes[0]
 	for _, change := range changes[1:] {
-		folded = folded.Fold(change)
+		folded = folded.Merge(change)
 	}
 	if len(folded.Entries) != 4 {
 		t.Errorf("a server is held more than once: %+v", folded.Entries)
 	}
 	single, together := keptList(t, changes...), keptList(t, folded)
 	expectList(t, "folded", together, single.Generation, single.Entries...)
-	later := keptList(t, changes[0], changes[1].Fold(changes[2]).Fold(changes[3]))
+	later := keptList(t, changes[0], changes[1].Merge(changes[2]).Merge(changes[3]))
 	expectList(t, "folded behind a whole list", later, single.Generation, single.Entries...)
-	expectList(t, "a later whole list", keptList(t, folded.Fold(whole(60, entry("s-8", "up")))), 60, entry("s-8", "up"))
+	expectList(t, "a later whole list", keptList(t, folded.Merge(whole(60, entry("s-8", "up")))), 60, entry("s-8", "up"))
 }
 
 func TestAnEntryThatWasLostOrDoubledIsFound(t *testing.T) {
@@ -108,14 +108,14 @@
 		path := filepath.Join(t.TempDir(), "s.db")
 		s, _ := opened(t, path)
 		change := whole(41, entry("s-1", "up"), entry("s-2", "up"))
-		if err := s.Save(Change{List: &change}); err != nil {
+		if err := s.Save(Change{ServerList: &change}); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.db.Update(func(tx *bbolt.Tx) error { return spoil(tx.Bucket(list)) }); err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
-		if _, err := Look(path, Usual()); !errors.Is(err, ErrDamaged) {
+		if _, err := Check(path, DefaultLimits()); !errors.Is(err, ErrDamaged) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -134,12 +134,12 @@
 	s, _ := opened(b, filepath.Join(b.TempDir(), "s.db"))
 	defer s.Close()
 	large := largeList()
-	if err := s.Save(Change{List: &large}); err != nil {
+	if err := s.Save(Change{ServerList: &large}); err != nil {
 		b.Fatal(err)
 	}
 	for n := 0; b.Loop(); n++ {
 		change := ListChange{Generation: int64(42 + n), Entries: large.Entries[n%24_000 : n%24_000+1]}
-		if err := s.Save(Change{List: &change}); err != nil {
+		if err := s.Save(Change{ServerList: &change}); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -149,12 +149,12 @@
 	path := filepath.Join(b.TempDir(), "s.db")
 	s, _ := opened(b, path)
 	large := largeList()
-	if err := s.Save(Change{List: &large}); err != nil {
+	if err := s.Save(Change{ServerList: &large}); err != nil {
 		b.Fatal(err)
 	}
 	s.Close()
 	for b.Loop() {
-		if kept, err := Look(path, Usual()); err != nil || len(kept.List.Entries) != 24_000 {
+		if kept, err := Check(path, DefaultLimits()); err != nil || len(kept.ServerList.Entries) != 24_000 {
 			b.Fatal(err)
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,7 +21,7 @@
 )
 
 // Form is the newest form of the file that this release reads.
-const Form = 1
+const FormatVersion = 1
 
 // Errors that callers tell apart. Each is wrapped with what was found.
 var (
@@ -32,51 +32,53 @@
 
 // Limits bound the file.
 type Limits struct {
-	Versions int           // kept
-	Bytes    int64         // of the file, past which it is compacted at the next opening
-	Lock     time.Duration // to wait for another process
+	MaxVersions       int           // kept
+	CompactAboveBytes int64         // of the file, past which it is compacted at the next opening
+	LockTimeout       time.Duration // to wait for another process
 }
 
 // Usual are the bounds of a manager.
-func Usual() Limits { return Limits{Versions: 1000, Bytes: 64 << 20, Lock: 200 * time.Millisecond} }
+func DefaultLimits() Limits {
+	return Limits{MaxVersions: 1000, CompactAboveBytes: 64 << 20, LockTimeout: 200 * time.Millisecond}
+}
 
 // Version is one version as it is kept: how to come to it from the one before, or whole.
 type Version struct {
-	ID     tables.ID     `json:"id"`
-	Digest tables.Digest `json:"digest"`
-	Parent tables.Digest `json:"parent"`
-	At     time.Time     `json:"at"`
-	Cause  string        `json:"cause"`
-	Layout string        `json:"layout"`
-	Key    string        `json:"key,omitempty"`
-	Whole  bool          `json:"whole"`
-	Ops    []tables.Op   `json:"ops"`
+	ID         tables.ID     `json:"id"`
+	Digest     tables.Digest `json:"digest"`
+	Parent     tables.Digest `json:"parent"`
+	CreatedAt  time.Time     `json:"at"`
+	Cause      string        `json:"cause"`
+	Layout     string        `json:"layout"`
+	CommandKey string        `json:"key,omitempty"`
+	Snapshot   bool          `json:"whole"`
+	Ops        []tables.Op   `json:"ops"`
 }
 
 // Done is a command that was carried out.
-type Done struct {
-	Key  string    `json:"key"`
-	What string    `json:"what"`
-	At   time.Time `json:"at"`
-	Head tables.ID `json:"head"`
+type CompletedCommand struct {
+	Key         string    `json:"key"`
+	Command     string    `json:"what"`
+	CompletedAt time.Time `json:"at"`
+	Head        tables.ID `json:"head"`
 }
 
 // Change is what is saved at one time, whole or not at all.
 type Change struct {
-	Versions []Version
-	Drains   map[string]time.Time // servers that drain or are gone, since when; all of them, nil: as before
-	Done     []Done
-	List     *ListChange // nil: as before
+	Versions          []Version
+	Drains            map[string]time.Time // servers that drain or are gone, since when; all of them, nil: as before
+	CompletedCommands []CompletedCommand
+	ServerList        *ListChange // nil: as before
 }
 
 // Kept is what a store holds.
-type Kept struct {
-	Epoch    uint64 // the last that wrote
-	Versions []Version
-	State    *tables.State // of the last version
-	Drains   map[string]time.Time
-	Done     []Done
-	List     List
+type Contents struct {
+	Epoch             uint64 // the last that wrote
+	Versions          []Version
+	State             *tables.State // of the last version
+	Drains            map[string]time.Time
+	CompletedCommands []CompletedCommand
+	ServerList        ServerList
 }
 
 var (
@@ -98,18 +100,18 @@
 
 // Open opens a file or makes one, checks all of it, and begins a new epoch: one more than the last, and at least what
 // is given. open may stand in for os.OpenFile.
-func Open(path string, epoch uint64, l Limits, open func(string, int, os.FileMode) (*os.File, error)) (*Store, Kept, error) {
+func Open(path string, epoch uint64, l Limits, open func(string, int, os.FileMode) (*os.File, error)) (*Store, Contents, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
-		return nil, Kept{}, err
+		return nil, Contents{}, err
 	}
-	if info, err := os.Stat(path); err == nil && info.Size() > l.Bytes {
+	if info, err := os.Stat(path); err == nil && info.Size() > l.CompactAboveBytes {
 		if err := Compact(path, l); err != nil {
-			return nil, Kept{}, err
+			return nil, Contents{}, err
 		}
 	}
 	db, err := raise(path, false, l, open)
 	if err != nil {
-		return nil, Kept{}, err
+		return nil, Contents{}, err
 	}
 	s := &Store{db: db, limits: l}
 	kept, err := s.load()
@@ -122,7 +124,7 @@
 				}
 			}
 			b := tx.Bucket(meta)
-			if err := b.Put([]byte("form"), number(Form)); err != nil {
+			if err := b.Put([]byte("form"), number(FormatVersion)); err != nil {
 				return err
 			}
 			return b.Put([]byte("epoch"), number(s.epoch))
@@ -150,7 +152,7 @@
 // raise opens the file itself. What the library finds wrong with it is damage, also where it panics over it.
 func raise(path string, readOnly bool, l Limits, open func(string, int, os.FileMode) (*os.File, error)) (db *bbolt.DB, err error) {
 	defer guard(&err)()
-	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: l.Lock, ReadOnly: readOnly, OpenFile: open, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true})
+	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: l.LockTimeout, ReadOnly: readOnly, OpenFile: open, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true})
 	switch {
 	case errors.Is(err, bbolterrors.ErrTimeout):
 		return nil, ErrLocked
@@ -203,8 +205,8 @@
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(versions)
 		for _, v := range c.Versions {
-			if v.Whole {
-				state = tables.Empty()
+			if v.Snapshot {
+				state = tables.EmptyState()
 			}
 			next, err := state.Apply(v.Ops)
 			if err != nil {
@@ -218,7 +220,7 @@
 			}
 			state, last, count = next, v.ID, count+1
 		}
-		if count > s.limits.Versions+s.limits.Versions/8 { // by eighths, so that it is not done with each
+		if count > s.limits.MaxVersions+s.limits.MaxVersions/8 { // by eighths, so that it is not done with each
 			n, err := s.retain(b)
 			if err != nil {
 				return err
@@ -239,13 +241,13 @@
 				}
 			}
 		}
-		for _, d := range c.Done {
+		for _, d := range c.CompletedCommands {
 			if err := putSealed(tx.Bucket(done), []byte(d.Key), d); err != nil {
 				return err
 			}
 		}
-		if c.List != nil {
-			return saveList(tx, *c.List)
+		if c.ServerList != nil {
+			return saveList(tx, *c.ServerList)
 		}
 		return nil
 	})
@@ -270,21 +272,21 @@
 		all = append(all, append([]byte{}, k...))
 		return nil
 	})
-	drop := len(all) - s.limits.Versions
-	state := tables.Empty()
+	drop := len(all) - s.limits.MaxVersions
+	state := tables.EmptyState()
 	for i, k := range all[:drop+1] {
 		var v Version
 		if err := unseal(b.Get(k), &v); err != nil {
 			return 0, err
 		}
-		if v.Whole {
-			state = tables.Empty()
+		if v.Snapshot {
+			state = tables.EmptyState()
 		}
 		if state, err = state.Apply(v.Ops); err != nil {
 			return 0, err
 		}
 		if i == drop {
-			v.Whole, v.Ops = true, tables.Diff(tables.Empty(), state)
+			v.Snapshot, v.Ops = true, tables.Diff(tables.EmptyState(), state)
 			return len(all) - drop, putSealed(b, k, v)
 		}
 		if err := b.Delete(k); err != nil {
@@ -295,9 +297,9 @@
 }
 
 // load reads and checks all: each value's digest, each version's way to its state.
-func (s *Store) load() (kept Kept, err error) {
+func (s *Store) load() (kept Contents, err error) {
 	defer guard(&err)()
-	kept = Kept{State: tables.Empty(), Drains: map[string]time.Time{}}
+	kept = Contents{State: tables.EmptyState(), Drains: map[string]time.Time{}}
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(meta)
 		if b == nil {
@@ -305,8 +307,8 @@
 		}
 		if form := b.Get([]byte("form")); len(form) != 8 {
 			return fmt.Errorf("%w: its form is not told", ErrDamaged)
-		} else if n := binary.BigEndian.Uint64(form); n > Form {
-			return fmt.Errorf("%w: form %d, and this one reads up to %d", ErrNewer, n, Form)
+		} else if n := binary.BigEndian.Uint64(form); n > FormatVersion {
+			return fmt.Errorf("%w: form %d, and this one reads up to %d", ErrNewer, n, FormatVersion)
 		}
 		if e := b.Get([]byte("epoch")); len(e) == 8 {
 			kept.Epoch = binary.BigEndian.Uint64(e)
@@ -317,8 +319,8 @@
 				return fmt.Errorf("version at %x: %w", k, err)
 			}
 			from := kept.State
-			if v.Whole {
-				from = tables.Empty()
+			if v.Snapshot {
+				from = tables.EmptyState()
 			}
 			next, err := from.Apply(v.Ops)
 			if err != nil || next.Digest() != v.Digest {
@@ -338,14 +340,14 @@
 			return err
 		}
 		if err := tx.Bucket(done).ForEach(func(_, value []byte) error {
-			var d Done
+			var d CompletedCommand
 			err := unseal(value, &d)
-			kept.Done = append(kept.Done, d)
+			kept.CompletedCommands = append(kept.CompletedCommands, d)
 			return err
 		}); err != nil {
 			return err
 		}
-		kept.List, err = loadList(tx)
+		kept.ServerList, err = loadList(tx)
 		return err
 	})
 	s.state, s.count = kept.State, len(kept.Versions)
@@ -356,13 +358,13 @@
 }
 
 // Look reads a store without writing to it, and checks all of it.
-func Look(path string, l Limits) (Kept, error) {
+func Check(path string, l Limits) (Contents, error) {
 	if _, err := os.Stat(path); err != nil {
-		return Kept{}, err
+		return Contents{}, err
 	}
 	db, err := raise(path, true, l, nil)
 	if err != nil {
-		return Kept{}, err
+		return Contents{}, err
 	}
 	defer db.Close()
 	return (&Store{db: db, limits: l}).load()
@@ -377,7 +379,7 @@
 	defer db.Close()
 	beside := path + ".compact"
 	os.Remove(beside)
-	to, err := bbolt.Open(beside, 0o600, &bbolt.Options{Timeout: l.Lock})
+	to, err := bbolt.Open(beside, 0o600, &bbolt.Options{Timeout: l.LockTimeout})
 	if err != nil {
 		return err
 	}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -25,17 +25,17 @@
 func grow(t testing.TB, s *Store, n int) {
 	t.Helper()
 	for i := range n {
-		v := Version{ID: tables.ID{Epoch: s.epoch, Number: s.last.Number + 1}, Parent: s.state.Digest(), At: at, Cause: "list",
-			Ops: []tables.Op{{Kind: tables.SetLine, Table: uint32(i % 3), Server: fmt.Sprint("s-", i%7), Weight: float64(s.last.Number + 1)}}}
+		v := Version{ID: tables.ID{Epoch: s.epoch, Number: s.last.Number + 1}, Parent: s.state.Digest(), CreatedAt: at, Cause: "list",
+			Ops: []tables.Op{{Kind: tables.SetWeight, Table: uint32(i % 3), Server: fmt.Sprint("s-", i%7), Weight: float64(s.last.Number + 1)}}}
 		next, err := s.state.Apply(v.Ops)
 		if err != nil {
 			t.Fatal(err)
 		}
 		v.Digest = next.Digest()
-		c := Change{Versions: []Version{v}, List: listOf(v.ID.Number)}
+		c := Change{Versions: []Version{v}, ServerList: listOf(v.ID.Number)}
 		if i%3 == 0 {
 			c.Drains = map[string]time.Time{fmt.Sprint("s-", i): at}
-			c.Done = []Done{{Key: fmt.Sprint("k", v.ID.Number), What: "hold", At: at, Head: v.ID}}
+			c.CompletedCommands = []CompletedCommand{{Key: fmt.Sprint("k", v.ID.Number), Command: "hold", CompletedAt: at, Head: v.ID}}
 		}
 		if err := s.Save(c); err != nil {
 			t.Fatal(err)
@@ -43,9 +43,9 @@
 	}
 }
 
-func opened(t testing.TB, path string) (*Store, Kept) {
+func opened(t testing.TB, path string) (*Store, Contents) {
 	t.Helper()
-	s, kept, err := Open(path, 5, Usual(), nil)
+	s, kept, err := Open(path, 5, DefaultLimits(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,8 +63,8 @@
 	s.Close()
 	s, kept = opened(t, path)
 	defer s.Close()
-	if len(kept.Versions) != 10 || kept.State.Digest() != state || s.Epoch() != 6 || len(kept.Done) != 4 || len(kept.Drains) != 1 {
-		t.Errorf("%d versions, epoch %d, %v, %v", len(kept.Versions), s.Epoch(), kept.Done, kept.Drains)
+	if len(kept.Versions) != 10 || kept.State.Digest() != state || s.Epoch() != 6 || len(kept.CompletedCommands) != 4 || len(kept.Drains) != 1 {
+		t.Errorf("%d versions, epoch %d, %v, %v", len(kept.Versions), s.Epoch(), kept.CompletedCommands, kept.Drains)
 	}
 }
 
@@ -74,18 +74,18 @@
 	grow(t, s, 1)
 	before := s.state.Digest()
 	err := s.Save(Change{Versions: []Version{{ID: tables.ID{Epoch: 5, Number: 2}, Ops: []tables.Op{{Kind: tables.Withdraw, Server: "x"}}}},
-		Done: []Done{{Key: "k"}}})
+		CompletedCommands: []CompletedCommand{{Key: "k"}}})
 	if err == nil || s.state.Digest() != before {
 		t.Error("saved")
 	}
-	if kept, err := s.load(); err != nil || len(kept.Versions) != 1 || slices.ContainsFunc(kept.Done, func(d Done) bool { return d.Key == "k" }) {
-		t.Errorf("half a change was saved: %+v %v", kept.Done, err)
+	if kept, err := s.load(); err != nil || len(kept.Versions) != 1 || slices.ContainsFunc(kept.CompletedCommands, func(d CompletedCommand) bool { return d.Key == "k" }) {
+		t.Errorf("half a change was saved: %+v %v", kept.CompletedCommands, err)
 	}
 }
 
 func TestRetentionKeepsTheNewestAndTheirState(t *testing.T) {
-	path, l := filepath.Join(t.TempDir(), "s.db"), Usual()
-	l.Versions = 40
+	path, l := filepath.Join(t.TempDir(), "s.db"), DefaultLimits()
+	l.MaxVersions = 40
 	s, _, err := Open(path, 5, l, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -93,8 +93,8 @@
 	grow(t, s, 200)
 	state := s.state.Digest()
 	s.Close()
-	kept, err := Look(path, l)
-	if err != nil || len(kept.Versions) > 45 || len(kept.Versions) < 40 || kept.State.Digest() != state || !kept.Versions[0].Whole {
+	kept, err := Check(path, l)
+	if err != nil || len(kept.Versions) > 45 || len(kept.Versions) < 40 || kept.State.Digest() != state || !kept.Versions[0].Snapshot {
 		t.Errorf("%v: %d versions", err, len(kept.Versions))
 	}
 }
@@ -158,7 +158,7 @@
 				t.Fatal(err)
 			}
 			tried++
-			got, kept, err := Open(torn, 5, Usual(), nil)
+			got, kept, err := Open(torn, 5, DefaultLimits(), nil)
 			if err != nil {
 				t.Fatalf("pages %v cut %d root %d: %v", pages, cut, root, err)
 			}
@@ -166,8 +166,8 @@
 			if d := kept.State.Digest(); d != was && (d != is || root == 0) {
 				t.Errorf("pages %v cut %d root %d: neither before nor after", pages, cut, root)
 			}
-			if last := kept.Versions[len(kept.Versions)-1].ID.Number; !isListOf(kept.List, last) {
-				t.Errorf("pages %v cut %d root %d: version %d beside the list %+v", pages, cut, root, last, kept.List)
+			if last := kept.Versions[len(kept.Versions)-1].ID.Number; !isListOf(kept.ServerList, last) {
+				t.Errorf("pages %v cut %d root %d: version %d beside the list %+v", pages, cut, root, last, kept.ServerList)
 			}
 			if root == size && kept.State.Digest() != is {
 				t.Error("what was acknowledged is gone")
@@ -193,27 +193,27 @@
 	path := filepath.Join(dir, "s.db")
 	s, _ := opened(t, path)
 	grow(t, s, 30)
-	if _, _, err := Open(path, 5, Usual(), nil); !errors.Is(err, ErrLocked) {
+	if _, _, err := Open(path, 5, DefaultLimits(), nil); !errors.Is(err, ErrLocked) {
 		t.Errorf("a lock: %v", err)
 	}
-	s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(meta).Put([]byte("form"), number(Form+1)) })
+	s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(meta).Put([]byte("form"), number(FormatVersion+1)) })
 	s.Close()
-	if _, _, err := Open(path, 5, Usual(), nil); !errors.Is(err, ErrNewer) {
+	if _, _, err := Open(path, 5, DefaultLimits(), nil); !errors.Is(err, ErrNewer) {
 		t.Errorf("a newer release: %v", err)
 	}
-	if _, _, err := Open(filepath.Join(path, "below"), 5, Usual(), nil); err == nil {
+	if _, _, err := Open(filepath.Join(path, "below"), 5, DefaultLimits(), nil); err == nil {
 		t.Error("a folder that can't be: opened")
 	}
 	readOnly := func(name string, _ int, mode os.FileMode) (*os.File, error) {
 		return nil, &os.PathError{Op: "open", Path: name, Err: syscall.EROFS}
 	}
-	if _, _, err := Open(filepath.Join(dir, "new.db"), 5, Usual(), readOnly); !errors.Is(err, syscall.EROFS) {
+	if _, _, err := Open(filepath.Join(dir, "new.db"), 5, DefaultLimits(), readOnly); !errors.Is(err, syscall.EROFS) {
 		t.Errorf("a read-only folder: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "junk.db"), bytes.Repeat([]byte("junk"), 9000), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := Open(filepath.Join(dir, "junk.db"), 5, Usual(), nil); !errors.Is(err, ErrDamaged) {
+	if _, _, err := Open(filepath.Join(dir, "junk.db"), 5, DefaultLimits(), nil); !errors.Is(err, ErrDamaged) {
 		t.Errorf("junk: %v", err)
 	}
 }
@@ -245,7 +245,7 @@
 	grow(t, s, 3)
 	state := s.state.Digest()
 	s.Close()
-	if kept, err := Look(path, Usual()); err != nil || len(kept.Versions) != 8 || kept.State.Digest() != state {
+	if kept, err := Check(path, DefaultLimits()); err != nil || len(kept.Versions) != 8 || kept.State.Digest() != state {
 		t.Errorf("%v: %d versions", err, len(kept.Versions))
 	}
 }
@@ -254,7 +254,7 @@
 func TestBitRotNeverPassesForAState(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s, _ := opened(t, path)
-	good := map[tables.Digest]bool{tables.Empty().Digest(): true}
+	good := map[tables.Digest]bool{tables.EmptyState().Digest(): true}
 	for range 30 {
 		grow(t, s, 1)
 		good[s.state.Digest()] = true
@@ -271,12 +271,12 @@
 		if err := os.WriteFile(path, file, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		kept, err := Look(path, Usual())
+		kept, err := Check(path, DefaultLimits())
 		switch {
 		case err == nil && !good[kept.State.Digest()]:
 			t.Fatal("a state that never was")
-		case err == nil && kept.List.Generation > 0 && !isListOf(kept.List, uint64(kept.List.Generation)):
-			t.Fatalf("a list that never was: %+v", kept.List)
+		case err == nil && kept.ServerList.Generation > 0 && !isListOf(kept.ServerList, uint64(kept.ServerList.Generation)):
+			t.Fatalf("a list that never was: %+v", kept.ServerList)
 		case err == nil:
 			found["harmless"]++
 		case errors.Is(err, ErrDamaged):
@@ -292,8 +292,8 @@
 }
 
 func TestCompactingKeepsAllAndShrinks(t *testing.T) {
-	path, l := filepath.Join(t.TempDir(), "s.db"), Usual()
-	l.Versions = 20
+	path, l := filepath.Join(t.TempDir(), "s.db"), DefaultLimits()
+	l.MaxVersions = 20
 	s, _, err := Open(path, 5, l, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -306,7 +306,7 @@
 		t.Fatal(err)
 	}
 	after, _ := os.Stat(path)
-	kept, err := Look(path, l)
+	kept, err := Check(path, l)
 	if err != nil || kept.State.Digest() != state || after.Size() > before.Size() {
 		t.Errorf("%v: %d bytes after %d", err, after.Size(), before.Size())
 	}
@@ -324,8 +324,8 @@
 }
 
 func BenchmarkRecovery(b *testing.B) {
-	l := Usual()
-	l.Versions = 20_000
+	l := DefaultLimits()
+	l.MaxVersions = 20_000
 	path := filepath.Join(b.TempDir(), "s.db")
 	s, _, err := Open(path, 5, l, nil)
 	if err != nil {
@@ -337,7 +337,7 @@
 	info, _ := os.Stat(path)
 	b.ReportMetric(float64(info.Size())/1e6, "MB")
 	for b.Loop() {
-		if kept, err := Look(path, l); err != nil || len(kept.Versions) != 10_000 {
+		if kept, err := Check(path, l); err != nil || len(kept.Versions) != 10_000 {
 			b.Fatal(err)
 		}
 	}
--- a/internal/versions/chain.go
+++ b/internal/versions/chain.go
@@ -16,7 +16,7 @@
 
 // Chain keeps the versions that were sent, and what is held.
 type Chain struct {
-	t        Terms
+	t        Settings
 	now      time.Duration
 	versions []*Version // by number, oldest first; the last is the head
 	size     int
@@ -25,18 +25,18 @@
 	refused  string        // the rule that held the last version back
 	hold     *hold
 	gliding  bool // after a hold, versions go by small steps until one needs none
-	done     []Done
+	done     []CompletedCommand
 }
 
 // New begins with nothing sent.
-func New(t Terms) *Chain { return &Chain{t: t, state: tables.Empty()} }
+func New(t Settings) *Chain { return &Chain{t: t, state: tables.EmptyState()} }
 
 // Recover takes over the versions and commands of earlier epochs: ways back may lead to them, and a command that was
 // done is not done again. Nothing of them stands: a manager that starts has no tables.
-func (c *Chain) Recover(old []*Version, done []Done) {
+func (c *Chain) Recover(old []*Version, done []CompletedCommand) {
 	for _, v := range old {
-		v.Settled = true
-		v.size = 200 + 64*len(v.Ops) + 48*v.State.Lines()
+		v.Acknowledged = true
+		v.size = 200 + 64*len(v.Ops) + 48*v.State.WeightCount()
 		c.versions, c.size = append(c.versions, v), c.size+v.size
 	}
 	c.done = append(c.done, done...)
@@ -62,7 +62,7 @@
 }
 
 // Laid tells what the tables' numbers mean from now on.
-func (c *Chain) Laid(layout string) { c.layout = layout }
+func (c *Chain) SetLayout(layout string) { c.layout = layout }
 
 // Head is the newest version of this epoch; nil before the first.
 func (c *Chain) Head() *Version {
@@ -79,7 +79,7 @@
 func (c *Chain) Versions() []*Version { return c.versions }
 
 // Find gives a version that is kept.
-func (c *Chain) Find(id tables.ID) (*Version, error) {
+func (c *Chain) FindVersion(id tables.ID) (*Version, error) {
 	for _, v := range c.versions {
 		if v.ID == id {
 			return v, nil
@@ -97,14 +97,14 @@
 		all = append(all, tables.Op{Kind: tables.Withdraw, Server: string(s)})
 	}
 	for _, l := range o.Weights {
-		all = append(all, tables.Op{Kind: tables.SetLine, Table: uint32(l.Table), Server: string(l.Server), Weight: l.Weight})
+		all = append(all, tables.Op{Kind: tables.SetWeight, Table: uint32(l.Table), Server: string(l.Server), Weight: l.Weight})
 	}
 	for _, l := range o.AdmissionLevels {
-		all = append(all, tables.Op{Kind: tables.SetLevel, Table: uint32(l.Table), Mask: uint64(l.Classes),
-			Level: tables.Level{Amount: l.Amount, Tries: uint8(l.Retry)}})
+		all = append(all, tables.Op{Kind: tables.SetAdmissionLevel, Table: uint32(l.Table), Classes: uint64(l.Classes),
+			AdmissionLevel: tables.AdmissionLevel{Amount: l.Amount, Retry: uint8(l.Retry)}})
 	}
 	for _, s := range o.Restore {
-		all = append(all, tables.Op{Kind: tables.Readmit, Server: string(s)})
+		all = append(all, tables.Op{Kind: tables.Restore, Server: string(s)})
 	}
 	return all
 }
@@ -113,19 +113,19 @@
 // else is wrong: drains, lines that take weight from who may get no flows, lines for a table without any, bindings.
 func (c *Chain) Propose(now time.Duration, o balancer.Commands, cause string, see FleetView) (r Result) {
 	c.now = now
-	r.Orders = o
-	r.Orders.Weights = slices.Clone(o.Weights)
+	r.Commands = o
+	r.Commands.Weights = slices.Clone(o.Weights)
 	if len(o.Withdraw)+len(o.Weights)+len(o.AdmissionLevels)+len(o.Restore) == 0 {
 		return r
 	}
-	p := &proposal{now: c.State(), orders: &r.Orders, see: see}
+	p := &proposal{now: c.State(), orders: &r.Commands, see: see}
 	if next, err := p.now.Apply(ops(o)); err != nil {
 		p.next = p.now
 	} else {
 		p.next = next
 		if steps := c.step(p); len(steps) > 0 {
-			r.Changed, r.Notes = true, append(r.Notes, steps...)
-			p.next, _ = p.now.Apply(ops(r.Orders))
+			r.Modified, r.Notes = true, append(r.Notes, steps...)
+			p.next, _ = p.now.Apply(ops(r.Commands))
 		}
 	}
 	rule, at := c.look(p)
@@ -137,12 +137,12 @@
 	c.refused = rule
 	// what is at fault stays behind, and the rest goes: guards against one server or table that holds up all others
 	for left := heldApart; rule != ""; left-- {
-		r.Changed = true
+		r.Modified = true
 		apart := left > 0 && c.onlyUrgent(p, at)
 		if !apart { // what is urgent can't be held apart
 			c.onlyUrgent(p, fault{table: -1})
 		}
-		next, err := p.now.Apply(ops(r.Orders))
+		next, err := p.now.Apply(ops(r.Commands))
 		if err != nil { // what is urgent was looked at; this would be a fault of this package
 			panic(fmt.Sprintf("the urgent part of a version can't be applied: %v", err))
 		}
@@ -151,13 +151,13 @@
 		}
 		rule, at = c.look(p)
 	}
-	if r.Orders.Count() == 0 {
-		r.Orders.Barrier = 0
+	if r.Commands.Count() == 0 {
+		r.Commands.Barrier = 0
 	}
 	if p.next.Digest() == p.now.Digest() {
 		return r
 	}
-	r.Version = c.add(p.next, cause, r.Orders.Barrier, ops(r.Orders))
+	r.Version = c.add(p.next, cause, r.Commands.Barrier, ops(r.Commands))
 	return r
 }
 
@@ -189,13 +189,13 @@
 
 // add appends a version, and drops the oldest beyond what is kept.
 func (c *Chain) add(s *tables.State, cause string, mark balancer.BarrierID, by []tables.Op) *Version {
-	v := &Version{ID: tables.ID{Epoch: c.t.Epoch, Number: 1}, Digest: s.Digest(), At: c.t.Began.Add(c.now), Cause: cause, Layout: c.layout, Ops: by, State: s, Mark: mark}
+	v := &Version{ID: tables.ID{Epoch: c.t.Epoch, Number: 1}, Digest: s.Digest(), CreatedAt: c.t.StartedAt.Add(c.now), Cause: cause, Layout: c.layout, Ops: by, State: s, Barrier: mark}
 	if h := c.Head(); h != nil {
 		v.ID.Number = h.ID.Number + 1
 	}
 	v.Parent, c.state = c.state.Digest(), s
 	if c.hold != nil {
-		v.Key = c.hold.key
+		v.CommandKey = c.hold.key
 	}
 	changed := map[uint32]bool{}
 	for _, o := range by {
@@ -203,7 +203,7 @@
 	}
 	v.size = 200 + 64*len(by)
 	for id := range changed {
-		v.size += 48 * len(s.Table(id).Lines)
+		v.size += 48 * len(s.Table(id).Weights)
 	}
 	c.versions, c.size = append(c.versions, v), c.size+v.size
 	c.shorten()
@@ -212,7 +212,7 @@
 
 // shorten drops the oldest versions beyond what is kept.
 func (c *Chain) shorten() {
-	for len(c.versions) > 1 && (len(c.versions) > c.t.KeepMost || c.size > c.t.KeepBytes) {
+	for len(c.versions) > 1 && (len(c.versions) > c.t.MaxVersions || c.size > c.t.MaxVersionBytes) {
 		c.size -= c.versions[0].size
 		c.versions[0] = nil
 		c.versions = c.versions[1:]
@@ -220,12 +220,12 @@
 }
 
 // Outcome tells that the orders under a mark, and all before them, were carried out.
-func (c *Chain) Outcome(now time.Duration, mark balancer.BarrierID) {
+func (c *Chain) HandleBarrierAck(now time.Duration, mark balancer.BarrierID) {
 	c.now = now
 	for i := len(c.versions) - 1; i >= 0; i-- {
-		if c.versions[i].Mark == mark && mark != 0 {
-			for ; i >= 0 && !c.versions[i].Settled; i-- {
-				c.versions[i].Settled = true
+		if c.versions[i].Barrier == mark && mark != 0 {
+			for ; i >= 0 && !c.versions[i].Acknowledged; i-- {
+				c.versions[i].Acknowledged = true
 			}
 			return
 		}
@@ -234,9 +234,9 @@
 
 // Bases are the versions that may stand at the proxies: the newest, and those before it of which no one knows yet
 // whether they were carried out, back to the last that was.
-func (c *Chain) Bases() (may []tables.ID) {
+func (c *Chain) PossibleBases() (may []tables.ID) {
 	for i := len(c.versions) - 1; i >= 0; i-- {
-		if may = append(may, c.versions[i].ID); c.versions[i].Settled {
+		if may = append(may, c.versions[i].ID); c.versions[i].Acknowledged {
 			break
 		}
 	}
@@ -244,19 +244,19 @@
 }
 
 // Standing is the newest state as the module takes it.
-func (c *Chain) Standing() Pin { return pinned(c.State()) }
+func (c *Chain) CurrentTables() PinnedTables { return pinned(c.State()) }
 
-func pinned(s *tables.State) Pin {
-	p := Pin{Tables: map[balancer.TableID]map[balancer.ServerID]float64{}, Levels: map[balancer.TableID]map[uint]balancer.AdmissionLevel{}}
-	for _, id := range s.IDs() {
+func pinned(s *tables.State) PinnedTables {
+	p := PinnedTables{Weights: map[balancer.TableID]map[balancer.ServerID]float64{}, AdmissionLevels: map[balancer.TableID]map[uint]balancer.AdmissionLevel{}}
+	for _, id := range s.TableIDs() {
 		t, lines, levels := s.Table(id), map[balancer.ServerID]float64{}, map[uint]balancer.AdmissionLevel{}
-		for server, w := range t.Lines {
+		for server, w := range t.Weights {
 			lines[balancer.ServerID(server)] = w
 		}
-		for mask, l := range t.Levels {
-			levels[uint(mask)] = balancer.AdmissionLevel{Table: balancer.TableID(id), Classes: uint(mask), Amount: l.Amount, Retry: balancer.RetryPolicy(l.Tries)}
+		for mask, l := range t.AdmissionLevels {
+			levels[uint(mask)] = balancer.AdmissionLevel{Table: balancer.TableID(id), Classes: uint(mask), Amount: l.Amount, Retry: balancer.RetryPolicy(l.Retry)}
 		}
-		p.Tables[balancer.TableID(id)], p.Levels[balancer.TableID(id)] = lines, levels
+		p.Weights[balancer.TableID(id)], p.AdmissionLevels[balancer.TableID(id)] = lines, levels
 	}
 	return p
 }
@@ -264,7 +264,7 @@
 // StillDraining corrects a list as last held by the drains that were in force: guards against a list older than a
 // drain, which would give a server flows again. One that started since then is another process. Times of starts count
 // from when the manager began.
-func StillDraining(entries []balancer.Endpoint, drains map[string]time.Time, began time.Time) []balancer.Endpoint {
+func ApplyStoredDrains(entries []balancer.Endpoint, drains map[string]time.Time, began time.Time) []balancer.Endpoint {
 	entries = slices.Clone(entries)
 	for i, e := range entries {
 		since, drained := drains[string(e.Server)]
--- a/internal/versions/chain_test.go
+++ b/internal/versions/chain_test.go
@@ -20,7 +20,7 @@
 	if sight, told := f[s]; told {
 		return sight
 	}
-	return ServerStatus{Known: true, Open: true, Climbed: 1}
+	return ServerStatus{Known: true, Available: true, WarmFraction: 1}
 }
 func (f fleet) RequestRate(balancer.TableID) float64 { return 40 }
 func (f fleet) ReadyServers() (all, warm int)        { return 4, 3 }
@@ -33,10 +33,10 @@
 
 // chain stands at two tables with two servers each, in its first version.
 func chain(t *testing.T) *Chain {
-	c := New(Usual(7))
+	c := New(DefaultSettings(7))
 	r := c.Propose(time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 100), line(0, "a1", 100), line(1, "b0", 100), line(1, "b1", 100)},
 		Barrier: 1}, "list", all)
-	if r.Changed || r.Version == nil || r.Version.ID != (tables.ID{Epoch: 7, Number: 1}) {
+	if r.Modified || r.Version == nil || r.Version.ID != (tables.ID{Epoch: 7, Number: 1}) {
 		t.Fatalf("%+v", r)
 	}
 	return c
@@ -60,22 +60,22 @@
 		"known":  {balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "ghost", 5)}}, fleet{"ghost": {}}},
 		"closed": {balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 150)}}, fleet{"a0": {Known: true}}},
 		"bare":   {balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 0), line(0, "a1", 0)}}, all},
-		"cold":   {balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 400)}}, fleet{"a0": {Known: true, Open: true, Climbed: 0.1}}},
+		"cold":   {balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 400)}}, fleet{"a0": {Known: true, Available: true, WarmFraction: 0.1}}},
 	} {
 		c := chain(t)
 		before := c.State().Digest()
 		one.o.Weights = append(one.o.Weights, line(1, "b0", 90))
 		one.o.AdmissionLevels, one.o.Assign, one.o.Barrier = []balancer.AdmissionLevel{{Table: 1, Classes: 1, Amount: 0.5}}, []balancer.TableAssignment{{Proxy: 3, Table: 0}}, 2
 		r := c.Propose(2*time.Second, one.o, "health", one.see)
-		rest := len(r.Orders.Weights) + len(r.Orders.AdmissionLevels) // of another table: held back only where the version can't be read
-		if !r.Changed || (c.State().Digest() == before) != (rule == "finite") || rest != either(rule == "finite", 0, 2) || c.State().Table(0).Lines["a0"] != 100 {
+		rest := len(r.Commands.Weights) + len(r.Commands.AdmissionLevels) // of another table: held back only where the version can't be read
+		if !r.Modified || (c.State().Digest() == before) != (rule == "finite") || rest != either(rule == "finite", 0, 2) || c.State().Table(0).Weights["a0"] != 100 {
 			t.Errorf("%s: %+v", rule, r)
 		}
 		if len(r.Notes) != 1 || !strings.HasPrefix(r.Notes[0], "version held back by "+rule+": ") {
 			t.Errorf("%s: %q", rule, r.Notes)
 		}
-		if len(r.Orders.Assign) != 1 || r.Orders.Barrier != 2 {
-			t.Errorf("%s: a proxy waits for a server: %+v", rule, r.Orders)
+		if len(r.Commands.Assign) != 1 || r.Commands.Barrier != 2 {
+			t.Errorf("%s: a proxy waits for a server: %+v", rule, r.Commands)
 		}
 		if again := c.Propose(3*time.Second, one.o, "health", one.see); len(again.Notes) > 0 {
 			t.Errorf("%s: told again: %q", rule, again.Notes)
@@ -87,10 +87,10 @@
 	c := chain(t)
 	r := c.Propose(2*time.Second, balancer.Commands{Withdraw: []balancer.ServerID{"a0"}, Weights: []balancer.EndpointWeight{line(0, "a0", 1), line(1, "b0", math.Inf(1))}},
 		"list", fleet{"a0": {Known: true}})
-	if r.Version == nil || !slices.Equal(r.Orders.Withdraw, []balancer.ServerID{"a0"}) || len(r.Orders.Weights) != 1 || !c.State().Withdrawn("a0") {
+	if r.Version == nil || !slices.Equal(r.Commands.Withdraw, []balancer.ServerID{"a0"}) || len(r.Commands.Weights) != 1 || !c.State().IsWithdrawn("a0") {
 		t.Errorf("%+v", r)
 	}
-	if c.State().Table(1).Lines["b0"] != 100 {
+	if c.State().Table(1).Weights["b0"] != 100 {
 		t.Error("the faulty line stands")
 	}
 }
@@ -99,27 +99,27 @@
 	c := chain(t)
 	gone := fleet{"a0": {Known: true}, "a1": {Known: true}}
 	r := c.Propose(2*time.Second, balancer.Commands{Withdraw: []balancer.ServerID{"a0", "a1"}, Weights: []balancer.EndpointWeight{line(0, "b0", 100), line(1, "b1", math.NaN())}}, "list", gone)
-	if len(r.Orders.Weights) != 1 || c.State().Table(0).Lines["b0"] != 100 {
-		t.Errorf("%+v", r.Orders)
+	if len(r.Commands.Weights) != 1 || c.State().Table(0).Weights["b0"] != 100 {
+		t.Errorf("%+v", r.Commands)
 	}
 }
 
 // Guards against a line that must go out whatever else, of which a check holds up the whole fleet.
 func TestWhatIsUrgentHoldsUpNothingElse(t *testing.T) {
 	c := chain(t)
-	see := fleet{"a0": {Known: true}, "a1": {Known: true}, "c0": {Known: true, Open: true, Climbed: 0.01}}
+	see := fleet{"a0": {Known: true}, "a1": {Known: true}, "c0": {Known: true, Available: true, WarmFraction: 0.01}}
 	r := c.Propose(2*time.Second, balancer.Commands{Withdraw: []balancer.ServerID{"a0", "a1"}, Weights: []balancer.EndpointWeight{line(0, "c0", 100), line(1, "b0", 90)}}, "list", see)
-	if r.Changed || len(r.Orders.Weights) != 2 {
+	if r.Modified || len(r.Commands.Weights) != 2 {
 		t.Errorf("%+v", r)
 	}
 }
 
 func TestAVersionThatMovesTooMuchGoesInSteps(t *testing.T) {
 	c := chain(t)
-	c.t.MovedMost = 0.1
+	c.t.MaxMovedFraction = 0.1
 	want := []balancer.EndpointWeight{line(0, "a0", 10), line(0, "a1", 190)}
 	steps := 0
-	for s := 2; s < 20 && c.State().Table(0).Lines["a0"] > 10.5; s++ {
+	for s := 2; s < 20 && c.State().Table(0).Weights["a0"] > 10.5; s++ {
 		before := c.State()
 		r := c.Propose(time.Duration(s)*time.Second, balancer.Commands{Weights: slices.Clone(want)}, "health", all)
 		moved := (&proposal{now: before, next: c.State(), see: all}).moved(0)
@@ -133,8 +133,8 @@
 	}
 	// what a closed server leaves is no move
 	c = chain(t)
-	c.t.MovedMost = 0.2
-	if r := c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 0)}}, "silence", fleet{"a0": {Known: true}}); r.Changed {
+	c.t.MaxMovedFraction = 0.2
+	if r := c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 0)}}, "silence", fleet{"a0": {Known: true}}); r.Modified {
 		t.Errorf("%+v", r)
 	}
 }
@@ -146,24 +146,24 @@
 		return []balancer.AdmissionLevel{{Table: 0, Classes: 1, Amount: amount}}
 	}
 	c.Propose(time.Second, balancer.Commands{AdmissionLevels: level(0.5)}, "line", all)
-	c.hold = &hold{until: 2 * time.Second, pin: Pin{}}
-	if ended, _ := c.Looked(2*time.Second, all); !ended {
+	c.hold = &hold{until: 2 * time.Second, pin: PinnedTables{}}
+	if ended, _ := c.ExpireHold(2*time.Second, all); !ended {
 		t.Fatal("the hold does not end")
 	}
 	was := *c
-	c.hold = &hold{until: time.Minute, pin: Pin{}}
+	c.hold = &hold{until: time.Minute, pin: PinnedTables{}}
 	c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 10), line(0, "a1", 190)}}, "way back", all)
-	if got := c.State().Table(0).Lines["a0"]; got != 10 {
+	if got := c.State().Table(0).Weights["a0"]; got != 10 {
 		t.Errorf("a way back goes by steps, to %v", got)
 	}
 	*c = was
 	steps := 0
-	for s := 3; s < 20 && c.State().Table(0).Lines["a0"] > 10.5; s++ {
+	for s := 3; s < 20 && c.State().Table(0).Weights["a0"] > 10.5; s++ {
 		before := c.State()
 		o := balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 10), line(0, "a1", 190)}, AdmissionLevels: level(1)}
 		c.Propose(time.Duration(s)*time.Second, o, "pin", all)
 		moved := (&proposal{now: before, next: c.State(), see: all}).moved(0)
-		let := c.State().Table(0).Levels[1].Amount - before.Table(0).Levels[1].Amount
+		let := c.State().Table(0).AdmissionLevels[1].Amount - before.Table(0).AdmissionLevels[1].Amount
 		if moved > 0.21 || let > 0.11 { // a tenth of all flows, of which half come to this table
 			t.Fatalf("%.2f moved and %.2f more let in at once", moved, let)
 		}
@@ -171,8 +171,8 @@
 	}
 	c.Propose(30*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 10), line(0, "a1", 190)}}, "health", all)
 	c.Propose(31*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 190), line(0, "a1", 10)}, AdmissionLevels: level(1)}, "health", all)
-	if steps < 3 || c.State().Table(0).Lines["a0"] != 190 {
-		t.Errorf("%d steps, and then to %v", steps, c.State().Table(0).Lines)
+	if steps < 3 || c.State().Table(0).Weights["a0"] != 190 {
+		t.Errorf("%d steps, and then to %v", steps, c.State().Table(0).Weights)
 	}
 }
 
@@ -180,17 +180,17 @@
 	c := chain(t)
 	first := c.Head().ID
 	c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 20), line(1, "b0", 20)}, Barrier: 2}, "health", all)
-	today := fleet{"b0": {Known: true}, "b1": {Known: true, Open: true, Climbed: 0.25}}
+	today := fleet{"b0": {Known: true}, "b1": {Known: true, Available: true, WarmFraction: 0.25}}
 	d, fresh, err := c.RollBack(3*time.Second, first, "k1", 0, today)
 	pin, held := c.Pinned()
 	if err != nil || !fresh || !held || d.Key != "k1" {
 		t.Fatal(d, fresh, err)
 	}
-	if pin.Tables[0]["a0"] != 100 || pin.Tables[1]["b0"] != 0 || pin.Tables[1]["b1"] != 25 {
-		t.Errorf("%v", pin.Tables)
+	if pin.Weights[0]["a0"] != 100 || pin.Weights[1]["b0"] != 0 || pin.Weights[1]["b1"] != 25 {
+		t.Errorf("%v", pin.Weights)
 	}
 	c.Propose(4*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 100)}}, "pin", today)
-	if v := c.Head(); v.Key != "k1" || v.ID.Number != 3 {
+	if v := c.Head(); v.CommandKey != "k1" || v.ID.Number != 3 {
 		t.Errorf("%+v", v)
 	}
 	if again, fresh, err := c.RollBack(9*time.Second, first, "k1", 0, today); fresh || err != nil || again != d {
@@ -208,8 +208,8 @@
 	second := c.Head().ID
 	c.RollBack(3*time.Second, first, "x", 0, all)
 	c.RollBack(3*time.Second, second, "y", 0, all)
-	if h, _ := c.Holding(all); h.Key != "y" || h.To != second || len(c.Commands()) != 2 {
-		t.Errorf("%+v %v", h, c.Commands())
+	if h, _ := c.CurrentHold(all); h.Key != "y" || h.Target != second || len(c.CompletedCommands()) != 2 {
+		t.Errorf("%+v %v", h, c.CompletedCommands())
 	}
 	if _, fresh, err := c.RollBack(4*time.Second, first, "x", 0, all); fresh || err != nil {
 		t.Errorf("the first takes effect again: %v", err)
@@ -228,7 +228,7 @@
 		"nothing is held":                   func() error { _, _, err := c.Resume(0, "k"); return err },
 		"laid out otherwise": func() error {
 			other := chain(t)
-			other.Laid("3 blocks")
+			other.SetLayout("3 blocks")
 			_, _, err := other.RollBack(0, first, "k", 0, all)
 			return err
 		},
@@ -237,7 +237,7 @@
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	if _, held := c.Pinned(); held || len(c.Commands()) != 0 {
+	if _, held := c.Pinned(); held || len(c.CompletedCommands()) != 0 {
 		t.Error("something was done")
 	}
 }
@@ -245,15 +245,15 @@
 func TestAHoldEndsByTimeCommandOrItsHollowing(t *testing.T) {
 	c := chain(t)
 	c.Hold(0, "h1", time.Minute, all)
-	if ended, _ := c.Looked(59*time.Second, all); ended {
+	if ended, _ := c.ExpireHold(59*time.Second, all); ended {
 		t.Error("ended early")
 	}
-	if ended, notes := c.Looked(time.Minute, all); !ended || len(notes) != 1 {
+	if ended, notes := c.ExpireHold(time.Minute, all); !ended || len(notes) != 1 {
 		t.Errorf("%v", notes)
 	}
 	c.Hold(0, "h2", time.Minute, all)
 	most := fleet{"a0": {Known: true}, "a1": {Known: true}, "b0": {Known: true}}
-	if ended, notes := c.Looked(time.Second, most); !ended || !strings.Contains(notes[0], "0.25 of its weight") {
+	if ended, notes := c.ExpireHold(time.Second, most); !ended || !strings.Contains(notes[0], "0.25 of its weight") {
 		t.Errorf("%v", notes)
 	}
 	c.Hold(0, "h3", time.Minute, all)
@@ -267,22 +267,22 @@
 
 func TestAnUnknownOutcomeLeavesEitherBase(t *testing.T) {
 	c := chain(t)
-	c.Outcome(time.Second, 1)
+	c.HandleBarrierAck(time.Second, 1)
 	c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 20)}, Barrier: 2}, "health", all)
 	c.Propose(3*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 30)}, Barrier: 3}, "health", all)
 	id := func(n uint64) tables.ID { return tables.ID{Epoch: 7, Number: n} }
-	if got := c.Bases(); !slices.Equal(got, []tables.ID{id(3), id(2), id(1)}) {
+	if got := c.PossibleBases(); !slices.Equal(got, []tables.ID{id(3), id(2), id(1)}) {
 		t.Errorf("%v", got)
 	}
-	c.Outcome(4*time.Second, 3)
-	if got := c.Bases(); !slices.Equal(got, []tables.ID{id(3)}) {
+	c.HandleBarrierAck(4*time.Second, 3)
+	if got := c.PossibleBases(); !slices.Equal(got, []tables.ID{id(3)}) {
 		t.Errorf("%v", got)
 	}
 }
 
 func TestWhatIsKeptIsBounded(t *testing.T) {
 	c := chain(t)
-	c.t.KeepMost, c.t.KeepBytes = 50, 1<<14
+	c.t.MaxVersions, c.t.MaxVersionBytes = 50, 1<<14
 	for i := range 500 {
 		c.Propose(time.Duration(i)*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(i%2, "a0", float64(100+i))}}, "health", all)
 	}
@@ -300,7 +300,7 @@
 
 func TestNothingNewIsNoVersion(t *testing.T) {
 	c := chain(t)
-	if r := c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 100)}, Assign: []balancer.TableAssignment{{}}, Barrier: 4}, "x", all); r.Version != nil || r.Changed {
+	if r := c.Propose(2*time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 100)}, Assign: []balancer.TableAssignment{{}}, Barrier: 4}, "x", all); r.Version != nil || r.Modified {
 		t.Errorf("%+v", r)
 	}
 }
@@ -309,7 +309,7 @@
 	began := time.Unix(1000, 0)
 	drains := map[string]time.Time{"old": began.Add(-5 * time.Second), "fresh": began.Add(-5 * time.Second)}
 	list := []balancer.Endpoint{{Server: "old", RecentlyStarted: true, Started: -time.Minute}, {Server: "fresh", RecentlyStarted: true, Started: -time.Second}, {Server: "other"}}
-	got := StillDraining(list, drains, began)
+	got := ApplyStoredDrains(list, drains, began)
 	if got[0].State != balancer.Draining || got[1].State != balancer.Ready || got[2].State != balancer.Ready || list[0].State != balancer.Ready {
 		t.Errorf("%+v", got)
 	}
@@ -318,7 +318,7 @@
 func BenchmarkPropose(b *testing.B) {
 	for _, lines := range []int{50, 500, 5000} {
 		b.Run(fmt.Sprint(lines), func(b *testing.B) {
-			c := New(Usual(1))
+			c := New(DefaultSettings(1))
 			var o balancer.Commands
 			for i := range lines {
 				o.Weights = append(o.Weights, line(i/50, fmt.Sprintf("s-%05d", i), 100))
--- a/internal/versions/check.go
+++ b/internal/versions/check.go
@@ -47,14 +47,14 @@
 		return false
 	}
 	t, s := p.now.Table(uint32(l.Table)), p.see.ServerStatus(l.Server)
-	lower := l.Weight < t.Lines[string(l.Server)]
-	return lower && (!s.Open || s.Climbed < 1) || s.Open && s.Known && !p.usable(p.now, uint32(l.Table))
+	lower := l.Weight < t.Weights[string(l.Server)]
+	return lower && (!s.Available || s.WarmFraction < 1) || s.Available && s.Known && !p.usable(p.now, uint32(l.Table))
 }
 
 // usable tells whether some line of a table can be picked.
 func (p *proposal) usable(of *tables.State, id uint32) bool {
-	for s, w := range of.Table(id).Lines {
-		if w > 0 && !of.Withdrawn(s) && p.see.ServerStatus(balancer.ServerID(s)).Open {
+	for s, w := range of.Table(id).Weights {
+		if w > 0 && !of.IsWithdrawn(s) && p.see.ServerStatus(balancer.ServerID(s)).Available {
 			return true
 		}
 	}
@@ -88,13 +88,13 @@
 // against letting such a one back in.
 func (c *Chain) toClosed(p *proposal) fault {
 	for _, l := range p.orders.Weights {
-		was := p.now.Table(uint32(l.Table)).Lines[string(l.Server)]
-		if l.Weight > was && !p.see.ServerStatus(l.Server).Open {
+		was := p.now.Table(uint32(l.Table)).Weights[string(l.Server)]
+		if l.Weight > was && !p.see.ServerStatus(l.Server).Available {
 			return fault{fmt.Sprintf("%s in table %d gets %v after %v, and may get no flows", l.Server, l.Table, l.Weight, was), l.Server, -1}
 		}
 	}
 	for _, s := range p.orders.Restore {
-		if !p.see.ServerStatus(s).Open {
+		if !p.see.ServerStatus(s).Available {
 			return fault{fmt.Sprintf("%s is let back in, and may get no flows", s), s, -1}
 		}
 	}
@@ -122,39 +122,39 @@
 		return fault{}
 	}
 	total := 0.0
-	for _, id := range p.next.IDs() {
+	for _, id := range p.next.TableIDs() {
 		total += p.see.RequestRate(balancer.TableID(id))
 	}
 	seen := map[balancer.ServerID]bool{}
 	for _, l := range p.orders.Weights {
 		s := p.see.ServerStatus(l.Server)
-		if s.Climbed >= 1 || seen[l.Server] || p.urgent(l) || l.Weight <= p.now.Table(uint32(l.Table)).Lines[string(l.Server)] {
+		if s.WarmFraction >= 1 || seen[l.Server] || p.urgent(l) || l.Weight <= p.now.Table(uint32(l.Table)).Weights[string(l.Server)] {
 			continue
 		}
 		seen[l.Server] = true
 		gets := 0.0
-		for _, id := range p.next.IDs() {
+		for _, id := range p.next.TableIDs() {
 			t := p.next.Table(id)
-			if w := t.Lines[string(l.Server)]; w > 0 {
+			if w := t.Weights[string(l.Server)]; w > 0 {
 				gets += p.see.RequestRate(balancer.TableID(id)) * w / weight(t)
 			}
 		}
-		if part := total / float64(all); gets > c.t.ColdMost*s.Climbed*part && total > 0 {
-			return fault{fmt.Sprintf("%s has climbed %.2f and gets %.1f of %.1f flows/s, with %d servers", l.Server, s.Climbed, gets, total, all), l.Server, -1}
+		if part := total / float64(all); gets > c.t.MaxWarmUpFactor*s.WarmFraction*part && total > 0 {
+			return fault{fmt.Sprintf("%s has climbed %.2f and gets %.1f of %.1f flows/s, with %d servers", l.Server, s.WarmFraction, gets, total, all), l.Server, -1}
 		}
 	}
 	return fault{}
 }
 
 func (c *Chain) tooMany(p *proposal) fault {
-	if n := p.orders.Count(); n > c.t.LinesMost {
-		return whole("%d orders, %d at most", n, c.t.LinesMost)
+	if n := p.orders.Count(); n > c.t.MaxCommands {
+		return whole("%d orders, %d at most", n, c.t.MaxCommands)
 	}
 	return fault{}
 }
 
 func weight(t *tables.Table) (sum float64) {
-	for _, w := range t.Lines {
+	for _, w := range t.Weights {
 		sum += w
 	}
 	return sum
@@ -164,22 +164,22 @@
 func (p *proposal) moved(id uint32) float64 {
 	a, b := p.now.Table(id), p.next.Table(id)
 	left, sumA, sumB := 0.0, 0.0, 0.0
-	for s, w := range a.Lines {
-		if p.see.ServerStatus(balancer.ServerID(s)).Open && !p.now.Withdrawn(s) {
+	for s, w := range a.Weights {
+		if p.see.ServerStatus(balancer.ServerID(s)).Available && !p.now.IsWithdrawn(s) {
 			sumA += w
 		}
 	}
-	for s, w := range b.Lines {
-		if p.see.ServerStatus(balancer.ServerID(s)).Open && !p.next.Withdrawn(s) {
+	for s, w := range b.Weights {
+		if p.see.ServerStatus(balancer.ServerID(s)).Available && !p.next.IsWithdrawn(s) {
 			sumB += w
 		}
 	}
 	if sumA == 0 || sumB == 0 {
 		return 0
 	}
-	for s, w := range a.Lines {
-		if p.see.ServerStatus(balancer.ServerID(s)).Open && !p.now.Withdrawn(s) {
-			left += max(0, w/sumA-b.Lines[s]/sumB)
+	for s, w := range a.Weights {
+		if p.see.ServerStatus(balancer.ServerID(s)).Available && !p.now.IsWithdrawn(s) {
+			left += max(0, w/sumA-b.Weights[s]/sumB)
 		}
 	}
 	return left
@@ -194,11 +194,11 @@
 		changed[uint32(l.Table)] = true
 	}
 	gliding := c.gliding && c.hold == nil // a way back goes at once, also soon after another
-	moved, all, most := 0.0, 0.0, c.t.MovedMost
+	moved, all, most := 0.0, 0.0, c.t.MaxMovedFraction
 	if gliding {
-		most = c.t.GlideMost
+		most = c.t.MaxStepAfterHold
 	}
-	for _, id := range p.next.IDs() {
+	for _, id := range p.next.TableIDs() {
 		flows := max(p.see.RequestRate(balancer.TableID(id)), 1e-9)
 		if all += flows; changed[id] {
 			moved += flows * p.moved(id)
@@ -207,15 +207,15 @@
 	far := moved > most*all
 	for i, l := range p.orders.Weights {
 		if far && !p.urgent(l) {
-			was := p.now.Table(uint32(l.Table)).Lines[string(l.Server)]
+			was := p.now.Table(uint32(l.Table)).Weights[string(l.Server)]
 			p.orders.Weights[i].Weight = math.Round((was+(l.Weight-was)*most*all/moved)*1000) / 1000
 		}
 	}
 	for i, l := range p.orders.AdmissionLevels {
-		was, stands := p.now.Table(uint32(l.Table)).Levels[uint64(l.Classes)]
-		if gliding && stands && max(was.Amount, l.Amount) <= 1 && math.Abs(l.Amount-was.Amount) > c.t.GlideMost {
+		was, stands := p.now.Table(uint32(l.Table)).AdmissionLevels[uint64(l.Classes)]
+		if gliding && stands && max(was.Amount, l.Amount) <= 1 && math.Abs(l.Amount-was.Amount) > c.t.MaxStepAfterHold {
 			far = true
-			p.orders.AdmissionLevels[i].Amount = min(max(l.Amount, was.Amount-c.t.GlideMost), was.Amount+c.t.GlideMost)
+			p.orders.AdmissionLevels[i].Amount = min(max(l.Amount, was.Amount-c.t.MaxStepAfterHold), was.Amount+c.t.MaxStepAfterHold)
 		}
 	}
 	if !far {
--- a/internal/versions/list_test.go
+++ b/internal/versions/list_test.go
@@ -15,7 +15,7 @@
 		{41, 42, 0, false}, // an empty list is not begun with
 		{0, 1, 1, true},
 	} {
-		if got := StoredListIsLater(one.told, one.stored, one.servers); got != one.want {
+		if got := StoredListIsNewer(one.told, one.stored, one.servers); got != one.want {
 			t.Errorf("%+v: %v", one, got)
 		}
 	}
--- a/internal/versions/peer.go
+++ b/internal/versions/peer.go
@@ -8,23 +8,23 @@
 )
 
 // Trying says how often something is sent to a holder that does not answer or refuses.
-type Trying struct {
-	AckWait     time.Duration // from a version sent until it counts as lost
-	First, Most time.Duration // between two tries; doubled each time, spread by chance between a half and all of it
+type RetrySettings struct {
+	AckTimeout                 time.Duration // from a version sent until it counts as lost
+	InitialBackoff, MaxBackoff time.Duration // between two tries; doubled each time, spread by chance between a half and all of it
 }
 
 // UsualTrying is that of holders on a network of ours.
-func UsualTrying() Trying {
-	return Trying{AckWait: 2 * time.Second, First: 250 * time.Millisecond, Most: 30 * time.Second}
+func DefaultRetrySettings() RetrySettings {
+	return RetrySettings{AckTimeout: 2 * time.Second, InitialBackoff: 250 * time.Millisecond, MaxBackoff: 30 * time.Second}
 }
 
 // Peer decides what one holder is sent: the newest version, as a delta where what it holds is kept, else whole; one at
 // a time; again with growing waits where it refuses or does not answer; nothing more where another writer has taken
 // over.
 type Peer struct {
-	t      Trying
+	t      RetrySettings
 	chance uint64
-	held   tables.Held
+	held   tables.VersionRef
 	sent   *Version // that waits for its answer
 	sentAt time.Duration
 	again  time.Duration // nothing is sent before
@@ -47,27 +47,27 @@
 func (c View) Head() *Version { return c.head }
 
 // NewPeer begins with what a holder says it holds.
-func NewPeer(t Trying, held tables.Held, seed uint64) *Peer {
+func NewPeer(t RetrySettings, held tables.VersionRef, seed uint64) *Peer {
 	return &Peer{t: t, held: held, chance: seed*2862933555777941757 + 3037000493}
 }
 
 // Held is what it last said it holds.
-func (p *Peer) Held() tables.Held { return p.held }
+func (p *Peer) Version() tables.VersionRef { return p.held }
 
 // Over tells that another writer has taken over its holder.
-func (p *Peer) Over() bool { return p.over }
+func (p *Peer) Superseded() bool { return p.over }
 
 // Tries is how often it was tried since the last success, and the last refusal.
-func (p *Peer) Tries() (int, tables.Outcome) { return p.tries, p.reason }
+func (p *Peer) FailedAttempts() (int, tables.Outcome) { return p.tries, p.reason }
 
 // Next gives what is to be sent now, or else when to ask again; 0 means once there is a newer version or an answer.
-func (p *Peer) Next(now time.Duration, c View) (d *tables.Delta, wake time.Duration) {
+func (p *Peer) NextDelta(now time.Duration, c View) (d *tables.Delta, wake time.Duration) {
 	head := c.Head()
 	switch {
-	case head == nil || p.over || p.held == (tables.Held{ID: head.ID, Digest: head.Digest}):
+	case head == nil || p.over || p.held == (tables.VersionRef{ID: head.ID, Digest: head.Digest}):
 		return nil, 0
-	case p.sent != nil && now-p.sentAt < p.t.AckWait:
-		return nil, p.sentAt + p.t.AckWait
+	case p.sent != nil && now-p.sentAt < p.t.AckTimeout:
+		return nil, p.sentAt + p.t.AckTimeout
 	case p.sent != nil: // lost on its way, or the answer was
 		p.fail(now)
 		p.whole = true
@@ -76,17 +76,17 @@
 		return nil, p.again
 	}
 	p.sent, p.sentAt = head, now
-	return c.lead(p.held, p.whole), now + p.t.AckWait
+	return c.lead(p.held, p.whole), now + p.t.AckTimeout
 }
 
 // lead makes what brings a holder to the newest version: from what it holds if that is kept, else from nothing.
-func (c View) lead(held tables.Held, whole bool) *tables.Delta {
+func (c View) lead(held tables.VersionRef, whole bool) *tables.Delta {
 	head := c.Head()
-	d := &tables.Delta{ID: head.ID, From: tables.Empty().Digest(), To: head.Digest, At: uint64(head.At.UnixMilli()), Cause: head.Cause}
-	from := tables.Empty()
+	d := &tables.Delta{ID: head.ID, BaseDigest: tables.EmptyState().Digest(), Digest: head.Digest, CreatedAtMs: uint64(head.CreatedAt.UnixMilli()), Cause: head.Cause}
+	from := tables.EmptyState()
 	for _, v := range c.kept {
 		if !whole && v.ID == held.ID && v.Digest == held.Digest {
-			d.Base, d.From, from = v.ID, v.Digest, v.State
+			d.Base, d.BaseDigest, from = v.ID, v.Digest, v.State
 		}
 	}
 	d.Ops = tables.Diff(from, head.State)
@@ -96,16 +96,16 @@
 // fail puts off the next try.
 func (p *Peer) fail(now time.Duration) {
 	p.sent, p.tries = nil, p.tries+1
-	wait := p.t.First << min(p.tries-1, 20)
-	if wait <= 0 || wait > p.t.Most {
-		wait = p.t.Most
+	wait := p.t.InitialBackoff << min(p.tries-1, 20)
+	if wait <= 0 || wait > p.t.MaxBackoff {
+		wait = p.t.MaxBackoff
 	}
 	p.chance = p.chance*6364136223846793005 + 1442695040888963407
 	p.again = now + wait/2 + time.Duration(float64(wait/2)*float64(p.chance>>11)/(1<<53))
 }
 
 // Acked says that the holder runs a version.
-func (p *Peer) Acked(held tables.Held) {
+func (p *Peer) HandleAck(held tables.VersionRef) {
 	p.held, p.reason = held, tables.Applied
 	if p.sent != nil && held.ID == p.sent.ID {
 		p.sent, p.tries, p.whole, p.again = nil, 0, false, 0
@@ -113,10 +113,10 @@
 }
 
 // Refused says that the holder refused what it was sent, and what it runs.
-func (p *Peer) Refused(now time.Duration, why tables.Outcome, held tables.Held) {
+func (p *Peer) HandleRejection(now time.Duration, why tables.Outcome, held tables.VersionRef) {
 	p.held, p.reason = held, why
 	switch why {
-	case tables.Again:
+	case tables.AlreadyApplied:
 		p.sent = nil
 		return
 	case tables.OlderEpoch:
@@ -128,6 +128,6 @@
 }
 
 // AskedWhole says that the holder wants a whole table. What is under way is given up.
-func (p *Peer) AskedWhole(held tables.Held) {
+func (p *Peer) HandleSnapshotRequest(held tables.VersionRef) {
 	p.held, p.whole, p.sent = held, true, nil
 }
--- a/internal/versions/peer_test.go
+++ b/internal/versions/peer_test.go
@@ -18,35 +18,35 @@
 	return k
 }
 
-func heldBy(v *Version) tables.Held { return tables.Held{ID: v.ID, Digest: v.Digest} }
+func heldBy(v *Version) tables.VersionRef { return tables.VersionRef{ID: v.ID, Digest: v.Digest} }
 
 func TestAPeerIsSentADeltaFromWhatItHolds(t *testing.T) {
 	c := chain(t)
-	p := NewPeer(UsualTrying(), heldBy(c.Head()), 1)
-	if d, wake := p.Next(0, c.View()); d != nil || wake != 0 {
+	p := NewPeer(DefaultRetrySettings(), heldBy(c.Head()), 1)
+	if d, wake := p.NextDelta(0, c.View()); d != nil || wake != 0 {
 		t.Error("sent what it holds")
 	}
 	c.Propose(time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a0", 50)}}, "health", all)
 	c.Propose(time.Second, balancer.Commands{Weights: []balancer.EndpointWeight{line(0, "a1", 60)}}, "health", all)
-	d, _ := p.Next(time.Second, c.View())
-	if d == nil || d.Whole() || len(d.Ops) != 2 || d.ID != c.Head().ID {
+	d, _ := p.NextDelta(time.Second, c.View())
+	if d == nil || d.IsSnapshot() || len(d.Ops) != 2 || d.ID != c.Head().ID {
 		t.Fatalf("%+v", d)
 	}
-	if d, wake := p.Next(time.Second, c.View()); d != nil || wake != 3*time.Second {
+	if d, wake := p.NextDelta(time.Second, c.View()); d != nil || wake != 3*time.Second {
 		t.Error("two under way")
 	}
-	p.Acked(heldBy(c.Head()))
-	if d, _ := p.Next(time.Second, c.View()); d != nil {
+	p.HandleAck(heldBy(c.Head()))
+	if d, _ := p.NextDelta(time.Second, c.View()); d != nil {
 		t.Error("sent again")
 	}
 }
 
 func TestAPeerThatDoesNotAnswerIsTriedEverMoreSlowly(t *testing.T) {
 	c, tries := chain(t), 0
-	p := NewPeer(UsualTrying(), tables.Held{}, 1)
+	p := NewPeer(DefaultRetrySettings(), tables.VersionRef{}, 1)
 	for now := time.Duration(0); now < 10*time.Minute; now += 50 * time.Millisecond {
-		if d, _ := p.Next(now, c.View()); d != nil {
-			if tries++; tries > 1 && !d.Whole() {
+		if d, _ := p.NextDelta(now, c.View()); d != nil {
+			if tries++; tries > 1 && !d.IsSnapshot() {
 				t.Fatal("a delta again")
 			}
 		}
@@ -58,10 +58,10 @@
 
 func TestAPeerOfAnotherWriterIsSentNothing(t *testing.T) {
 	c := chain(t)
-	p := NewPeer(UsualTrying(), tables.Held{}, 1)
-	p.Next(0, c.View())
-	p.Refused(0, tables.OlderEpoch, tables.Held{ID: tables.ID{Epoch: 9, Number: 1}})
-	if d, _ := p.Next(time.Hour, c.View()); d != nil || !p.Over() {
+	p := NewPeer(DefaultRetrySettings(), tables.VersionRef{}, 1)
+	p.NextDelta(0, c.View())
+	p.HandleRejection(0, tables.OlderEpoch, tables.VersionRef{ID: tables.ID{Epoch: 9, Number: 1}})
+	if d, _ := p.NextDelta(time.Hour, c.View()); d != nil || !p.Superseded() {
 		t.Error("sent all the same")
 	}
 }
@@ -74,7 +74,7 @@
 	c       *Chain
 	chance  *rand.Rand
 	keys    tables.Keys
-	holders []*tables.Holder
+	holders []*tables.Replica
 	peers   []*Peer
 	late    [][]byte
 	seen    map[string]map[tables.Outcome]int
@@ -84,10 +84,10 @@
 func (r *relays) answer(now time.Duration, i int, o tables.Outcome) {
 	switch o {
 	case tables.Applied:
-		r.effects[i][r.holders[i].Held().ID]++
-		r.peers[i].Acked(r.holders[i].Held())
+		r.effects[i][r.holders[i].Version().ID]++
+		r.peers[i].HandleAck(r.holders[i].Version())
 	default:
-		r.peers[i].Refused(now, o, r.holders[i].Held())
+		r.peers[i].HandleRejection(now, o, r.holders[i].Version())
 	}
 }
 
@@ -100,10 +100,10 @@
 
 // send carries one delta through a mishap; false where nothing was due.
 func (r *relays) send(t *testing.T, now time.Duration, i int, what string) bool {
-	d, _ := r.peers[i].Next(now, r.c.View())
+	d, _ := r.peers[i].NextDelta(now, r.c.View())
 	h := r.holders[i]
 	if due, _ := h.Ask(now); due {
-		r.peers[i].AskedWhole(h.Held())
+		r.peers[i].HandleSnapshotRequest(h.Version())
 	}
 	if d == nil {
 		return false
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := h.Held()
+	before := h.Version()
 	switch what {
 	case "lost":
 		return true
@@ -128,46 +128,46 @@
 		b, _ = old.Encode(r.keys)
 	case "lies":
 		lie := *d
-		lie.Ops = append(lie.Ops[:len(lie.Ops):len(lie.Ops)], tables.Op{Kind: tables.SetLine, Table: 3, Server: "liar", Weight: 1})
+		lie.Ops = append(lie.Ops[:len(lie.Ops):len(lie.Ops)], tables.Op{Kind: tables.SetWeight, Table: 3, Server: "liar", Weight: 1})
 		b, _ = lie.Encode(r.keys)
 	case "late":
 		if len(r.late[i]) > 0 { // an old one comes first
 			o, _ := h.Receive(now, r.late[i])
 			r.count(what, o)
 			if o == tables.Applied {
-				r.effects[i][h.Held().ID]++
+				r.effects[i][h.Version().ID]++
 			}
 		}
 		r.late[i] = b
 	case "holder restarts": // between receipt and acknowledgement: what it holds stays, the answer is lost
 		if o, _ := h.Receive(now, b); o == tables.Applied {
-			r.effects[i][h.Held().ID]++
+			r.effects[i][h.Version().ID]++
 		}
-		r.peers[i] = NewPeer(UsualTrying(), h.Held(), uint64(i))
+		r.peers[i] = NewPeer(DefaultRetrySettings(), h.Version(), uint64(i))
 		return true
 	case "holder forgets":
-		r.holders[i] = tables.NewHolder(r.keys, tables.Patience{First: 100 * time.Millisecond, Most: time.Second}, uint64(i))
-		r.peers[i], r.effects[i] = NewPeer(UsualTrying(), r.holders[i].Held(), uint64(i)), map[tables.ID]int{}
+		r.holders[i] = tables.NewReplica(r.keys, tables.RetrySettings{InitialInterval: 100 * time.Millisecond, MaxInterval: time.Second}, uint64(i))
+		r.peers[i], r.effects[i] = NewPeer(DefaultRetrySettings(), r.holders[i].Version(), uint64(i)), map[tables.ID]int{}
 		return true
 	}
 	o, _ := h.Receive(now, b)
 	r.count(what, o)
-	if bad := what == "flipped" || what == "cut" || what == "other key" || what == "lies"; bad && (o == tables.Applied || h.Held() != before) {
-		t.Fatalf("%s: %v, %v is held after %v", what, o, h.Held(), before)
+	if bad := what == "flipped" || what == "cut" || what == "other key" || what == "lies"; bad && (o == tables.Applied || h.Version() != before) {
+		t.Fatalf("%s: %v, %v is held after %v", what, o, h.Version(), before)
 	}
 	if what == "twice" {
 		if o == tables.Applied {
-			r.effects[i][h.Held().ID]++
+			r.effects[i][h.Version().ID]++
 		}
 		if again, _ := h.Receive(now, b); again == tables.Applied {
 			t.Fatal("applied twice")
 		}
-		r.peers[i].Acked(h.Held())
+		r.peers[i].HandleAck(h.Version())
 		return true
 	}
 	if what == "answer lost" || what == "older epoch" { // the latter is another writer's, and so is its answer
 		if o == tables.Applied {
-			r.effects[i][h.Held().ID]++
+			r.effects[i][h.Version().ID]++
 		}
 		return true
 	}
@@ -181,11 +181,11 @@
 	c := chain(t)
 	r := &relays{c: c, chance: rand.New(rand.NewPCG(1, 2)), keys: tables.Keys{secret(t, 1)}, seen: map[string]map[tables.Outcome]int{}}
 	for i := range 50 {
-		r.holders = append(r.holders, tables.NewHolder(r.keys, tables.Patience{First: 100 * time.Millisecond, Most: time.Second}, uint64(i)))
-		r.peers = append(r.peers, NewPeer(UsualTrying(), tables.Held{}, uint64(i)))
+		r.holders = append(r.holders, tables.NewReplica(r.keys, tables.RetrySettings{InitialInterval: 100 * time.Millisecond, MaxInterval: time.Second}, uint64(i)))
+		r.peers = append(r.peers, NewPeer(DefaultRetrySettings(), tables.VersionRef{}, uint64(i)))
 		r.late, r.effects = append(r.late, nil), append(r.effects, map[tables.ID]int{})
 	}
-	good := map[tables.Digest]bool{tables.Empty().Digest(): true, c.Head().Digest: true}
+	good := map[tables.Digest]bool{tables.EmptyState().Digest(): true, c.Head().Digest: true}
 	befell, now := 0, time.Duration(0)
 	for step := 0; befell < 10_000 && step < 100_000; step++ {
 		if now += 20 * time.Millisecond; step%3 == 0 {
@@ -197,7 +197,7 @@
 			}
 			pin, _ := c.Pinned()
 			var o balancer.Commands
-			for id, lines := range pin.Tables {
+			for id, lines := range pin.Weights {
 				for s, w := range lines {
 					o.Weights = append(o.Weights, line(int(id), string(s), w))
 				}
@@ -209,8 +209,8 @@
 			if r.send(t, now, i, mishaps[r.chance.IntN(len(mishaps))]) {
 				befell++
 			}
-			if !good[r.holders[i].Held().Digest] || r.holders[i].State().Digest() != r.holders[i].Held().Digest {
-				t.Fatalf("holder %d runs %v, which never was", i, r.holders[i].Held())
+			if !good[r.holders[i].Version().Digest] || r.holders[i].State().Digest() != r.holders[i].Version().Digest {
+				t.Fatalf("holder %d runs %v, which never was", i, r.holders[i].Version())
 			}
 		}
 	}
@@ -220,8 +220,8 @@
 		}
 	}
 	for i, h := range r.holders {
-		if h.Held() != heldBy(c.Head()) {
-			t.Errorf("holder %d runs %v, not %v", i, h.Held().ID, c.Head().ID)
+		if h.Version() != heldBy(c.Head()) {
+			t.Errorf("holder %d runs %v, not %v", i, h.Version().ID, c.Head().ID)
 		}
 		for id, n := range r.effects[i] {
 			if n > 1 {
@@ -232,7 +232,7 @@
 	for _, what := range mishaps {
 		t.Logf("%-16s %v", what, r.seen[what])
 	}
-	for _, must := range []tables.Outcome{tables.Applied, tables.Again, tables.Spoilt, tables.Unauthentic, tables.OlderEpoch, tables.WrongDigest} {
+	for _, must := range []tables.Outcome{tables.Applied, tables.AlreadyApplied, tables.Malformed, tables.Unauthenticated, tables.OlderEpoch, tables.WrongDigest} {
 		n := 0
 		for _, of := range r.seen {
 			n += of[must]
--- a/internal/versions/types.go
+++ b/internal/versions/types.go
@@ -12,32 +12,32 @@
 )
 
 // Terms are the bounds that a chain keeps.
-type Terms struct {
-	Epoch      uint64
-	Began      time.Time     // of the manager's clock: version times are told by it
-	MovedMost  float64       // part of a table's weight that one version may move, what closed servers leave not counted
-	GlideMost  float64       // the same, and of a share let in, in versions after a hold
-	ColdMost   float64       // times its climbing part that a cold server may get of all flows
-	LinesMost  int           // orders of one version
-	KeepMost   int           // versions kept,
-	KeepBytes  int           // and what they take, about
-	HoldUsual  time.Duration // of a way back that names no time
-	HoldMost   time.Duration
-	HollowPart float64 // of the weight that is held: below it what is held is of no use any more
-	KeysMost   int     // of ways back done that are remembered
+type Settings struct {
+	Epoch                uint64
+	StartedAt            time.Time     // of the manager's clock: version times are told by it
+	MaxMovedFraction     float64       // part of a table's weight that one version may move, what closed servers leave not counted
+	MaxStepAfterHold     float64       // the same, and of a share let in, in versions after a hold
+	MaxWarmUpFactor      float64       // times its climbing part that a cold server may get of all flows
+	MaxCommands          int           // orders of one version
+	MaxVersions          int           // versions kept,
+	MaxVersionBytes      int           // and what they take, about
+	DefaultHold          time.Duration // of a way back that names no time
+	MaxHold              time.Duration
+	MinHeldFraction      float64 // of the weight that is held: below it what is held is of no use any more
+	MaxCompletedCommands int     // of ways back done that are remembered
 }
 
 // Usual are the terms of a manager whose epoch is its start.
-func Usual(epoch uint64) Terms {
-	return Terms{Epoch: epoch, MovedMost: 0.9, GlideMost: 0.1, ColdMost: 3, LinesMost: 1 << 20, KeepMost: 256, KeepBytes: 1 << 20,
-		HoldUsual: 30 * time.Minute, HoldMost: 24 * time.Hour, HollowPart: 0.5, KeysMost: 1024}
+func DefaultSettings(epoch uint64) Settings {
+	return Settings{Epoch: epoch, MaxMovedFraction: 0.9, MaxStepAfterHold: 0.1, MaxWarmUpFactor: 3, MaxCommands: 1 << 20, MaxVersions: 256, MaxVersionBytes: 1 << 20,
+		DefaultHold: 30 * time.Minute, MaxHold: 24 * time.Hour, MinHeldFraction: 0.5, MaxCompletedCommands: 1024}
 }
 
 // Sight is what the manager knows of a server now.
 type ServerStatus struct {
-	Known   bool
-	Open    bool    // it may get flows: it neither drains nor is gone, and it answers
-	Climbed float64 // part of its climb; 1 where it is warm
+	Known        bool
+	Available    bool    // it may get flows: it neither drains nor is gone, and it answers
+	WarmFraction float64 // part of its climb; 1 where it is warm
 }
 
 // Seer is who knows the fleet now.
@@ -49,31 +49,31 @@
 
 // Version is one state of all tables that was sent.
 type Version struct {
-	ID     tables.ID
-	Parent tables.Digest
-	Digest tables.Digest
-	At     time.Time
-	Cause  string
-	Layout string // what its tables' numbers mean
-	Key    string // of the way back that made it
-	Ops    []tables.Op
-	State  *tables.State
-	Mark   balancer.BarrierID // of the orders that carried it
+	ID         tables.ID
+	Parent     tables.Digest
+	Digest     tables.Digest
+	CreatedAt  time.Time
+	Cause      string
+	Layout     string // what its tables' numbers mean
+	CommandKey string // of the way back that made it
+	Ops        []tables.Op
+	State      *tables.State
+	Barrier    balancer.BarrierID // of the orders that carried it
 
-	Settled bool // it was carried out; until then the one before may still stand
-	size    int
+	Acknowledged bool // it was carried out; until then the one before may still stand
+	size         int
 }
 
 // Result is what became of a proposal.
 type Result struct {
-	Orders  balancer.Commands // that may go out
-	Changed bool              // they are not those proposed: the module must hear what stands
-	Version *Version          // nil where nothing changed
-	Notes   []string
+	Commands balancer.Commands // that may go out
+	Modified bool              // they are not those proposed: the module must hear what stands
+	Version  *Version          // nil where nothing changed
+	Notes    []string
 }
 
 // Pin is what tables are brought to and held at.
-type Pin struct {
-	Tables map[balancer.TableID]map[balancer.ServerID]float64
-	Levels map[balancer.TableID]map[uint]balancer.AdmissionLevel
+type PinnedTables struct {
+	Weights         map[balancer.TableID]map[balancer.ServerID]float64
+	AdmissionLevels map[balancer.TableID]map[uint]balancer.AdmissionLevel
 }
