--- a/cmd/tamarindshore/load.go
+++ b/cmd/tamarindshore/load.go
@@ -72,7 +72,7 @@
 			return err
 		}
 	}
-	all, err := loadtest.Run(plan, fakes.Process(program, log), progress)
+	all, err := loadtest.Run(plan, fakes.ProcessStarter(program, log), progress)
 	loadtest.Table(os.Stdout, all)
 	if err == nil && l.JSON != "" {
 		err = writeJSON(l.JSON, all)
--- a/cmd/tamarindshore/serve_test.go
+++ b/cmd/tamarindshore/serve_test.go
@@ -37,7 +37,7 @@
 
 func deployed(t *testing.T) deployment {
 	t.Helper()
-	site := fakes.Usual(3, 4)
+	site := fakes.DefaultSite(3, 4)
 	relay, err := fakes.NewRelay("127.0.0.1:0", site)
 	if err != nil {
 		t.Fatal(err)
@@ -49,10 +49,10 @@
 	}
 	t.Cleanup(discovery.Close)
 	d := deployment{config: filepath.Join(t.TempDir(), "config.json")}
-	if d.manager, err = fakes.Free(); err != nil {
+	if d.manager, err = fakes.FreeAddress(); err != nil {
 		t.Fatal(err)
 	}
-	d.text = site.Start("n1", d.manager, discovery.Address, relay.Address, discovery.Whole(), 1, 1, 192, 1024)
+	d.text = site.Start("n1", d.manager, discovery.Address, relay.Address, discovery.Snapshot(), 1, 1, 192, 1024)
 	if err := os.WriteFile(d.config, d.text, 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fakes/address.go
+++ b/internal/fakes/address.go
@@ -8,7 +8,7 @@
 
 // Free is an address that nothing listens at, on a loopback address of this process's own where there are several.
 // Guards against another process that takes the port before the manager does.
-func Free() (string, error) {
+func FreeAddress() (string, error) {
 	addresses, err := FreeAddresses(1)
 	if err != nil {
 		return "", err
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -12,7 +12,7 @@
 )
 
 // Entry is one line of the list, in the platform's words.
-type Entry struct {
+type Endpoint struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
 	Zone      string  `json:"zone"`
@@ -22,22 +22,22 @@
 }
 
 // List is the whole list, or changes of it.
-type List struct {
-	Version   int     `json:"generation"`
-	Whole     bool    `json:"reset"`
-	Instances []Entry `json:"instances"`
+type EndpointList struct {
+	Version   int        `json:"generation"`
+	Complete  bool       `json:"reset"`
+	Endpoints []Endpoint `json:"instances"`
 }
 
 // Discovery tells the list to all that watch it.
 type Discovery struct {
-	Address string
-	Told    func(at time.Time, e Entry) // each change, once it is written to those that watch
+	Address  string
+	OnChange func(at time.Time, e Endpoint) // each change, once it is written to those that watch
 
 	mu      sync.Mutex
 	version int
-	entries map[string]Entry
+	entries map[string]Endpoint
 	order   []string
-	changes []List
+	changes []EndpointList
 	watches map[chan []byte]bool
 	server  *http.Server
 	silent  bool
@@ -45,20 +45,20 @@
 }
 
 // AskedFrom are the versions that watches asked from so far, in their order.
-func (d *Discovery) AskedFrom() []int {
+func (d *Discovery) WatchedVersions() []int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.asked)
 }
 
 // NewDiscovery listens at an address ("127.0.0.1:0" for any port) with the list as it stands.
-func NewDiscovery(address string, entries []Entry) (*Discovery, error) {
+func NewDiscovery(address string, entries []Endpoint) (*Discovery, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{Address: l.Addr().String(), version: 41, entries: map[string]Entry{}, watches: map[chan []byte]bool{},
-		Told: func(time.Time, Entry) {}}
+	d := &Discovery{Address: l.Addr().String(), version: 41, entries: map[string]Endpoint{}, watches: map[chan []byte]bool{},
+		OnChange: func(time.Time, Endpoint) {}}
 	for _, e := range entries {
 		d.entries[e.ID], d.order = e, append(d.order, e.ID)
 	}
@@ -73,24 +73,24 @@
 func (d *Discovery) Close() { d.server.Close() }
 
 // Whole is the list as it stands.
-func (d *Discovery) Whole() List {
+func (d *Discovery) Snapshot() EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.whole()
 }
 
-func (d *Discovery) whole() List {
-	l := List{Version: d.version, Whole: true, Instances: []Entry{}}
+func (d *Discovery) whole() EndpointList {
+	l := EndpointList{Version: d.version, Complete: true, Endpoints: []Endpoint{}}
 	for _, id := range d.order {
 		if e := d.entries[id]; e.Lifecycle != "removed" {
-			l.Instances = append(l.Instances, e)
+			l.Endpoints = append(l.Endpoints, e)
 		}
 	}
 	return l
 }
 
 // Change tells changed entries to all that watch, as one version.
-func (d *Discovery) Change(entries ...Entry) {
+func (d *Discovery) Publish(entries ...Endpoint) {
 	d.mu.Lock()
 	d.version++
 	for _, e := range entries {
@@ -99,7 +99,7 @@
 		}
 		d.entries[e.ID] = e
 	}
-	l := List{Version: d.version, Instances: entries}
+	l := EndpointList{Version: d.version, Endpoints: entries}
 	d.changes = append(d.changes, l)
 	d.changes = d.changes[max(0, len(d.changes)-1000):]
 	line := encode(l)
@@ -116,18 +116,18 @@
 	d.mu.Unlock()
 	at := time.Now()
 	for _, e := range entries {
-		d.Told(at, e)
+		d.OnChange(at, e)
 	}
 }
 
 // Silence makes it answer nothing and write nothing, or go on.
-func (d *Discovery) Silence(on bool) {
+func (d *Discovery) SetUnresponsive(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = on
 }
 
-func encode(l List) []byte {
+func encode(l EndpointList) []byte {
 	text, _ := json.Marshal(l)
 	return append(text, '\n')
 }
@@ -178,21 +178,21 @@
 }
 
 // since is what changed after a version, or else the whole list.
-func (d *Discovery) since(version int) List {
+func (d *Discovery) since(version int) EndpointList {
 	if len(d.changes) == 0 && version == d.version {
-		return List{Version: version, Instances: []Entry{}}
+		return EndpointList{Version: version, Endpoints: []Endpoint{}}
 	}
 	for i, c := range d.changes {
 		if c.Version == version+1 {
-			all := List{Version: d.version, Instances: []Entry{}}
+			all := EndpointList{Version: d.version, Endpoints: []Endpoint{}}
 			for _, later := range d.changes[i:] {
-				all.Instances = append(all.Instances, later.Instances...)
+				all.Endpoints = append(all.Endpoints, later.Endpoints...)
 			}
 			return all
 		}
 	}
 	if version == d.version {
-		return List{Version: version, Instances: []Entry{}}
+		return EndpointList{Version: version, Endpoints: []Endpoint{}}
 	}
 	return d.whole()
 }
--- a/internal/fakes/manager.go
+++ b/internal/fakes/manager.go
@@ -10,42 +10,42 @@
 )
 
 // Daemon is a manager that a rig runs.
-type Daemon interface {
+type Manager interface {
 	Stop(kill bool) error // SIGTERM, or SIGKILL
 	Signal(s os.Signal) error
-	Ended() <-chan struct{}
+	Done() <-chan struct{}
 }
 
 // Begin starts a manager with the files of a rig: the platform's JSON and the operator's settings.
-type Begin func(start, settings string) (Daemon, error)
+type StartFunc func(start, settings string) (Manager, error)
 
 // How is what a manager is started with.
-type How struct {
-	Cores    int
-	MemoryMB float64
-	Sockets  int
-	Seed     uint64
-	Settings string // further forms of the operator's
+type ManagerOptions struct {
+	Cores            int
+	MemoryMB         float64
+	MaxDescriptors   int
+	Seed             uint64
+	OperatorSettings string // further forms of the operator's
 }
 
 // ManagerStart is what one manager of a site is told at its start.
-type ManagerStart struct {
-	Dir              string // of its files
-	Name             string
-	Listen, Status   string // its addresses
-	Discovery, Relay string
-	List             List
-	How              How
+type ManagerConfig struct {
+	Dir                            string // of its files
+	Name                           string
+	ListenAddress, StatusAddress   string // its addresses
+	DiscoveryAddress, RelayAddress string
+	Endpoints                      EndpointList
+	Options                        ManagerOptions
 }
 
 // StartManager writes a manager's files and starts it.
-func (s Site) StartManager(m ManagerStart, begin Begin) (Daemon, error) {
+func (s Site) StartManager(m ManagerConfig, begin StartFunc) (Manager, error) {
 	start, settings := filepath.Join(m.Dir, "start.json"), filepath.Join(m.Dir, "operator.sexp")
-	text := s.Start(m.Name, m.Listen, m.Discovery, m.Relay, m.List, m.How.Seed, float64(m.How.Cores), m.How.MemoryMB, m.How.Sockets)
+	text := s.Start(m.Name, m.ListenAddress, m.DiscoveryAddress, m.RelayAddress, m.Endpoints, m.Options.Seed, float64(m.Options.Cores), m.Options.MemoryMB, m.Options.MaxDescriptors)
 	if err := os.WriteFile(start, text, 0o600); err != nil {
 		return nil, err
 	}
-	operator := fmt.Sprintf("(tamarindshore (cores %d) (listen (status %q)) %s)\n", m.How.Cores, m.Status, m.How.Settings)
+	operator := fmt.Sprintf("(tamarindshore (cores %d) (listen (status %q)) %s)\n", m.Options.Cores, m.StatusAddress, m.Options.OperatorSettings)
 	if err := os.WriteFile(settings, []byte(operator), 0o600); err != nil {
 		return nil, err
 	}
@@ -56,10 +56,10 @@
 const readyMost = 10 * time.Second
 
 // AwaitReady waits until a manager answers a ping.
-func AwaitReady(daemon Daemon, address string, within time.Duration) error {
+func AwaitReady(daemon Manager, address string, within time.Duration) error {
 	for late := time.Now().Add(within); time.Now().Before(late); time.Sleep(5 * time.Millisecond) {
 		select {
-		case <-daemon.Ended():
+		case <-daemon.Done():
 			return fmt.Errorf("the manager ended before it was ready; its log says why%s", causeOf(daemon))
 		default:
 		}
@@ -71,7 +71,7 @@
 }
 
 // causeOf is why a manager within this process ended, where it tells that.
-func causeOf(daemon Daemon) string {
+func causeOf(daemon Manager) string {
 	if told, ok := daemon.(interface{ Err() error }); ok && told.Err() != nil {
 		return ": " + told.Err().Error()
 	}
--- a/internal/fakes/process.go
+++ b/internal/fakes/process.go
@@ -18,8 +18,8 @@
 }
 
 // Process starts a program as the manager, with its log in a file.
-func Process(program, log string, args ...string) Begin {
-	return func(start, settings string) (Daemon, error) {
+func ProcessStarter(program, log string, args ...string) StartFunc {
+	return func(start, settings string) (Manager, error) {
 		out, err := os.OpenFile(log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 		if err != nil {
 			return nil, err
@@ -41,7 +41,7 @@
 	}
 }
 
-func (p *process) Ended() <-chan struct{}   { return p.ended }
+func (p *process) Done() <-chan struct{}    { return p.ended }
 func (p *process) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
 
 func (p *process) Stop(kill bool) error {
@@ -61,7 +61,7 @@
 }
 
 // Use is what a process has used: seconds of CPU, and the most memory in MB. Zero where it can't be told.
-func Use(d Daemon) (cpu, memory float64) {
+func ResourceUsage(d Manager) (cpu, memory float64) {
 	p, ok := d.(*process)
 	if !ok {
 		return 0, 0
@@ -80,7 +80,7 @@
 }
 
 // Resident is the memory in MB that a process holds now. Zero where it can't be told.
-func Resident(d Daemon) float64 {
+func ResidentMemoryMB(d Manager) float64 {
 	p, ok := d.(*process)
 	if !ok {
 		return 0
--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -44,11 +44,11 @@
 
 // Relay carries orders to the proxies that are joined, at the pace of its channel, and keeps what they hold.
 type Relay struct {
-	Address string
-	Fault   func(call int) Fault // what becomes of the n-th call
-	SlowFor time.Duration
-	Ordered func(at time.Time, kind, about string) // each order taken, by its kind and the proxy or server that it is about
-	Rules   *Rules
+	Address     string
+	InjectFault func(call int) Fault // what becomes of the n-th call
+	AnswerDelay time.Duration
+	OnCommand   func(at time.Time, kind, about string) // each order taken, by its kind and the proxy or server that it is about
+	Rules       *RuleChecker
 
 	site    Site
 	mu      sync.Mutex
@@ -79,8 +79,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{Address: l.Addr().String(), site: site, Fault: func(int) Fault { return None }, SlowFor: 100 * time.Millisecond,
-		Ordered: func(time.Time, string, string) {}, Rules: NewRules(site), proxies: map[int]*proxy{}, tables: map[int]*table{},
+	r := &Relay{Address: l.Addr().String(), site: site, InjectFault: func(int) Fault { return NoFault }, AnswerDelay: 100 * time.Millisecond,
+		OnCommand: func(time.Time, string, string) {}, Rules: NewRuleChecker(site), proxies: map[int]*proxy{}, tables: map[int]*table{},
 		pulled: map[string]bool{}, listed: map[string]bool{}, news: map[chan string]bool{}, repeats: map[string]bool{}, pace: 1,
 		over: make(chan struct{})}
 	mux := http.NewServeMux()
@@ -99,14 +99,14 @@
 }
 
 // Set changes what it does, or tells, while calls may be under way.
-func (r *Relay) Set(change func(r *Relay)) {
+func (r *Relay) Configure(change func(r *Relay)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(r)
 }
 
 // Knows names servers that discovery told.
-func (r *Relay) Knows(entries ...Entry) {
+func (r *Relay) RegisterServers(entries ...Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range entries {
@@ -115,14 +115,14 @@
 }
 
 // Pace makes the channel so many times as quick as stated.
-func (r *Relay) Pace(by float64) {
+func (r *Relay) SetChannelSpeed(by float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.pace = by
 }
 
 // Away makes it end all connections and take none, or come back.
-func (r *Relay) Away(on bool) {
+func (r *Relay) SetUnavailable(on bool) {
 	r.mu.Lock()
 	r.away = on
 	for n := range r.news {
@@ -133,7 +133,7 @@
 }
 
 // Join joins proxies, and tells the news.
-func (r *Relay) Join(ids ...int) {
+func (r *Relay) ConnectProxies(ids ...int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -141,14 +141,14 @@
 		if old := r.proxies[id]; old != nil {
 			r.drop(old)
 		}
-		p := &proxy{id: id, zone: r.site.Zone(id), rate: r.site.Rate, table: -1, joined: now, bareAt: now}
+		p := &proxy{id: id, zone: r.site.Zone(id), rate: r.site.RequestRate, table: -1, joined: now, bareAt: now}
 		r.proxies[id] = p
 		r.tell(joinedEvent(p))
 	}
 }
 
 // Leave lets proxies leave, and tells the news.
-func (r *Relay) Leave(ids ...int) {
+func (r *Relay) DisconnectProxies(ids ...int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range ids {
--- a/internal/fakes/relay_call.go
+++ b/internal/fakes/relay_call.go
@@ -15,14 +15,14 @@
 
 const (
 	// None: the call is carried out and answered.
-	None     Fault = iota
-	Lost           // carried out, and the connection breaks before the answer
-	Undone         // the connection breaks, and nothing was carried out
-	Mute           // carried out, and no answer ever comes
-	Garbled        // carried out, and the answer can't be read
-	Busy           // nothing was carried out, and the answer says so
-	Slow           // carried out, and the answer comes late
-	faultsOf       // how many there are
+	NoFault       Fault = iota
+	AnswerLost          // carried out, and the connection breaks before the answer
+	NotExecuted         // the connection breaks, and nothing was carried out
+	NoAnswer            // carried out, and no answer ever comes
+	AnswerGarbled       // carried out, and the answer can't be read
+	AnswerBusy          // nothing was carried out, and the answer says so
+	AnswerDelayed       // carried out, and the answer comes late
+	faultsOf            // how many there are
 )
 
 var faultNames = []string{"none", "lost", "undone", "mute", "garbled", "busy", "slow"}
@@ -40,33 +40,33 @@
 	orders := strings.Split(form.Get("orders"), ";")
 	r.mu.Lock()
 	r.calls++
-	fault := r.Fault(r.calls)
+	fault := r.InjectFault(r.calls)
 	if r.away {
-		fault = Undone
+		fault = NotExecuted
 	}
 	r.faults[fault]++
 	taken := 0
-	if fault != Undone && fault != Busy {
-		taken = r.carryOut(orders, fault == Lost || fault == Mute || fault == Garbled)
+	if fault != NotExecuted && fault != AnswerBusy {
+		taken = r.carryOut(orders, fault == AnswerLost || fault == NoAnswer || fault == AnswerGarbled)
 	}
 	r.mu.Unlock()
 	answer := fmt.Sprintf(`<?xml version="1.0"?><Response><items><item><taken>%d</taken></item></items></Response>`, taken)
 	switch fault {
-	case Lost, Undone:
+	case AnswerLost, NotExecuted:
 		cutOff(w)
 		return
-	case Mute:
+	case NoAnswer:
 		select {
 		case <-req.Context().Done():
 		case <-r.over:
 		}
 		return
-	case Garbled:
+	case AnswerGarbled:
 		answer = answer[:len(answer)/2] + "\x00\x01"
-	case Busy:
+	case AnswerBusy:
 		answer = `<?xml version="1.0"?><Response><error>BUSY</error></Response>`
-	case Slow:
-		time.Sleep(r.SlowFor)
+	case AnswerDelayed:
+		time.Sleep(r.AnswerDelay)
 	}
 	io.WriteString(w, answer)
 }
@@ -87,7 +87,7 @@
 			r.Rules.repeated(now, o, r.effects != before)
 		}
 		taken++
-		r.Ordered(now, kind, about)
+		r.OnCommand(now, kind, about)
 	}
 	r.taken += taken
 	clear(r.repeats)
@@ -103,11 +103,11 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		one := m.of[id]
-		one.lines += r.site.HeadLines
+		one.lines += r.site.MessageHeaderLines
 		r.waiting += one.lines
 		r.queue = append(r.queue, *one)
 		one.to.sent = append(one.to.sent, now)
-		one.to.sent = slices.DeleteFunc(one.to.sent, func(at time.Time) bool { return now.Sub(at) > r.site.MessagesOver })
+		one.to.sent = slices.DeleteFunc(one.to.sent, func(at time.Time) bool { return now.Sub(at) > r.site.MessageWindow })
 		r.Rules.messages(now, id, len(one.to.sent))
 	}
 	r.Rules.waits(now, r.waiting)
--- a/internal/fakes/relay_channel.go
+++ b/internal/fakes/relay_channel.go
@@ -36,7 +36,7 @@
 		}
 		now := time.Now()
 		r.mu.Lock()
-		r.credit = min(r.credit+r.site.LinesPerS*r.pace*now.Sub(last).Seconds(), r.site.LinesPerS/20)
+		r.credit = min(r.credit+r.site.ChannelLinesPerSecond*r.pace*now.Sub(last).Seconds(), r.site.ChannelLinesPerSecond/20)
 		last = now
 		for len(r.queue) > 0 && r.credit >= r.queue[0].lines {
 			m := r.queue[0]
--- a/internal/fakes/relay_counts.go
+++ b/internal/fakes/relay_counts.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Flows is what the joined proxies send a server a second, by the tables that they are bound to.
-func (r *Relay) Flows(server string) (flows float64) {
+func (r *Relay) RequestRate(server string) (flows float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.flows(server)
@@ -33,7 +33,7 @@
 }
 
 // Look judges what stands at this time: proxies without a server, and what cold servers get.
-func (r *Relay) Look() {
+func (r *Relay) CheckState() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -47,39 +47,39 @@
 
 // Counts are what came to a relay.
 type Counts struct {
-	Calls   int            `json:"calls"`
-	Taken   int            `json:"orders_taken"`
-	Refused int            `json:"orders_refused"`
-	Effects int            `json:"effects"`
-	Joined  int            `json:"proxies"`
-	Bound   int            `json:"bound"`
-	Tables  int            `json:"tables"`
-	Lines   int            `json:"lines"`
-	Pulled  int            `json:"withdrawn"`
-	Faults  map[string]int `json:"faults,omitempty"`
+	Calls            int            `json:"calls"`
+	CommandsAccepted int            `json:"orders_taken"`
+	CommandsRejected int            `json:"orders_refused"`
+	StateChanges     int            `json:"effects"`
+	ConnectedProxies int            `json:"proxies"`
+	AssignedProxies  int            `json:"bound"`
+	Tables           int            `json:"tables"`
+	TableLines       int            `json:"lines"`
+	Withdrawn        int            `json:"withdrawn"`
+	Faults           map[string]int `json:"faults,omitempty"`
 }
 
 // Counts tells what came so far and what stands.
 func (r *Relay) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := Counts{Calls: r.calls, Taken: r.taken, Refused: r.refused, Effects: r.effects, Joined: len(r.proxies), Tables: len(r.tables),
+	c := Counts{Calls: r.calls, CommandsAccepted: r.taken, CommandsRejected: r.refused, StateChanges: r.effects, ConnectedProxies: len(r.proxies), Tables: len(r.tables),
 		Faults: map[string]int{}}
 	for _, p := range r.proxies {
 		if p.table >= 0 && p.applied > 0 {
-			c.Bound++
+			c.AssignedProxies++
 		}
 	}
 	for _, t := range r.tables {
-		c.Lines += len(t.lines)
+		c.TableLines += len(t.lines)
 	}
 	for _, on := range r.pulled {
 		if on {
-			c.Pulled++
+			c.Withdrawn++
 		}
 	}
 	for f, n := range r.faults {
-		if n > 0 && Fault(f) != None {
+		if n > 0 && Fault(f) != NoFault {
 			c.Faults[Fault(f).String()] = n
 		}
 	}
@@ -87,7 +87,7 @@
 }
 
 // Pulled tells whether a server is withdrawn.
-func (r *Relay) Pulled(server string) bool {
+func (r *Relay) Withdrawn(server string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.pulled[server]
--- a/internal/fakes/rig.go
+++ b/internal/fakes/rig.go
@@ -8,24 +8,24 @@
 )
 
 // Rig is a whole deployment on loopback: servers, discovery, a relay, and a manager.
-type Rig struct {
-	Site      Site
-	Servers   []*Server
-	Discovery *Discovery
-	Relay     *Relay
-	Manager   string // its address
-	Status    string // of its status listener
-	Daemon    Daemon
+type Deployment struct {
+	Site           Site
+	Servers        []*Server
+	Discovery      *Discovery
+	Relay          *Relay
+	ManagerAddress string // its address
+	StatusAddress  string // of its status listener
+	Manager        Manager
 
 	dir      string
-	begin    Begin
+	begin    StartFunc
 	restarts uint64
-	how      How
+	how      ManagerOptions
 }
 
 // Raise starts all of a rig and waits until the manager is ready. What was started is closed where it fails.
-func Raise(site Site, how How, begin Begin) (r *Rig, err error) {
-	r = &Rig{Site: site, begin: begin, how: how}
+func StartDeployment(site Site, how ManagerOptions, begin StartFunc) (r *Deployment, err error) {
+	r = &Deployment{Site: site, begin: begin, how: how}
 	defer func() {
 		if err != nil {
 			r.Close()
@@ -37,42 +37,42 @@
 	if r.Servers, err = NewServers(site); err != nil {
 		return r, err
 	}
-	var entries []Entry
+	var entries []Endpoint
 	for _, s := range r.Servers {
 		entries = append(entries, s.Entry("up"))
 	}
 	if r.Relay, err = NewRelay("127.0.0.1:0", site); err != nil {
 		return r, err
 	}
-	r.Relay.Knows(entries...)
+	r.Relay.RegisterServers(entries...)
 	if r.Discovery, err = NewDiscovery("127.0.0.1:0", entries); err != nil {
 		return r, err
 	}
-	r.Discovery.Told = func(at time.Time, e Entry) { r.Relay.Rules.Told(at, e) }
+	r.Discovery.OnChange = func(at time.Time, e Endpoint) { r.Relay.Rules.EndpointChanged(at, e) }
 	addresses, err := FreeAddresses(2)
 	if err != nil {
 		return r, err
 	}
-	r.Manager, r.Status = addresses[0], addresses[1]
-	return r, r.Begin()
+	r.ManagerAddress, r.StatusAddress = addresses[0], addresses[1]
+	return r, r.StartManager()
 }
 
 // Begin starts the manager, with the list as it stands, and waits until it is ready.
-func (r *Rig) Begin() (err error) {
+func (r *Deployment) StartManager() (err error) {
 	r.restarts++
-	start := ManagerStart{Dir: r.dir, Name: "n1", Listen: r.Manager, Status: r.Status, Discovery: r.Discovery.Address, Relay: r.Relay.Address,
-		List: r.Discovery.Whole(), How: r.how}
-	start.How.Seed += r.restarts
-	if r.Daemon, err = r.Site.StartManager(start, r.begin); err != nil {
+	start := ManagerConfig{Dir: r.dir, Name: "n1", ListenAddress: r.ManagerAddress, StatusAddress: r.StatusAddress, DiscoveryAddress: r.Discovery.Address, RelayAddress: r.Relay.Address,
+		Endpoints: r.Discovery.Snapshot(), Options: r.how}
+	start.Options.Seed += r.restarts
+	if r.Manager, err = r.Site.StartManager(start, r.begin); err != nil {
 		return err
 	}
-	return AwaitReady(r.Daemon, r.Manager, readyMost)
+	return AwaitReady(r.Manager, r.ManagerAddress, readyMost)
 }
 
 // Counters are the manager's, by its status listener.
-func (r *Rig) Counters() (map[string]int64, error) {
+func (r *Deployment) Counters() (map[string]int64, error) {
 	c := http.Client{Timeout: 2 * time.Second}
-	answer, err := c.Get("http://" + r.Status + "/status")
+	answer, err := c.Get("http://" + r.StatusAddress + "/status")
 	if err != nil {
 		return nil, err
 	}
@@ -85,9 +85,9 @@
 }
 
 // Close ends all that was started and removes its files.
-func (r *Rig) Close() {
-	if r.Daemon != nil {
-		r.Daemon.Stop(true)
+func (r *Deployment) Close() {
+	if r.Manager != nil {
+		r.Manager.Stop(true)
 	}
 	if r.Discovery != nil {
 		r.Discovery.Close()
--- a/internal/fakes/rules.go
+++ b/internal/fakes/rules.go
@@ -9,11 +9,11 @@
 
 // Rules judges what happened at a relay by the five rules. Each has its worst value against its bound, when that was
 // and at whom; what breaks a rule stays broken.
-type Rules struct {
+type RuleChecker struct {
 	mu    sync.Mutex
 	born  time.Time
 	site  Site
-	rules [5]Rule
+	rules [5]RuleResult
 	tries map[string]int // most tries that a group may have, by name
 	told  map[string]time.Time
 	wait  map[string]int       // withdrawals that are not applied yet, by server
@@ -23,19 +23,19 @@
 }
 
 // Rule is one rule's verdict.
-type Rule struct {
-	Name   string        `json:"name"`
-	Worst  float64       `json:"worst"`
-	Bound  float64       `json:"bound"`
-	Unit   string        `json:"unit"`
-	At     time.Duration `json:"at_ns"`
-	Whom   string        `json:"whom,omitempty"`
-	Broken int           `json:"broken"`
-	Seen   int           `json:"seen"` // how often there was something to judge
+type RuleResult struct {
+	Name       string        `json:"name"`
+	Worst      float64       `json:"worst"`
+	Bound      float64       `json:"bound"`
+	Unit       string        `json:"unit"`
+	At         time.Duration `json:"at_ns"`
+	Subject    string        `json:"whom,omitempty"`
+	Violations int           `json:"broken"`
+	Checks     int           `json:"seen"` // how often there was something to judge
 }
 
 // OK tells whether the rule was kept.
-func (r Rule) OK() bool { return r.Broken == 0 }
+func (r RuleResult) OK() bool { return r.Violations == 0 }
 
 const (
 	bareRule = iota
@@ -49,19 +49,19 @@
 const slack = 300 * time.Millisecond
 
 // NewRules begins with nothing seen.
-func NewRules(site Site) *Rules {
-	r := &Rules{born: time.Now(), site: site, tries: map[string]int{}, told: map[string]time.Time{},
+func NewRuleChecker(site Site) *RuleChecker {
+	r := &RuleChecker{born: time.Now(), site: site, tries: map[string]int{}, told: map[string]time.Time{},
 		wait: map[string]int{}, fresh: map[string]time.Time{}, over: map[string]time.Time{}, sure: true}
-	r.rules = [5]Rule{
-		{Name: "no proxy without a server", Bound: (site.BareFor + slack).Seconds(), Unit: "s"},
+	r.rules = [5]RuleResult{
+		{Name: "no proxy without a server", Bound: (site.EmptyTableLimit + slack).Seconds(), Unit: "s"},
 		{Name: "no effect twice", Bound: 0, Unit: "effects"},
-		{Name: "drains kept", Bound: (site.DrainGrace + slack).Seconds(), Unit: "s"},
+		{Name: "drains kept", Bound: (site.DrainGracePeriod + slack).Seconds(), Unit: "s"},
 		{Name: "no cold server pushed over", Bound: site.OverloadFactor, Unit: "x its capacity"},
 		{Name: "queue and messages short", Bound: 1, Unit: "of the limit"},
 	}
-	for _, g := range site.Groups {
+	for _, g := range site.TrafficClasses {
 		r.tries[g.Name] = 1 // once more, after proof that the first never ran
-		if g.Repeat == "idempotent" {
+		if g.Idempotency == "idempotent" {
 			r.tries[g.Name] = 3
 		}
 	}
@@ -69,33 +69,33 @@
 }
 
 // note takes one value of a rule.
-func (r *Rules) note(rule int, at time.Time, worst float64, whom string) {
+func (r *RuleChecker) note(rule int, at time.Time, worst float64, whom string) {
 	one := &r.rules[rule]
-	one.Seen++
+	one.Checks++
 	if worst > one.Worst {
-		one.Worst, one.At, one.Whom = worst, at.Sub(r.born), whom
+		one.Worst, one.At, one.Subject = worst, at.Sub(r.born), whom
 	}
 	if worst > one.Bound {
-		one.Broken++
+		one.Violations++
 	}
 }
 
 // Verdict gives all rules as they stand.
-func (r *Rules) Verdict() []Rule {
+func (r *RuleChecker) Results() []RuleResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.rules[:])
 }
 
 // Sure says whether some server is listed ready and warm: only then must a proxy have one.
-func (r *Rules) Sure(yes bool) {
+func (r *RuleChecker) RequireWarmServer(yes bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sure = yes
 }
 
 // Told says that discovery told of a change: a drain, an end or a start.
-func (r *Rules) Told(at time.Time, e Entry) {
+func (r *RuleChecker) EndpointChanged(at time.Time, e Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
@@ -112,7 +112,7 @@
 	}
 }
 
-func (r *Rules) bare(at time.Time, proxy int, since time.Duration) {
+func (r *RuleChecker) bare(at time.Time, proxy int, since time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.sure {
@@ -121,7 +121,7 @@
 }
 
 // repeated is an order that was carried out once more after a call without an answer.
-func (r *Rules) repeated(at time.Time, order string, changed bool) {
+func (r *RuleChecker) repeated(at time.Time, order string, changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	effects := 0.0
@@ -131,7 +131,7 @@
 	r.note(twiceRule, at, effects, order)
 }
 
-func (r *Rules) admits(at time.Time, groups string, tries int) {
+func (r *RuleChecker) admits(at time.Time, groups string, tries int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, most := range r.tries {
@@ -154,7 +154,7 @@
 }
 
 // pulled is a withdrawal that was ordered, and how many proxies have to apply it.
-func (r *Rules) pulled(at time.Time, server string, away bool, holders int) {
+func (r *RuleChecker) pulled(at time.Time, server string, away bool, holders int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.wait[server] = holders; !away || holders == 0 {
@@ -164,7 +164,7 @@
 }
 
 // kept ends a drain that no proxy sends to any more.
-func (r *Rules) kept(at time.Time, server string) {
+func (r *RuleChecker) kept(at time.Time, server string) {
 	if told, drains := r.told[server]; drains {
 		r.note(drainRule, at, at.Sub(told).Seconds(), server)
 		r.told[server] = at.Add(time.Hour) // judged
@@ -172,7 +172,7 @@
 }
 
 // applied is a message that a proxy took over, or will never get.
-func (r *Rules) applied(at time.Time, _ int, pulls []string) {
+func (r *RuleChecker) applied(at time.Time, _ int, pulls []string) {
 	if len(pulls) == 0 {
 		return
 	}
@@ -187,7 +187,7 @@
 }
 
 // Drains judges the drains that are still not kept, of servers that proxies hold.
-func (r *Rules) Drains(at time.Time, holds func(server string) bool) {
+func (r *RuleChecker) CheckDrains(at time.Time, holds func(server string) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for s, told := range r.told {
@@ -198,17 +198,17 @@
 }
 
 // cold looks at what servers get that are not warm yet.
-func (r *Rules) cold(at time.Time, flows func(server string) float64) {
+func (r *RuleChecker) cold(at time.Time, flows func(server string) float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for s, started := range r.fresh {
 		age := at.Sub(started)
-		if age >= r.site.WarmAfter {
+		if age >= r.site.WarmUpDuration {
 			delete(r.fresh, s)
 			delete(r.over, s)
 			continue
 		}
-		can := r.site.Capacity * (r.site.ColdShare + (1-r.site.ColdShare)*max(0, age.Seconds())/r.site.WarmAfter.Seconds())
+		can := r.site.ServerCapacity * (r.site.InitialCapacityShare + (1-r.site.InitialCapacityShare)*max(0, age.Seconds())/r.site.WarmUpDuration.Seconds())
 		times := flows(s) / can
 		if times <= r.site.OverloadFactor {
 			delete(r.over, s)
@@ -217,23 +217,23 @@
 		}
 		if since, before := r.over[s]; !before {
 			r.over[s] = at
-		} else if at.Sub(since) >= r.site.OverloadFor {
+		} else if at.Sub(since) >= r.site.OverloadDuration {
 			r.note(coldRule, at, times, s)
 		}
 	}
 }
 
-func (r *Rules) waits(at time.Time, lines float64) {
+func (r *RuleChecker) waits(at time.Time, lines float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.note(queueRule, at, lines/r.site.QueueLines, fmt.Sprintf("%.0f lines wait", lines))
+	r.note(queueRule, at, lines/r.site.ChannelQueueLines, fmt.Sprintf("%.0f lines wait", lines))
 }
 
-func (r *Rules) messages(at time.Time, proxy, sent int) {
-	if r.site.MessagesMost == 0 {
+func (r *RuleChecker) messages(at time.Time, proxy, sent int) {
+	if r.site.MaxMessages == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.note(queueRule, at, float64(sent)/float64(r.site.MessagesMost), fmt.Sprintf("%d messages to proxy %d", sent, proxy))
+	r.note(queueRule, at, float64(sent)/float64(r.site.MaxMessages), fmt.Sprintf("%d messages to proxy %d", sent, proxy))
 }
--- a/internal/fakes/rules_test.go
+++ b/internal/fakes/rules_test.go
@@ -7,15 +7,15 @@
 
 // relay is one with 4 servers and 3 bound proxies on table 0, without sockets.
 func relay(t *testing.T) *Relay {
-	r, err := NewRelay("127.0.0.1:0", Usual(4, 3))
+	r, err := NewRelay("127.0.0.1:0", DefaultSite(4, 3))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.Close)
 	for n := range 4 {
-		r.Knows(Entry{ID: ServerID(n)})
+		r.RegisterServers(Endpoint{ID: ServerID(n)})
 	}
-	r.Join(0, 1, 2)
+	r.ConnectProxies(0, 1, 2)
 	r.do(t, "share,0,"+ServerID(0)+",1", "share,0,"+ServerID(1)+",1", "bind,0,0,*", "bind,1,0,*", "bind,2,0,*", "mark,1,0")
 	return r
 }
@@ -31,7 +31,7 @@
 
 // settle lets all messages reach the proxies.
 func (r *Relay) settle() {
-	for r.Counts().Bound < 3 {
+	for r.Counts().AssignedProxies < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	for {
@@ -46,7 +46,7 @@
 }
 
 func broken(r *Relay) (names []string) {
-	for _, rule := range r.Rules.Verdict() {
+	for _, rule := range r.Rules.Results() {
 		if !rule.OK() {
 			names = append(names, rule.Name)
 		}
@@ -69,20 +69,20 @@
 			r.do(t, "share,0,"+ServerID(2)+",5")
 		},
 		"drains kept": func(r *Relay) {
-			r.Rules.Told(time.Now().Add(-time.Minute), Entry{ID: ServerID(0), Lifecycle: "draining"})
-			r.Rules.Drains(time.Now(), func(s string) bool { return r.flows(s) > 0 })
+			r.Rules.EndpointChanged(time.Now().Add(-time.Minute), Endpoint{ID: ServerID(0), Lifecycle: "draining"})
+			r.Rules.CheckDrains(time.Now(), func(s string) bool { return r.flows(s) > 0 })
 		},
 		"no cold server pushed over": func(r *Relay) {
 			now := time.Now()
-			r.Rules.Told(now, Entry{ID: ServerID(0), Lifecycle: "up", Started: now.UnixMilli()})
-			r.site.Capacity = 1
-			r.Rules.site.Capacity = 1
+			r.Rules.EndpointChanged(now, Endpoint{ID: ServerID(0), Lifecycle: "up", Started: now.UnixMilli()})
+			r.site.ServerCapacity = 1
+			r.Rules.site.ServerCapacity = 1
 			r.Rules.cold(now, r.flows)
 			r.Rules.cold(now.Add(2500*time.Millisecond), r.flows)
 		},
 		"queue and messages short": func(r *Relay) {
-			r.Pace(0)
-			r.Rules.site.QueueLines = 10
+			r.SetChannelSpeed(0)
+			r.Rules.site.ChannelQueueLines = 10
 			r.do(t, "share,0,"+ServerID(2)+",1", "share,0,"+ServerID(3)+",1", "mark,2,0")
 		},
 	} {
@@ -92,7 +92,7 @@
 			t.Fatalf("broken at rest: %v", got)
 		}
 		breaks(r)
-		r.Look()
+		r.CheckState()
 		if got := broken(r); len(got) != 1 || got[0] != name {
 			t.Errorf("%s: %v seen broken", name, got)
 		}
--- a/internal/fakes/servers.go
+++ b/internal/fakes/servers.go
@@ -10,21 +10,21 @@
 )
 
 // Mood is how a stand-in server answers.
-type Mood int32
+type Behaviour int32
 
 const (
 	// Well answers as a live server does.
-	Well   Mood = iota
-	Full        // answers 503
-	Silent      // takes connections and says nothing
-	Down        // refuses connections
+	Healthy      Behaviour = iota
+	Overloaded             // answers 503
+	Unresponsive           // takes connections and says nothing
+	Down                   // refuses connections
 )
 
 // Server answers probes at an address of its own.
 type Server struct {
 	ID, Zone, Address string
-	Probes            atomic.Int64
-	Held              atomic.Int64 // flows that it says it holds
+	HealthChecks      atomic.Int64
+	InFlight          atomic.Int64 // flows that it says it holds
 
 	mood    atomic.Int32
 	mu      sync.Mutex
@@ -61,25 +61,25 @@
 }
 
 func (s *Server) answer(w http.ResponseWriter, r *http.Request) {
-	s.Probes.Add(1)
-	switch Mood(s.mood.Load()) {
-	case Full:
+	s.HealthChecks.Add(1)
+	switch Behaviour(s.mood.Load()) {
+	case Overloaded:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case Silent:
+	case Unresponsive:
 		<-r.Context().Done()
 		return
 	}
 	if r.URL.Path == "/metrics/load" {
-		fmt.Fprintf(w, "TEXT inflight=%d, queue=0, util=0.50", s.Held.Load())
+		fmt.Fprintf(w, "TEXT inflight=%d, queue=0, util=0.50", s.InFlight.Load())
 	}
 }
 
 // Mood tells how it answers.
-func (s *Server) Mood() Mood { return Mood(s.mood.Load()) }
+func (s *Server) Behaviour() Behaviour { return Behaviour(s.mood.Load()) }
 
 // Turn changes how it answers. One that comes up from Down is a fresh process.
-func (s *Server) Turn(m Mood) error {
-	was := Mood(s.mood.Swap(int32(m)))
+func (s *Server) SetBehaviour(m Behaviour) error {
+	was := Behaviour(s.mood.Swap(int32(m)))
 	s.mu.Lock()
 	at, address := s.at, s.Address
 	s.mu.Unlock()
@@ -100,10 +100,10 @@
 }
 
 // Entry is its line of the list in a state.
-func (s *Server) Entry(lifecycle string) Entry {
+func (s *Server) Entry(lifecycle string) Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := Entry{ID: s.ID, HostPort: s.Address, Zone: s.Zone, Lifecycle: lifecycle, Weight: 1}
+	e := Endpoint{ID: s.ID, HostPort: s.Address, Zone: s.Zone, Lifecycle: lifecycle, Weight: 1}
 	if !s.started.IsZero() {
 		e.Started = s.started.UnixMilli()
 	}
--- a/internal/fakes/servers_test.go
+++ b/internal/fakes/servers_test.go
@@ -11,11 +11,11 @@
 		t.Fatal(err)
 	}
 	defer own.Close()
-	manager, err := Free()
+	manager, err := FreeAddress()
 	if err != nil || host(t, manager) == host(t, own.Addr().String()) {
 		t.Errorf("managers and servers share %s: %v", manager, err)
 	}
-	servers, err := NewServers(Usual(2, 1))
+	servers, err := NewServers(DefaultSite(2, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,13 +25,13 @@
 		if host(t, address) != host(t, own.Addr().String()) {
 			t.Errorf("%s is not on the loopback address of this process, %s", address, own.Addr())
 		}
-		if err := server.Turn(Down); err != nil {
+		if err := server.SetBehaviour(Down); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := net.Dial("tcp", address); err == nil {
 			t.Errorf("%s answers though it is down", address)
 		}
-		if err := server.Turn(Well); err != nil || server.Address != address {
+		if err := server.SetBehaviour(Healthy); err != nil || server.Address != address {
 			t.Errorf("%v, %s after %s", err, server.Address, address)
 		}
 	}
--- a/internal/loadtest/feed.go
+++ b/internal/loadtest/feed.go
@@ -64,7 +64,7 @@
 				one.text = fmt.Appendf(one.text, format+"\r\n", values...)
 				one.ends = append(one.ends, len(one.text))
 			}
-			tries := s.Rate * float64(s.Proxies) / float64(s.Servers*len(s.Zones))
+			tries := s.RequestRate * float64(s.Proxies) / float64(s.Servers*len(s.Zones))
 			for n := range s.Servers {
 				if n%perZone == v {
 					put("heard site=%s target=%s count=%d fail=0 mean=%.1f over=1000.0 util=inflight:%d", zone, fakes.ServerID(n),
@@ -75,8 +75,8 @@
 				if p%len(s.Zones) != z || p/len(s.Zones)%perZone != v {
 					continue
 				}
-				for _, g := range s.Groups {
-					put("usage id=%d lane=%s count=%d fail=0 over=1000.0", p, g.Name, max(1, int(s.Rate*g.Part+0.5)))
+				for _, g := range s.TrafficClasses {
+					put("usage id=%d lane=%s count=%d fail=0 over=1000.0", p, g.Name, max(1, int(s.RequestRate*g.TrafficShare+0.5)))
 				}
 			}
 			all = append(all, one)
--- a/internal/loadtest/report.go
+++ b/internal/loadtest/report.go
@@ -32,13 +32,13 @@
 	w.Flush()
 	for _, r := range all {
 		fmt.Fprintf(out, "\n%d cores: all bound in %.2fs, %d calls, %d orders, %d refused, %d effects, faults %v, %.1f%% of samples folded, %d connections broken\n",
-			r.Cores, r.Joined.Seconds(), r.Relay.Calls, r.Relay.Taken, r.Relay.Refused, r.Relay.Effects, r.Relay.Faults, 100*r.Folded, r.Broken)
+			r.Cores, r.Joined.Seconds(), r.Relay.Calls, r.Relay.CommandsAccepted, r.Relay.CommandsRejected, r.Relay.StateChanges, r.Relay.Faults, 100*r.Folded, r.Broken)
 		for _, rule := range r.Rules {
 			verdict := "kept"
 			if !rule.OK() {
-				verdict = fmt.Sprintf("BROKEN %d times", rule.Broken)
+				verdict = fmt.Sprintf("BROKEN %d times", rule.Violations)
 			}
-			fmt.Fprintf(out, "  %-28s %-10s worst %.3f %s of %.3f, %d looked at %s\n", rule.Name, verdict, rule.Worst, rule.Unit, rule.Bound, rule.Seen, rule.Whom)
+			fmt.Fprintf(out, "  %-28s %-10s worst %.3f %s of %.3f, %d looked at %s\n", rule.Name, verdict, rule.Worst, rule.Unit, rule.Bound, rule.Checks, rule.Subject)
 		}
 	}
 }
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -36,25 +36,25 @@
 
 // Result is what one manager came to.
 type Result struct {
-	Cores    int              `json:"cores"`
-	Real     int              `json:"real_cores"` // of the machine, which the tool shares
-	Top      float64          `json:"top_per_s,omitempty"`
-	Rate     float64          `json:"rate_per_s"` // that was held
-	Sent     int64            `json:"sent"`
-	Taken    int64            `json:"taken"`   // of them, by the manager's counters
-	TakeIn   Spread           `json:"take_in"` // from a message's time until all before it is taken in
-	Late     Spread           `json:"late"`    // from a message's time until it is written
-	Bind     Spread           `json:"bind"`    // from a proxy's joining told to the order that binds it
-	Drain    Spread           `json:"drain"`   // from a drain told to the order that withdraws
-	Joined   time.Duration    `json:"all_bound_ns"`
-	CPU      float64          `json:"cpu_s_per_s"`
-	MemoryMB float64          `json:"memory_mb"`
-	Rules    []fakes.Rule     `json:"rules"`
-	Relay    fakes.Counts     `json:"relay"`
-	Broken   int64            `json:"connections_broken"`
-	Extra    map[string]int64 `json:"counters"`
-	Steps    []map[string]any `json:"steps,omitempty"`
-	Folded   float64          `json:"folded_part"`
+	Cores    int                `json:"cores"`
+	Real     int                `json:"real_cores"` // of the machine, which the tool shares
+	Top      float64            `json:"top_per_s,omitempty"`
+	Rate     float64            `json:"rate_per_s"` // that was held
+	Sent     int64              `json:"sent"`
+	Taken    int64              `json:"taken"`   // of them, by the manager's counters
+	TakeIn   Spread             `json:"take_in"` // from a message's time until all before it is taken in
+	Late     Spread             `json:"late"`    // from a message's time until it is written
+	Bind     Spread             `json:"bind"`    // from a proxy's joining told to the order that binds it
+	Drain    Spread             `json:"drain"`   // from a drain told to the order that withdraws
+	Joined   time.Duration      `json:"all_bound_ns"`
+	CPU      float64            `json:"cpu_s_per_s"`
+	MemoryMB float64            `json:"memory_mb"`
+	Rules    []fakes.RuleResult `json:"rules"`
+	Relay    fakes.Counts       `json:"relay"`
+	Broken   int64              `json:"connections_broken"`
+	Extra    map[string]int64   `json:"counters"`
+	Steps    []map[string]any   `json:"steps,omitempty"`
+	Folded   float64            `json:"folded_part"`
 }
 
 // OK tells whether each rule was kept and each message was taken.
@@ -68,7 +68,7 @@
 }
 
 // Run loads one manager after another and tells how it goes on.
-func Run(p Plan, begin fakes.Begin, progress io.Writer) (all []Result, err error) {
+func Run(p Plan, begin fakes.StartFunc, progress io.Writer) (all []Result, err error) {
 	for _, cores := range p.Cores {
 		r, err := one(p, cores, begin, progress)
 		if err != nil {
@@ -84,17 +84,17 @@
 	chance := rand.New(rand.NewPCG(seed, 3))
 	return func(call int) fakes.Fault {
 		if call < 3 || chance.Float64() >= part {
-			return fakes.None
+			return fakes.NoFault
 		}
-		return []fakes.Fault{fakes.Lost, fakes.Undone, fakes.Mute, fakes.Garbled, fakes.Busy}[chance.IntN(5)]
+		return []fakes.Fault{fakes.AnswerLost, fakes.NotExecuted, fakes.NoAnswer, fakes.AnswerGarbled, fakes.AnswerBusy}[chance.IntN(5)]
 	}
 }
 
-func one(p Plan, cores int, begin fakes.Begin, progress io.Writer) (Result, error) {
-	site := fakes.Usual(p.Servers, p.Proxies)
+func one(p Plan, cores int, begin fakes.StartFunc, progress io.Writer) (Result, error) {
+	site := fakes.DefaultSite(p.Servers, p.Proxies)
 	res := Result{Cores: cores, Real: runtime.NumCPU()}
 	fmt.Fprintf(progress, "%d cores: %d servers, %d proxies, a manager\n", cores, p.Servers, p.Proxies)
-	rig, err := fakes.Raise(site, fakes.How{Cores: cores, MemoryMB: p.MemoryMB, Sockets: p.Sockets, Seed: p.Seed}, begin)
+	rig, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: cores, MemoryMB: p.MemoryMB, MaxDescriptors: p.Sockets, Seed: p.Seed}, begin)
 	if err != nil {
 		return res, err
 	}
@@ -107,8 +107,8 @@
 	}
 	res.Joined = time.Since(began)
 	fmt.Fprintf(progress, "%d cores: all bound after %.2fs\n", cores, res.Joined.Seconds())
-	rig.Relay.Set(func(r *fakes.Relay) { r.Fault = mishaps(p.Faults, p.Seed) })
-	f := newFeed(rig.Manager, site, p.Collectors)
+	rig.Relay.Configure(func(r *fakes.Relay) { r.InjectFault = mishaps(p.Faults, p.Seed) })
+	f := newFeed(rig.ManagerAddress, site, p.Collectors)
 	defer f.end()
 	res.Rate = p.Rate
 	if p.Rate == 0 {
@@ -141,7 +141,7 @@
 
 // watch sees what a relay is ordered, and makes what is waited for.
 type watch struct {
-	rig           *fakes.Rig
+	rig           *fakes.Deployment
 	binds, drains *meter
 	isPulled      func(server string) bool // the relay's; it takes the relay's lock
 	mu            sync.Mutex               // taken within the relay's lock: none of the relay's methods is called under it
@@ -152,10 +152,10 @@
 }
 
 // newWatch watches the orders that a rig's relay gets.
-func newWatch(rig *fakes.Rig) *watch {
-	w := &watch{rig: rig, binds: newMeter(), drains: newMeter(), isPulled: rig.Relay.Pulled, joined: map[string]time.Time{},
+func newWatch(rig *fakes.Deployment) *watch {
+	w := &watch{rig: rig, binds: newMeter(), drains: newMeter(), isPulled: rig.Relay.Withdrawn, joined: map[string]time.Time{},
 		drained: map[string]time.Time{}, stop: make(chan struct{})}
-	rig.Relay.Set(func(r *fakes.Relay) { r.Ordered = w.ordered })
+	rig.Relay.Configure(func(r *fakes.Relay) { r.OnCommand = w.ordered })
 	return w
 }
 
@@ -182,16 +182,16 @@
 	for i := range ids {
 		ids[i] = i
 	}
-	w.rig.Relay.Join(ids...)
+	w.rig.Relay.ConnectProxies(ids...)
 }
 
 func (w *watch) allBound(n int, within time.Duration) error {
 	for late := time.Now().Add(within); time.Now().Before(late); time.Sleep(5 * time.Millisecond) {
-		if w.rig.Relay.Counts().Bound >= n {
+		if w.rig.Relay.Counts().AssignedProxies >= n {
 			return nil
 		}
 	}
-	return fmt.Errorf("%d of %d proxies bound within %v", w.rig.Relay.Counts().Bound, n, within)
+	return fmt.Errorf("%d of %d proxies bound within %v", w.rig.Relay.Counts().AssignedProxies, n, within)
 }
 
 type step struct {
@@ -240,7 +240,7 @@
 		return err
 	}
 	sent := f.sent.Load()
-	cpu, _ := fakes.Use(w.rig.Daemon)
+	cpu, _ := fakes.ResourceUsage(w.rig.Manager)
 	f.measure()
 	f.rate.Store(int64(res.Rate))
 	w.all.Go(w.drain)
@@ -249,7 +249,7 @@
 	began := time.Now()
 	select {
 	case <-time.After(span):
-	case <-w.rig.Daemon.Ended():
+	case <-w.rig.Manager.Done():
 		err = errors.New("the manager ended under load; its log says why")
 	}
 	took := time.Since(began).Seconds()
@@ -258,12 +258,12 @@
 	if err != nil {
 		return err
 	}
-	used, memory := fakes.Use(w.rig.Daemon)
+	used, memory := fakes.ResourceUsage(w.rig.Manager)
 	res.CPU, res.MemoryMB = (used-cpu)/took, memory
 	res.TakeIn, res.Late = f.pings.Load().spread(), f.late.Load().spread()
 	w.settle(f)
 	time.Sleep(200 * time.Millisecond) // what is under way ends
-	w.rig.Relay.Look()
+	w.rig.Relay.CheckState()
 	counters, err := w.rig.Counters()
 	if err != nil {
 		return err
@@ -271,7 +271,7 @@
 	res.Sent, res.Taken = f.sent.Load()-sent, counters["reports_in"]+counters["usages_in"]-before
 	res.Extra, res.Folded = counters, float64(counters["samples_folded"])/float64(max(1, counters["reports_in"]+counters["usages_in"]))
 	res.Bind, res.Drain = w.binds.spread(), w.drains.spread()
-	res.Rules, res.Relay, res.Broken = w.rig.Relay.Rules.Verdict(), w.rig.Relay.Counts(), f.broken.Load()
+	res.Rules, res.Relay, res.Broken = w.rig.Relay.Rules.Results(), w.rig.Relay.Counts(), f.broken.Load()
 	return nil
 }
 
@@ -294,11 +294,11 @@
 		s := w.rig.Servers[n*7%len(w.rig.Servers)]
 		back := w.rig.Servers[(n+len(w.rig.Servers)-10)*7%len(w.rig.Servers)]
 		w.expectDrain(s.ID)
-		entries := []fakes.Entry{s.Entry("draining")}
+		entries := []fakes.Endpoint{s.Entry("draining")}
 		if n >= 10 && back != s {
 			entries = append(entries, back.Entry("up"))
 		}
-		w.rig.Discovery.Change(entries...)
+		w.rig.Discovery.Publish(entries...)
 	})
 }
 
@@ -316,18 +316,18 @@
 func (w *watch) rejoin() {
 	w.every(20*time.Millisecond, func(n int) {
 		id := n * 13 % w.rig.Site.Proxies
-		w.rig.Relay.Leave(id)
+		w.rig.Relay.DisconnectProxies(id)
 		w.mu.Lock()
 		w.joined[fmt.Sprint(id)] = time.Now()
 		w.mu.Unlock()
-		w.rig.Relay.Join(id)
+		w.rig.Relay.ConnectProxies(id)
 	})
 }
 
 func (w *watch) look() {
 	w.every(100*time.Millisecond, func(int) {
-		w.rig.Relay.Look()
-		w.rig.Relay.Rules.Drains(time.Now(), func(s string) bool { return w.rig.Relay.Flows(s) > 0 })
+		w.rig.Relay.CheckState()
+		w.rig.Relay.Rules.CheckDrains(time.Now(), func(s string) bool { return w.rig.Relay.RequestRate(s) > 0 })
 	})
 }
 
--- a/internal/loadtest/run_test.go
+++ b/internal/loadtest/run_test.go
@@ -23,7 +23,7 @@
 	err    error
 }
 
-func (d *inside) Ended() <-chan struct{}   { return d.ended }
+func (d *inside) Done() <-chan struct{}    { return d.ended }
 func (d *inside) Signal(s os.Signal) error { d.reload <- s; return nil }
 func (d *inside) Stop(bool) error {
 	d.end()
@@ -31,8 +31,8 @@
 	return d.err
 }
 
-func begin(log io.Writer) fakes.Begin {
-	return func(start, settings string) (fakes.Daemon, error) {
+func begin(log io.Writer) fakes.StartFunc {
+	return func(start, settings string) (fakes.Manager, error) {
 		o, err := config.ReadOperator(settings)
 		if err != nil {
 			return nil, err
@@ -78,7 +78,7 @@
 	if r.Taken != r.Sent || r.Broken != 0 {
 		t.Errorf("%d of %d messages taken in, %d connections broken", r.Taken, r.Sent, r.Broken)
 	}
-	if r.Drain.N == 0 || r.Bind.N < 20 || r.Relay.Bound < r.Relay.Joined-2 {
+	if r.Drain.N == 0 || r.Bind.N < 20 || r.Relay.AssignedProxies < r.Relay.ConnectedProxies-2 {
 		t.Errorf("%d drains, %d binds, %+v", r.Drain.N, r.Bind.N, r.Relay)
 	}
 }
@@ -103,15 +103,15 @@
 	}
 	r := all[0]
 	kept(t, r)
-	if twice := r.Rules[1]; twice.Seen == 0 || len(r.Relay.Faults) < 3 {
+	if twice := r.Rules[1]; twice.Checks == 0 || len(r.Relay.Faults) < 3 {
 		t.Errorf("nothing was repeated: %+v, faults %v", twice, r.Relay.Faults)
 	}
 }
 
 // rig is a small deployment with a manager of several cores, all proxies bound.
-func rig(t *testing.T, site fakes.Site, log io.Writer) (*fakes.Rig, *watch) {
+func rig(t *testing.T, site fakes.Site, log io.Writer) (*fakes.Deployment, *watch) {
 	t.Helper()
-	r, err := fakes.Raise(site, fakes.How{Cores: 3, MemoryMB: 512, Sockets: 1024, Seed: 1}, begin(log))
+	r, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: 3, MemoryMB: 512, MaxDescriptors: 1024, Seed: 1}, begin(log))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,12 +126,12 @@
 
 // The relay calls the watch under its lock, so the watch must not ask the relay under its own.
 func TestTheRelayIsNotAskedUnderTheWatchsLock(t *testing.T) {
-	relay, err := fakes.NewRelay("127.0.0.1:0", fakes.Usual(1, 1))
+	relay, err := fakes.NewRelay("127.0.0.1:0", fakes.DefaultSite(1, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer relay.Close()
-	w := newWatch(&fakes.Rig{Relay: relay})
+	w := newWatch(&fakes.Deployment{Relay: relay})
 	asked := false
 	w.isPulled = func(string) bool {
 		asked = true
@@ -158,10 +158,10 @@
 	t.Errorf("%s: not within %v", what, span)
 }
 
-func rulesKept(t *testing.T, r *fakes.Rig) {
+func rulesKept(t *testing.T, r *fakes.Deployment) {
 	t.Helper()
-	r.Relay.Look()
-	for _, rule := range r.Relay.Rules.Verdict() {
+	r.Relay.CheckState()
+	for _, rule := range r.Relay.Rules.Results() {
 		if !rule.OK() {
 			t.Errorf("%+v", rule)
 		}
@@ -169,9 +169,9 @@
 }
 
 func TestAListThatReplacesAllServersLeavesNoProxyWithout(t *testing.T) {
-	site := fakes.Usual(12, 40)
+	site := fakes.DefaultSite(12, 40)
 	r, _ := rig(t, site, io.Discard)
-	f := newFeed(r.Manager, site, 2)
+	f := newFeed(r.ManagerAddress, site, 2)
 	defer f.end()
 	f.rate.Store(3000)
 	time.Sleep(time.Second)
@@ -181,42 +181,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var entries []fakes.Entry
+	var entries []fakes.Endpoint
 	for i, s := range fresh {
 		defer s.Close()
 		if i >= 12 {
 			entries = append(entries, s.Entry("up"))
 		}
 	}
-	r.Relay.Knows(entries...)
+	r.Relay.RegisterServers(entries...)
 	for _, s := range r.Servers {
 		entries = append(entries, s.Entry("removed"))
 	}
-	r.Discovery.Change(entries...)
+	r.Discovery.Publish(entries...)
 	within(t, 5*time.Second, "all old servers withdrawn, new ones in the tables", func() bool {
 		flows := 0.0
 		for _, s := range fresh[12:] {
-			flows += r.Relay.Flows(s.ID)
+			flows += r.Relay.RequestRate(s.ID)
 		}
 		old := 0.0
 		for _, s := range r.Servers {
-			old += r.Relay.Flows(s.ID)
+			old += r.Relay.RequestRate(s.ID)
 		}
-		return old == 0 && flows > 0.9*site.Rate*float64(site.Proxies)
+		return old == 0 && flows > 0.9*site.RequestRate*float64(site.Proxies)
 	})
 	rulesKept(t, r)
 }
 
 func TestAllProxiesLeaveAndJoinAtOnce(t *testing.T) {
-	site := fakes.Usual(12, 300)
+	site := fakes.DefaultSite(12, 300)
 	r, w := rig(t, site, io.Discard)
 	ids := make([]int, site.Proxies)
 	for i := range ids {
 		ids[i] = i
 	}
 	for range 5 {
-		r.Relay.Leave(ids...)
-		r.Relay.Join(ids...)
+		r.Relay.DisconnectProxies(ids...)
+		r.Relay.ConnectProxies(ids...)
 	}
 	if err := w.allBound(site.Proxies, 20*time.Second); err != nil {
 		t.Error(err)
@@ -225,26 +225,26 @@
 }
 
 func TestAServerThatDrainsAndRestartsWhileConnectionsMove(t *testing.T) {
-	site := fakes.Usual(12, 60)
+	site := fakes.DefaultSite(12, 60)
 	r, w := rig(t, site, io.Discard)
-	f := newFeed(r.Manager, site, 3)
+	f := newFeed(r.ManagerAddress, site, 3)
 	defer f.end()
 	f.rate.Store(20_000)
 	w.all.Go(w.look)
 	for _, s := range r.Servers[:3] {
-		r.Discovery.Change(s.Entry("draining"))
-		within(t, 2*time.Second, "withdrawn", func() bool { return r.Relay.Flows(s.ID) == 0 })
-		s.Turn(fakes.Down)
-		r.Discovery.Change(s.Entry("removed"))
+		r.Discovery.Publish(s.Entry("draining"))
+		within(t, 2*time.Second, "withdrawn", func() bool { return r.Relay.RequestRate(s.ID) == 0 })
+		s.SetBehaviour(fakes.Down)
+		r.Discovery.Publish(s.Entry("removed"))
 		time.Sleep(100 * time.Millisecond)
-		if err := s.Turn(fakes.Well); err != nil {
+		if err := s.SetBehaviour(fakes.Healthy); err != nil {
 			t.Fatal(err)
 		}
-		r.Discovery.Change(s.Entry("up"))
+		r.Discovery.Publish(s.Entry("up"))
 	}
 	within(t, 8*time.Second, "fresh servers get a small part", func() bool {
 		for _, s := range r.Servers[:3] {
-			if x := r.Relay.Flows(s.ID); x <= 0 || x > site.Capacity {
+			if x := r.Relay.RequestRate(s.ID); x <= 0 || x > site.ServerCapacity {
 				return false
 			}
 		}
@@ -256,16 +256,16 @@
 }
 
 func TestReloadAndEndUnderLoad(t *testing.T) {
-	site := fakes.Usual(12, 60)
+	site := fakes.DefaultSite(12, 60)
 	var log lines
 	r, _ := rig(t, site, &log)
-	f := newFeed(r.Manager, site, 3)
+	f := newFeed(r.ManagerAddress, site, 3)
 	f.rate.Store(20_000)
 	for range 5 {
-		r.Daemon.Signal(syscall.SIGHUP)
+		r.Manager.Signal(syscall.SIGHUP)
 		time.Sleep(100 * time.Millisecond)
 	}
-	if err := r.Daemon.Stop(false); err != nil {
+	if err := r.Manager.Stop(false); err != nil {
 		t.Error(err)
 	}
 	f.end()
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -86,26 +86,26 @@
 			http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 			before, open = runtime.NumGoroutine(), descriptors(t)
 		}
-		v := raise(t, fakes.Usual(6, 20))
-		v.Relay.Join(0, 1, 2, 3)
-		soon(t, "bound", func() bool { return v.Relay.Counts().Bound == 4 })
+		v := raise(t, fakes.DefaultSite(6, 20))
+		v.Relay.ConnectProxies(0, 1, 2, 3)
+		soon(t, "bound", func() bool { return v.Relay.Counts().AssignedProxies == 4 })
 		var collectors []net.Conn
 		for _, text := range []string{"", "ping\r\n", "collector site=" + v.Site.Zone(0) + "\r\n", "usage id=1"} {
-			c, err := net.Dial("tcp", v.Manager)
+			c, err := net.Dial("tcp", v.ManagerAddress)
 			if err != nil {
 				t.Fatal(err)
 			}
 			io.WriteString(c, text)
 			collectors = append(collectors, c)
 		}
-		v.Rig.Daemon.Stop(false)
+		v.Deployment.Manager.Stop(false)
 		for _, c := range collectors {
 			if got := ended(c); got == "still open" {
 				t.Errorf("%q", got)
 			}
 			c.Close()
 		}
-		v.Rig.Close()
+		v.Deployment.Close()
 	}
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 	// the HTTP library lets a server's cleaner sleep for 10 s more
@@ -178,11 +178,11 @@
 
 // Guards against a collector that sends as fast as it can and keeps others, the list and the end from being heard.
 func TestAFloodKeepsNobodyOut(t *testing.T) {
-	site := fakes.Usual(6, 20)
+	site := fakes.DefaultSite(6, 20)
 	v := raise(t, site)
-	v.Relay.Join(0, 1, 2, 3)
-	soon(t, "bound", func() bool { return v.Relay.Counts().Bound == 4 })
-	flood, err := net.Dial("tcp", v.Manager)
+	v.Relay.ConnectProxies(0, 1, 2, 3)
+	soon(t, "bound", func() bool { return v.Relay.Counts().AssignedProxies == 4 })
+	flood, err := net.Dial("tcp", v.ManagerAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,18 +199,18 @@
 		}
 	}()
 	soon(t, "flooded", func() bool { return v.now.metrics.counts[usagesIn].Load() > 50_000 })
-	c := dialled(t, v.Manager, "ping\r\n")
+	c := dialled(t, v.ManagerAddress, "ping\r\n")
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if line, err := bufio.NewReader(c).ReadString('\n'); line != "pong\r\n" {
 		t.Errorf("%q %v", line, err)
 	}
 	s := v.Servers[0]
-	v.Discovery.Change(s.Entry("draining"))
-	soon(t, "withdrawn", func() bool { return v.Relay.Flows(s.ID) == 0 })
+	v.Discovery.Publish(s.Entry("draining"))
+	soon(t, "withdrawn", func() bool { return v.Relay.RequestRate(s.ID) == 0 })
 	v.now.Stop(false)
 	flood.Close()
 	<-over
-	allRules(t, v.Rig)
+	allRules(t, v.Deployment)
 }
 
 // Guards against a command of staff that an end reaches while it is at work: who asked reads nothing that is still
--- a/internal/node/moves_test.go
+++ b/internal/node/moves_test.go
@@ -48,7 +48,7 @@
 	return begun(n, read), nil
 }
 
-func (d *ours) Ended() <-chan struct{}   { return d.ended }
+func (d *ours) Done() <-chan struct{}    { return d.ended }
 func (d *ours) Err() error               { return d.err }
 func (d *ours) Signal(s os.Signal) error { d.reload <- s; return nil }
 func (d *ours) Stop(bool) error {
@@ -58,10 +58,10 @@
 }
 
 // moving is a rig whose manager's connections move between four cores all the time, until the test ends.
-func moving(t *testing.T, site fakes.Site) (*fakes.Rig, *ours) {
+func moving(t *testing.T, site fakes.Site) (*fakes.Deployment, *ours) {
 	t.Helper()
 	var d *ours
-	r, err := fakes.Raise(site, fakes.How{Cores: 4, MemoryMB: 512, Sockets: 1024, Seed: 1}, func(start, settings string) (fakes.Daemon, error) {
+	r, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: 4, MemoryMB: 512, MaxDescriptors: 1024, Seed: 1}, func(start, settings string) (fakes.Manager, error) {
 		read := func() (config.Start, error) {
 			s, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": start}[key] })
 			o := config.Defaults()
@@ -100,9 +100,9 @@
 }
 
 // speakers report for all proxies and servers until the test ends, some of them spoilt.
-func speakers(t *testing.T, r *fakes.Rig, n int) {
+func speakers(t *testing.T, r *fakes.Deployment, n int) {
 	for i := range n {
-		c, err := net.Dial("tcp", r.Manager)
+		c, err := net.Dial("tcp", r.ManagerAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -143,11 +143,11 @@
 	t.Errorf("%s: not within %v", what, most)
 }
 
-func allRules(t *testing.T, r *fakes.Rig) {
+func allRules(t *testing.T, r *fakes.Deployment) {
 	t.Helper()
-	r.Relay.Look()
-	r.Relay.Rules.Drains(time.Now(), func(s string) bool { return r.Relay.Flows(s) > 0 })
-	for _, rule := range r.Relay.Rules.Verdict() {
+	r.Relay.CheckState()
+	r.Relay.Rules.CheckDrains(time.Now(), func(s string) bool { return r.Relay.RequestRate(s) > 0 })
+	for _, rule := range r.Relay.Rules.Results() {
 		if !rule.OK() {
 			t.Errorf("%+v", rule)
 		}
@@ -156,41 +156,41 @@
 
 // Drains, restarts, lost answers, a reload and news that break, all while connections move.
 func TestMovesLoseNoDrainAndRepeatNoEffect(t *testing.T) {
-	site := fakes.Usual(12, 60)
+	site := fakes.DefaultSite(12, 60)
 	r, d := moving(t, site)
 	all := make([]int, site.Proxies)
 	for i := range all {
 		all[i] = i
 	}
-	r.Relay.Join(all...)
-	soon(t, "all bound", func() bool { return r.Relay.Counts().Bound == site.Proxies })
+	r.Relay.ConnectProxies(all...)
+	soon(t, "all bound", func() bool { return r.Relay.Counts().AssignedProxies == site.Proxies })
 	speakers(t, r, 6)
 	call := 0
-	r.Relay.Fault = func(int) fakes.Fault {
+	r.Relay.InjectFault = func(int) fakes.Fault {
 		call++
-		return []fakes.Fault{fakes.None, fakes.Lost, fakes.None, fakes.Undone, fakes.None, fakes.Garbled, fakes.None}[call%7]
+		return []fakes.Fault{fakes.NoFault, fakes.AnswerLost, fakes.NoFault, fakes.NotExecuted, fakes.NoFault, fakes.AnswerGarbled, fakes.NoFault}[call%7]
 	}
 	for round, s := range r.Servers[:6] {
-		r.Discovery.Change(s.Entry("draining"))
+		r.Discovery.Publish(s.Entry("draining"))
 		if round%3 == 1 {
 			d.reload <- syscall.SIGHUP
 		}
 		if round%3 == 2 {
-			r.Relay.Away(true)
+			r.Relay.SetUnavailable(true)
 			time.Sleep(30 * time.Millisecond)
-			r.Relay.Away(false)
+			r.Relay.SetUnavailable(false)
 		}
-		soon(t, "withdrawn", func() bool { return r.Relay.Flows(s.ID) == 0 })
-		s.Turn(fakes.Down)
-		r.Discovery.Change(s.Entry("removed"))
-		r.Relay.Leave(round, round+10)
-		r.Relay.Join(round, round+10)
-		if err := s.Turn(fakes.Well); err != nil {
+		soon(t, "withdrawn", func() bool { return r.Relay.RequestRate(s.ID) == 0 })
+		s.SetBehaviour(fakes.Down)
+		r.Discovery.Publish(s.Entry("removed"))
+		r.Relay.DisconnectProxies(round, round+10)
+		r.Relay.ConnectProxies(round, round+10)
+		if err := s.SetBehaviour(fakes.Healthy); err != nil {
 			t.Fatal(err)
 		}
-		r.Discovery.Change(s.Entry("up"))
+		r.Discovery.Publish(s.Entry("up"))
 	}
-	soon(t, "all bound again", func() bool { return r.Relay.Counts().Bound == site.Proxies })
+	soon(t, "all bound again", func() bool { return r.Relay.Counts().AssignedProxies == site.Proxies })
 	allRules(t, r)
 	if n := d.metrics.counts[laneMoves].Load(); n < 50 {
 		t.Errorf("%d moves only", n)
@@ -205,7 +205,7 @@
 
 // Guards against a burst that overruns the channel: 10,000 proxies join within a second while connections move.
 func TestTenThousandJoinsInASecond(t *testing.T) {
-	site := fakes.Usual(40, 10_000)
+	site := fakes.DefaultSite(40, 10_000)
 	r, d := moving(t, site)
 	began := time.Now()
 	for at := 0; at < site.Proxies; at += 100 {
@@ -213,16 +213,16 @@
 		for i := range ids {
 			ids[i] = at + i
 		}
-		r.Relay.Join(ids...)
+		r.Relay.ConnectProxies(ids...)
 		time.Sleep(max(0, time.Duration(at)*time.Second/time.Duration(site.Proxies)-time.Since(began)))
 	}
 	took := time.Since(began)
 	soon(t, "all joins taken", func() bool { return d.metrics.counts[joinsIn].Load() >= int64(site.Proxies) })
-	soon(t, "half of all bound", func() bool { return r.Relay.Counts().Bound >= site.Proxies/2 })
+	soon(t, "half of all bound", func() bool { return r.Relay.Counts().AssignedProxies >= site.Proxies/2 })
 	if took > 2*time.Second {
 		t.Logf("the joins took %v on this machine", took)
 	}
-	for _, rule := range r.Relay.Rules.Verdict() {
+	for _, rule := range r.Relay.Rules.Results() {
 		if rule.Name == "queue and messages short" && !rule.OK() {
 			t.Errorf("%+v", rule)
 		}
@@ -230,7 +230,7 @@
 }
 
 func TestEndDuringMoves(t *testing.T) {
-	r, d := moving(t, fakes.Usual(6, 20))
+	r, d := moving(t, fakes.DefaultSite(6, 20))
 	speakers(t, r, 4)
 	time.Sleep(100 * time.Millisecond)
 	d.end()
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -15,8 +15,8 @@
 
 func TestReadyAfterARestart(t *testing.T) {
 	const proxies = 2400
-	site := fakes.Usual(200, proxies)
-	site.LinesPerS, site.QueueLines = 60_000, 60_000
+	site := fakes.DefaultSite(200, proxies)
+	site.ChannelLinesPerSecond, site.ChannelQueueLines = 60_000, 60_000
 	all := make([]int, proxies)
 	for i := range all {
 		all[i] = i
@@ -27,11 +27,11 @@
 		trouble func(v *versioned)
 	}{
 		{"sound", true, func(*versioned) {}},
-		{"discovery is silent", true, func(v *versioned) { v.Discovery.Silence(true) }},
+		{"discovery is silent", true, func(v *versioned) { v.Discovery.SetUnresponsive(true) }},
 		{"discovery is out of reach", true, func(v *versioned) { v.Discovery.Close() }},
 		{"the relay is busy", true, func(v *versioned) {
-			v.Relay.Set(func(r *fakes.Relay) {
-				r.Fault = func(call int) fakes.Fault { return ifElse(call%3 != 0, fakes.Busy, fakes.None) }
+			v.Relay.Configure(func(r *fakes.Relay) {
+				r.InjectFault = func(call int) fakes.Fault { return ifElse(call%3 != 0, fakes.AnswerBusy, fakes.NoFault) }
 			})
 		}},
 		{"the relay is silent", false, func(v *versioned) {
@@ -41,12 +41,12 @@
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			v := raise(t, site)
-			v.Relay.Join(all...)
+			v.Relay.ConnectProxies(all...)
 			soon(t, "all joined", func() bool { return v.now.metrics.counts[joinsIn].Load() == proxies })
 			v.now.Stop(false)
 			bound, done := map[string]bool{}, make(chan struct{})
-			v.Relay.Set(func(r *fakes.Relay) {
-				r.Ordered = func(_ time.Time, kind, about string) {
+			v.Relay.Configure(func(r *fakes.Relay) {
+				r.OnCommand = func(_ time.Time, kind, about string) {
 					if kind == "bind" && !bound[about] {
 						if bound[about] = true; len(bound) == proxies {
 							close(done)
@@ -56,7 +56,7 @@
 			})
 			one.trouble(v)
 			began := time.Now()
-			if err := v.Rig.Begin(); err != nil {
+			if err := v.Deployment.StartManager(); err != nil {
 				t.Fatal(err)
 			}
 			ready := time.Since(began)
--- a/internal/node/snapshot_test.go
+++ b/internal/node/snapshot_test.go
@@ -21,18 +21,18 @@
 }
 
 // restartWith starts the manager anew with a list told at the start.
-func (v *versioned) restartWith(t *testing.T, told fakes.List) {
+func (v *versioned) restartWith(t *testing.T, told fakes.EndpointList) {
 	t.Helper()
-	if err := v.Daemon.Stop(false); err != nil {
+	if err := v.Manager.Stop(false); err != nil {
 		t.Fatal(err)
 	}
-	start := fakes.ManagerStart{Dir: t.TempDir(), Name: "n1", Listen: v.Manager, Status: v.Status, Discovery: v.Discovery.Address,
-		Relay: v.Relay.Address, List: told, How: fakes.How{Cores: 1, MemoryMB: 512, Sockets: 4096, Seed: 2, Settings: v.settings}}
+	start := fakes.ManagerConfig{Dir: t.TempDir(), Name: "n1", ListenAddress: v.ManagerAddress, StatusAddress: v.StatusAddress, DiscoveryAddress: v.Discovery.Address,
+		RelayAddress: v.Relay.Address, Endpoints: told, Options: fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 2, OperatorSettings: v.settings}}
 	var err error
-	if v.Daemon, err = v.Site.StartManager(start, v.begin); err != nil {
+	if v.Manager, err = v.Site.StartManager(start, v.begin); err != nil {
 		t.Fatal(err)
 	}
-	if err := fakes.AwaitReady(v.Daemon, v.Manager, 10*time.Second); err != nil {
+	if err := fakes.AwaitReady(v.Manager, v.ManagerAddress, 10*time.Second); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -40,54 +40,54 @@
 // A region that is cut off has no discovery. A manager that restarts there must not take an hour-old list for true, and
 // once discovery is back it must not ask for the whole list.
 func TestAManagerThatRestartsWithoutDiscoveryBeginsWithTheListItHeld(t *testing.T) {
-	v := raise(t, fakes.Usual(6, 20))
+	v := raise(t, fakes.DefaultSite(6, 20))
 	v.bound(t)
-	old := v.Discovery.Whole()
+	old := v.Discovery.Snapshot()
 	drains, leaves := v.Servers[0], v.Servers[1]
-	v.Discovery.Change(drains.Entry("draining"))
-	v.Discovery.Change(leaves.Entry("removed"))
+	v.Discovery.Publish(drains.Entry("draining"))
+	v.Discovery.Publish(leaves.Entry("removed"))
 	held := int64(old.Version + 2)
 	v.awaitList(t, held)
 	if list := v.now.tellStatus().List; !list.Confirmed {
 		t.Errorf("told by discovery, and yet %+v", list)
 	}
 
-	v.Discovery.Silence(true)
+	v.Discovery.SetUnresponsive(true)
 	v.restartWith(t, old)
 	if list := v.now.tellStatus().List; list.Version != held || list.Confirmed {
 		t.Errorf("without discovery: %+v, not version %d unconfirmed", list, held)
 	}
-	for late := time.Now().Add(10 * time.Second); v.Relay.Counts().Bound < v.Site.Proxies; time.Sleep(5 * time.Millisecond) {
+	for late := time.Now().Add(10 * time.Second); v.Relay.Counts().AssignedProxies < v.Site.Proxies; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("not all proxies bound within 10 s")
 		}
 	}
 	for _, server := range []*fakes.Server{drains, leaves} {
-		if flows := v.Relay.Flows(server.ID); flows > 0 {
+		if flows := v.Relay.RequestRate(server.ID); flows > 0 {
 			t.Errorf("%s gets %g flows a second", server.ID, flows)
 		}
 	}
 
-	v.Discovery.Silence(false)
-	v.Discovery.Change(drains.Entry("removed"))
+	v.Discovery.SetUnresponsive(false)
+	v.Discovery.Publish(drains.Entry("removed"))
 	v.awaitList(t, held+1)
-	asked := v.Discovery.AskedFrom()
+	asked := v.Discovery.WatchedVersions()
 	if resumed := asked[len(asked)-1]; int64(resumed) != held || slices.Contains(asked, 0) {
 		t.Errorf("watches asked from %v, the list held was %d", asked, held)
 	}
 }
 
 func TestAListToldAtTheStartReplacesAnOlderStoredOne(t *testing.T) {
-	v := raise(t, fakes.Usual(4, 8))
+	v := raise(t, fakes.DefaultSite(4, 8))
 	v.bound(t)
-	v.awaitList(t, int64(v.Discovery.Whole().Version))
-	told := v.Discovery.Whole()
+	v.awaitList(t, int64(v.Discovery.Snapshot().Version))
+	told := v.Discovery.Snapshot()
 	told.Version += 100
-	told.Instances = told.Instances[:3]
-	v.Discovery.Silence(true)
+	told.Endpoints = told.Endpoints[:3]
+	v.Discovery.SetUnresponsive(true)
 	v.restartWith(t, told)
 	v.awaitList(t, int64(told.Version))
-	v.restartWith(t, fakes.List{Version: 1, Whole: true, Instances: []fakes.Entry{}})
+	v.restartWith(t, fakes.EndpointList{Version: 1, Complete: true, Endpoints: []fakes.Endpoint{}})
 	v.awaitList(t, int64(told.Version)) // the store has the one told since
 	if servers := len(v.now.known.entries); servers != 3 {
 		t.Errorf("%d servers at the start, not 3", servers)
@@ -96,9 +96,9 @@
 
 // The stored list is checked as one that discovery tells; a faulty one must not keep the manager from its start.
 func TestAFaultyStoredListIsLeftOut(t *testing.T) {
-	v := raise(t, fakes.Usual(4, 8))
-	told := v.Discovery.Whole()
-	if err := v.Daemon.Stop(false); err != nil {
+	v := raise(t, fakes.DefaultSite(4, 8))
+	told := v.Discovery.Snapshot()
+	if err := v.Manager.Stop(false); err != nil {
 		t.Fatal(err)
 	}
 	kept, _, err := store.Open(v.store, 0, store.DefaultLimits(), nil)
--- a/internal/node/subset_process_test.go
+++ b/internal/node/subset_process_test.go
@@ -8,10 +8,10 @@
 )
 
 // raiseSubset starts a manager with a subset before stand-ins of discovery, relay, proxies and servers.
-func raiseSubset(t *testing.T, site fakes.Site) *fakes.Rig {
+func raiseSubset(t *testing.T, site fakes.Site) *fakes.Deployment {
 	t.Helper()
-	how := fakes.How{Cores: 1, MemoryMB: 512, Sockets: 4096, Seed: 1, Settings: "(subset (spill 10))"}
-	rig, err := fakes.Raise(site, how, func(start, settings string) (fakes.Daemon, error) {
+	how := fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 1, OperatorSettings: "(subset (spill 10))"}
+	rig, err := fakes.StartDeployment(site, how, func(start, settings string) (fakes.Manager, error) {
 		read, err := startReader(start, settings)
 		if err != nil {
 			return nil, err
@@ -28,14 +28,14 @@
 // A manager with a subset, on sockets: its proxies' zone gets flows, a drain is withdrawn, a restart finds the same
 // servers, and no rule is broken.
 func TestAManagerWithASubsetOnSockets(t *testing.T) {
-	site := fakes.Usual(60, 2)
+	site := fakes.DefaultSite(60, 2)
 	site.Zones = []string{"a", "b", "c", "d", "e", "f"}
 	site.Proxies = 1 // of zone a
 	rig := raiseSubset(t, site)
-	rig.Relay.Join(0)
+	rig.Relay.ConnectProxies(0)
 	used := func() (home, others int) {
 		for _, s := range rig.Servers {
-			if rig.Relay.Flows(s.ID) > 0 {
+			if rig.Relay.RequestRate(s.ID) > 0 {
 				if s.Zone == "a" {
 					home++
 				} else {
@@ -50,20 +50,20 @@
 		t.Errorf("%d servers of other zones get flows", others)
 	}
 	drained := rig.Servers[0] // of zone a
-	rig.Discovery.Change(drained.Entry("draining"))
-	soon(t, "withdrawn", func() bool { return rig.Relay.Pulled(drained.ID) && rig.Relay.Flows(drained.ID) == 0 })
-	if err := rig.Daemon.Stop(false); err != nil {
+	rig.Discovery.Publish(drained.Entry("draining"))
+	soon(t, "withdrawn", func() bool { return rig.Relay.Withdrawn(drained.ID) && rig.Relay.RequestRate(drained.ID) == 0 })
+	if err := rig.Manager.Stop(false); err != nil {
 		t.Fatal(err)
 	}
-	if err := rig.Begin(); err != nil {
+	if err := rig.StartManager(); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(2 * time.Second)
 	home, others := used()
-	if home != 9 || others > 13 || rig.Relay.Flows(drained.ID) > 0 {
-		t.Errorf("after a restart %d servers of the home zone and %d others get flows, %.1f the one that drains", home, others, rig.Relay.Flows(drained.ID))
+	if home != 9 || others > 13 || rig.Relay.RequestRate(drained.ID) > 0 {
+		t.Errorf("after a restart %d servers of the home zone and %d others get flows, %.1f the one that drains", home, others, rig.Relay.RequestRate(drained.ID))
 	}
-	for _, rule := range rig.Relay.Rules.Verdict() {
+	for _, rule := range rig.Relay.Rules.Results() {
 		if !rule.OK() {
 			t.Errorf("%+v", rule)
 		}
--- a/internal/node/versions_rig_test.go
+++ b/internal/node/versions_rig_test.go
@@ -36,7 +36,7 @@
 
 // versioned is a rig whose manager has an admin socket, a store and a listener for holders.
 type versioned struct {
-	*fakes.Rig
+	*fakes.Deployment
 	socket, feed string
 	settings     string // of the operator
 	store        string // file
@@ -68,17 +68,17 @@
 	}
 	v.store = filepath.Join(dir, "v.db")
 	v.settings = fmt.Sprintf("(admin (socket %q)) (store (path %q)) (tables (listen %q) (keys %q))", v.socket, v.store, v.feed, keys)
-	r, err := fakes.Raise(site, fakes.How{Cores: 1, MemoryMB: 512, Sockets: 4096, Seed: 1, Settings: v.settings}, v.begin)
+	r, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 1, OperatorSettings: v.settings}, v.begin)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.Rig = r
+	v.Deployment = r
 	t.Cleanup(r.Close)
 	return v
 }
 
 // begin starts the manager in this process.
-func (v *versioned) begin(start, settings string) (fakes.Daemon, error) {
+func (v *versioned) begin(start, settings string) (fakes.Manager, error) {
 	read, err := startReader(start, settings)
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 }
 
 func freeAddress(t testing.TB) string {
-	at, err := fakes.Free()
+	at, err := fakes.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,8 +144,8 @@
 	for i := range ids {
 		ids[i] = i
 	}
-	v.Relay.Join(ids...)
-	for late := time.Now().Add(10 * time.Second); v.Relay.Counts().Bound < v.Site.Proxies; time.Sleep(5 * time.Millisecond) {
+	v.Relay.ConnectProxies(ids...)
+	for late := time.Now().Add(10 * time.Second); v.Relay.Counts().AssignedProxies < v.Site.Proxies; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("not all bound within 10 s")
 		}
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -23,7 +23,7 @@
 )
 
 func TestAWayBackTakesEffectOnceAlsoAfterARestart(t *testing.T) {
-	v := raise(t, fakes.Usual(6, 12))
+	v := raise(t, fakes.DefaultSite(6, 12))
 	l := newLatest()
 	for i := range 8 {
 		tail(t, v.feed, i, l.of(i))
@@ -33,8 +33,8 @@
 	good := v.versions(t)[0]
 	before := v.show(t, good)
 	drained := v.Servers[0]
-	v.Discovery.Change(drained.Entry("draining"))
-	soon(t, "drained", func() bool { return v.Relay.Flows(drained.ID) == 0 })
+	v.Discovery.Publish(drained.Entry("draining"))
+	soon(t, "drained", func() bool { return v.Relay.RequestRate(drained.ID) == 0 })
 	told, err := v.ask(t, Ask{Do: "rollback", Version: good, Key: "k1", For: time.Minute})
 	if err != nil || !strings.Contains(told, "done under key") {
 		t.Fatal(told, err)
@@ -48,7 +48,7 @@
 			t.Errorf("%q is not back in\n%s", line, now)
 		}
 	}
-	if v.Relay.Flows(drained.ID) != 0 || !strings.Contains(now, "withdrawn "+drained.ID) {
+	if v.Relay.RequestRate(drained.ID) != 0 || !strings.Contains(now, "withdrawn "+drained.ID) {
 		t.Error("a server that drained since gets flows back")
 	}
 	newest := v.versions(t)[0]
@@ -59,8 +59,8 @@
 	if text, err := v.ask(t, Ask{Do: "verify"}); err != nil || !strings.Contains(text, "hold") {
 		t.Error(text, err)
 	}
-	v.Daemon.Stop(false)
-	if err := v.Begin(); err != nil {
+	v.Manager.Stop(false)
+	if err := v.StartManager(); err != nil {
 		t.Fatal(err)
 	}
 	if again, err := v.ask(t, Ask{Do: "rollback", Version: good, Key: "k1"}); err != nil || !strings.HasPrefix(again, "done before") {
@@ -85,7 +85,7 @@
 }
 
 func TestCorruptDeltasLeaveEachHolderOnItsLastGoodVersion(t *testing.T) {
-	v := raise(t, fakes.Usual(9, 12))
+	v := raise(t, fakes.DefaultSite(9, 12))
 	var spoil atomic.Bool
 	spoil.Store(true)
 	way, l := between(t, v.feed, &spoil), newLatest()
@@ -95,9 +95,9 @@
 	v.bound(t)
 	for round := range 12 {
 		s := v.Servers[round%len(v.Servers)]
-		v.Discovery.Change(s.Entry("draining"))
+		v.Discovery.Publish(s.Entry("draining"))
 		time.Sleep(60 * time.Millisecond)
-		v.Discovery.Change(s.Entry("up"))
+		v.Discovery.Publish(s.Entry("up"))
 		time.Sleep(60 * time.Millisecond)
 	}
 	good := map[string]bool{}
@@ -119,7 +119,7 @@
 }
 
 func TestWhoCantProveAKeyGetsNothing(t *testing.T) {
-	v := raise(t, fakes.Usual(3, 3))
+	v := raise(t, fakes.DefaultSite(3, 3))
 	for what, say := range map[string]func(c net.Conn, nonce []byte){
 		"silent":  func(net.Conn, []byte) {},
 		"rubbish": func(c net.Conn, _ []byte) { io.WriteString(c, "GET / HTTP/1.1\r\n\r\n") },
@@ -200,7 +200,7 @@
 
 // BenchmarkRollback is from a command of staff's to the holder that runs it last, of a thousand.
 func BenchmarkRollback(b *testing.B) {
-	v, l := raise(b, fakes.Usual(30, 60)), newLatest()
+	v, l := raise(b, fakes.DefaultSite(30, 60)), newLatest()
 	const n = 1000
 	for i := range n {
 		tail(b, v.feed, i, l.of(i))
@@ -217,7 +217,7 @@
 	wait(newest)
 	time.Sleep(time.Second)
 	good := newest()
-	c, err := net.Dial("tcp", v.Manager)
+	c, err := net.Dial("tcp", v.ManagerAddress)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/scale/connections.go
+++ b/internal/scale/connections.go
@@ -34,7 +34,7 @@
 		return 0, err
 	}
 	manager := f.managers[0]
-	before := fakes.Resident(manager.daemon)
+	before := fakes.ResidentMemoryMB(manager.daemon)
 	for range connections {
 		connection, err := pinged(manager.address)
 		if err != nil {
@@ -42,7 +42,7 @@
 		}
 		defer connection.Close()
 	}
-	return max(0, fakes.Resident(manager.daemon)-before) * mib, nil
+	return max(0, fakes.ResidentMemoryMB(manager.daemon)-before) * mib, nil
 }
 
 // pinged opens a connection and waits until it is served.
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -39,7 +39,7 @@
 func ServeControl(servers int, requests io.Reader, answers io.Writer) error {
 	scenario := Reference().With(Servers, float64(servers))
 	site := scenario.site()
-	var entries []fakes.Entry
+	var entries []fakes.Endpoint
 	for server := range servers {
 		entries = append(entries, scenario.entry(site, server, "up"))
 	}
@@ -55,7 +55,7 @@
 	lines := bufio.NewScanner(requests)
 	for changed := 0; lines.Scan(); {
 		if lines.Text() == requestChange {
-			discovery.Change(scenario.entry(site, changed/2%servers, []string{"draining", "up"}[changed%2]))
+			discovery.Publish(scenario.entry(site, changed/2%servers, []string{"draining", "up"}[changed%2]))
 			changed++
 		}
 		use := controlUse{Address: discovery.Address, CPU: processCPU().Seconds()}
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -46,7 +46,7 @@
 	for proxy := range scenario.Proxies {
 		f.opening = append(f.opening, source.joined(proxy))
 	}
-	f.opening = append(f.opening, node.Message{Kind: node.NewsComplete}, usage(0, f.site.Groups[0].Name, 0, time.Second))
+	f.opening = append(f.opening, node.Message{Kind: node.NewsComplete}, usage(0, f.site.TrafficClasses[0].Name, 0, time.Second))
 	var err error
 	f.start, err = scenario.start(f.site)
 	return f, err
--- a/internal/scale/inforce.go
+++ b/internal/scale/inforce.go
@@ -174,13 +174,13 @@
 
 // wholeList is the list as it stands after the changes that were told.
 func (r *inForceRun) wholeList() node.Message {
-	list := fakes.List{Version: r.version, Whole: true}
+	list := fakes.EndpointList{Version: r.version, Complete: true}
 	for server := range r.fleet.scenario.Servers {
 		lifecycle := "up"
 		if slices.Contains(r.drained, server) {
 			lifecycle = "draining"
 		}
-		list.Instances = append(list.Instances, r.fleet.scenario.entry(r.fleet.site, server, lifecycle))
+		list.Endpoints = append(list.Endpoints, r.fleet.scenario.entry(r.fleet.site, server, lifecycle))
 	}
 	return node.Message{Kind: node.ListMessage, Text: encodeList(list)}
 }
--- a/internal/scale/real.go
+++ b/internal/scale/real.go
@@ -94,12 +94,12 @@
 // measureProcess measures one process in one state after the other.
 func measureProcess(ctx context.Context, options Options, scenario Scenario, interval time.Duration, log string) (cases []RealCase, err error) {
 	site := scenario.site()
-	begin := fakes.Process(options.Program, log)
-	how := fakes.How{Cores: realCores, MemoryMB: 512, Sockets: maxSockets, Seed: scenario.Seed}
+	begin := fakes.ProcessStarter(options.Program, log)
+	how := fakes.ManagerOptions{Cores: realCores, MemoryMB: 512, MaxDescriptors: maxSockets, Seed: scenario.Seed}
 	if interval > 0 {
-		how.Settings = fmt.Sprintf("(read-interval %v)", interval)
+		how.OperatorSettings = fmt.Sprintf("(read-interval %v)", interval)
 	}
-	rig, err := fakes.Raise(site, how, begin)
+	rig, err := fakes.StartDeployment(site, how, begin)
 	if err != nil {
 		return nil, err
 	}
@@ -125,10 +125,10 @@
 	return cases, nil
 }
 
-func measureState(ctx context.Context, rig *fakes.Rig, scenario Scenario, state realState, into *RealCase) error {
-	if state.joined && rig.Relay.Counts().Joined == 0 {
+func measureState(ctx context.Context, rig *fakes.Deployment, scenario Scenario, state realState, into *RealCase) error {
+	if state.joined && rig.Relay.Counts().ConnectedProxies == 0 {
 		for proxy := range scenario.Proxies {
-			rig.Relay.Join(proxy)
+			rig.Relay.ConnectProxies(proxy)
 		}
 	}
 	load, stop := context.WithCancel(ctx)
@@ -142,12 +142,12 @@
 		err = measureSpan(ctx, rig, into)
 	}
 	stop()
-	_, into.MemoryMB = fakes.Use(rig.Daemon)
+	_, into.MemoryMB = fakes.ResourceUsage(rig.Manager)
 	return errors.Join(err, <-ended)
 }
 
 // measureSpan adds one run.
-func measureSpan(ctx context.Context, rig *fakes.Rig, into *RealCase) error {
+func measureSpan(ctx context.Context, rig *fakes.Deployment, into *RealCase) error {
 	probesBefore, err := probesSent(rig)
 	if err != nil {
 		return err
@@ -166,7 +166,7 @@
 	return err
 }
 
-func probesSent(rig *fakes.Rig) (float64, error) {
+func probesSent(rig *fakes.Deployment) (float64, error) {
 	counters, err := rig.Counters()
 	return float64(counters["probes_sent"]), err
 }
@@ -238,11 +238,11 @@
 }
 
 // feed tells a real manager what a recorder would tell a hollow one, on a collector's connection and discovery's watch.
-func feed(ctx context.Context, rig *fakes.Rig, scenario Scenario, every time.Duration) error {
+func feed(ctx context.Context, rig *fakes.Deployment, scenario Scenario, every time.Duration) error {
 	if scenario.Reports == 0 {
 		return nil
 	}
-	connection, err := net.Dial("tcp", rig.Manager)
+	connection, err := net.Dial("tcp", rig.ManagerAddress)
 	if err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 		}
 		for ; float64(changed) < passed*scenario.ListChanges; changed++ {
 			server := rig.Servers[changed/2%len(rig.Servers)]
-			rig.Discovery.Change(server.Entry([]string{"draining", "up"}[changed%2]))
+			rig.Discovery.Publish(server.Entry([]string{"draining", "up"}[changed%2]))
 		}
 		if len(lines) == 0 {
 			continue
--- a/internal/scale/real_fleet.go
+++ b/internal/scale/real_fleet.go
@@ -59,7 +59,7 @@
 	address        string
 	status         string
 	relay          *fakes.Relay
-	daemon         fakes.Daemon
+	daemon         fakes.Manager
 	collectorsLine net.Conn
 }
 
@@ -96,7 +96,7 @@
 	if f.servers, err = fakes.NewServers(f.site); err != nil {
 		return f, err
 	}
-	var entries []fakes.Entry
+	var entries []fakes.Endpoint
 	for _, server := range f.servers {
 		entries = append(entries, server.Entry("up"))
 	}
@@ -122,7 +122,7 @@
 }
 
 // newManager prepares one manager and its relay; the process isn't started.
-func (f *realFleet) newManager(number int, entries []fakes.Entry) (m *realManager, err error) {
+func (f *realFleet) newManager(number int, entries []fakes.Endpoint) (m *realManager, err error) {
 	m = &realManager{name: fmt.Sprintf("n%03d", number)}
 	m.dir = filepath.Join(f.dir, m.name)
 	if err := os.Mkdir(m.dir, 0o700); err != nil {
@@ -131,12 +131,12 @@
 	if m.relay, err = fakes.NewRelay("127.0.0.1:0", f.site); err != nil {
 		return m, err
 	}
-	m.relay.Knows(entries...)
-	m.relay.Set(func(r *fakes.Relay) {
-		r.Ordered = func(at time.Time, kind, about string) { f.orders.note(m.name, at, kind, about) }
+	m.relay.RegisterServers(entries...)
+	m.relay.Configure(func(r *fakes.Relay) {
+		r.OnCommand = func(at time.Time, kind, about string) { f.orders.note(m.name, at, kind, about) }
 	})
 	for proxy := range f.site.Proxies {
-		m.relay.Join(proxy)
+		m.relay.ConnectProxies(proxy)
 	}
 	return m, nil
 }
@@ -144,7 +144,7 @@
 // begin starts all processes, so many at once, and gives, sorted, the seconds until each was ready.
 func (f *realFleet) begin(ctx context.Context, atOnce int) ([]float64, error) {
 	f.starts++
-	list := f.discovery.Whole()
+	list := f.discovery.Snapshot()
 	times, errs := make([]float64, len(f.managers)), make([]error, len(f.managers))
 	places := make(chan struct{}, atOnce)
 	var group sync.WaitGroup
@@ -167,10 +167,10 @@
 
 // beginOne starts one process, waits until it is ready, and tells it once that no flows come. A process that is still
 // waited for ends with the context.
-func (f *realFleet) beginOne(ctx context.Context, m *realManager, list fakes.List, seed uint64) (err error) {
-	start := fakes.ManagerStart{Dir: m.dir, Name: m.name, Listen: m.address, Status: m.status, Discovery: f.discovery.Address,
-		Relay: m.relay.Address, List: list, How: fakes.How{Cores: realCores, MemoryMB: 512, Sockets: 512, Seed: seed + f.starts}}
-	if m.daemon, err = f.site.StartManager(start, fakes.Process(f.program, filepath.Join(m.dir, "log"))); err != nil {
+func (f *realFleet) beginOne(ctx context.Context, m *realManager, list fakes.EndpointList, seed uint64) (err error) {
+	start := fakes.ManagerConfig{Dir: m.dir, Name: m.name, ListenAddress: m.address, StatusAddress: m.status, DiscoveryAddress: f.discovery.Address,
+		RelayAddress: m.relay.Address, Endpoints: list, Options: fakes.ManagerOptions{Cores: realCores, MemoryMB: 512, MaxDescriptors: 512, Seed: seed + f.starts}}
+	if m.daemon, err = f.site.StartManager(start, fakes.ProcessStarter(f.program, filepath.Join(m.dir, "log"))); err != nil {
 		return err
 	}
 	defer context.AfterFunc(ctx, func() { m.daemon.Stop(true) })()
@@ -180,7 +180,7 @@
 	if m.collectorsLine, err = net.Dial("tcp", m.address); err != nil {
 		return err
 	}
-	lines := []string{"collector site=" + f.site.Zones[0], usage(0, f.site.Groups[0].Name, 0, time.Second).Text}
+	lines := []string{"collector site=" + f.site.Zones[0], usage(0, f.site.TrafficClasses[0].Name, 0, time.Second).Text}
 	m.collectorsLine.SetWriteDeadline(time.Now().Add(writeAtMost))
 	_, err = m.collectorsLine.Write([]byte(strings.Join(lines, "\r\n") + "\r\n"))
 	return err
@@ -190,7 +190,7 @@
 func (f *realFleet) awaitBound(ctx context.Context) error {
 	late := time.Now().Add(fleetBoundMost)
 	for _, manager := range f.managers {
-		for manager.relay.Counts().Bound < f.site.Proxies {
+		for manager.relay.Counts().AssignedProxies < f.site.Proxies {
 			if time.Now().After(late) {
 				return fmt.Errorf("%s: its proxies are not bound after %v", manager.name, fleetBoundMost)
 			}
@@ -268,7 +268,7 @@
 // largestMemory is the largest resident set of a process so far, in bytes.
 func (f *realFleet) largestMemory() (largest float64) {
 	for _, manager := range f.managers {
-		_, megabytes := fakes.Use(manager.daemon)
+		_, megabytes := fakes.ResourceUsage(manager.daemon)
 		largest = max(largest, megabytes*mib)
 	}
 	return largest
@@ -283,7 +283,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- meanwhile() }()
 	told := time.Now()
-	f.discovery.Change(server.Entry("draining"))
+	f.discovery.Publish(server.Entry("draining"))
 	if err := <-ended; err != nil {
 		return nil, err
 	}
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -63,23 +63,23 @@
 
 // site is the deployment that a scenario stands for, in the words of the platform's configuration.
 func (s Scenario) site() fakes.Site {
-	site := fakes.Usual(s.Servers, s.Proxies)
-	site.Rate = s.flows() / float64(s.Proxies)
+	site := fakes.DefaultSite(s.Servers, s.Proxies)
+	site.RequestRate = s.flows() / float64(s.Proxies)
 	site.Zones = nil
 	for zone := range s.Zones {
 		site.Zones = append(site.Zones, fmt.Sprintf("z-%02d", zone))
 	}
-	site.Groups = nil
+	site.TrafficClasses = nil
 	for group := range s.TrafficGroups {
-		site.Groups = append(site.Groups, fakes.Group{Name: fmt.Sprintf("g-%02d", group), Budget: 2 * time.Second,
-			Expiry: 6 * time.Second, Utility: float64(1 + group), Repeat: "idempotent", Part: 1 / float64(s.TrafficGroups)})
+		site.TrafficClasses = append(site.TrafficClasses, fakes.TrafficClass{Name: fmt.Sprintf("g-%02d", group), LatencyObjective: 2 * time.Second,
+			Deadline: 6 * time.Second, PriorityWeight: float64(1 + group), Idempotency: "idempotent", TrafficShare: 1 / float64(s.TrafficGroups)})
 	}
 	return site
 }
 
 // entry is a server's line of the list.
-func (s Scenario) entry(site fakes.Site, server int, lifecycle string) fakes.Entry {
-	return fakes.Entry{ID: fakes.ServerID(server), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", server>>16, server>>8&255, server&255),
+func (s Scenario) entry(site fakes.Site, server int, lifecycle string) fakes.Endpoint {
+	return fakes.Endpoint{ID: fakes.ServerID(server), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", server>>16, server>>8&255, server&255),
 		Zone: s.zoneOfServer(site, server), Lifecycle: lifecycle, Weight: 1}
 }
 
@@ -102,14 +102,14 @@
 
 // wholeList is the list that tells all servers.
 func (s Scenario) wholeList(site fakes.Site, version int) string {
-	list := fakes.List{Version: version, Whole: true}
+	list := fakes.EndpointList{Version: version, Complete: true}
 	for server := range s.Servers {
-		list.Instances = append(list.Instances, s.entry(site, server, "up"))
+		list.Endpoints = append(list.Endpoints, s.entry(site, server, "up"))
 	}
 	return encodeList(list)
 }
 
-func encodeList(list fakes.List) string {
+func encodeList(list fakes.EndpointList) string {
 	text, err := json.Marshal(list)
 	if err != nil {
 		panic(err) // no value of a list can fail
@@ -125,7 +125,7 @@
 	}
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "start.json")
-	text := site.Start("n1", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", fakes.List{Whole: true, Instances: []fakes.Entry{}}, s.Seed, 1,
+	text := site.Start("n1", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", fakes.EndpointList{Complete: true, Endpoints: []fakes.Endpoint{}}, s.Seed, 1,
 		memoryMB, maxSockets)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return config.Start{}, err
--- a/internal/scale/script.go
+++ b/internal/scale/script.go
@@ -263,7 +263,7 @@
 
 func (r *recorder) joined(proxy int) node.Message {
 	return node.Message{Kind: node.NewsMessage, Event: "joined",
-		Text: fmt.Sprintf("id=%d&site=%s&rps=%g&new=1", proxy, r.scenario.zoneOfProxy(r.site, proxy), r.site.Rate)}
+		Text: fmt.Sprintf("id=%d&site=%s&rps=%g&new=1", proxy, r.scenario.zoneOfProxy(r.site, proxy), r.site.RequestRate)}
 }
 
 // busy lets reports and changes of the list come, each at its time.
@@ -305,7 +305,7 @@
 
 // quieten tells that no flows come any more, and waits until what was told before is out of date.
 func (r *recorder) quieten() error {
-	if err := r.step(r.now+time.Millisecond, usage(0, r.site.Groups[0].Name, 0, time.Second)); err != nil {
+	if err := r.step(r.now+time.Millisecond, usage(0, r.site.TrafficClasses[0].Name, 0, time.Second)); err != nil {
 		return err
 	}
 	return r.advance(r.now + warmSpan)
@@ -321,8 +321,8 @@
 		return node.Message{Kind: node.ReportMessage, Text: fmt.Sprintf("heard site=%s target=%s count=%d fail=0 mean=%.1f over=%.1f util=inflight:%d",
 			zone, fakes.ServerID(server), flowsPerReport, 100+float64(n%7), r.between(r.scenario.Servers).Seconds()*1000, 1+n%3)}
 	}
-	group := r.site.Groups[n/r.scenario.Proxies%len(r.site.Groups)]
-	return usage(n%r.scenario.Proxies, group.Name, flowsPerReport, r.between(r.scenario.Proxies*len(r.site.Groups)))
+	group := r.site.TrafficClasses[n/r.scenario.Proxies%len(r.site.TrafficClasses)]
+	return usage(n%r.scenario.Proxies, group.Name, flowsPerReport, r.between(r.scenario.Proxies*len(r.site.TrafficClasses)))
 }
 
 func usage(proxy int, group string, flows int, span time.Duration) node.Message {
@@ -339,7 +339,7 @@
 // change drains servers, or lets them come back as fresh processes, in turn.
 func (r *recorder) change(servers int) node.Message {
 	r.version++
-	list := fakes.List{Version: r.version}
+	list := fakes.EndpointList{Version: r.version}
 	drains := r.restarts%2 == 0
 	for range servers {
 		server := r.order[r.next%len(r.order)]
@@ -348,7 +348,7 @@
 			entry = r.scenario.entry(r.site, server, "up")
 			entry.Started = scriptEpoch.Add(r.now).UnixMilli()
 		}
-		list.Instances = append(list.Instances, entry)
+		list.Endpoints = append(list.Endpoints, entry)
 		r.next++
 	}
 	if r.restarts++; drains {
--- a/internal/scale/work_test.go
+++ b/internal/scale/work_test.go
@@ -159,7 +159,7 @@
 	size := func(servers int) int {
 		scenario := Reference().With(Servers, float64(servers))
 		site := scenario.site()
-		var entries []fakes.Entry
+		var entries []fakes.Endpoint
 		for server := range servers {
 			entries = append(entries, scenario.entry(site, server, "up"))
 		}
@@ -177,7 +177,7 @@
 			t.Fatal(err)
 		}
 		before := r.bytes
-		discovery.Change(scenario.entry(site, 0, "draining"))
+		discovery.Publish(scenario.entry(site, 0, "draining"))
 		if err := r.until(`"draining"`); err != nil {
 			t.Fatal(err)
 		}
