--- a/cmd/tamarindshore/check.go
+++ b/cmd/tamarindshore/check.go
@@ -46,11 +46,11 @@
 		if err != nil {
 			return "", fmt.Errorf("%s: %v", path, err)
 		}
-		return fmt.Sprintf("a start: %d zones, %d traffic groups, up to %d proxies", len(s.Terms.Zones), len(s.Groups), s.Terms.Proxies), nil
+		return fmt.Sprintf("a start: %d zones, %d traffic groups, up to %d proxies", len(s.Balancer.Zones), len(s.ClassNames), s.Balancer.Proxies), nil
 	}
-	o, err := config.ParseOperator(path, text)
+	o, err := config.ParseOperatorSettings(path, text)
 	if err != nil {
 		return "", err
 	}
-	return fmt.Sprintf("operator's settings: %d cores, log %s as %s", o.Lanes, o.LogLevel, o.LogForm), nil
+	return fmt.Sprintf("operator's settings: %d cores, log %s as %s", o.Shards, o.LogLevel, o.LogFormat), nil
 }
--- a/cmd/tamarindshore/serve.go
+++ b/cmd/tamarindshore/serve.go
@@ -40,16 +40,16 @@
 
 // Run serves until SIGTERM.
 func (s serve) Run(p process) error {
-	operator := config.Defaults()
+	operator := config.DefaultOperatorSettings()
 	if s.Settings != "" {
 		var err error
-		if operator, err = config.ReadOperator(s.Settings); err != nil {
+		if operator, err = config.ReadOperatorSettings(s.Settings); err != nil {
 			return err
 		}
 	}
 	start, err := config.Read(os.Getenv)
 	if err == nil {
-		start, err = start.With(operator)
+		start, err = start.WithOperator(operator)
 	}
 	if err != nil {
 		return err
@@ -58,11 +58,11 @@
 	if err != nil {
 		return err
 	}
-	return n.Run(p.ctx, p.signals, func() (config.Start, error) {
+	return n.Run(p.ctx, p.signals, func() (config.Config, error) {
 		next, err := config.Reread(os.Getenv)
 		if err != nil {
 			return next, err
 		}
-		return next.With(operator)
+		return next.WithOperator(operator)
 	})
 }
--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -29,7 +29,7 @@
 func (m *Model) Limits() []Limit {
 	p := m.Plan
 	return []Limit{
-		{"bytes of a whole list, which is one line", float64(config.LongestList(p.Budgets.MemoryMB)), m.perScope(func(s Scope) Figure { return m.opening(p.usual(s)) }),
+		{"bytes of a whole list, which is one line", float64(config.MaxEndpointListBytes(p.Budgets.MemoryMB)), m.perScope(func(s Scope) Figure { return m.opening(p.usual(s)) }),
 			"a whole list is refused as too long: only changes can be taken", "`config.Limits.LineList`"},
 		{"seconds of a whole list, sent at the budget's pace", mostLineTime, m.perScope(func(s Scope) Figure { return m.opening(p.usual(s)).times(1 / p.Budgets.BytesPerSecond) }),
 			"the watch counts as silent and is opened again", "`config.Limits.SilentWatch`, `deadlineConn` in `internal/node`"},
--- a/internal/capacity/plan_read.go
+++ b/internal/capacity/plan_read.go
@@ -58,7 +58,7 @@
 			whole("others", &p.Subset.Others, 0, mostCount),
 			number("widen-below", &p.Subset.WidenBelow, 0, 1)),
 		section("message-bytes", p.Messages.keys()...),
-		{Name: "judged", Must: true, Read: p.readJudged},
+		{Name: "judged", Required: true, Read: p.readJudged},
 	}
 }
 
@@ -165,7 +165,7 @@
 	} {
 		if one.value > one.most {
 			at := child(child(root, one.section), one.key)
-			return at.Fail("%s: %d is more than the %d %s", one.key, one.value, one.most, one.of)
+			return at.Errorf("%s: %d is more than the %d %s", one.key, one.value, one.most, one.of)
 		}
 	}
 	return nil
@@ -181,19 +181,19 @@
 }
 
 func section(name string, keys ...sexp.Key) sexp.Key {
-	return sexp.Key{Name: name, Must: true, Read: func(n *sexp.Node) error { return sexp.Read(n, n.Args(), keys...) }}
+	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error { return sexp.Read(n, n.Args(), keys...) }}
 }
 
 func whole(name string, to *int, least, most int) sexp.Key {
-	return sexp.Key{Name: name, Must: true, Read: func(n *sexp.Node) error { return n.Whole(to, least, most) }}
+	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error { return n.Int(to, least, most) }}
 }
 
 func number(name string, to *float64, least, most float64) sexp.Key {
-	return sexp.Key{Name: name, Must: true, Read: func(n *sexp.Node) error { return n.Number(to, least, most) }}
+	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error { return n.Float(to, least, most) }}
 }
 
 func yesOrNo(name string, to *bool) sexp.Key {
-	return sexp.Key{Name: name, Must: true, Read: func(n *sexp.Node) error {
+	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error {
 		var word string
 		err := n.OneOf(&word, "yes", "no")
 		*to = word == "yes"
@@ -203,9 +203,9 @@
 
 // spanOrNone is a time that may be 0s.
 func spanOrNone(name string, to *time.Duration) sexp.Key {
-	return sexp.Key{Name: name, Must: true, Read: func(n *sexp.Node) error { return n.Span(to, 0, mostTime) }}
+	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error { return n.Duration(to, 0, mostTime) }}
 }
 
 func span(name string, to *time.Duration) sexp.Key {
-	return sexp.Key{Name: name, Must: true, Read: func(n *sexp.Node) error { return n.Span(to, shortest, mostTime) }}
+	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error { return n.Duration(to, shortest, mostTime) }}
 }
--- a/internal/commands/orders.go
+++ b/internal/commands/orders.go
@@ -9,12 +9,12 @@
 )
 
 // Empty tells whether orders hold nothing for the relay.
-func Empty(o balancer.Commands) bool { return o.Count() == 0 && o.Barrier == 0 }
+func IsEmpty(o balancer.Commands) bool { return o.Count() == 0 && o.Barrier == 0 }
 
 // Fold gives the latest state that orders, one after another, come to: by table and server, table
 // and groups, proxy and groups, and server. Drains stay first and the last mark last. It keeps what the order
 // guards: a server is let back in and a proxy bound only after the lines that they are to find.
-func Fold(all ...balancer.Commands) balancer.Commands {
+func Merge(all ...balancer.Commands) balancer.Commands {
 	if len(all) == 1 {
 		return all[0]
 	}
@@ -72,7 +72,7 @@
 }
 
 // Skip drops the first n orders, in the order in which they are encoded.
-func Skip(o balancer.Commands, n int) balancer.Commands {
+func SkipFirst(o balancer.Commands, n int) balancer.Commands {
 	o.Withdraw, n = cut(o.Withdraw, n)
 	o.Weights, n = cut(o.Weights, n)
 	o.AdmissionLevels, n = cut(o.AdmissionLevels, n)
@@ -85,8 +85,8 @@
 }
 
 // First keeps the first n orders, under a mark of their own.
-func First(o balancer.Commands, n int, mark balancer.BarrierID) balancer.Commands {
-	rest := Skip(o, n)
+func KeepFirst(o balancer.Commands, n int, mark balancer.BarrierID) balancer.Commands {
+	rest := SkipFirst(o, n)
 	return balancer.Commands{
 		Withdraw:        o.Withdraw[:len(o.Withdraw)-len(rest.Withdraw)],
 		Weights:         o.Weights[:len(o.Weights)-len(rest.Weights)],
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,14 +20,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Name != "n3" || s.Relay != "127.0.0.3:6400" || s.Seed != 0x8c1f30d27a5be964 || !s.Loads {
+	if s.Name != "n3" || s.Relay != "127.0.0.3:6400" || s.Seed != 0x8c1f30d27a5be964 || !s.ServersReportLoad {
 		t.Errorf("start %+v", s)
 	}
-	if s.Terms.QueueCapacity != 8600 || len(s.Groups) != 1 || s.Groups[0] != "lookup" {
-		t.Errorf("terms %+v", s.Terms)
+	if s.Balancer.QueueCapacity != 8600 || len(s.ClassNames) != 1 || s.ClassNames[0] != "lookup" {
+		t.Errorf("terms %+v", s.Balancer)
 	}
 	l := s.Limits
-	if l.Memory != 192<<20 || l.Cores != 1 || l.Unnamed+l.Named+l.ProbesOpen >= l.Sockets/2 {
+	if l.Memory != 192<<20 || l.Cores != 1 || l.MaxUnidentifiedConns+l.MaxCollectorConns+l.MaxOpenHealthChecks >= l.Sockets/2 {
 		t.Errorf("limits %+v", l)
 	}
 }
@@ -35,10 +35,10 @@
 // Guards against network code that outgrows the smallest machine.
 func TestLimitsScaleWithTheMachine(t *testing.T) {
 	l := limits(0.2, 32, 256)
-	if open := l.Unnamed + l.Named + l.ProbesOpen + 8; open > 128 {
+	if open := l.MaxUnidentifiedConns + l.MaxCollectorConns + l.MaxOpenHealthChecks + 8; open > 128 {
 		t.Errorf("%d descriptors of 256", open)
 	}
-	if held := int64(l.Unnamed*l.LineUnnamed + l.Named*l.LineNamed + 2*l.LineList); held > l.Memory/8 {
+	if held := int64(l.MaxUnidentifiedConns*l.MaxUnidentifiedLineBytes + l.MaxCollectorConns*l.MaxCollectorLineBytes + 2*l.MaxEndpointListBytes); held > l.Memory/8 {
 		t.Errorf("%d bytes of %d in lines", held, l.Memory)
 	}
 }
@@ -116,7 +116,7 @@
 // Guards against a fleet of which only the first few hundred servers are probed when all are lost at once.
 func TestTheSmallestMachineHasRoomForAThousandServers(t *testing.T) {
 	l := limits(0.01, 32, 64)
-	if l.ProbesWait < 1024 || l.Inputs < 1024 || l.LineList < 1024*200 {
+	if l.MaxQueuedHealthChecks < 1024 || l.MaxQueuedInputs < 1024 || l.MaxEndpointListBytes < 1024*200 {
 		t.Errorf("%+v", l)
 	}
 }
@@ -146,10 +146,10 @@
 
 // A list of 24,000 servers, at 200 bytes each, fits a manager with 256 MB; a small one keeps 1 MiB.
 func TestTheBoundOfAWholeListFollowsTheMemory(t *testing.T) {
-	if most := limits(1, 256, 1024).LineList; most < 24000*200 {
+	if most := limits(1, 256, 1024).MaxEndpointListBytes; most < 24000*200 {
 		t.Errorf("%d bytes with 256 MB", most)
 	}
-	if most := limits(1, 16, 1024).LineList; most != minListLine {
+	if most := limits(1, 16, 1024).MaxEndpointListBytes; most != minListLine {
 		t.Errorf("%d bytes with 16 MB", most)
 	}
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -9,19 +9,19 @@
 )
 
 func TestOperatorsSettingsAreTakenWholeWithDefaults(t *testing.T) {
-	o, err := ParseOperator("f", []byte(`(tamarindshore (cores 4) (log (form json)) (listen (status "127.0.0.1:9801")))`))
-	if err != nil || o.Lanes != 4 || o.LogForm != logging.JSON || o.LogLevel != "info" || o.Status != "127.0.0.1:9801" {
+	o, err := ParseOperatorSettings("f", []byte(`(tamarindshore (cores 4) (log (form json)) (listen (status "127.0.0.1:9801")))`))
+	if err != nil || o.Shards != 4 || o.LogFormat != logging.JSON || o.LogLevel != "info" || o.StatusAddress != "127.0.0.1:9801" {
 		t.Errorf("%+v %v", o, err)
 	}
 	s, err := parse(none, []byte(told), false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err = s.With(o); err == nil || err.Error() != "f:1: cores: 4 is more than the platform's limits.cores, 1" {
+	if _, err = s.WithOperator(o); err == nil || err.Error() != "f:1: cores: 4 is more than the platform's limits.cores, 1" {
 		t.Error(err)
 	}
-	s.coresTold = false
-	if s, err = s.With(o); err != nil || s.Limits.Lanes != 4 || s.Limits.Cores != 4 {
+	s.coresConfigured = false
+	if s, err = s.WithOperator(o); err != nil || s.Limits.Shards != 4 || s.Limits.Cores != 4 {
 		t.Errorf("%+v %v", s.Limits, err)
 	}
 }
@@ -41,16 +41,16 @@
 		"(other)":                         "f:1: one form (tamarindshore ...) is due",
 		"(tamarindshore) (tamarindshore)": "f:1: one form (tamarindshore ...) is due",
 	} {
-		if _, err := ParseOperator("f", []byte(text)); err == nil || err.Error() != want {
+		if _, err := ParseOperatorSettings("f", []byte(text)); err == nil || err.Error() != want {
 			t.Errorf("%q: %v, not %s", text, err, want)
 		}
 	}
 }
 
 // withSettings is a start joined to the operator's settings.
-func withSettings(t *testing.T, settings string) Start {
+func withSettings(t *testing.T, settings string) Config {
 	t.Helper()
-	operator, err := ParseOperator("f", []byte(settings))
+	operator, err := ParseOperatorSettings("f", []byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if start, err = start.With(operator); err != nil {
+	if start, err = start.WithOperator(operator); err != nil {
 		t.Fatal(err)
 	}
 	return start
@@ -79,7 +79,7 @@
 		}
 	}
 	for _, text := range []string{"0s", "1us", "201ms", "-1ms", "soon"} {
-		if _, err := ParseOperator("f", []byte("(tamarindshore\n (read-interval "+text+"))")); err == nil || !strings.HasPrefix(err.Error(), "f:2: read-interval") {
+		if _, err := ParseOperatorSettings("f", []byte("(tamarindshore\n (read-interval "+text+"))")); err == nil || !strings.HasPrefix(err.Error(), "f:2: read-interval") {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
--- a/internal/faultsim/scenario.go
+++ b/internal/faultsim/scenario.go
@@ -101,13 +101,13 @@
 		return s, fmt.Errorf("%s:1: one form (scenario ...) is due", name)
 	}
 	whole := func(key string, to *int, least, most int) sexp.Key {
-		return sexp.Key{Name: key, Read: func(n *sexp.Node) error { return n.Whole(to, least, most) }}
+		return sexp.Key{Name: key, Read: func(n *sexp.Node) error { return n.Int(to, least, most) }}
 	}
 	number := func(key string, to *float64, least, most float64) sexp.Key {
-		return sexp.Key{Name: key, Read: func(n *sexp.Node) error { return n.Number(to, least, most) }}
+		return sexp.Key{Name: key, Read: func(n *sexp.Node) error { return n.Float(to, least, most) }}
 	}
 	span := func(key string, to *time.Duration) sexp.Key {
-		return sexp.Key{Name: key, Read: func(n *sexp.Node) error { return n.Span(to, time.Millisecond, time.Hour) }}
+		return sexp.Key{Name: key, Read: func(n *sexp.Node) error { return n.Duration(to, time.Millisecond, time.Hour) }}
 	}
 	between := func(key string, to *[2]time.Duration) sexp.Key {
 		return sexp.Key{Name: key, Read: func(n *sexp.Node) error {
@@ -115,7 +115,7 @@
 				return err
 			}
 			if to[1] < to[0] {
-				return n.Fail("%s: most is under least", key)
+				return n.Errorf("%s: most is under least", key)
 			}
 			return nil
 		}}
@@ -135,7 +135,7 @@
 			for k, name := range kinds {
 				keys = append(keys, sexp.Key{Name: name, Read: func(n *sexp.Node) error {
 					w := 0.0
-					err := n.Number(&w, 0, 100)
+					err := n.Float(&w, 0, 100)
 					s.Weights[Kind(k)] = w
 					return err
 				}})
@@ -143,7 +143,7 @@
 			return sexp.Read(n, n.Args(), keys...)
 		}})
 	if err == nil && s.Faults[1] < s.Faults[0] {
-		err = nodes[0].Fail("faults: most is under least")
+		err = nodes[0].Errorf("faults: most is under least")
 	}
 	return s, err
 }
--- a/internal/faultsim/script.go
+++ b/internal/faultsim/script.go
@@ -100,20 +100,20 @@
 	seed := func(to *uint64) func(n *sexp.Node) error {
 		return func(n *sexp.Node) error {
 			x := 0
-			err := n.Whole(&x, 0, 1<<62)
+			err := n.Int(&x, 0, 1<<62)
 			*to = uint64(x)
 			return err
 		}
 	}
-	keys := []sexp.Key{{Name: "seed", Must: true, Read: seed(&s.Seed)}}
+	keys := []sexp.Key{{Name: "seed", Required: true, Read: seed(&s.Seed)}}
 	for k, kind := range kinds {
-		keys = append(keys, sexp.Key{Name: kind, Many: true, Read: func(n *sexp.Node) error {
+		keys = append(keys, sexp.Key{Name: kind, Repeated: true, Read: func(n *sexp.Node) error {
 			f := Fault{Kind: Kind(k)}
 			err := sexp.Read(n, n.Args(),
-				sexp.Key{Name: "at", Must: true, Read: func(n *sexp.Node) error { return n.Span(&f.At, 0, time.Hour) }},
-				sexp.Key{Name: "for", Must: true, Read: func(n *sexp.Node) error { return n.Span(&f.For, 0, time.Hour) }},
-				sexp.Key{Name: "part", Must: true, Read: func(n *sexp.Node) error { return n.Number(&f.Part, 0, 1) }},
-				sexp.Key{Name: "whom", Must: true, Read: seed(&f.Seed)})
+				sexp.Key{Name: "at", Required: true, Read: func(n *sexp.Node) error { return n.Duration(&f.At, 0, time.Hour) }},
+				sexp.Key{Name: "for", Required: true, Read: func(n *sexp.Node) error { return n.Duration(&f.For, 0, time.Hour) }},
+				sexp.Key{Name: "part", Required: true, Read: func(n *sexp.Node) error { return n.Float(&f.Part, 0, 1) }},
+				sexp.Key{Name: "whom", Required: true, Read: seed(&f.Seed)})
 			s.Faults = append(s.Faults, f)
 			return err
 		}})
--- a/internal/faultsim/world.go
+++ b/internal/faultsim/world.go
@@ -199,7 +199,7 @@
 			})
 		}
 	}
-	if commands.Empty(o) {
+	if commands.IsEmpty(o) {
 		return
 	}
 	res := w.chain.Propose(w.last, o, "", fleetView{w.manager})
@@ -210,10 +210,10 @@
 		pin, state := w.chain.CurrentTables(), w.chain.State()
 		w.manager.HandleTablesReset(w.last, pin.Weights, pin.AdmissionLevels, func(s balancer.ServerID) bool { return state.IsWithdrawn(string(s)) })
 	}
-	if !commands.Empty(res.Commands) {
+	if !commands.IsEmpty(res.Commands) {
 		w.backlog = append(w.backlog, res.Commands)
 		if len(w.backlog) > 8 {
-			w.backlog = []balancer.Commands{commands.Fold(w.backlog...)}
+			w.backlog = []balancer.Commands{commands.Merge(w.backlog...)}
 		}
 		w.next()
 	}
--- a/internal/faultsim/world_relay.go
+++ b/internal/faultsim/world_relay.go
@@ -79,12 +79,12 @@
 		})
 		return
 	}
-	all := commands.Fold(append([]balancer.Commands{commands.Fold(rest, wait)}, w.backlog...)...)
+	all := commands.Merge(append([]balancer.Commands{commands.Merge(rest, wait)}, w.backlog...)...)
 	w.backlog = nil
 	all.Assign = slices.DeleteFunc(slices.Clone(all.Assign), func(b balancer.TableAssignment) bool { return !w.proxies[b.Proxy].joined })
 	w.last = max(w.last+1, w.now-w.born)
 	n, mark := w.manager.Resend(w.last, rest.Barrier, carried, all)
-	w.call(commands.First(all, n, mark), commands.Skip(all, n))
+	w.call(commands.KeepFirst(all, n, mark), commands.SkipFirst(all, n))
 }
 
 // carryOut is the relay's: it changes what stands and sends each proxy concerned a message.
--- a/internal/fleetmodel/subset_test.go
+++ b/internal/fleetmodel/subset_test.go
@@ -19,7 +19,7 @@
 
 func newSubsetted(s Shape, seed uint64, spill int) *subsetted {
 	terms := s.Terms()
-	settings := subset.Settings{Manager: fmt.Sprint("n", seed), Spill: spill, WarmAfter: terms.WarmUpDuration}
+	settings := subset.Settings{ManagerName: fmt.Sprint("n", seed), Spill: spill, WarmUpDuration: terms.WarmUpDuration}
 	return &subsetted{Manager: balancer.New(seed, terms), subset: subset.New(settings), zones: map[balancer.ProxyID]balancer.ZoneID{}}
 }
 
@@ -28,14 +28,14 @@
 	for _, e := range entries {
 		servers = append(servers, subset.Server{Endpoint: e})
 	}
-	return d.handOn(now, d.subset.Listed(now, whole, servers))
+	return d.handOn(now, d.subset.HandleEndpointList(now, whole, servers))
 }
 
 func (d *subsetted) Joined(now time.Duration, id balancer.ProxyID, zone balancer.ZoneID, rate float64) balancer.Commands {
 	var first balancer.Commands
 	if _, known := d.zones[id]; !known {
 		d.zones[id] = zone
-		first = d.handOn(now, d.subset.Joined(now, zone))
+		first = d.handOn(now, d.subset.HandleProxyConnected(now, zone))
 	}
 	return join(first, d.Manager.HandleProxyConnected(now, id, zone, rate))
 }
@@ -43,7 +43,7 @@
 func (d *subsetted) Left(now time.Duration, id balancer.ProxyID) balancer.Commands {
 	if zone, known := d.zones[id]; known {
 		delete(d.zones, id)
-		d.subset.Left(now, zone)
+		d.subset.HandleProxyDisconnected(now, zone)
 	}
 	return d.Manager.HandleProxyDisconnected(now, id)
 }
@@ -54,21 +54,21 @@
 		return first
 	}
 	d.lookAt = now + time.Second
-	return join(first, d.handOn(now, d.subset.Looked(now, d.Manager)))
+	return join(first, d.handOn(now, d.subset.HandleTick(now, d.Manager)))
 }
 
 func (d *subsetted) handOn(now time.Duration, u subset.Update) (o balancer.Commands) {
-	if u.Empty() {
+	if u.IsEmpty() {
 		return o
 	}
 	var entries []balancer.Endpoint
 	for _, one := range u.Servers {
 		entries = append(entries, one.Endpoint)
 	}
-	if u.Whole || len(entries) > 0 {
-		o = d.Manager.HandleEndpointList(now, u.Whole, entries)
+	if u.Complete || len(entries) > 0 {
+		o = d.Manager.HandleEndpointList(now, u.Complete, entries)
 	}
-	o.Restore = append(u.Readmit, o.Restore...)
+	o.Restore = append(u.Restore, o.Restore...)
 	return o
 }
 
--- a/internal/loadtest/run_test.go
+++ b/internal/loadtest/run_test.go
@@ -33,16 +33,16 @@
 
 func begin(log io.Writer) fakes.StartFunc {
 	return func(start, settings string) (fakes.Manager, error) {
-		o, err := config.ReadOperator(settings)
+		o, err := config.ReadOperatorSettings(settings)
 		if err != nil {
 			return nil, err
 		}
-		read := func() (config.Start, error) {
+		read := func() (config.Config, error) {
 			s, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": start}[key] })
 			if err != nil {
 				return s, err
 			}
-			return s.With(o)
+			return s.WithOperator(o)
 		}
 		s, err := read()
 		if err != nil {
--- a/internal/logging/logs.go
+++ b/internal/logging/logs.go
@@ -35,7 +35,7 @@
 }
 
 // Written turns JSON lines into a form and writes them to out.
-func Written(form string, out io.Writer) io.Writer {
+func NewFormatWriter(form string, out io.Writer) io.Writer {
 	if form == JSON {
 		return out
 	}
@@ -50,15 +50,15 @@
 
 // Outlet writes the log without holding up who logs: guards against a reader of the log that stands
 // still, which would otherwise stop the module. What finds no room is dropped and counted.
-type Outlet struct {
+type AsyncWriter struct {
 	waits   chan []byte
 	ended   chan struct{}
 	dropped func()
 }
 
 // NewOutlet holds up to so many lines for a writer; dropped is called for each line beyond.
-func NewOutlet(to io.Writer, most int, dropped func()) *Outlet {
-	o := &Outlet{waits: make(chan []byte, most), ended: make(chan struct{}), dropped: dropped}
+func NewAsyncWriter(to io.Writer, most int, dropped func()) *AsyncWriter {
+	o := &AsyncWriter{waits: make(chan []byte, most), ended: make(chan struct{}), dropped: dropped}
 	go func() {
 		defer close(o.ended)
 		for line := range o.waits {
@@ -72,7 +72,7 @@
 }
 
 // Write hands a line on without waiting; where too many wait it is dropped.
-func (o *Outlet) Write(line []byte) (int, error) {
+func (o *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case o.waits <- append([]byte{}, line...):
 	default:
@@ -82,7 +82,7 @@
 }
 
 // End writes what waits, for a limited time.
-func (o *Outlet) End(within time.Duration) {
+func (o *AsyncWriter) Shutdown(within time.Duration) {
 	late := time.After(within)
 	select {
 	case o.waits <- nil:
--- a/internal/logging/logs_test.go
+++ b/internal/logging/logs_test.go
@@ -14,7 +14,7 @@
 		JSON: `^\{"level":"info","event":"start","name":"n1","servers":30,"note":"a b","time":"[^"]+"\}\n$`,
 	} {
 		var out bytes.Buffer
-		log := New(Written(form, &out), "info")
+		log := New(NewFormatWriter(form, &out), "info")
 		log.Info().Str("event", "start").Str("name", "n1").Int("servers", 30).Str("note", "a b").Send()
 		log.Debug().Msg("left out")
 		if !regexp.MustCompile(want).MatchString(out.String()) {
@@ -32,11 +32,11 @@
 
 func TestOutletNeverWaitsForItsReader(t *testing.T) {
 	s, dropped := stuck{make(chan struct{})}, 0
-	o := NewOutlet(s, 4, func() { dropped++ })
+	o := NewAsyncWriter(s, 4, func() { dropped++ })
 	for range 100 {
 		o.Write([]byte("line\n"))
 	}
-	o.End(time.Millisecond)
+	o.Shutdown(time.Millisecond)
 	if dropped < 95 || dropped > 96 {
 		t.Errorf("%d dropped", dropped)
 	}
--- a/internal/node/collector_conn.go
+++ b/internal/node/collector_conn.go
@@ -26,10 +26,10 @@
 func newCollectorConn(netConn net.Conn, limits config.Limits, accepted time.Time) *collectorConn {
 	conn := &collectorConn{lastReport: accepted}
 	conn.Conn = netConn
-	conn.grace = limits.Look
-	conn.writeTimeout = limits.Write
+	conn.grace = limits.ProcessStallGrace
+	conn.writeTimeout = limits.WriteTimeout
 	conn.pace = newReadPace(limits.ReadInterval)
-	conn.deadline = accepted.Add(limits.Stranger)
+	conn.deadline = accepted.Add(limits.IdentifyTimeout)
 	conn.fixedDeadline = true
 	return conn
 }
@@ -77,9 +77,9 @@
 // maxLineLength is the most bytes of a line from a connection.
 func (r *receiver) maxLineLength(conn *collectorConn) int {
 	if conn.reported {
-		return r.limits.LineNamed
+		return r.limits.MaxCollectorLineBytes
 	}
-	return r.limits.LineUnnamed
+	return r.limits.MaxUnidentifiedLineBytes
 }
 
 // sendPongs answers a number of pings, once the manager may be used.
@@ -118,7 +118,7 @@
 	switch {
 	case errors.Is(line.err, errUnreadable):
 		return nil, false, line.err
-	case conn.idleMessages >= r.limits.IdleMost && (line.err != nil || naming || isPing):
+	case conn.idleMessages >= r.limits.MaxEmptyMessages && (line.err != nil || naming || isPing):
 		return nil, false, errors.Join(errUnreadable, errors.New("reports nothing"))
 	case isPing:
 		conn.idleMessages++
@@ -155,14 +155,14 @@
 // noteReport notes that a connection reported something: from the first report on it has an idle timeout.
 func (r *receiver) noteReport(conn *collectorConn, now time.Time) {
 	conn.idleMessages = 0
-	if conn.reported && now.Sub(conn.lastReport) <= r.limits.Spoke {
+	if conn.reported && now.Sub(conn.lastReport) <= r.limits.LastSeenPrecision {
 		return
 	}
 	r.mu.Lock()
 	conn.lastReport = now
 	conn.reported = true
 	r.mu.Unlock()
-	conn.startIdleTimeout(r.limits.SilentNamed)
+	conn.startIdleTimeout(r.limits.CollectorIdleTimeout)
 }
 
 // registerCollector notes whose collector a connection is. Where no other of its zone reports, it may have nothing to
@@ -176,13 +176,13 @@
 	}
 	conn.named = true
 	conn.zone = zone
-	r.evictExcess(true, r.limits.Named)
+	r.evictExcess(true, r.limits.MaxCollectorConns)
 	for _, other := range r.conns {
-		if other.reported && other.zone == zone && time.Since(other.lastReport) < r.limits.Stranger {
+		if other.reported && other.zone == zone && time.Since(other.lastReport) < r.limits.IdentifyTimeout {
 			return
 		}
 	}
-	conn.postponeDeadline(r.limits.SilentNamed)
+	conn.postponeDeadline(r.limits.CollectorIdleTimeout)
 }
 
 // maxExcerpt is how many bytes of a message a log line shows.
--- a/internal/node/collector_conn_test.go
+++ b/internal/node/collector_conn_test.go
@@ -64,7 +64,7 @@
 // Guards against a stranger that begins its time anew with each line, and one that knows a zone's name.
 func TestStrangersHaveOneFixedTime(t *testing.T) {
 	l := limits
-	l.Stranger, l.SilentNamed, l.IdleMost = 150*time.Millisecond, 50*time.Millisecond, 1000
+	l.IdentifyTimeout, l.CollectorIdleTimeout, l.MaxEmptyMessages = 150*time.Millisecond, 50*time.Millisecond, 1000
 	for _, start := range []string{"", "ping\r\n", "collector site=a\r\n"} {
 		_, address, _ := listening(t, l, true)
 		c := dialled(t, address, start)
@@ -87,7 +87,7 @@
 func TestPingsAreBounded(t *testing.T) {
 	_, address, _ := listening(t, limits, true)
 	c := dialled(t, address, "")
-	for range limits.IdleMost {
+	for range limits.MaxEmptyMessages {
 		io.WriteString(c, "ping\r\n")
 		if n, err := c.Read(make([]byte, 6)); n != 6 || err != nil {
 			t.Fatalf("no pong: %v", err)
@@ -125,7 +125,7 @@
 
 func TestSilentStrangersAreClosed(t *testing.T) {
 	l := limits
-	l.Stranger = 5 * time.Millisecond
+	l.IdentifyTimeout = 5 * time.Millisecond
 	_, address, _ := listening(t, l, true)
 	if got := ended(dialled(t, address, "")); got != "" {
 		t.Errorf("%q", got)
--- a/internal/node/crossing_stream_test.go
+++ b/internal/node/crossing_stream_test.go
@@ -69,7 +69,7 @@
 // Guards against a new stream that is not read because the old one is inside a dial.
 func TestTakingOverReachesADial(t *testing.T) {
 	l := limits
-	l.Connect = time.Hour
+	l.ConnectTimeout = time.Hour
 	in, inputs := testReceiver(make(chan struct{}), l), make(chan any, 64)
 	in.inputs = inputs
 	old := testUpstream(t, blackHole(t))
@@ -136,7 +136,7 @@
 // What was spoilt is asked for again after a while, not only when the stream ends.
 func TestAGapIsAskedForAgain(t *testing.T) {
 	l := limits
-	l.GapMost = 0
+	l.MaxWatchGap = 0
 	w := testUpstream(t, "")
 	w.noteDecodeError()
 	address, _ := streaming(t, "{]\n"+entry(43, false, "s-2")+"...")
@@ -175,7 +175,7 @@
 // counts as old for as long as the stream lasts.
 func TestAGenerationThatWasNeverTrue(t *testing.T) {
 	l := limits
-	l.GapMost = 0
+	l.MaxWatchGap = 0
 	held, all := &watchState{version: 41, lowestReset: -1}, ""
 	for _, text := range []string{entry(93, false, "s-1") + entry(44, false, "s-2") + entry(45, false, "s-3") + "...",
 		entry(45, true, "s-4") + "...", entry(45, true, "s-5") + entry(46, false, "s-6")} {
@@ -191,7 +191,7 @@
 // changes below it, for ever.
 func TestADiscoveryThatStaysBehindIsAskedFromTheBeginning(t *testing.T) {
 	l := limits
-	l.GapMost = 0
+	l.MaxWatchGap = 0
 	behind := `{"generation":45,"reset":false,"instances":[]}` + "\n" + entry(46, false, "s-2") + "..."
 	address, asked := streaming(t, behind, behind, entry(46, true, "s-3")+"...", entry(46, true, "s-4")+entry(47, false, "s-5"), "")
 	in, inputs := testReceiver(make(chan struct{}), l), make(chan any, 64)
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -29,13 +29,13 @@
 // Guards against a SIGHUP that comes while the file is half written, with none after it.
 func TestAFaultyFileIsLookedAtAgain(t *testing.T) {
 	s := testStart(t)
-	s.Limits.Rereads, s.Limits.RereadEvery = 2, time.Millisecond
+	s.Limits.ReloadRetries, s.Limits.ReloadRetryInterval = 2, time.Millisecond
 	n, err := New(s, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	read := make(chan error)
-	d := begun(n, func() (config.Start, error) { return s, <-read })
+	d := begun(n, func() (config.Config, error) { return s, <-read })
 	defer d.Stop(false)
 	half := errors.New("unexpected end of JSON input")
 	d.reload <- syscall.SIGHUP
@@ -57,7 +57,7 @@
 // Guards against an end that fails, or waits, because it is asked for before the start is done.
 func TestAnEndBeforeTheStartIsDone(t *testing.T) {
 	s := testStart(t)
-	s.Limits.ListenMost = time.Hour
+	s.Limits.ListenTimeout = time.Hour
 	occupied(t, s.Listen)
 	n, err := New(s, io.Discard)
 	if err != nil {
@@ -149,10 +149,10 @@
 	}
 	reading, never := make(chan struct{}), make(chan struct{})
 	defer close(never)
-	d := begun(n, func() (config.Start, error) {
+	d := begun(n, func() (config.Config, error) {
 		close(reading)
 		<-never
-		return config.Start{}, nil
+		return config.Config{}, nil
 	})
 	d.reload <- syscall.SIGHUP
 	<-reading
--- a/internal/node/decoder.go
+++ b/internal/node/decoder.go
@@ -50,10 +50,10 @@
 		zones:      map[string]balancer.ZoneID{},
 		groups:     map[string]balancer.ClassID{},
 		born:       born,
-		maxFields:  limits.Words,
+		maxFields:  limits.MaxLineFields,
 		maxProxyID: maxProxyNumber,
-		maxSpan:    limits.SpanMost,
-		maxFlows:   limits.FlowsMost,
+		maxSpan:    limits.MaxReportInterval,
+		maxFlows:   limits.MaxRequestsPerSecond,
 	}
 	d.fields.New = func() any { return &fields{} }
 	if terms.Proxies > 0 {
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -17,15 +17,15 @@
 
 // dial connects to an address, once; the peer must send something within the idle timeout each time.
 func dial(ctx context.Context, limits config.Limits, address string, idleTimeout time.Duration) (*deadlineConn, error) {
-	netConn, err := (&net.Dialer{Timeout: limits.Connect}).DialContext(ctx, "tcp", address)
+	netConn, err := (&net.Dialer{Timeout: limits.ConnectTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Join(errNotConnected, err)
 	}
 	return &deadlineConn{
 		Conn:         netConn,
 		idleTimeout:  idleTimeout,
-		grace:        limits.Look,
-		writeTimeout: limits.Write,
+		grace:        limits.ProcessStallGrace,
+		writeTimeout: limits.WriteTimeout,
 		deadline:     time.Now().Add(idleTimeout),
 	}, nil
 }
@@ -39,7 +39,7 @@
 		MaxIdemponentCallAttempts: 1,
 		NoDefaultUserAgentHeader:  true,
 		StreamResponseBody:        streamBody,
-		MaxResponseBodySize:       limits.Answer,
+		MaxResponseBodySize:       limits.MaxResponseBytes,
 		Dial:                      func(string) (net.Conn, error) { return conn, nil },
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}
@@ -57,7 +57,7 @@
 // within Limits.Opening and then bring a line within the idle timeout each time. Guards against a new connection that
 // is as silent as the last, while there is time for another. It returns why it ended, which is soon after ctx does.
 func stream(ctx context.Context, limits config.Limits, wanted streamRequest, opened func() error, take func(line []byte) error) error {
-	conn, err := dial(ctx, limits, wanted.address, limits.Opening)
+	conn, err := dial(ctx, limits, wanted.address, limits.StreamOpenTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -71,8 +71,8 @@
 }
 
 // NewHollow makes a hollow manager from a daemon's start. Times in lists are counted from epoch.
-func NewHollow(start config.Start, epoch time.Time) (*Hollow, error) {
-	start.Store, start.Tables, start.Admin, start.Status = "", "", "", ""
+func NewHollow(start config.Config, epoch time.Time) (*Hollow, error) {
+	start.StorePath, start.TablesAddress, start.AdminSocket, start.StatusAddress = "", "", "", ""
 	node, err := New(start, io.Discard)
 	if err != nil {
 		return nil, err
@@ -90,7 +90,7 @@
 // Close ends what the manager started. It must not be used after that.
 func (h *Hollow) Close() {
 	h.node.end()
-	h.node.out.End(time.Second)
+	h.node.out.Shutdown(time.Second)
 }
 
 // Next is the time at which the manager wants to be stepped without a message; 0: not before one comes.
@@ -222,7 +222,7 @@
 func (h *Hollow) settle(now, rest balancer.Commands) bool {
 	for {
 		sent := h.call(now)
-		missing := commands.Fold(commands.Skip(now, sent), rest)
+		missing := commands.Merge(commands.SkipFirst(now, sent), rest)
 		if missing.Count() == 0 {
 			return true
 		}
@@ -244,16 +244,16 @@
 
 // call encodes as many orders as a call holds and gives how many those are. The router learns that they were taken.
 func (h *Hollow) call(o balancer.Commands) (sent int) {
-	if commands.Empty(o) {
+	if commands.IsEmpty(o) {
 		return 0
 	}
-	text := encode(o, h.node.start.Groups, h.node.start.Limits.CallBytes)
+	text := encode(o, h.node.start.ClassNames, h.node.start.Limits.MaxCallBytes)
 	h.count(CallMessage, len(callAnswer), callSize(h.node.start.Relay, strings.Join(text, ";")))
 	sent = len(text)
 	if o.Barrier > 0 {
 		sent--
 	}
-	h.result.Calls = append(h.result.Calls, commands.First(o, sent, o.Barrier))
+	h.result.Calls = append(h.result.Calls, commands.KeepFirst(o, sent, o.Barrier))
 	if o.Barrier > 0 && sent == o.Count() {
 		h.node.router.take(callSettled{o.Barrier, true})
 	}
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -17,8 +17,8 @@
 	t.Helper()
 	ofMany := terms
 	ofMany.Proxies, ofMany.QueueCapacity, ofMany.CommandsPerSecond = proxies+1, 1e6, 1e6
-	h, err := NewHollow(config.Start{Relay: "127.0.0.1:1", Limits: l, Terms: ofMany, Groups: []string{"g"},
-		Known: json.RawMessage(`{"generation":0,"reset":true,"instances":[]}`)}, time.Unix(1000, 0))
+	h, err := NewHollow(config.Config{Relay: "127.0.0.1:1", Limits: l, Balancer: ofMany, ClassNames: []string{"g"},
+		CachedEndpointList: json.RawMessage(`{"generation":0,"reset":true,"instances":[]}`)}, time.Unix(1000, 0))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 // hollowLimits are those of the tests with room for a whole opening.
 func hollowLimits() config.Limits {
 	l := limits
-	l.LogEvery, l.ProbesWait = time.Second, 64
+	l.LogInterval, l.MaxQueuedHealthChecks = time.Second, 64
 	return l
 }
 
@@ -78,7 +78,7 @@
 func TestAHollowManagerSendsInPiecesWhatOneCallCannotHold(t *testing.T) {
 	count := func(callBytes int) (calls int, lines map[balancer.EndpointWeight]bool) {
 		l := hollowLimits()
-		l.CallBytes = callBytes
+		l.MaxCallBytes = callBytes
 		_, all := testHollow(t, 60, 2, l)
 		lines = map[balancer.EndpointWeight]bool{}
 		for _, call := range all {
--- a/internal/node/hub.go
+++ b/internal/node/hub.go
@@ -20,30 +20,30 @@
 	decode   func(line string) decodedLine
 
 	mu         sync.Mutex // of all below; taken before that of a laneConn
-	keeper     *sharding.Keeper
-	terms      sharding.Terms
+	keeper     *sharding.Assigner
+	terms      sharding.Settings
 	conns      map[sharding.ConnID]*laneConn
 	workers    []*worker
 	lastConnID sharding.ConnID
 }
 
-func newHub(r *receiver, samples *sampleQueue, terms sharding.Terms) *hub {
+func newHub(r *receiver, samples *sampleQueue, terms sharding.Settings) *hub {
 	h := &hub{
 		receiver: r,
 		post:     samples,
 		born:     time.Now(),
 		terms:    terms,
-		keeper:   sharding.NewKeeper(terms),
+		keeper:   sharding.NewAssigner(terms),
 		conns:    map[sharding.ConnID]*laneConn{},
 		decode:   r.decodeLine,
 	}
-	for lane := range terms.Lanes {
-		h.workers = append(h.workers, h.startWorker(sharding.LaneID(lane)))
+	for lane := range terms.Shards {
+		h.workers = append(h.workers, h.startWorker(sharding.ShardID(lane)))
 	}
 	return h
 }
 
-func (h *hub) startWorker(lane sharding.LaneID) *worker {
+func (h *hub) startWorker(lane sharding.ShardID) *worker {
 	w := newWorker(lane)
 	go h.runWorker(w)
 	return w
@@ -52,24 +52,24 @@
 func (h *hub) now() time.Duration { return time.Since(h.born) }
 
 // notifyKeeper gives the keeper one input and carries out what it decides.
-func (h *hub) notifyKeeper(input func(now time.Duration) sharding.Acts) {
+func (h *hub) notifyKeeper(input func(now time.Duration) sharding.Actions) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.apply(input)
 }
 
 // apply carries out what the keeper decides on one input. mu is held.
-func (h *hub) apply(input func(now time.Duration) sharding.Acts) {
+func (h *hub) apply(input func(now time.Duration) sharding.Actions) {
 	acts := input(h.now())
-	for _, place := range acts.Hold {
+	for _, place := range acts.Drain {
 		h.schedule(place, true)
 	}
-	for _, lane := range acts.Renew {
+	for _, lane := range acts.RestartWorkers {
 		close(h.workers[lane].replaced)
 		h.workers[lane] = h.startWorker(lane)
 		h.receiver.metrics.add(lanesRenewed, 1)
 	}
-	for _, place := range acts.Take {
+	for _, place := range acts.Assign {
 		h.assign(place)
 	}
 	for _, id := range acts.Close {
@@ -78,13 +78,13 @@
 			go h.endConn(conn, errors.Join(errUnreadable, errors.New("lanes failed over it")))
 		}
 	}
-	for _, note := range acts.Notes {
+	for _, note := range acts.LogRecords {
 		h.receiver.metrics.logEvent("lane", "note", note)
 	}
 }
 
 // assign gives a connection to the owner named. mu is held.
-func (h *hub) assign(place sharding.Place) {
+func (h *hub) assign(place sharding.Assignment) {
 	if place.Owner.Epoch > 1 {
 		h.receiver.metrics.add(laneMoves, 1)
 	}
@@ -95,13 +95,13 @@
 }
 
 // schedule queues a connection for its owner's worker, if that is still the owner named. mu is held.
-func (h *hub) schedule(place sharding.Place, hold bool) {
+func (h *hub) schedule(place sharding.Assignment, hold bool) {
 	conn := h.conns[place.Conn]
 	if conn == nil {
 		return
 	}
 	if conn.queueFor(place.Owner, hold) {
-		h.workers[place.Owner.Lane].enqueue(conn)
+		h.workers[place.Owner.Shard].enqueue(conn)
 	}
 }
 
@@ -109,13 +109,13 @@
 func (h *hub) wake(conn *laneConn) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.schedule(sharding.Place{Conn: conn.id, Owner: conn.currentOwner()}, false)
+	h.schedule(sharding.Assignment{Conn: conn.id, Owner: conn.currentOwner()}, false)
 }
 
 // serveConn reads a connection's bytes until it ends; the owner of its laneConn does the rest.
 func (h *hub) serveConn(collector *collectorConn) {
 	conn := h.register(collector)
-	size := h.receiver.limits.Piece / 4
+	size := h.receiver.limits.ReadChunkBytes / 4
 	for {
 		piece := make([]byte, size)
 		n, err := collector.Read(piece)
@@ -123,7 +123,7 @@
 			err = errStopped
 		}
 		if n == size {
-			size = h.receiver.limits.Piece
+			size = h.receiver.limits.ReadChunkBytes
 		}
 		if err != nil {
 			h.endConn(conn, err)
@@ -140,14 +140,14 @@
 	h.lastConnID++
 	conn.id = h.lastConnID
 	h.conns[conn.id] = conn
-	h.apply(func(now time.Duration) sharding.Acts { return h.keeper.Opened(now, conn.id) })
+	h.apply(func(now time.Duration) sharding.Actions { return h.keeper.HandleConnOpened(now, conn.id) })
 	return conn
 }
 
 // pushPiece appends a piece that was read; it waits while there are too many. False once nothing more is wanted.
 func (h *hub) pushPiece(conn *laneConn, piece []byte) bool {
 	for {
-		switch conn.tryPush(piece, h.receiver.limits.Pieces) {
+		switch conn.tryPush(piece, h.receiver.limits.MaxQueuedChunks) {
 		case pushEnded:
 			return false
 		case pushWake:
@@ -174,7 +174,7 @@
 // runKeeper is the keeper's clock: it checks the workers, and once in a window tells the work that each connection
 // took.
 func (h *hub) runKeeper() {
-	ticker := time.NewTicker(h.terms.LookEvery)
+	ticker := time.NewTicker(h.terms.CheckInterval)
 	defer ticker.Stop()
 	windowBegan := h.now()
 	for {
@@ -184,7 +184,7 @@
 		case <-ticker.C:
 		}
 		h.checkWorkers()
-		if now := h.now(); now-windowBegan >= h.terms.Window {
+		if now := h.now(); now-windowBegan >= h.terms.RebalanceInterval {
 			h.reportWork(now - windowBegan)
 			windowBegan = now
 		}
@@ -205,7 +205,7 @@
 		}
 		busyFor = append(busyFor, busy)
 	}
-	h.apply(func(now time.Duration) sharding.Acts { return h.keeper.Looked(now, busyFor) })
+	h.apply(func(now time.Duration) sharding.Actions { return h.keeper.HandleWorkerCheck(now, busyFor) })
 }
 
 func (h *hub) reportWork(window time.Duration) {
@@ -217,5 +217,5 @@
 			cores[id] = float64(work) / float64(window)
 		}
 	}
-	h.apply(func(now time.Duration) sharding.Acts { return h.keeper.Worked(now, cores) })
+	h.apply(func(now time.Duration) sharding.Actions { return h.keeper.HandleLoad(now, cores) })
 }
--- a/internal/node/hub_test.go
+++ b/internal/node/hub_test.go
@@ -16,25 +16,25 @@
 )
 
 // quick are terms under which a test need not wait for long.
-func quick(n int) sharding.Terms {
-	t := sharding.Usual(n)
-	t.LookEvery, t.StuckAfter, t.HoldMost, t.Window = 5*time.Millisecond, 40*time.Millisecond, 50*time.Millisecond, time.Hour
-	t.RestFor, t.SwingOver, t.MovesMost, t.LaneRest = 0, time.Millisecond, 1000, 100*time.Millisecond
+func quick(n int) sharding.Settings {
+	t := sharding.DefaultSettings(n)
+	t.CheckInterval, t.StallTimeout, t.DrainTimeout, t.RebalanceInterval = 5*time.Millisecond, 40*time.Millisecond, 50*time.Millisecond, time.Hour
+	t.MoveCooldown, t.MoveWindow, t.MaxMoves, t.QuarantineDuration = 0, time.Millisecond, 1000, 100*time.Millisecond
 	return t
 }
 
 // hubbed is a receiver of several cores that accepts; what it decodes waits in the sample queue.
-func hubbed(t *testing.T, l config.Limits, terms sharding.Terms) (*hub, string) {
+func hubbed(t *testing.T, l config.Limits, terms sharding.Settings) (*hub, string) {
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop := make(chan struct{})
-	l.Inputs = ifElse(l.Inputs == limits.Inputs, 1<<16, l.Inputs) // or what waits is folded
-	l.Piece, l.Pieces, l.Named, l.Unnamed, l.IdleMost = 256, 4, 64, 300, 64
+	l.MaxQueuedInputs = ifElse(l.MaxQueuedInputs == limits.MaxQueuedInputs, 1<<16, l.MaxQueuedInputs) // or what waits is folded
+	l.ReadChunkBytes, l.MaxQueuedChunks, l.MaxCollectorConns, l.MaxUnidentifiedConns, l.MaxEmptyMessages = 256, 4, 64, 300, 64
 	in := testReceiver(stop, l)
 	in.decoder.maxProxyID = 65535
-	in.hub = newHub(in, newSampleQueue(l.Inputs, in.metrics), terms)
+	in.hub = newHub(in, newSampleQueue(l.MaxQueuedInputs, in.metrics), terms)
 	go in.hub.runKeeper()
 	go in.acceptLoop(at)
 	t.Cleanup(func() { close(stop); at.Close() })
@@ -42,16 +42,16 @@
 }
 
 // move makes the keeper spread work as if lane 0's connections, or else another's, took all their time.
-func (h *hub) move(heavy sharding.LaneID) {
+func (h *hub) move(heavy sharding.ShardID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	cores := map[sharding.ConnID]float64{}
 	for id := range h.conns {
-		if o, _ := h.keeper.Owner(id); o.Lane == heavy {
+		if o, _ := h.keeper.Owner(id); o.Shard == heavy {
 			cores[id] = 0.3
 		}
 	}
-	h.apply(func(now time.Duration) sharding.Acts { return h.keeper.Worked(now, cores) })
+	h.apply(func(now time.Duration) sharding.Actions { return h.keeper.HandleLoad(now, cores) })
 }
 
 // gather takes samples from the post until so many flows have come, by proxy in their order.
@@ -127,7 +127,7 @@
 			go sayOn(c, "", p, round*n, (round+1)*n)
 		}
 		for i := range 4 {
-			h.move(sharding.LaneID((round + i) % 4))
+			h.move(sharding.ShardID((round + i) % 4))
 			time.Sleep(time.Millisecond)
 		}
 		for p, flows := range gather(t, h.post, conns*n) {
@@ -190,7 +190,7 @@
 
 func TestAFullPostFoldsAndThenHoldsUpWhoSends(t *testing.T) {
 	l := limits
-	l.Inputs = 8
+	l.MaxQueuedInputs = 8
 	h, address := hubbed(t, l, quick(2))
 	for p := range 4 {
 		go say(t, address, p, 500)
@@ -240,7 +240,7 @@
 
 func TestStrangersOnEachCoreAreLetGoInTheirTime(t *testing.T) {
 	l := limits
-	l.Stranger = 100 * time.Millisecond
+	l.IdentifyTimeout = 100 * time.Millisecond
 	h, address := hubbed(t, l, quick(4))
 	var strangers []net.Conn
 	for i := range 200 {
@@ -271,9 +271,9 @@
 	for _, n := range []int{1, 2, 4, 8} {
 		b.Run(fmt.Sprint("lanes=", n), func(b *testing.B) {
 			l := limits
-			l.Inputs, l.Piece, l.Pieces, l.IdleMost = 1<<16, 16<<10, 4, 1<<30
+			l.MaxQueuedInputs, l.ReadChunkBytes, l.MaxQueuedChunks, l.MaxEmptyMessages = 1<<16, 16<<10, 4, 1<<30
 			in := testReceiver(make(chan struct{}), l)
-			in.hub = newHub(in, newSampleQueue(l.Inputs, in.metrics), sharding.Usual(n))
+			in.hub = newHub(in, newSampleQueue(l.MaxQueuedInputs, in.metrics), sharding.DefaultSettings(n))
 			defer func() { in.hub = nil }()
 			text := []byte(strings.Repeat(report, 300))
 			var all sync.WaitGroup
--- a/internal/node/lane_conn.go
+++ b/internal/node/lane_conn.go
@@ -41,10 +41,10 @@
 }
 
 // nextTask is what is due next for the connection; false where it is not the lane's.
-func (c *laneConn) nextTask(lane sharding.LaneID) (task laneTask, ok bool) {
+func (c *laneConn) nextTask(lane sharding.ShardID) (task laneTask, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.owner.Lane != lane || c.closed || !c.queued {
+	if c.owner.Shard != lane || c.closed || !c.queued {
 		return laneTask{}, false
 	}
 	task = laneTask{
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -15,14 +15,14 @@
 // listen waits a while for an address that is still in use. Guards against a start that fails because the process
 // before it has not ended yet.
 func listen(ctx context.Context, address string, limits config.Limits) (net.Listener, error) {
-	deadline := time.Now().Add(limits.ListenMost)
+	deadline := time.Now().Add(limits.ListenTimeout)
 	for {
 		listener, err := new(net.ListenConfig).Listen(ctx, "tcp", address)
 		if !errors.Is(err, syscall.EADDRINUSE) || !time.Now().Before(deadline) {
 			return listener, err
 		}
 		select {
-		case <-time.After(limits.BackoffLeast):
+		case <-time.After(limits.MinBackoff):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -37,7 +37,7 @@
 			select {
 			case <-r.stop:
 				return
-			case <-time.After(r.limits.Look):
+			case <-time.After(r.limits.ProcessStallGrace):
 				r.metrics.logLimited("accept", "error", err)
 				continue
 			}
@@ -64,7 +64,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.conns = append(r.conns, conn)
-	r.evictExcess(false, r.limits.Unnamed)
+	r.evictExcess(false, r.limits.MaxUnidentifiedConns)
 }
 
 // evictExcess closes one of the named or of the unnamed connections where there are more than limit. mu is held.
--- a/internal/node/moves_test.go
+++ b/internal/node/moves_test.go
@@ -25,7 +25,7 @@
 }
 
 // begun runs a manager in this process.
-func begun(n *Node, reread func() (config.Start, error)) *ours {
+func begun(n *Node, reread func() (config.Config, error)) *ours {
 	ctx, end := context.WithCancel(context.Background())
 	d := &ours{Node: n, reload: make(chan os.Signal, 8), end: end, ended: make(chan struct{})}
 	go func() {
@@ -36,7 +36,7 @@
 }
 
 // beginManager starts a manager with the configuration that read gives, and reads it anew for a reload.
-func beginManager(read func() (config.Start, error)) (*ours, error) {
+func beginManager(read func() (config.Config, error)) (*ours, error) {
 	start, err := read()
 	if err != nil {
 		return nil, err
@@ -62,13 +62,13 @@
 	t.Helper()
 	var d *ours
 	r, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: 4, MemoryMB: 512, MaxDescriptors: 1024, Seed: 1}, func(start, settings string) (fakes.Manager, error) {
-		read := func() (config.Start, error) {
+		read := func() (config.Config, error) {
 			s, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": start}[key] })
-			o := config.Defaults()
-			o.Lanes = 4
+			o := config.DefaultOperatorSettings()
+			o.Shards = 4
 			if err == nil {
-				s, err = s.With(o)
-				s.Limits.Keeper = quick(4)
+				s, err = s.WithOperator(o)
+				s.Limits.Sharding = quick(4)
 			}
 			return s, err
 		}
@@ -87,7 +87,7 @@
 			case <-over:
 				return
 			case <-time.After(2 * time.Millisecond):
-				d.hub.move(sharding.LaneID(i / 4 % 4))
+				d.hub.move(sharding.ShardID(i / 4 % 4))
 			}
 		}
 	}()
--- a/internal/node/news.go
+++ b/internal/node/news.go
@@ -33,7 +33,7 @@
 // readNews reads the relay's news once, to its end.
 func (r *receiver) readNews(up *upstream) (opened bool, err error) {
 	reader := newsReader{receiver: r, up: up}
-	wanted := streamRequest{address: up.address, path: newsPath, idleTimeout: r.limits.SilentNews, maxLength: r.limits.LineNews,
+	wanted := streamRequest{address: up.address, path: newsPath, idleTimeout: r.limits.ProxyWatchIdleTimeout, maxLength: r.limits.MaxWatchEventBytes,
 		readInterval: r.limits.ReadInterval}
 	err = stream(up.ctx, r.limits, wanted, reader.open, reader.readLine)
 	return reader.opened, err
@@ -78,7 +78,7 @@
 		n.event = value
 	case name == "data":
 		n.data += value
-		if len(n.data) > n.receiver.limits.LineNews {
+		if len(n.data) > n.receiver.limits.MaxWatchEventBytes {
 			return errLineTooLong
 		}
 	case name != "id" && name != "retry":
@@ -89,7 +89,7 @@
 
 // heartbeat takes a comment of the event stream, which the relay sends as a sign of life.
 func (n *newsReader) heartbeat() {
-	if n.openingOver || time.Since(n.beganAt) < n.receiver.limits.NewsOpening {
+	if n.openingOver || time.Since(n.beganAt) < n.receiver.limits.ProxySnapshotTimeout {
 		return
 	}
 	n.openingOver = true
--- a/internal/node/news_test.go
+++ b/internal/node/news_test.go
@@ -35,7 +35,7 @@
 	} {
 		l := limits
 		if want == "timeout" {
-			l.SilentNews = 200 * time.Millisecond
+			l.ProxyWatchIdleTimeout = 200 * time.Millisecond
 		}
 		address, _ := streaming(t, text)
 		if _, err := testReceiver(make(chan struct{}), l).readNews(testUpstream(t, address)); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,7 +26,7 @@
 
 // Node is one manager; it serves once it is run.
 type Node struct {
-	start      config.Start
+	start      config.Config
 	closes     []io.Closer // listeners of the operator's
 	store      *store.Store
 	known      serverList
@@ -34,7 +34,7 @@
 	hub        *hub
 	decoder    *decoder
 	metrics    *metrics
-	out        *logging.Outlet
+	out        *logging.AsyncWriter
 	router     *router
 	relay      *relay
 	life       context.Context
@@ -47,15 +47,15 @@
 }
 
 // New checks what is left to check and makes the manager, which logs to a writer; nothing listens yet.
-func New(start config.Start, log io.Writer) (*Node, error) {
+func New(start config.Config, log io.Writer) (*Node, error) {
 	limits, born := start.Limits, time.Now()
 	n := &Node{start: start, born: born}
-	n.out = logging.NewOutlet(logging.Written(start.LogForm, log), limits.LogWaits, func() { n.metrics.add(logDropped, 1) })
-	n.metrics = newMetrics(limits.LogEvery, logging.New(n.out, start.LogLevel))
+	n.out = logging.NewAsyncWriter(logging.NewFormatWriter(start.LogFormat, log), limits.MaxQueuedLogLines, func() { n.metrics.add(logDropped, 1) })
+	n.metrics = newMetrics(limits.LogInterval, logging.New(n.out, start.LogLevel))
 	n.life, n.end = context.WithCancel(context.Background())
-	n.readiness.born, n.readiness.timeout = born, limits.ReadyMost
-	n.decoder = newDecoder(start.Terms, start.Groups, born, limits)
-	known, _, err := n.decoder.list(start.Known)
+	n.readiness.born, n.readiness.timeout = born, limits.MaxReadyDelay
+	n.decoder = newDecoder(start.Balancer, start.ClassNames, born, limits)
+	known, _, err := n.decoder.list(start.CachedEndpointList)
 	if err != nil {
 		return nil, fmt.Errorf("known: %v", err)
 	}
@@ -68,8 +68,8 @@
 		return nil, err
 	}
 	n.watchState = newWatchState(n.known.generation, born)
-	if start.Tables != "" {
-		keys, err := readKeys(start.Keys)
+	if start.TablesAddress != "" {
+		keys, err := readKeys(start.KeyFile)
 		if err != nil {
 			return nil, fmt.Errorf("keys: %v", err)
 		}
@@ -81,14 +81,14 @@
 // minHolders is how many holders of tables a manager serves at least.
 const minHolders = 16
 
-func newRouter(start config.Start, born time.Time, m *metrics) *router {
+func newRouter(start config.Config, born time.Time, m *metrics) *router {
 	return &router{
 		limits:  start.Limits,
 		born:    born,
-		manager: balancer.New(start.Seed, start.Terms),
-		inputs:  make(chan any, start.Limits.Inputs),
-		backlog: newBacklog(start.Limits.CallsWait, m),
-		probes:  make(chan probeTarget, start.Limits.ProbesWait),
+		manager: balancer.New(start.Seed, start.Balancer),
+		inputs:  make(chan any, start.Limits.MaxQueuedInputs),
+		backlog: newBacklog(start.Limits.MaxQueuedCalls, m),
+		probes:  make(chan probeTarget, start.Limits.MaxQueuedHealthChecks),
 		listen:  make(chan struct{}, 1),
 		metrics: m,
 		proxies: map[balancer.ProxyID]bool{},
@@ -100,7 +100,7 @@
 // openStore opens the store, if the settings name one, and continues the chain of versions from what it kept.
 func (n *Node) openStore() error {
 	epoch, kept := uint64(n.born.UnixMilli()), store.Contents{}
-	if path := n.start.Store; path != "" {
+	if path := n.start.StorePath; path != "" {
 		var err error
 		if n.store, kept, err = store.Open(path, epoch, store.DefaultLimits(), nil); err != nil {
 			return fmt.Errorf("store: %s: %v", path, err)
@@ -111,7 +111,7 @@
 	}
 	terms := versions.DefaultSettings(epoch)
 	terms.StartedAt = n.born
-	terms.MaxCommands = max(1, int(n.start.Terms.QueueCapacity))
+	terms.MaxCommands = max(1, int(n.start.Balancer.QueueCapacity))
 	n.router.chain = versions.New(terms)
 	n.router.chain.Recover(recovered(kept))
 	n.known.entries = versions.ApplyStoredDrains(n.known.entries, kept.Drains, n.born)
@@ -162,10 +162,10 @@
 }
 
 // Run listens and serves until ctx ends.
-func (n *Node) Run(ctx context.Context, signals Signals, reread func() (config.Start, error)) error {
+func (n *Node) Run(ctx context.Context, signals Signals, reread func() (config.Config, error)) error {
 	limits := n.start.Limits
 	runtime.GOMAXPROCS(limits.Cores)
-	n.router.last = func() { n.out.End(limits.LogEnd) }
+	n.router.last = func() { n.out.Shutdown(limits.LogFlushTimeout) }
 	defer n.router.last()
 	debug.SetMemoryLimit(limits.Memory / 2) // the runtime goes over it by what it collects late
 	listener, err := listen(ctx, n.start.Listen, limits)
@@ -186,7 +186,7 @@
 		return err
 	}
 	n.metrics.logEvent("start", "name", n.start.Name, "listen", n.start.Listen, "version", n.known.generation,
-		"servers", len(n.known.entries), "lanes", limits.Lanes)
+		"servers", len(n.known.entries), "lanes", limits.Shards)
 	n.serve(ctx, r, signals, reread)
 	n.end()
 	listener.Close()
@@ -209,9 +209,9 @@
 		isReady: n.readiness.ready,
 		jitter:  rand.New(rand.NewPCG(n.start.Seed, uint64(len(n.start.Name)))),
 	}
-	if limits.Lanes > 1 {
-		n.router.post = newSampleQueue(limits.Inputs, n.metrics)
-		n.hub = newHub(r, n.router.post, limits.Keeper)
+	if limits.Shards > 1 {
+		n.router.post = newSampleQueue(limits.MaxQueuedInputs, n.metrics)
+		n.hub = newHub(r, n.router.post, limits.Sharding)
 		r.hub = n.hub
 	}
 	return r
@@ -235,17 +235,17 @@
 	n.router.inputs <- n.known
 	n.known.instances = nil // they are the store's by now, and many
 	go n.router.run(n.life.Done())
-	n.relay = newRelay(limits, n.start.Relay, n.start.Groups, n.router.backlog, r)
+	n.relay = newRelay(limits, n.start.Relay, n.start.ClassNames, n.router.backlog, r)
 	go n.relay.run()
 	n.news = newUpstream(n.life, n.start.Relay)
 	n.watch = newUpstream(n.life, n.start.Discovery)
 	go r.runNews(n.news)
 	go n.runWatch(r, n.watch, false)
 	path := alivePath
-	if n.start.Loads {
+	if n.start.ServersReportLoad {
 		path = loadPath
 	}
-	for range limits.ProbesOpen {
+	for range limits.MaxOpenHealthChecks {
 		go r.runProbes(n.router.probes, path)
 	}
 	go r.acceptLoop(listener)
@@ -253,19 +253,19 @@
 
 // startOperatorListeners starts what the operator's settings name.
 func (n *Node) startOperatorListeners() error {
-	if address := n.start.Tables; address != "" {
+	if address := n.start.TablesAddress; address != "" {
 		listener, err := n.router.feed.listen(address, n.life.Done())
 		if err != nil {
 			return fmt.Errorf("tables: %v", err)
 		}
 		n.closes = append(n.closes, listener)
 	}
-	if path := n.start.Admin; path != "" {
+	if path := n.start.AdminSocket; path != "" {
 		if err := n.admin(path); err != nil {
 			return fmt.Errorf("admin: %v", err)
 		}
 	}
-	if address := n.start.Status; address != "" {
+	if address := n.start.StatusAddress; address != "" {
 		if err := n.status(address); err != nil {
 			return fmt.Errorf("status: %v", err)
 		}
@@ -287,20 +287,20 @@
 	}
 	select {
 	case <-n.router.storeWriter.ended:
-	case <-time.After(n.start.Limits.LogEnd):
+	case <-time.After(n.start.Limits.LogFlushTimeout):
 	}
 }
 
 // readFile is the configuration as it was read anew.
 type readFile struct {
-	start config.Start
+	start config.Config
 	err   error
 }
 
 // serve takes signals until ctx ends. The file is read in a goroutine of its own: guards against an end that waits for
 // a file that does not come. A signal meanwhile has it read once more, and a faulty one is read again a few times:
 // guards against a signal that comes while the file is being written, after which no other comes.
-func (n *Node) serve(ctx context.Context, r *receiver, signals Signals, reread func() (config.Start, error)) {
+func (n *Node) serve(ctx context.Context, r *receiver, signals Signals, reread func() (config.Config, error)) {
 	files := make(chan readFile, 1)
 	reading, readAgain, retriesLeft := false, false, 0
 	read := func() {
@@ -321,7 +321,7 @@
 		case <-signals.Count:
 			n.metrics.logCounters("counters")
 		case <-signals.Reload:
-			retriesLeft = n.start.Limits.Rereads
+			retriesLeft = n.start.Limits.ReloadRetries
 			read()
 		case <-retry:
 			read()
@@ -334,7 +334,7 @@
 				read()
 			case !good && retriesLeft > 0:
 				retriesLeft--
-				retry = time.After(n.start.Limits.RereadEvery)
+				retry = time.After(n.start.Limits.ReloadRetryInterval)
 			}
 		}
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -16,11 +16,11 @@
 	"tamarindshore/internal/logging"
 )
 
-func testStart(t *testing.T) config.Start {
+func testStart(t *testing.T) config.Config {
 	discovery, _ := streaming(t, entry(42, false, "s-1")+"...")
 	relay, _ := streaming(t, "event: joined\ndata: id=17&site=a&rps=21.5&new=1\n\n...")
-	return config.Start{Name: "n1", Listen: freeAddress(t), Discovery: discovery, Relay: relay, Seed: 1, Limits: limits,
-		Terms: terms, Groups: []string{"lookup"}, Known: json.RawMessage(`{"generation":41,"instances":[]}`)}
+	return config.Config{Name: "n1", Listen: freeAddress(t), Discovery: discovery, Relay: relay, Seed: 1, Limits: limits,
+		Balancer: terms, ClassNames: []string{"lookup"}, CachedEndpointList: json.RawMessage(`{"generation":41,"instances":[]}`)}
 }
 
 // occupied has something listen at an address until the test ends.
@@ -77,7 +77,7 @@
 // Guards against a start that fails because the process before it has not ended yet.
 func TestRunWaitsForItsAddress(t *testing.T) {
 	s := testStart(t)
-	s.Limits.ListenMost = time.Minute
+	s.Limits.ListenTimeout = time.Minute
 	before := occupied(t, s.Listen)
 	tried := time.AfterFunc(20*time.Millisecond, func() { before.Close() })
 	defer tried.Stop()
@@ -91,7 +91,7 @@
 // Guards against an end that waits for an address in use.
 func TestAnEndReachesAStartThatWaitsForItsAddress(t *testing.T) {
 	s := testStart(t)
-	s.Limits.ListenMost = time.Hour
+	s.Limits.ListenTimeout = time.Hour
 	occupied(t, s.Listen)
 	ctx, end := context.WithCancel(context.Background())
 	end()
@@ -117,7 +117,7 @@
 
 func TestNewNamesAFaultyKnownList(t *testing.T) {
 	s := testStart(t)
-	s.Known = json.RawMessage(`{"instances":[]}`)
+	s.CachedEndpointList = json.RawMessage(`{"instances":[]}`)
 	if _, err := New(s, io.Discard); err == nil || err.Error() != "known: generation: is missing" {
 		t.Error(err)
 	}
@@ -125,7 +125,7 @@
 
 func TestLineHasEveryCounter(t *testing.T) {
 	var text bytes.Buffer
-	b := newMetrics(0, logging.New(logging.Written(logging.Text, &text), "info"))
+	b := newMetrics(0, logging.New(logging.NewFormatWriter(logging.Text, &text), "info"))
 	b.add(reloadsFaulty, 3)
 	b.logCounters("counters")
 	if line := strings.TrimSpace(text.String()); strings.Count(line, "=") != int(counterCount)+1 || !strings.Contains(line, " reloads_faulty=3 ") {
--- a/internal/node/probe.go
+++ b/internal/node/probe.go
@@ -53,7 +53,7 @@
 	result = probeResult{server: target.server, address: target.address, answer: balancer.HealthCheckTimedOut, load: -1}
 	began := time.Now()
 	defer func() { result.took = time.Since(began) }()
-	conn, err := dial(context.Background(), r.limits, target.address, r.limits.ProbeAnswer)
+	conn, err := dial(context.Background(), r.limits, target.address, r.limits.HealthCheckTimeout)
 	if err != nil {
 		result.answer = balancer.HealthCheckUnreachable
 		return result, !isLocalFailure(err)
--- a/internal/node/probe_test.go
+++ b/internal/node/probe_test.go
@@ -26,7 +26,7 @@
 		l := limits
 		text, silent := strings.CutSuffix(answer, "...")
 		if silent {
-			l.ProbeAnswer = 30 * time.Millisecond
+			l.HealthCheckTimeout = 30 * time.Millisecond
 		}
 		address := server(t, func(c net.Conn) {
 			bufio.NewReader(c).ReadString('\n')
--- a/internal/node/read_pace_test.go
+++ b/internal/node/read_pace_test.go
@@ -101,7 +101,7 @@
 func TestSpacedReadsLoseNothingAndEndWhoIsSilent(t *testing.T) {
 	l := limits
 	l.ReadInterval = 20 * time.Millisecond
-	l.SilentNamed = 100 * time.Millisecond
+	l.CollectorIdleTimeout = 100 * time.Millisecond
 	_, address, inputs := listening(t, l, true)
 	c := dialled(t, address, "collector site=a\r\n")
 	for range 5 {
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -64,7 +64,7 @@
 	var deferred balancer.Commands
 	for tries := 0; ; tries++ {
 		sent, end := r.send(batch)
-		rest := commands.Skip(batch, sent)
+		rest := commands.SkipFirst(batch, sent)
 		if end == done && rest.Count() == 0 && deferred.Count() == 0 {
 			return true
 		}
@@ -76,7 +76,7 @@
 		}
 		reply := make(chan resendReply, 1)
 		retry := resendRequest{
-			orders:  commands.Fold(rest, deferred),
+			orders:  commands.Merge(rest, deferred),
 			from:    batch.Barrier,
 			carried: end == unknown || sent > 0,
 			reply:   reply,
@@ -106,10 +106,10 @@
 
 // send sends as many orders as a call holds, and gives how many are done with.
 func (r *relay) send(batch balancer.Commands) (sent int, end outcome) {
-	if commands.Empty(batch) {
+	if commands.IsEmpty(batch) {
 		return 0, done
 	}
-	text := encode(batch, r.groups, r.limits.CallBytes)
+	text := encode(batch, r.groups, r.limits.MaxCallBytes)
 	r.metrics.add(callsSent, 1)
 	taken := 0
 	err := recoverPanic(r.metrics, "relay", func() (err error) {
@@ -170,7 +170,7 @@
 	if address := r.next.Swap(nil); address != nil {
 		r.address = *address
 	}
-	conn, err := dial(context.Background(), r.limits, r.address, r.limits.RelayAnswer)
+	conn, err := dial(context.Background(), r.limits, r.address, r.limits.RelayTimeout)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -118,7 +118,7 @@
 
 func TestSettleCutsAtTheLimit(t *testing.T) {
 	l := limits
-	l.CallBytes = 30
+	l.MaxCallBytes = 30
 	r, calls := testRelay(t, l)
 	r.deliver(lines2(1, 2))
 	expect(t, calls, "share,0,s-1,1", "share,0,s-2,2;mark,2,0") // as late as what goes out once more, under a mark of its own
@@ -144,7 +144,7 @@
 
 func TestSettleRepeatsWhatIsNotAnswered(t *testing.T) {
 	l := limits
-	l.RelayAnswer = 200 * time.Millisecond
+	l.RelayTimeout = 200 * time.Millisecond
 	r, calls := testRelay(t, l, "silent")
 	r.deliver(lines2(1))
 	expect(t, calls, "share,0,s-1,1", "share,0,s-1,1;mark,2,0")
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -12,7 +12,7 @@
 // faulty, which changes nothing. A stream is opened at a new address at once, while the old upstream serves until the
 // new one has brought something. Settings that only count at the start are named in the log. It must never touch what
 // the module learnt, nor apply half of a file.
-func (n *Node) reload(r *receiver, next config.Start, err error) bool {
+func (n *Node) reload(r *receiver, next config.Config, err error) bool {
 	if err == nil {
 		err = n.checkKnown(next)
 	}
@@ -39,8 +39,8 @@
 }
 
 // checkKnown checks the list that a configuration gives.
-func (n *Node) checkKnown(next config.Start) error {
-	if _, _, err := n.decoder.list(next.Known); err != nil {
+func (n *Node) checkKnown(next config.Config) error {
+	if _, _, err := n.decoder.list(next.CachedEndpointList); err != nil {
 		return fmt.Errorf("known: %v", err)
 	}
 	return nil
@@ -51,7 +51,7 @@
 	if n.router.feed == nil {
 		return
 	}
-	keys, err := readKeys(n.start.Keys)
+	keys, err := readKeys(n.start.KeyFile)
 	if err != nil {
 		n.metrics.logEvent("keys_faulty", "error", err)
 		return
@@ -60,9 +60,9 @@
 }
 
 // ignoredChanges names the settings that differ and only count at the start.
-func ignoredChanges(current, next config.Start) (keys []string) {
-	sameSettings := reflect.DeepEqual(current.Terms, next.Terms) && reflect.DeepEqual(current.Groups, next.Groups) &&
-		current.Loads == next.Loads
+func ignoredChanges(current, next config.Config) (keys []string) {
+	sameSettings := reflect.DeepEqual(current.Balancer, next.Balancer) && reflect.DeepEqual(current.ClassNames, next.ClassNames) &&
+		current.ServersReportLoad == next.ServersReportLoad
 	for _, setting := range []struct {
 		key  string
 		same bool
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -37,7 +37,7 @@
 	reload <- syscall.SIGHUP
 	ctx, end := context.WithCancel(context.Background())
 	go func() {
-		ended <- n.Run(ctx, Signals{Reload: reload}, func() (config.Start, error) { return next, <-files })
+		ended <- n.Run(ctx, Signals{Reload: reload}, func() (config.Config, error) { return next, <-files })
 	}()
 	if got := <-relayAsked; got != "GET /v3/kv/stream HTTP/1.1" {
 		t.Errorf("relay: %s", got)
--- a/internal/node/route.go
+++ b/internal/node/route.go
@@ -79,7 +79,7 @@
 		case <-timer.C:
 			r.tick()
 		}
-		for more := 1; more < r.limits.Together; more++ {
+		for more := 1; more < r.limits.MaxInputBatch; more++ {
 			select {
 			case in := <-r.inputs:
 				r.take(in)
@@ -89,7 +89,7 @@
 			break
 		}
 		if r.post != nil { // behind the list, the news and the probes: a drain waits for no sample
-			r.samples = r.post.next(r.limits.Together, r.samples)
+			r.samples = r.post.next(r.limits.MaxInputBatch, r.samples)
 			for _, in := range r.samples {
 				r.take(in)
 			}
@@ -199,9 +199,9 @@
 func (r *router) handleResendRequest(in resendRequest) {
 	r.carry()
 	r.tick()
-	all := r.present(commands.Fold(append([]balancer.Commands{in.orders}, r.backlog.all()...)...))
+	all := r.present(commands.Merge(append([]balancer.Commands{in.orders}, r.backlog.all()...)...))
 	allowed, mark := r.manager.Resend(r.now, in.from, in.carried, all)
-	in.reply <- resendReply{commands.First(all, allowed, mark), commands.Skip(all, allowed)}
+	in.reply <- resendReply{commands.KeepFirst(all, allowed, mark), commands.SkipFirst(all, allowed)}
 	r.tick()
 }
 
@@ -259,7 +259,7 @@
 	if o.NextTimer > 0 && (r.wake == 0 || o.NextTimer < r.wake) {
 		r.wake = o.NextTimer
 	}
-	if !commands.Empty(o) {
+	if !commands.IsEmpty(o) {
 		r.decisions = append(r.decisions, o)
 	}
 }
@@ -269,12 +269,12 @@
 	if len(r.decisions) == 0 {
 		return
 	}
-	o := r.present(commands.Fold(r.decisions...))
+	o := r.present(commands.Merge(r.decisions...))
 	r.decisions = nil
 	if r.chain != nil {
 		o = r.version(o)
 	}
-	if !commands.Empty(o) {
+	if !commands.IsEmpty(o) {
 		r.backlog.push(o)
 	}
 }
--- a/internal/node/route_test.go
+++ b/internal/node/route_test.go
@@ -13,11 +13,11 @@
 )
 
 var limits = config.Limits{
-	Inputs: 64, Together: 64, CallsWait: 8, CallBytes: 60000, ProbesWait: 4, ProbesOpen: 2, Unnamed: 3, Named: 2,
-	Words: 64, LineUnnamed: 64, LineNamed: 1 << 10, LineNews: 1 << 10, LineList: 1 << 12, Answer: 1 << 10,
-	IdleMost: 3, FlowsMost: 10000, SpanMost: time.Minute, Stranger: time.Minute, SilentNamed: time.Minute, SilentNews: time.Minute, SilentWatch: time.Minute,
-	Opening: time.Minute, Connect: time.Second, Write: time.Second, RelayAnswer: time.Minute, ProbeAnswer: time.Minute,
-	Look: time.Millisecond, ReadyMost: time.Minute, GapMost: time.Minute, BackoffLeast: time.Millisecond, BackoffMost: 2 * time.Millisecond, LogEvery: time.Hour, LogWaits: 64, LogEnd: time.Minute,
+	MaxQueuedInputs: 64, MaxInputBatch: 64, MaxQueuedCalls: 8, MaxCallBytes: 60000, MaxQueuedHealthChecks: 4, MaxOpenHealthChecks: 2, MaxUnidentifiedConns: 3, MaxCollectorConns: 2,
+	MaxLineFields: 64, MaxUnidentifiedLineBytes: 64, MaxCollectorLineBytes: 1 << 10, MaxWatchEventBytes: 1 << 10, MaxEndpointListBytes: 1 << 12, MaxResponseBytes: 1 << 10,
+	MaxEmptyMessages: 3, MaxRequestsPerSecond: 10000, MaxReportInterval: time.Minute, IdentifyTimeout: time.Minute, CollectorIdleTimeout: time.Minute, ProxyWatchIdleTimeout: time.Minute, EndpointWatchIdleTimeout: time.Minute,
+	StreamOpenTimeout: time.Minute, ConnectTimeout: time.Second, WriteTimeout: time.Second, RelayTimeout: time.Minute, HealthCheckTimeout: time.Minute,
+	ProcessStallGrace: time.Millisecond, MaxReadyDelay: time.Minute, MaxWatchGap: time.Minute, MinBackoff: time.Millisecond, MaxBackoff: 2 * time.Millisecond, LogInterval: time.Hour, MaxQueuedLogLines: 64, LogFlushTimeout: time.Minute,
 }
 
 var terms = balancer.Settings{
@@ -29,10 +29,10 @@
 
 // testRouter knows proxies 1 and 2 and the servers s-1 and s-2; its clock stands at 10 s.
 func testRouter(t *testing.T) *router {
-	r := &router{limits: limits, born: time.Now(), manager: balancer.New(1, terms), inputs: make(chan any, limits.Inputs),
-		probes: make(chan probeTarget, limits.ProbesWait), listen: make(chan struct{}, 1), opened: func() {}, metrics: newMetrics(time.Hour, zerolog.Nop()),
+	r := &router{limits: limits, born: time.Now(), manager: balancer.New(1, terms), inputs: make(chan any, limits.MaxQueuedInputs),
+		probes: make(chan probeTarget, limits.MaxQueuedHealthChecks), listen: make(chan struct{}, 1), opened: func() {}, metrics: newMetrics(time.Hour, zerolog.Nop()),
 		proxies: map[balancer.ProxyID]bool{}, unseen: map[balancer.ProxyID]bool{}, servers: map[balancer.ServerID]string{}}
-	r.backlog = newBacklog(limits.CallsWait, r.metrics)
+	r.backlog = newBacklog(limits.MaxQueuedCalls, r.metrics)
 	r.take(serverList{generation: 1, snapshot: true, entries: []balancer.Endpoint{{Server: "s-1", Zone: "a", Weight: 1}, {Server: "s-2", Zone: "b", Weight: 1}},
 		addresses: map[balancer.ServerID]string{"s-1": "127.0.0.1:1", "s-2": "127.0.0.1:2"}})
 	for p := range balancer.ProxyID(2) {
@@ -49,7 +49,7 @@
 // ordered is all that waits for the relay.
 func (r *router) ordered() balancer.Commands {
 	r.carry()
-	return commands.Fold(append([]balancer.Commands{{}}, r.backlog.all()...)...)
+	return commands.Merge(append([]balancer.Commands{{}}, r.backlog.all()...)...)
 }
 
 func bound(o balancer.Commands) (ids []balancer.ProxyID) {
@@ -143,7 +143,7 @@
 	if p := <-r.probes; p.address != "127.0.0.1:9" {
 		t.Errorf("%+v", p)
 	}
-	r.decided(balancer.Commands{HealthCheck: make([]balancer.ServerID, limits.ProbesWait+3)})
+	r.decided(balancer.Commands{HealthCheck: make([]balancer.ServerID, limits.MaxQueuedHealthChecks+3)})
 	if n := r.metrics.counts[probesDropped].Load(); n < 3 {
 		t.Errorf("%d dropped: probes must not hold up the module", n)
 	}
--- a/internal/node/sample_queue.go
+++ b/internal/node/sample_queue.go
@@ -10,7 +10,7 @@
 // full, samples of the same kind are folded, and connections wait.
 type sampleQueue struct {
 	mu         sync.Mutex
-	samples    *sharding.Mail
+	samples    *sharding.Mailbox
 	filled     chan struct{}
 	spaceFreed chan struct{} // closed once some of it was taken
 	metrics    *metrics
@@ -18,7 +18,7 @@
 
 func newSampleQueue(limit int, m *metrics) *sampleQueue {
 	return &sampleQueue{
-		samples:    sharding.NewMail(limit),
+		samples:    sharding.NewMailbox(limit),
 		filled:     make(chan struct{}, 1),
 		spaceFreed: make(chan struct{}),
 		metrics:    m,
@@ -29,8 +29,8 @@
 func (q *sampleQueue) full() <-chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	folds := q.samples.Folds
-	hasRoom := q.samples.Room()
+	folds := q.samples.Merged
+	hasRoom := q.samples.HasRoom()
 	q.noteChange(folds)
 	if hasRoom {
 		return nil
@@ -42,7 +42,7 @@
 func (q *sampleQueue) push(samples []any) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	folds := q.samples.Folds
+	folds := q.samples.Merged
 	q.samples.Put(samples)
 	q.noteChange(folds)
 }
@@ -51,7 +51,7 @@
 func (q *sampleQueue) next(limit int, into []any) []any {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	into = q.samples.Next(limit, into)
+	into = q.samples.Take(limit, into)
 	if len(into) > 0 {
 		close(q.spaceFreed)
 		q.spaceFreed = make(chan struct{})
@@ -70,6 +70,6 @@
 
 // noteChange counts what was folded since and wakes the router. mu is held.
 func (q *sampleQueue) noteChange(foldsBefore int) {
-	q.metrics.add(samplesFolded, int64(q.samples.Folds-foldsBefore))
+	q.metrics.add(samplesFolded, int64(q.samples.Merged-foldsBefore))
 	signal(q.filled)
 }
--- a/internal/node/send.go
+++ b/internal/node/send.go
@@ -31,7 +31,7 @@
 	b.waits = append(b.waits, o)
 	if len(b.waits) > b.most {
 		b.metrics.add(callsFolded, int64(len(b.waits)-1))
-		b.waits = []balancer.Commands{commands.Fold(b.waits...)}
+		b.waits = []balancer.Commands{commands.Merge(b.waits...)}
 	}
 	b.mu.Unlock()
 	signal(b.filled)
--- a/internal/node/send_test.go
+++ b/internal/node/send_test.go
@@ -61,18 +61,18 @@
 	o := some()
 	all := encode(o, groups, 60000)
 	for n := range o.Count() + 1 {
-		head, tail := encode(commands.First(o, n, 0), groups, 60000), encode(commands.Skip(o, n), groups, 60000)
+		head, tail := encode(commands.KeepFirst(o, n, 0), groups, 60000), encode(commands.SkipFirst(o, n), groups, 60000)
 		if got := append(head, tail...); !reflect.DeepEqual(got, all) {
 			t.Errorf("at %d: %q", n, got)
 		}
 	}
-	if !commands.Empty(commands.Skip(o, 7)) {
+	if !commands.IsEmpty(commands.SkipFirst(o, 7)) {
 		t.Error("something is left")
 	}
 }
 
 func TestFoldKeepsTheLatestStateInOrder(t *testing.T) {
-	got := commands.Fold(some(), balancer.Commands{
+	got := commands.Merge(some(), balancer.Commands{
 		Weights: []balancer.EndpointWeight{{Table: 4, Server: "s-2", Weight: 3}, {Table: 5, Server: "s-2", Weight: 1}},
 		AdmissionLevels: []balancer.AdmissionLevel{{Table: 4, Classes: 1, Amount: 1, Retry: balancer.RetryIfNotExecuted},
 			{Table: 4, Classes: 2, Amount: 0.5}},
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -46,7 +46,7 @@
 	s.List = ListStatus{Version: held.version, Age: roundedSeconds(held.age), Confirmed: held.confirmed}
 	if h := n.hub; h != nil {
 		h.mu.Lock()
-		cores, conns := h.keeper.Spread()
+		cores, conns := h.keeper.LoadByShard()
 		for i, w := range h.workers {
 			l := Lane{Cores: cores[i], Connections: conns[i]}
 			if busy, working := w.busyFor(h.now()); working {
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -21,7 +21,7 @@
 		lasted := time.Since(began)
 		r.metrics.add(breaks, 1)
 		r.metrics.logLimited(name, "lasted", roundedSeconds(lasted), "opened", opened, "error", err)
-		if opened && lasted > r.limits.BackoffMost {
+		if opened && lasted > r.limits.MaxBackoff {
 			tries = 0
 		}
 		if tries > 0 && !r.waitBackoff(up.redialCtx.Done()) {
@@ -35,7 +35,7 @@
 	r.mu.Lock()
 	spread := r.jitter.Float64()
 	r.mu.Unlock()
-	wait := r.limits.BackoffLeast + time.Duration(spread*float64(r.limits.BackoffMost-r.limits.BackoffLeast))
+	wait := r.limits.MinBackoff + time.Duration(spread*float64(r.limits.MaxBackoff-r.limits.MinBackoff))
 	select {
 	case <-time.After(wait):
 		return true
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -38,7 +38,7 @@
 
 func TestKeepOpensAtOnceThatWhichHadOpened(t *testing.T) {
 	l := limits
-	l.BackoffLeast, l.BackoffMost = time.Hour, time.Hour
+	l.MinBackoff, l.MaxBackoff = time.Hour, time.Hour
 	n, w := 0, testUpstream(t, "")
 	testReceiver(nil, l).runStream(w, "news", newsBreaks, func() (bool, error) {
 		if n++; n == 2 {
@@ -53,7 +53,7 @@
 
 func TestStreamThatDoesNotBeginEndsSoon(t *testing.T) {
 	l := limits
-	l.Opening = 30 * time.Millisecond
+	l.StreamOpenTimeout = 30 * time.Millisecond
 	address := server(t, func(c net.Conn) { io.ReadAll(c) })
 	if opened, err := testReceiver(make(chan struct{}), l).readNews(testUpstream(t, address)); opened || err == nil {
 		t.Errorf("%v %v", opened, err)
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -23,8 +23,8 @@
 	lifted map[balancer.ServerID]bool // of the last update
 }
 
-func newSubsetFilter(s config.Start) *subsetFilter {
-	settings := subset.Settings{Manager: s.Name, Spill: s.Spill, WarmAfter: s.Terms.WarmUpDuration}
+func newSubsetFilter(s config.Config) *subsetFilter {
+	settings := subset.Settings{ManagerName: s.Name, Spill: s.Spill, WarmUpDuration: s.Balancer.WarmUpDuration}
 	return &subsetFilter{subset: subset.New(settings), zones: map[balancer.ProxyID]balancer.ZoneID{}, lifted: map[balancer.ServerID]bool{}}
 }
 
@@ -34,7 +34,7 @@
 	for i, e := range in.entries {
 		servers[i] = subset.Server{Endpoint: e, Address: in.addresses[e.Server]}
 	}
-	return s.subset.Listed(now, in.snapshot, servers)
+	return s.subset.HandleEndpointList(now, in.snapshot, servers)
 }
 
 // joinSubset counts a proxy for its zone. One that is told again, as after a gap in the news, counts once.
@@ -43,10 +43,10 @@
 		return
 	}
 	if before, known := r.filter.zones[in.proxy]; known {
-		r.filter.subset.Left(r.now, before)
+		r.filter.subset.HandleProxyDisconnected(r.now, before)
 	}
 	r.filter.zones[in.proxy] = in.zone
-	r.handOn(r.filter.subset.Joined(r.now, in.zone))
+	r.handOn(r.filter.subset.HandleProxyConnected(r.now, in.zone))
 }
 
 func (r *router) leaveSubset(in proxyLeft) {
@@ -55,7 +55,7 @@
 	}
 	if zone, known := r.filter.zones[in.proxy]; known {
 		delete(r.filter.zones, in.proxy)
-		r.filter.subset.Left(r.now, zone)
+		r.filter.subset.HandleProxyDisconnected(r.now, zone)
 	}
 }
 
@@ -65,19 +65,19 @@
 		return
 	}
 	r.filter.lookAt = r.now + subsetLookEvery
-	r.handOn(r.filter.subset.Looked(r.now, r.manager))
+	r.handOn(r.filter.subset.HandleTick(r.now, r.manager))
 	r.forgetAddresses()
 }
 
 // handOn tells the module what changed in the subset.
 func (r *router) handOn(u subset.Update) {
-	for _, n := range u.Notes {
+	for _, n := range u.LogRecords {
 		r.metrics.logEvent("subset", "note", n)
 	}
-	if u.Empty() {
+	if u.IsEmpty() {
 		return
 	}
-	r.lift(u.Readmit)
+	r.lift(u.Restore)
 	entries := make([]balancer.Endpoint, len(u.Servers))
 	for i, server := range u.Servers {
 		entries[i] = server.Endpoint
@@ -85,8 +85,8 @@
 			r.servers[server.Server] = server.Address
 		}
 	}
-	if u.Whole || len(entries) > 0 {
-		r.decided(r.manager.HandleEndpointList(r.now, u.Whole, entries))
+	if u.Complete || len(entries) > 0 {
+		r.decided(r.manager.HandleEndpointList(r.now, u.Complete, entries))
 		r.forgetAddresses()
 	}
 }
@@ -109,7 +109,7 @@
 
 // notNeeded is the counter of reports about a server that the module does not know.
 func (r *router) notNeeded(id balancer.ServerID) counter {
-	if r.filter != nil && r.filter.subset.Knows(id) {
+	if r.filter != nil && r.filter.subset.Tracks(id) {
 		return outsideSubset
 	}
 	return unknownNames
--- a/internal/node/subset_test.go
+++ b/internal/node/subset_test.go
@@ -44,15 +44,15 @@
 	}
 	site.QueueCapacity, site.CommandsPerSecond, site.Proxies = 1e6, 1e6, rigProxies
 	wide := limits
-	wide.ProbesWait = 1 << 16
-	r := &router{limits: wide, born: time.Now(), manager: balancer.New(1, site), inputs: make(chan any, limits.Inputs),
-		probes: make(chan probeTarget, wide.ProbesWait), listen: make(chan struct{}, 1), opened: func() {}, metrics: newMetrics(time.Hour, zerolog.Nop()),
+	wide.MaxQueuedHealthChecks = 1 << 16
+	r := &router{limits: wide, born: time.Now(), manager: balancer.New(1, site), inputs: make(chan any, limits.MaxQueuedInputs),
+		probes: make(chan probeTarget, wide.MaxQueuedHealthChecks), listen: make(chan struct{}, 1), opened: func() {}, metrics: newMetrics(time.Hour, zerolog.Nop()),
 		proxies: map[balancer.ProxyID]bool{}, unseen: map[balancer.ProxyID]bool{}, servers: map[balancer.ServerID]string{}, now: rigStart}
-	r.backlog = newBacklog(limits.CallsWait, r.metrics)
+	r.backlog = newBacklog(limits.MaxQueuedCalls, r.metrics)
 	chain := versions.DefaultSettings(1)
 	chain.StartedAt, chain.MaxCommands = time.Now(), 1<<20
 	r.chain = versions.New(chain)
-	r.filter = newSubsetFilter(config.Start{Name: name, Spill: spill, Terms: site})
+	r.filter = newSubsetFilter(config.Config{Name: name, Spill: spill, Balancer: site})
 	return &subsetRig{t: t, router: r, list: map[balancer.ServerID]balancer.Endpoint{}, failed: map[balancer.ServerID]bool{},
 		bound: map[balancer.ProxyID]balancer.TableID{}, held: &watchState{lowestReset: -1}}
 }
--- a/internal/node/versions_rig_test.go
+++ b/internal/node/versions_rig_test.go
@@ -44,17 +44,17 @@
 }
 
 // startReader reads the operator's settings, and with each call of the result the start's file joined to them.
-func startReader(start, settings string) (read func() (config.Start, error), err error) {
-	operator, err := config.ReadOperator(settings)
+func startReader(start, settings string) (read func() (config.Config, error), err error) {
+	operator, err := config.ReadOperatorSettings(settings)
 	if err != nil {
 		return nil, err
 	}
-	return func() (config.Start, error) {
+	return func() (config.Config, error) {
 		s, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": start}[key] })
 		if err != nil {
 			return s, err
 		}
-		return s.With(operator)
+		return s.WithOperator(operator)
 	}, nil
 }
 
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -28,7 +28,7 @@
 // failure told for each watch that ends. An upstream that replaces another is asked for already.
 func (n *Node) runWatch(r *receiver, up *upstream, asked bool) {
 	read := func() (bool, error) { return r.readWatch(up, n.watchState) }
-	if !n.start.Terms.PollsEndpoints {
+	if !n.start.Balancer.PollsEndpoints {
 		r.runStream(up, "watch", watchBreaks, read)
 		return
 	}
@@ -59,7 +59,7 @@
 func (r *receiver) readWatch(up *upstream, state *watchState) (opened bool, err error) {
 	reader := watchReader{receiver: r, up: up, state: state}
 	path := watchPath + strconv.FormatInt(state.resumeVersion(), 10)
-	wanted := streamRequest{address: up.address, path: path, idleTimeout: r.limits.SilentWatch, maxLength: r.limits.LineList}
+	wanted := streamRequest{address: up.address, path: path, idleTimeout: r.limits.EndpointWatchIdleTimeout, maxLength: r.limits.MaxEndpointListBytes}
 	err = stream(up.ctx, r.limits, wanted, reader.open, reader.readLine)
 	r.logListAge(state)
 	return reader.opened, err
@@ -68,7 +68,7 @@
 // logListAge tells how old the list is that the manager goes on with, where that is more than a break of the watch.
 func (r *receiver) logListAge(state *watchState) {
 	held := state.held(time.Now())
-	if held.age > r.limits.SilentWatch {
+	if held.age > r.limits.EndpointWatchIdleTimeout {
 		r.metrics.logLimited("list_age", "version", held.version, "age", roundedSeconds(held.age), "confirmed", held.confirmed)
 	}
 }
@@ -119,7 +119,7 @@
 
 // isOverdue tells whether a fault that has lasted since some time has lasted for too long.
 func (w *watchReader) isOverdue(since time.Time) bool {
-	return !since.IsZero() && time.Since(since) >= w.receiver.limits.GapMost
+	return !since.IsZero() && time.Since(since) >= w.receiver.limits.MaxWatchGap
 }
 
 // dropList counts a list that could not be read. It is asked for again by another watch; where it was malformed there
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -39,7 +39,7 @@
 
 func TestWatchEndsWhereItIsSilentOrUnreadable(t *testing.T) {
 	l := limits
-	l.SilentWatch = 200 * time.Millisecond
+	l.EndpointWatchIdleTimeout = 200 * time.Millisecond
 	for text, want := range map[string]string{entry(42, false, "s-1") + "...": "timeout", "{]\n...": "invalid", "{\"generation\":43}x\n...": "invalid"} {
 		if _, err := watched(t, l, &watchState{version: 41, lowestReset: -1}, text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.30q: %v", text, err)
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -14,7 +14,7 @@
 
 // worker decodes the lines of a lane's connections; a lane whose worker is lost gets another.
 type worker struct {
-	lane      sharding.LaneID
+	lane      sharding.ShardID
 	busySince atomic.Int64 // of the piece in hand, nanoseconds since the hub's start; 0: none
 	current   atomic.Pointer[laneConn]
 	filled    chan struct{}
@@ -23,7 +23,7 @@
 	queue     []*laneConn
 }
 
-func newWorker(lane sharding.LaneID) *worker {
+func newWorker(lane sharding.ShardID) *worker {
 	return &worker{lane: lane, filled: make(chan struct{}, 1), replaced: make(chan struct{})}
 }
 
@@ -89,7 +89,7 @@
 	default:
 	}
 	conn.isolate()
-	h.apply(func(now time.Duration) sharding.Acts { return h.keeper.Failed(now, w.lane, conn.id) })
+	h.apply(func(now time.Duration) sharding.Actions { return h.keeper.HandleWorkerFailed(now, w.lane, conn.id) })
 }
 
 // serveNext does the next thing that is due for a connection: it holds it, delivers one piece, or closes it.
@@ -100,11 +100,11 @@
 		return
 	}
 	if task.hold {
-		h.notifyKeeper(func(now time.Duration) sharding.Acts { return h.keeper.Held(now, conn.id, task.epoch) })
+		h.notifyKeeper(func(now time.Duration) sharding.Actions { return h.keeper.HandleConnDrained(now, conn.id, task.epoch) })
 		return
 	}
 	if !task.taken {
-		h.notifyKeeper(func(now time.Duration) sharding.Acts { return h.keeper.Taken(now, conn.id, task.epoch) })
+		h.notifyKeeper(func(now time.Duration) sharding.Actions { return h.keeper.HandleConnAcquired(now, conn.id, task.epoch) })
 	}
 	if task.last {
 		h.closeConn(conn, task.partial)
@@ -285,5 +285,5 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.conns, conn.id)
-	h.apply(func(now time.Duration) sharding.Acts { return h.keeper.Closed(now, conn.id) })
+	h.apply(func(now time.Duration) sharding.Actions { return h.keeper.HandleConnClosed(now, conn.id) })
 }
--- a/internal/platformsettings/terms.go
+++ b/internal/platformsettings/terms.go
@@ -16,7 +16,7 @@
 
 // Read checks the settings and gives the terms and the names of the traffic groups in their order.
 // Keys that it does not know are ignored; an error begins with the key that is at fault.
-func Read(text []byte) (balancer.Settings, []string, error) {
+func Parse(text []byte) (balancer.Settings, []string, error) {
 	var in struct {
 		Zones   []string
 		Classes []struct {
@@ -47,7 +47,7 @@
 		}
 	}
 	if err := json.Unmarshal(text, &in); err != nil {
-		return balancer.Settings{}, nil, Faulty(err)
+		return balancer.Settings{}, nil, WithKey(err)
 	}
 	checks := []struct {
 		key         string
@@ -113,7 +113,7 @@
 }
 
 // Faulty names the key at which a JSON value of another type stands; other errors stay as they are.
-func Faulty(err error) error {
+func WithKey(err error) error {
 	var wrong *json.UnmarshalTypeError
 	if !errors.As(err, &wrong) || wrong.Field == "" {
 		return err
--- a/internal/platformsettings/terms_test.go
+++ b/internal/platformsettings/terms_test.go
@@ -17,7 +17,7 @@
 
 // check looks that what passes is within the bounds that the module may rely on.
 func check(t *testing.T, text string) {
-	got, names, err := Read([]byte(text))
+	got, names, err := Parse([]byte(text))
 	if err != nil {
 		if err.Error() == "" {
 			t.Errorf("%q: an error that says nothing", text)
@@ -72,7 +72,7 @@
 		if !strings.Contains(usual, was) {
 			t.Fatalf("no %s", was)
 		}
-		if _, _, err := Read([]byte(strings.Replace(usual, was, is[0], 1))); err == nil || !strings.HasPrefix(err.Error(), is[1]) {
+		if _, _, err := Parse([]byte(strings.Replace(usual, was, is[0], 1))); err == nil || !strings.HasPrefix(err.Error(), is[1]) {
 			t.Errorf("%s: %v", is[0], err)
 		}
 	}
@@ -80,23 +80,23 @@
 
 // Guards against one customer's settings that show in another's: what is read twice is equal, whatever came between.
 func TestReadKeepsNothing(t *testing.T) {
-	first, names, err := Read([]byte(usual))
+	first, names, err := Parse([]byte(usual))
 	if err != nil {
 		t.Fatal(err)
 	}
 	other := strings.NewReplacer(`["a","b"]`, `["hall"]`, `"idempotent"`, `"deduplicated"`, `"lookup"`, `"read"`, `"share"`, `"rate"`).Replace(usual)
-	theirs, _, err := Read([]byte(other))
+	theirs, _, err := Parse([]byte(other))
 	if err != nil || len(theirs.Zones) != 1 || theirs.AdmissionUnit != balancer.AdmitRate || theirs.Classes[0].Idempotency != balancer.IdempotencyKeyed {
 		t.Fatalf("%+v %v", theirs, err)
 	}
-	again, names2, _ := Read([]byte(usual))
+	again, names2, _ := Parse([]byte(usual))
 	if !slices.Equal(first.Zones, again.Zones) || !slices.Equal(first.Classes, again.Classes) || !slices.Equal(names, names2) || first.AdmissionUnit != again.AdmissionUnit {
 		t.Errorf("%+v, then %+v", first, again)
 	}
 }
 
 func TestReadTakesTheGraceOfADrain(t *testing.T) {
-	told, _, err := Read([]byte(strings.Replace(usual, `"coldFrom":0.15`, `"coldFrom":0.15,"drainGraceUs":3200000`, 1)))
+	told, _, err := Parse([]byte(strings.Replace(usual, `"coldFrom":0.15`, `"coldFrom":0.15,"drainGraceUs":3200000`, 1)))
 	if err != nil || told.DrainGrace != 3200*time.Millisecond {
 		t.Errorf("%v %v", told.DrainGrace, err)
 	}
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -19,7 +19,7 @@
 type fleet struct {
 	scenario Scenario
 	site     fakes.Site
-	start    config.Start
+	start    config.Config
 	list     string         // the whole list at the first version
 	opening  []node.Message // what the relay tells a manager that starts
 	share    float64        // of a core, that each manager has
--- a/internal/scale/inforce.go
+++ b/internal/scale/inforce.go
@@ -87,7 +87,7 @@
 	}
 	one.addTimes(quiet, ChangeInForceMedian, ChangeInForceTail, ChangeInForceLast)
 	limits := f.start.Limits
-	again := reconnect{silent: limits.SilentWatch, backoffLeast: limits.BackoffLeast, backoffMost: limits.BackoffMost}
+	again := reconnect{silent: limits.EndpointWatchIdleTimeout, backoffLeast: limits.MinBackoff, backoffMost: limits.MaxBackoff}
 	lost, err := r.drain(ctx, 4*inForceEvery, r.control.machinesLost(managers, again))
 	if err != nil {
 		return nil, err
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -118,17 +118,17 @@
 }
 
 // start is what the manager of a scenario is told at its start: no server is known before the list is read.
-func (s Scenario) start(site fakes.Site) (config.Start, error) {
+func (s Scenario) start(site fakes.Site) (config.Config, error) {
 	dir, err := os.MkdirTemp("", "tamarindshore-scale-")
 	if err != nil {
-		return config.Start{}, err
+		return config.Config{}, err
 	}
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "start.json")
 	text := site.Start("n1", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", fakes.EndpointList{Complete: true, Endpoints: []fakes.Endpoint{}}, s.Seed, 1,
 		memoryMB, maxSockets)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
-		return config.Start{}, err
+		return config.Config{}, err
 	}
 	return config.Read(func(name string) string {
 		if name == "PROXY_CONFIG" {
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -66,12 +66,12 @@
 }
 
 // Fail is an error at a node.
-func (n *Node) Fail(format string, values ...any) error {
+func (n *Node) Errorf(format string, values ...any) error {
 	return fmt.Errorf("%s:%d: %s", n.Pos.Filename, n.Pos.Line, fmt.Sprintf(format, values...))
 }
 
 // text is a node as it may be shown.
-func (n *Node) text() string {
+func (n *Node) display() string {
 	switch {
 	case n.Word != nil:
 		return *n.Word
@@ -99,10 +99,10 @@
 
 // Key is what reads the values of a list that begins with its name.
 type Key struct {
-	Name string
-	Read func(n *Node) error
-	Must bool // it has to be there
-	Many bool // it may be there more than once
+	Name     string
+	Read     func(n *Node) error
+	Required bool // it has to be there
+	Repeated bool // it may be there more than once
 }
 
 // Read goes through lists and hands each to its key. What is no list, is unknown, comes twice or is missing is an
@@ -112,14 +112,14 @@
 	for _, n := range lists {
 		name, found := n.Head(), false
 		if name == "" {
-			return n.Fail("%s stands where (key value ...) is due", n.text())
+			return n.Errorf("%s stands where (key value ...) is due", n.display())
 		}
 		for _, k := range keys {
 			if k.Name != name {
 				continue
 			}
-			if found = true; seen[name] && !k.Many {
-				return n.Fail("%s: stands twice", name)
+			if found = true; seen[name] && !k.Repeated {
+				return n.Errorf("%s: stands twice", name)
 			}
 			seen[name] = true
 			if err := k.Read(n); err != nil {
@@ -131,26 +131,26 @@
 			for _, k := range keys {
 				names = append(names, k.Name)
 			}
-			return n.Fail("%s: is no key here; known are %s", name, strings.Join(names, ", "))
+			return n.Errorf("%s: is no key here; known are %s", name, strings.Join(names, ", "))
 		}
 	}
 	for _, k := range keys {
-		if k.Must && !seen[k.Name] {
-			return in.Fail("%s: is missing", k.Name)
+		if k.Required && !seen[k.Name] {
+			return in.Errorf("%s: is missing", k.Name)
 		}
 	}
 	return nil
 }
 
 // one is the single value of a list.
-func (n *Node) one() (*Node, error) {
+func (n *Node) singleValue() (*Node, error) {
 	if a := n.Args(); len(a) == 1 && a[0].List == nil {
 		return a[0], nil
 	}
-	return nil, n.Fail("%s: one value is due", n.Head())
+	return nil, n.Errorf("%s: one value is due", n.Head())
 }
 
-func (n *Node) plain() string {
+func (n *Node) value() string {
 	if n.String != nil {
 		return *n.String
 	}
@@ -159,84 +159,84 @@
 
 // Text reads the single value of a list as it stands.
 func (n *Node) Text(to *string) error {
-	v, err := n.one()
+	v, err := n.singleValue()
 	if err == nil {
-		*to = v.plain()
+		*to = v.value()
 	}
 	return err
 }
 
 // OneOf reads a word of a few.
 func (n *Node) OneOf(to *string, words ...string) error {
-	v, err := n.one()
+	v, err := n.singleValue()
 	if err != nil {
 		return err
 	}
 	for _, w := range words {
-		if v.plain() == w {
+		if v.value() == w {
 			*to = w
 			return nil
 		}
 	}
-	return v.Fail("%s: %s is none of %s", n.Head(), v.text(), strings.Join(words, ", "))
+	return v.Errorf("%s: %s is none of %s", n.Head(), v.display(), strings.Join(words, ", "))
 }
 
 // Whole reads a whole number within bounds.
-func (n *Node) Whole(to *int, least, most int) error {
-	v, err := n.one()
+func (n *Node) Int(to *int, least, most int) error {
+	v, err := n.singleValue()
 	if err != nil {
 		return err
 	}
-	x, err := strconv.Atoi(v.plain())
+	x, err := strconv.Atoi(v.value())
 	if err != nil || x < least || x > most {
-		return v.Fail("%s: %s is no whole number from %d to %d", n.Head(), v.text(), least, most)
+		return v.Errorf("%s: %s is no whole number from %d to %d", n.Head(), v.display(), least, most)
 	}
 	*to = x
 	return nil
 }
 
 // Number reads a number within bounds; 12% is 0.12.
-func (n *Node) Number(to *float64, least, most float64) error {
-	v, err := n.one()
+func (n *Node) Float(to *float64, least, most float64) error {
+	v, err := n.singleValue()
 	if err != nil {
 		return err
 	}
-	text, by := strings.CutSuffix(v.plain(), "%")
+	text, by := strings.CutSuffix(v.value(), "%")
 	x, err := strconv.ParseFloat(text, 64)
 	if by {
 		x /= 100
 	}
 	if err != nil || math.IsNaN(x) || x < least || x > most {
-		return v.Fail("%s: %s is no number from %v to %v", n.Head(), v.text(), least, most)
+		return v.Errorf("%s: %s is no number from %v to %v", n.Head(), v.display(), least, most)
 	}
 	*to = x
 	return nil
 }
 
 // Span reads a time such as 250ms, 13s or 1m30s within bounds.
-func (n *Node) Span(to *time.Duration, least, most time.Duration) error {
-	v, err := n.one()
+func (n *Node) Duration(to *time.Duration, least, most time.Duration) error {
+	v, err := n.singleValue()
 	if err != nil {
 		return err
 	}
-	x, err := time.ParseDuration(v.plain())
+	x, err := time.ParseDuration(v.value())
 	if err != nil || x < least || x > most {
-		return v.Fail("%s: %s is no time from %v to %v", n.Head(), v.text(), least, most)
+		return v.Errorf("%s: %s is no time from %v to %v", n.Head(), v.display(), least, most)
 	}
 	*to = x
 	return nil
 }
 
 // Address reads host:port.
-func (n *Node) Address(to *string) error {
-	v, err := n.one()
+func (n *Node) HostPort(to *string) error {
+	v, err := n.singleValue()
 	if err != nil {
 		return err
 	}
-	host, port, err := net.SplitHostPort(v.plain())
+	host, port, err := net.SplitHostPort(v.value())
 	if p, bad := strconv.ParseUint(port, 10, 16); err != nil || host == "" || bad != nil || p == 0 {
-		return v.Fail("%s: %s is no host:port", n.Head(), v.text())
+		return v.Errorf("%s: %s is no host:port", n.Head(), v.display())
 	}
-	*to = v.plain()
+	*to = v.value()
 	return nil
 }
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -15,10 +15,10 @@
 	var wait time.Duration
 	var at, form string
 	err = Read(nodes[0], nodes[0].Args(),
-		Key{Name: "cores", Read: func(n *Node) error { return n.Whole(&cores, 1, 8) }},
-		Key{Name: "part", Read: func(n *Node) error { return n.Number(&part, 0, 1) }},
-		Key{Name: "wait", Read: func(n *Node) error { return n.Span(&wait, 0, time.Hour) }},
-		Key{Name: "at", Read: func(n *Node) error { return n.Address(&at) }},
+		Key{Name: "cores", Read: func(n *Node) error { return n.Int(&cores, 1, 8) }},
+		Key{Name: "part", Read: func(n *Node) error { return n.Float(&part, 0, 1) }},
+		Key{Name: "wait", Read: func(n *Node) error { return n.Duration(&wait, 0, time.Hour) }},
+		Key{Name: "at", Read: func(n *Node) error { return n.HostPort(&at) }},
 		Key{Name: "form", Read: func(n *Node) error { return n.OneOf(&form, "text", "json") }})
 	if err != nil || cores != 4 || part != 0.12 || wait != 90*time.Second || at != "127.0.0.1:80" || form != "text" {
 		t.Errorf("%v: %d %v %v %s %s", err, cores, part, wait, at, form)
@@ -27,7 +27,7 @@
 
 func TestErrorsNameFileLineAndWord(t *testing.T) {
 	var n int
-	keys := []Key{{Name: "cores", Must: true, Read: func(l *Node) error { return l.Whole(&n, 1, 8) }}}
+	keys := []Key{{Name: "cores", Required: true, Read: func(l *Node) error { return l.Int(&n, 1, 8) }}}
 	for text, want := range map[string]string{
 		"(a\n (cores 9))":             `f:2: cores: 9 is no whole number from 1 to 8`,
 		"(a\n (cores))":               `f:2: cores: one value is due`,
@@ -60,7 +60,7 @@
 			if n.List == nil && n.Word == nil && n.String == nil {
 				t.Error("a node that is nothing")
 			}
-			Read(n, n.Args(), Key{Name: "b", Read: func(n *Node) error { var x int; return n.Whole(&x, 0, 9) }})
+			Read(n, n.Args(), Key{Name: "b", Read: func(n *Node) error { var x int; return n.Int(&x, 0, 9) }})
 		}
 	})
 }
--- a/internal/sharding/fold.go
+++ b/internal/sharding/fold.go
@@ -10,13 +10,13 @@
 // than a bound, samples of the same pair of server and zone, or of the same proxy and traffic group, become one over
 // the sum of their spans, so that what waits is bounded by what exists and rates stay as they are. Where even that is
 // too much, Room is false and those who bring wait: the senders' buffers fill, and they decide.
-type Mail struct {
+type Mailbox struct {
 	most    int
 	waits   []any // balancer.Report or balancer.Usage
 	folded  bool  // no two that wait are of the same
 	reports map[pair]int
 	usages  map[part]int
-	Folds   int // samples that became part of another
+	Merged  int // samples that became part of another
 }
 
 type pair struct {
@@ -30,10 +30,10 @@
 }
 
 // NewMail holds about so many samples.
-func NewMail(most int) *Mail { return &Mail{most: most} }
+func NewMailbox(most int) *Mailbox { return &Mailbox{most: most} }
 
 // Room tells whether more may be brought. It folds what waits if that may help.
-func (m *Mail) Room() bool {
+func (m *Mailbox) HasRoom() bool {
 	if len(m.waits) >= m.most && !m.folded {
 		m.fold()
 	}
@@ -41,7 +41,7 @@
 }
 
 // Put adds samples behind those that wait.
-func (m *Mail) Put(samples []any) {
+func (m *Mailbox) Put(samples []any) {
 	if m.folded {
 		for _, s := range samples {
 			m.merge(s)
@@ -52,7 +52,7 @@
 }
 
 // Next takes up to so many of the oldest, into the room of those taken before.
-func (m *Mail) Next(n int, into []any) []any {
+func (m *Mailbox) Take(n int, into []any) []any {
 	n = min(n, len(m.waits))
 	into = append(into[:0], m.waits[:n]...)
 	if m.waits = m.waits[n:]; len(m.waits) == 0 {
@@ -65,9 +65,9 @@
 }
 
 // Len is how many samples wait.
-func (m *Mail) Len() int { return len(m.waits) }
+func (m *Mailbox) Len() int { return len(m.waits) }
 
-func (m *Mail) fold() {
+func (m *Mailbox) fold() {
 	all := m.waits
 	m.waits, m.folded = make([]any, 0, len(all)), true
 	m.reports, m.usages = map[pair]int{}, map[part]int{}
@@ -76,7 +76,7 @@
 	}
 }
 
-func (m *Mail) merge(sample any) {
+func (m *Mailbox) merge(sample any) {
 	switch s := sample.(type) {
 	case balancer.LoadReport:
 		at, same := m.reports[pair{s.Server, s.Zone}]
@@ -84,8 +84,8 @@
 			m.reports[pair{s.Server, s.Zone}] = len(m.waits)
 			break
 		}
-		m.waits[at] = Sum(m.waits[at].(balancer.LoadReport), s)
-		m.Folds++
+		m.waits[at] = MergeReports(m.waits[at].(balancer.LoadReport), s)
+		m.Merged++
 		return
 	case balancer.UsageReport:
 		at, same := m.usages[part{s.Proxy, s.Class}]
@@ -96,14 +96,14 @@
 		u := m.waits[at].(balancer.UsageReport)
 		u.Requests, u.Dropped, u.Interval = u.Requests+s.Requests, u.Dropped+s.Dropped, u.Interval+s.Interval
 		m.waits[at] = u
-		m.Folds++
+		m.Merged++
 		return
 	}
 	m.waits = append(m.waits, sample)
 }
 
 // Sum is what two reports of the same pair say together; the later one's load counts, if it tells any.
-func Sum(a, b balancer.LoadReport) balancer.LoadReport {
+func MergeReports(a, b balancer.LoadReport) balancer.LoadReport {
 	good := float64(a.Attempts-a.Failed)*float64(a.Latency) + float64(b.Attempts-b.Failed)*float64(b.Latency)
 	sum := balancer.LoadReport{Server: a.Server, Zone: a.Zone, Attempts: a.Attempts + b.Attempts, Failed: a.Failed + b.Failed,
 		Interval: a.Interval + b.Interval, InFlight: b.InFlight}
--- a/internal/sharding/keeper.go
+++ b/internal/sharding/keeper.go
@@ -36,7 +36,7 @@
 	owner   Owner
 	was     Owner // while it is taken over
 	step    step
-	to      LaneID // while it is held
+	to      ShardID // while it is held
 	since   time.Duration
 	movedAt time.Duration
 	moved   bool
@@ -54,13 +54,13 @@
 }
 
 // Keeper owns who owns what.
-type Keeper struct {
-	t        Terms
+type Assigner struct {
+	t        Settings
 	now      time.Duration
-	a        Acts
+	a        Actions
 	conns    map[ConnID]*conn
 	lanes    []*lane
-	lost     []LaneID // failed, and not dealt with
+	lost     []ShardID // failed, and not dealt with
 	moves    []time.Duration
 	measured bool // a window is over
 	lookedAt time.Duration
@@ -68,28 +68,28 @@
 }
 
 // NewKeeper makes a keeper whose lanes own nothing.
-func NewKeeper(t Terms) *Keeper {
-	k := &Keeper{t: t, conns: map[ConnID]*conn{}, lookedAt: -1}
-	for range t.Lanes {
-		k.lanes = append(k.lanes, &lane{conns: map[ConnID]*conn{}, restFor: t.LaneRest})
+func NewAssigner(t Settings) *Assigner {
+	k := &Assigner{t: t, conns: map[ConnID]*conn{}, lookedAt: -1}
+	for range t.Shards {
+		k.lanes = append(k.lanes, &lane{conns: map[ConnID]*conn{}, restFor: t.QuarantineDuration})
 	}
 	return k
 }
 
 type rule struct {
-	when func(*Keeper) bool
-	then func(*Keeper)
+	when func(*Assigner) bool
+	then func(*Assigner)
 }
 
 // rules are gone through in this order after every input; each effect makes its condition false.
 var rules = []rule{
-	{(*Keeper).laneLost, (*Keeper).dealAnew},
-	{(*Keeper).holdOverdue, (*Keeper).callOff},
-	{(*Keeper).rested, (*Keeper).wakeLane},
-	{(*Keeper).uneven, (*Keeper).spread},
+	{(*Assigner).laneLost, (*Assigner).dealAnew},
+	{(*Assigner).holdOverdue, (*Assigner).callOff},
+	{(*Assigner).rested, (*Assigner).wakeLane},
+	{(*Assigner).uneven, (*Assigner).spread},
 }
 
-func (k *Keeper) decide() Acts {
+func (k *Assigner) decide() Actions {
 	for i := 0; i < len(rules); i++ {
 		if rules[i].when(k) {
 			rules[i].then(k)
@@ -97,16 +97,16 @@
 		}
 	}
 	a := k.a
-	k.a = Acts{}
+	k.a = Actions{}
 	return a
 }
 
-func (k *Keeper) note(format string, figures ...any) {
-	k.a.Notes = append(k.a.Notes, fmt.Sprintf(format, figures...))
+func (k *Assigner) note(format string, figures ...any) {
+	k.a.LogRecords = append(k.a.LogRecords, fmt.Sprintf(format, figures...))
 }
 
 // Opened gives a connection its first owner: the lane that has least to do.
-func (k *Keeper) Opened(now time.Duration, id ConnID) Acts {
+func (k *Assigner) HandleConnOpened(now time.Duration, id ConnID) Actions {
 	k.now = now
 	if _, known := k.conns[id]; !known {
 		c := &conn{id: id, since: now}
@@ -117,29 +117,29 @@
 }
 
 // give makes a lane the owner of a connection, under the next epoch.
-func (k *Keeper) give(c *conn, to LaneID) {
+func (k *Assigner) give(c *conn, to ShardID) {
 	if c.owner.Epoch > 0 {
-		k.lanes[c.owner.Lane].drop(c)
+		k.lanes[c.owner.Shard].drop(c)
 		c.was, c.step = c.owner, taking
 	}
 	k.unhold(c)
 	c.owner = Owner{to, c.owner.Epoch + 1}
 	k.lanes[to].add(c)
-	k.a.Take = append(k.a.Take, Place{c.id, c.owner})
+	k.a.Assign = append(k.a.Assign, Assignment{c.id, c.owner})
 }
 
-func (k *Keeper) unhold(c *conn) {
+func (k *Assigner) unhold(c *conn) {
 	if i := slices.Index(k.held, c); i >= 0 {
 		k.held = slices.Delete(k.held, i, i+1)
 	}
 }
 
 // Closed forgets a connection, in whatever step it is.
-func (k *Keeper) Closed(now time.Duration, id ConnID) Acts {
+func (k *Assigner) HandleConnClosed(now time.Duration, id ConnID) Actions {
 	k.now = now
 	if c := k.conns[id]; c != nil {
 		k.unhold(c)
-		k.lanes[c.owner.Lane].drop(c)
+		k.lanes[c.owner.Shard].drop(c)
 		delete(k.conns, id)
 	}
 	return k.decide()
@@ -147,32 +147,32 @@
 
 // Held says that an owner has stopped. Where the move was called off meanwhile, the same lane goes on under the next
 // epoch: guards against a connection that nobody serves.
-func (k *Keeper) Held(now time.Duration, id ConnID, e Epoch) Acts {
+func (k *Assigner) HandleConnDrained(now time.Duration, id ConnID, e Epoch) Actions {
 	k.now = now
 	if c := k.conns[id]; c != nil && c.owner.Epoch == e {
-		to := c.owner.Lane
+		to := c.owner.Shard
 		if c.step == holding && k.works(c.to) {
 			to = c.to
 		}
-		c.movedAt, c.moved = now, c.moved || to != c.owner.Lane
+		c.movedAt, c.moved = now, c.moved || to != c.owner.Shard
 		k.give(c, to)
 	}
 	return k.decide()
 }
 
 // Taken says that a new owner has begun: the one before may forget the connection.
-func (k *Keeper) Taken(now time.Duration, id ConnID, e Epoch) Acts {
+func (k *Assigner) HandleConnAcquired(now time.Duration, id ConnID, e Epoch) Actions {
 	k.now = now
 	if c := k.conns[id]; c != nil && c.owner.Epoch == e && c.step == taking {
 		c.step = settled
-		k.a.LetGo = append(k.a.LetGo, Place{id, c.was})
+		k.a.Release = append(k.a.Release, Assignment{id, c.was})
 	}
 	return k.decide()
 }
 
 // Worked tells how many cores each connection's work took in the window that is over. All that are not told did
 // nothing.
-func (k *Keeper) Worked(now time.Duration, cores map[ConnID]float64) Acts {
+func (k *Assigner) HandleLoad(now time.Duration, cores map[ConnID]float64) Actions {
 	k.now = now
 	for id, c := range k.conns {
 		c.work = append(c.work, cores[id])
@@ -180,7 +180,7 @@
 	}
 	for i, l := range k.lanes {
 		l.sum = 0
-		for _, c := range k.owned(LaneID(i)) {
+		for _, c := range k.owned(ShardID(i)) {
 			l.sum += c.load()
 		}
 	}
@@ -190,20 +190,20 @@
 
 // Looked tells for how long each lane has been at one piece of work; below 0: it waits for some. Guards against a
 // lane that stands still; a look that comes late itself says nothing, for then all stood still.
-func (k *Keeper) Looked(now time.Duration, at []time.Duration) Acts {
+func (k *Assigner) HandleWorkerCheck(now time.Duration, at []time.Duration) Actions {
 	k.now = now
-	late := k.lookedAt < 0 || now-k.lookedAt > 2*k.t.LookEvery
+	late := k.lookedAt < 0 || now-k.lookedAt > 2*k.t.CheckInterval
 	k.lookedAt = now
 	for i, l := range k.lanes {
 		switch {
-		case at[i] < k.t.StuckAfter:
+		case at[i] < k.t.StallTimeout:
 			l.busy = 0
 		case !late:
 			l.busy++
 		}
 		if l.busy >= 2 {
 			k.note("lane %d stands still: %.2fs at one piece of work", i, at[i].Seconds())
-			k.lost, l.busy = append(k.lost, LaneID(i)), 0
+			k.lost, l.busy = append(k.lost, ShardID(i)), 0
 		}
 	}
 	return k.decide()
@@ -211,7 +211,7 @@
 
 // Failed tells that a lane's worker ended by a fault, while it worked for a connection. One that brings its lane down
 // again is closed: guards against a connection that takes one lane after another with it.
-func (k *Keeper) Failed(now time.Duration, id LaneID, by ConnID) Acts {
+func (k *Assigner) HandleWorkerFailed(now time.Duration, id ShardID, by ConnID) Actions {
 	k.now = now
 	if c := k.conns[by]; c != nil {
 		if c.spoilt++; c.spoilt >= spoilsMost {
@@ -223,7 +223,7 @@
 	return k.decide()
 }
 
-func (k *Keeper) works(id LaneID) bool {
+func (k *Assigner) works(id ShardID) bool {
 	return k.lanes[id].rests == 0 && !slices.Contains(k.lost, id)
 }
 
@@ -246,32 +246,32 @@
 }
 
 // idlest is the lane with least to do of those that work, another one than that named if there is any.
-func (k *Keeper) idlest(but LaneID) LaneID {
+func (k *Assigner) idlest(but ShardID) ShardID {
 	best, least := max(but, 0), math.Inf(1)
 	for i, l := range k.lanes {
-		if id := LaneID(i); id != but && k.works(id) && l.sum < least {
+		if id := ShardID(i); id != but && k.works(id) && l.sum < least {
 			best, least = id, l.sum
 		}
 	}
 	return best
 }
 
-func (k *Keeper) laneLost() bool { return len(k.lost) > 0 }
+func (k *Assigner) laneLost() bool { return len(k.lost) > 0 }
 
 // dealAnew gives a lane another worker, and its connections to the others, each under its next epoch. A lane that
 // fails often rests, unless no other works.
-func (k *Keeper) dealAnew() {
+func (k *Assigner) dealAnew() {
 	id := k.lost[0]
 	k.lost = k.lost[1:]
 	l := k.lanes[id]
-	l.fails = slices.DeleteFunc(append(l.fails, k.now), func(at time.Duration) bool { return k.now-at > k.t.FailsWithin })
+	l.fails = slices.DeleteFunc(append(l.fails, k.now), func(at time.Duration) bool { return k.now-at > k.t.FailureWindow })
 	others := slices.ContainsFunc(k.lanes, func(o *lane) bool { return o != l && o.rests == 0 })
-	if len(l.fails) >= k.t.FailsMost && others {
+	if len(l.fails) >= k.t.MaxFailures && others {
 		l.rests, l.fails = k.now+l.restFor, nil
-		k.note("lane %d rests for %.0fs after %d failures", id, l.restFor.Seconds(), k.t.FailsMost)
-		l.restFor = min(2*l.restFor, restMost*k.t.LaneRest)
+		k.note("lane %d rests for %.0fs after %d failures", id, l.restFor.Seconds(), k.t.MaxFailures)
+		l.restFor = min(2*l.restFor, restMost*k.t.QuarantineDuration)
 	}
-	k.a.Renew = append(k.a.Renew, id)
+	k.a.RestartWorkers = append(k.a.RestartWorkers, id)
 	n := len(l.conns)
 	for _, c := range k.owned(id) {
 		k.give(c, k.idlest(id))
@@ -280,7 +280,7 @@
 }
 
 // owned are a lane's connections by number.
-func (k *Keeper) owned(id LaneID) (all []*conn) {
+func (k *Assigner) owned(id ShardID) (all []*conn) {
 	for _, c := range k.lanes[id].conns {
 		all = append(all, c)
 	}
@@ -288,21 +288,23 @@
 	return all
 }
 
-func (k *Keeper) holdOverdue() bool { return len(k.held) > 0 && k.now-k.held[0].since >= k.t.HoldMost }
+func (k *Assigner) holdOverdue() bool {
+	return len(k.held) > 0 && k.now-k.held[0].since >= k.t.DrainTimeout
+}
 
 // callOff ends a move whose owner does not answer. If it still does, Held names an owner.
-func (k *Keeper) callOff() {
+func (k *Assigner) callOff() {
 	c := k.held[0]
 	k.held = k.held[1:]
 	c.step = settled
-	k.note("connection %d stays with lane %d: not held within %.2fs", c.id, c.owner.Lane, k.t.HoldMost.Seconds())
+	k.note("connection %d stays with lane %d: not held within %.2fs", c.id, c.owner.Shard, k.t.DrainTimeout.Seconds())
 }
 
-func (k *Keeper) rested() bool {
+func (k *Assigner) rested() bool {
 	return slices.ContainsFunc(k.lanes, func(l *lane) bool { return l.rests > 0 && k.now >= l.rests })
 }
 
-func (k *Keeper) wakeLane() {
+func (k *Assigner) wakeLane() {
 	for i, l := range k.lanes {
 		if l.rests > 0 && k.now >= l.rests {
 			l.rests = 0
@@ -312,21 +314,21 @@
 }
 
 // uneven is looked at once for each window: connections are gone through.
-func (k *Keeper) uneven() bool { return k.measured }
+func (k *Assigner) uneven() bool { return k.measured }
 
 // spread moves one connection from the busiest lane to the idlest where that evens them by enough. Guards against
 // swinging to and fro: a connection that moved rests, moves within a span are bounded, and one connection that is
 // all of a lane's work stays where it is.
-func (k *Keeper) spread() {
+func (k *Assigner) spread() {
 	k.measured = false
-	k.moves = slices.DeleteFunc(k.moves, func(at time.Duration) bool { return k.now-at >= k.t.SwingOver })
-	if len(k.moves) >= k.t.MovesMost || len(k.held) > 0 {
+	k.moves = slices.DeleteFunc(k.moves, func(at time.Duration) bool { return k.now-at >= k.t.MoveWindow })
+	if len(k.moves) >= k.t.MaxMoves || len(k.held) > 0 {
 		return
 	}
-	busiest, most := LaneID(-1), 0.0
+	busiest, most := ShardID(-1), 0.0
 	for i, l := range k.lanes {
-		if k.works(LaneID(i)) && l.sum > most {
-			busiest, most = LaneID(i), l.sum
+		if k.works(ShardID(i)) && l.sum > most {
+			busiest, most = ShardID(i), l.sum
 		}
 	}
 	if busiest < 0 {
@@ -340,7 +342,7 @@
 	var best *conn
 	left := gap * (1 - gapLess)
 	for _, c := range k.owned(busiest) {
-		fits := c.step == settled && len(c.work) >= windows && !(c.moved && k.now-c.movedAt < k.t.RestFor)
+		fits := c.step == settled && len(c.work) >= windows && !(c.moved && k.now-c.movedAt < k.t.MoveCooldown)
 		if after := gap - 2*c.load(); fits && max(after, -after) < left {
 			best, left = c, max(after, -after)
 		}
@@ -350,13 +352,13 @@
 	}
 	best.step, best.to, best.since = holding, to, k.now
 	k.held, k.moves = append(k.held, best), append(k.moves, k.now)
-	k.a.Hold = append(k.a.Hold, Place{best.id, best.owner})
+	k.a.Drain = append(k.a.Drain, Assignment{best.id, best.owner})
 	k.note("connection %d goes from lane %d to %d: %.2f of %.2f cores, %.2f there",
 		best.id, busiest, to, best.load(), most, most-gap)
 }
 
 // Owner names who owns a connection; false where it is not known.
-func (k *Keeper) Owner(id ConnID) (Owner, bool) {
+func (k *Assigner) Owner(id ConnID) (Owner, bool) {
 	c := k.conns[id]
 	if c == nil {
 		return Owner{}, false
@@ -365,7 +367,7 @@
 }
 
 // Spread is how many cores each lane's connections take, and how many connections it has.
-func (k *Keeper) Spread() (cores []float64, conns []int) {
+func (k *Assigner) LoadByShard() (cores []float64, conns []int) {
 	for _, l := range k.lanes {
 		cores, conns = append(cores, l.sum), append(conns, len(l.conns))
 	}
--- a/internal/sharding/keeper_test.go
+++ b/internal/sharding/keeper_test.go
@@ -11,13 +11,13 @@
 )
 
 // keeper has lanes with so many connections each, at rest; those of lane 0 take `busy` cores each.
-func keeper(lanes, conns int, busy float64) *Keeper {
-	k := NewKeeper(Usual(lanes))
+func keeper(lanes, conns int, busy float64) *Assigner {
+	k := NewAssigner(DefaultSettings(lanes))
 	id := ConnID(0)
 	for i, l := range k.lanes {
 		for range conns {
 			id++
-			c := &conn{id: id, owner: Owner{LaneID(i), 1}, work: []float64{0, 0, 0}}
+			c := &conn{id: id, owner: Owner{ShardID(i), 1}, work: []float64{0, 0, 0}}
 			if i == 0 {
 				c.work = []float64{busy, busy, busy}
 			}
@@ -28,72 +28,72 @@
 	return k
 }
 
-func (k *Keeper) spreadOut(now time.Duration) Acts {
+func (k *Assigner) spreadOut(now time.Duration) Actions {
 	cores := map[ConnID]float64{}
 	for id, c := range k.conns {
 		cores[id] = c.load()
 	}
-	return k.Worked(now, cores)
+	return k.HandleLoad(now, cores)
 }
 
 func TestAConnectionMovesInFourSteps(t *testing.T) {
 	k := keeper(2, 2, 0.3)
 	a := k.spreadOut(time.Second)
-	if len(a.Hold) != 1 || a.Hold[0].Owner != (Owner{0, 1}) || len(a.Take) != 0 {
+	if len(a.Drain) != 1 || a.Drain[0].Owner != (Owner{0, 1}) || len(a.Assign) != 0 {
 		t.Fatalf("%+v", a)
 	}
-	id := a.Hold[0].Conn
-	if a = k.Held(time.Second, id, 1); len(a.Take) != 1 || a.Take[0].Owner != (Owner{1, 2}) || len(a.LetGo) != 0 {
+	id := a.Drain[0].Conn
+	if a = k.HandleConnDrained(time.Second, id, 1); len(a.Assign) != 1 || a.Assign[0].Owner != (Owner{1, 2}) || len(a.Release) != 0 {
 		t.Fatalf("%+v", a)
 	}
-	if a = k.Taken(time.Second, id, 2); len(a.LetGo) != 1 || a.LetGo[0].Owner != (Owner{0, 1}) {
+	if a = k.HandleConnAcquired(time.Second, id, 2); len(a.Release) != 1 || a.Release[0].Owner != (Owner{0, 1}) {
 		t.Fatalf("%+v", a)
 	}
-	if a = k.Taken(time.Second, id, 2); len(a.LetGo) != 0 {
+	if a = k.HandleConnAcquired(time.Second, id, 2); len(a.Release) != 0 {
 		t.Errorf("let go twice: %+v", a)
 	}
 }
 
 func TestAMoveThatIsNotHeldIsCalledOffAndNobodyIsLeftWithoutAnOwner(t *testing.T) {
 	k := keeper(2, 2, 0.3)
-	id := k.spreadOut(time.Second).Hold[0].Conn
-	k.Looked(time.Second+k.t.HoldMost, []time.Duration{-1, -1})
+	id := k.spreadOut(time.Second).Drain[0].Conn
+	k.HandleWorkerCheck(time.Second+k.t.DrainTimeout, []time.Duration{-1, -1})
 	if c := k.conns[id]; c.step != settled {
 		t.Fatalf("%+v", c)
 	}
-	if a := k.Held(2*time.Second, id, 1); len(a.Take) != 1 || a.Take[0].Owner != (Owner{0, 2}) {
+	if a := k.HandleConnDrained(2*time.Second, id, 1); len(a.Assign) != 1 || a.Assign[0].Owner != (Owner{0, 2}) {
 		t.Errorf("one that stopped late is served by nobody: %+v", a)
 	}
 }
 
 func TestALostLaneGivesItsConnectionsUnderTheNextEpoch(t *testing.T) {
 	k := keeper(3, 2, 0.1)
-	a := k.Failed(time.Second, 0, 1)
-	if !slices.Equal(a.Renew, []LaneID{0}) || len(a.Take) != 2 {
+	a := k.HandleWorkerFailed(time.Second, 0, 1)
+	if !slices.Equal(a.RestartWorkers, []ShardID{0}) || len(a.Assign) != 2 {
 		t.Fatalf("%+v", a)
 	}
-	for _, p := range a.Take {
-		if p.Owner.Lane == 0 || p.Owner.Epoch != 2 {
+	for _, p := range a.Assign {
+		if p.Owner.Shard == 0 || p.Owner.Epoch != 2 {
 			t.Errorf("%+v", p)
 		}
 	}
-	if a := k.Held(time.Second, 1, 1); len(a.Take) > 0 {
+	if a := k.HandleConnDrained(time.Second, 1, 1); len(a.Assign) > 0 {
 		t.Errorf("what the lost owner says is taken: %+v", a)
 	}
 }
 
 func TestOnlyALaneThatStandsStillByTwoLooksInTimeIsLost(t *testing.T) {
 	k, at := keeper(2, 1, 0.1), []time.Duration{time.Second, -1}
-	every := k.t.LookEvery
-	k.Looked(0, at)
-	if a := k.Looked(2*time.Second, at); len(a.Renew) > 0 {
+	every := k.t.CheckInterval
+	k.HandleWorkerCheck(0, at)
+	if a := k.HandleWorkerCheck(2*time.Second, at); len(a.RestartWorkers) > 0 {
 		t.Error("lost by a look that was late itself: the whole process stood still")
 	}
-	k.Looked(2*time.Second+every, at)
-	if a := k.Looked(2*time.Second+2*every, at); !slices.Equal(a.Renew, []LaneID{0}) {
+	k.HandleWorkerCheck(2*time.Second+every, at)
+	if a := k.HandleWorkerCheck(2*time.Second+2*every, at); !slices.Equal(a.RestartWorkers, []ShardID{0}) {
 		t.Errorf("%+v", a)
 	}
-	if a := k.Looked(2*time.Second+3*every, []time.Duration{0, -1}); len(a.Renew) > 0 {
+	if a := k.HandleWorkerCheck(2*time.Second+3*every, []time.Duration{0, -1}); len(a.RestartWorkers) > 0 {
 		t.Errorf("%+v", a)
 	}
 }
@@ -101,8 +101,8 @@
 func TestALaneThatFailsOftenRestsButNeverTheLast(t *testing.T) {
 	k := keeper(2, 1, 0.1)
 	for i := range 3 {
-		k.Failed(time.Duration(i)*time.Second, 0, 99)
-		k.Failed(time.Duration(i)*time.Second, 1, 99)
+		k.HandleWorkerFailed(time.Duration(i)*time.Second, 0, 99)
+		k.HandleWorkerFailed(time.Duration(i)*time.Second, 1, 99)
 	}
 	resting := 0
 	for _, l := range k.lanes {
@@ -113,7 +113,7 @@
 	if resting != 1 {
 		t.Fatalf("%d of 2 rest", resting)
 	}
-	k.Looked(time.Hour, []time.Duration{-1, -1})
+	k.HandleWorkerCheck(time.Hour, []time.Duration{-1, -1})
 	if k.lanes[0].rests != 0 || k.lanes[1].rests != 0 {
 		t.Error("rests for ever")
 	}
@@ -121,10 +121,10 @@
 
 func TestAConnectionThatBringsLanesDownIsClosed(t *testing.T) {
 	k := keeper(3, 1, 0.1)
-	if a := k.Failed(0, 0, 1); len(a.Close) > 0 {
+	if a := k.HandleWorkerFailed(0, 0, 1); len(a.Close) > 0 {
 		t.Error("closed at once")
 	}
-	if a := k.Failed(0, 1, 1); !slices.Equal(a.Close, []ConnID{1}) {
+	if a := k.HandleWorkerFailed(0, 1, 1); !slices.Equal(a.Close, []ConnID{1}) {
 		t.Errorf("%+v", a)
 	}
 }
@@ -139,16 +139,16 @@
 				cores[id] = 0.3
 			}
 		}
-		a := k.Worked(now, cores)
-		for _, p := range a.Hold {
+		a := k.HandleLoad(now, cores)
+		for _, p := range a.Drain {
 			moves = append(moves, now)
-			k.Held(now, p.Conn, p.Owner.Epoch)
-			k.Taken(now, p.Conn, p.Owner.Epoch+1)
+			k.HandleConnDrained(now, p.Conn, p.Owner.Epoch)
+			k.HandleConnAcquired(now, p.Conn, p.Owner.Epoch+1)
 		}
 	}
 	for i, at := range moves {
-		if j := i + k.t.MovesMost; j < len(moves) && moves[j]-at < k.t.SwingOver {
-			t.Fatalf("more than %d moves within %v", k.t.MovesMost, k.t.SwingOver)
+		if j := i + k.t.MaxMoves; j < len(moves) && moves[j]-at < k.t.MoveWindow {
+			t.Fatalf("more than %d moves within %v", k.t.MaxMoves, k.t.MoveWindow)
 		}
 	}
 	if len(moves) == 0 {
@@ -158,22 +158,22 @@
 
 func TestOneHeavyConnectionStays(t *testing.T) {
 	k := keeper(2, 1, 0.9)
-	if a := k.spreadOut(time.Second); len(a.Hold) > 0 {
+	if a := k.spreadOut(time.Second); len(a.Drain) > 0 {
 		t.Errorf("%+v", a)
 	}
 }
 
 func TestFoldKeepsCountsAndRates(t *testing.T) {
-	m := NewMail(4)
+	m := NewMailbox(4)
 	u := balancer.UsageReport{Proxy: 1, Class: 2, Requests: 3, Dropped: 1, Interval: time.Second}
 	r := balancer.LoadReport{Server: "s", Zone: "a", Attempts: 10, Failed: 5, Latency: time.Second, Interval: time.Second, InFlight: 7}
 	late := balancer.LoadReport{Server: "s", Zone: "a", Attempts: 5, Latency: 2 * time.Second, Interval: time.Second, InFlight: -1}
 	m.Put([]any{u, r, u, late})
-	if !m.Room() || m.Len() != 2 || m.Folds != 2 {
-		t.Fatalf("%d wait after %d folds", m.Len(), m.Folds)
+	if !m.HasRoom() || m.Len() != 2 || m.Merged != 2 {
+		t.Fatalf("%d wait after %d folds", m.Len(), m.Merged)
 	}
 	m.Put([]any{u})
-	got := m.Next(9, nil)
+	got := m.Take(9, nil)
 	if sum := got[0].(balancer.UsageReport); sum.Requests != 9 || sum.Dropped != 3 || sum.Interval != 3*time.Second {
 		t.Errorf("%+v", sum)
 	}
@@ -183,7 +183,7 @@
 	for i := range 4 {
 		m.Put([]any{balancer.UsageReport{Proxy: balancer.ProxyID(i)}})
 	}
-	if m.Room() || m.Len() != 4 {
+	if m.HasRoom() || m.Len() != 4 {
 		t.Errorf("%d wait: as many as exist, and no room for more", m.Len())
 	}
 }
@@ -192,7 +192,7 @@
 // piece of a connection that it owns, and what it brings counts only under the epoch in force.
 type world struct {
 	t      *rapid.T
-	k      *Keeper
+	k      *Assigner
 	now    time.Duration
 	owner  map[ConnID]Owner
 	hold   map[ConnID]bool
@@ -210,15 +210,15 @@
 	n     int
 }
 
-func (w *world) do(a Acts) {
-	for _, p := range a.Hold {
+func (w *world) do(a Actions) {
+	for _, p := range a.Drain {
 		w.moves = append(w.moves, w.now)
 		if w.owner[p.Conn] != p.Owner {
 			w.t.Fatalf("held by %+v, owned by %+v", p.Owner, w.owner[p.Conn])
 		}
 		w.hold[p.Conn] = true
 	}
-	for _, p := range a.Take {
+	for _, p := range a.Assign {
 		if p.Owner.Epoch != w.owner[p.Conn].Epoch+1 {
 			w.t.Fatalf("epoch %d after %d", p.Owner.Epoch, w.owner[p.Conn].Epoch)
 		}
@@ -228,7 +228,7 @@
 	for _, id := range a.Close {
 		w.shut(id)
 	}
-	for _, l := range a.Renew {
+	for _, l := range a.RestartWorkers {
 		if w.hand[l].conn != 0 {
 			w.stale = append(w.stale, w.hand[l])
 		}
@@ -242,7 +242,7 @@
 	}
 	delete(w.owner, id)
 	delete(w.hold, id)
-	w.do(w.k.Closed(w.now, id))
+	w.do(w.k.HandleConnClosed(w.now, id))
 }
 
 // bring ends a piece of work; it counts once, and in order.
@@ -257,7 +257,7 @@
 }
 
 // work lets a lane end what it has in hand and take the next piece, or hold a connection that it should.
-func (w *world) work(l LaneID) {
+func (w *world) work(l ShardID) {
 	if w.stands[l] {
 		return
 	}
@@ -265,14 +265,14 @@
 	w.hand[l] = piece{}
 	for _, id := range w.conns() {
 		o := w.owner[id]
-		if o.Lane != l {
+		if o.Shard != l {
 			continue
 		}
 		if w.hold[id] {
-			w.do(w.k.Held(w.now, id, o.Epoch))
+			w.do(w.k.HandleConnDrained(w.now, id, o.Epoch))
 			return
 		}
-		w.do(w.k.Taken(w.now, id, o.Epoch))
+		w.do(w.k.HandleConnAcquired(w.now, id, o.Epoch))
 		if w.next[id] < w.said[id] {
 			w.hand[l] = piece{id, o.Epoch, w.next[id]}
 			return
@@ -293,7 +293,7 @@
 	for l := range w.hand {
 		at = append(at, either(w.stands[l], time.Second, -1))
 	}
-	w.do(w.k.Looked(w.now, at))
+	w.do(w.k.HandleWorkerCheck(w.now, at))
 }
 
 func either(first bool, a, b time.Duration) time.Duration {
@@ -307,17 +307,17 @@
 func TestKeeperUnderAllThatHappens(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "lanes")
-		w := &world{t: t, k: NewKeeper(Usual(n)), owner: map[ConnID]Owner{}, hold: map[ConnID]bool{},
+		w := &world{t: t, k: NewAssigner(DefaultSettings(n)), owner: map[ConnID]Owner{}, hold: map[ConnID]bool{},
 			said: map[ConnID]int{}, next: map[ConnID]int{}, hand: make([]piece, n), stands: make([]bool, n)}
 		opened := ConnID(0)
 		for _, step := range rapid.SliceOfN(rapid.IntRange(0, 1<<20), 1100, 1100).Draw(t, "steps") {
 			w.now += time.Duration(step%7) * 7 * time.Millisecond
-			l, conns := LaneID(step>>4)%LaneID(n), w.conns()
+			l, conns := ShardID(step>>4)%ShardID(n), w.conns()
 			pick := func() ConnID { return conns[(step>>4)%len(conns)] }
 			switch what := step % 16; {
 			case what < 2 && len(conns) < 12:
 				opened++
-				w.do(w.k.Opened(w.now, opened))
+				w.do(w.k.HandleConnOpened(w.now, opened))
 			case what == 2 && len(conns) > 0 && step>>4%3 == 0:
 				w.shut(pick())
 			case what < 7 && len(conns) > 0:
@@ -332,13 +332,13 @@
 			case what == 13 && w.hand[l].conn != 0 && step>>4%5 == 0:
 				by := w.hand[l].conn
 				w.hand[l] = piece{}
-				w.do(w.k.Failed(w.now, l, by))
+				w.do(w.k.HandleWorkerFailed(w.now, l, by))
 			case what == 14:
 				cores := map[ConnID]float64{}
 				for i, id := range conns {
 					cores[id] = float64((step>>i)&7) / 10
 				}
-				w.do(w.k.Worked(w.now, cores))
+				w.do(w.k.HandleLoad(w.now, cores))
 			default:
 				w.look()
 			}
@@ -349,10 +349,10 @@
 			}
 		}
 		for range 200 { // quiet: all that was said is brought
-			w.now += w.k.t.LookEvery
+			w.now += w.k.t.CheckInterval
 			w.look()
 			for l := range w.hand {
-				w.work(LaneID(l))
+				w.work(ShardID(l))
 			}
 		}
 		for id, said := range w.said {
@@ -361,8 +361,8 @@
 			}
 		}
 		for i, at := range w.moves {
-			if j := i + w.k.t.MovesMost; j < len(w.moves) && w.moves[j]-at < w.k.t.SwingOver {
-				t.Fatalf("more than %d moves within %v", w.k.t.MovesMost, w.k.t.SwingOver)
+			if j := i + w.k.t.MaxMoves; j < len(w.moves) && w.moves[j]-at < w.k.t.MoveWindow {
+				t.Fatalf("more than %d moves within %v", w.k.t.MaxMoves, w.k.t.MoveWindow)
 			}
 		}
 		for _, c := range w.k.conns {
--- a/internal/simprotocol/host.go
+++ b/internal/simprotocol/host.go
@@ -111,7 +111,7 @@
 		if err != nil && c.err == nil {
 			return errors.New("salt: not a whole number")
 		}
-		t, names, err := platformsettings.Read([]byte(c.text("setup")))
+		t, names, err := platformsettings.Parse([]byte(c.text("setup")))
 		if c.err != nil {
 			return c.err
 		} else if err != nil {
--- a/internal/subset/balance_test.go
+++ b/internal/subset/balance_test.go
@@ -82,9 +82,9 @@
 func TestMemoryAtThePlansSize(t *testing.T) {
 	const most = 12 << 20
 	before := heap()
-	s := New(Settings{Manager: "n1", Spill: planSpill, WarmAfter: 16 * time.Second})
-	s.Listed(0, true, planList())
-	s.Joined(0, zoneName(0))
+	s := New(Settings{ManagerName: "n1", Spill: planSpill, WarmUpDuration: 16 * time.Second})
+	s.HandleEndpointList(0, true, planList())
+	s.HandleProxyConnected(0, zoneName(0))
 	used := heap() - before
 	t.Logf("%.1f MB for %d listed servers, %d of them members", float64(used)/(1<<20), planServers, s.Counts().Members)
 	if used > most {
--- a/internal/subset/failure_test.go
+++ b/internal/subset/failure_test.go
@@ -161,7 +161,7 @@
 			}
 			last[one.Server] = one.State
 		}
-		for _, id := range u.Readmit {
+		for _, id := range u.Restore {
 			if known, _, _ := r.fleet.ServerStatus(id); known {
 				t.Fatalf("%s is let back in and still known", id)
 			}
@@ -303,13 +303,13 @@
 	r.join(zoneName(1))
 	r.seconds(5)
 	both := len(r.members())
-	r.subset.Left(r.now, zoneName(1))
+	r.subset.HandleProxyDisconnected(r.now, zoneName(1))
 	r.seconds(50)
 	if n := len(r.members()); n != both {
 		t.Errorf("%d members of %d within %v", n, both, homeHeld)
 	}
 	r.join(zoneName(1)) // the news had a gap
-	r.subset.Left(r.now, zoneName(1))
+	r.subset.HandleProxyDisconnected(r.now, zoneName(1))
 	for range 300 {
 		r.mustLeaveFewByFew(t)
 	}
@@ -377,7 +377,7 @@
 	r.list(true, servers...)
 	r.join(zoneName(0))
 	for i := 0; b.Loop(); i++ {
-		r.subset.Listed(time.Second, false, in(balancer.ServerState(i%2), servers[i%len(servers)]))
+		r.subset.HandleEndpointList(time.Second, false, in(balancer.ServerState(i%2), servers[i%len(servers)]))
 	}
 }
 
@@ -399,7 +399,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		r.now += time.Second
-		r.subset.Looked(r.now, r.fleet)
+		r.subset.HandleTick(r.now, r.fleet)
 	}
 }
 
@@ -415,8 +415,8 @@
 		t.Errorf("%d servers are handed on before the first proxy", n)
 	}
 	u := r.join(zoneName(0))
-	if !u.Whole || len(r.members()) < 28 {
-		t.Errorf("whole %v, %d members", u.Whole, len(r.members()))
+	if !u.Complete || len(r.members()) < 28 {
+		t.Errorf("whole %v, %d members", u.Complete, len(r.members()))
 	}
 	for _, i := range []int{25, 30} {
 		if e := r.fleet.entries[servers[i].Server]; e.State != balancer.Draining {
@@ -450,13 +450,13 @@
 			t.Fatalf("%s drains still and is handed on as %+v", drained.Server, e)
 		}
 	}
-	if known, _, _ := r.fleet.ServerStatus(removed.Server); known || r.subset.Knows(removed.Server) {
+	if known, _, _ := r.fleet.ServerStatus(removed.Server); known || r.subset.Tracks(removed.Server) {
 		t.Errorf("%s is not forgotten", removed.Server)
 	}
 	r.list(false, back)
 	lifted := false
 	for range 200 {
-		lifted = lifted || slices.Contains(r.look().Readmit, back.Server)
+		lifted = lifted || slices.Contains(r.look().Restore, back.Server)
 	}
 	if known, _, _ := r.fleet.ServerStatus(back.Server); known || !lifted {
 		t.Errorf("%s is ready again: known %v, its withdrawal is lifted %v", back.Server, known, lifted)
--- a/internal/subset/records.go
+++ b/internal/subset/records.go
@@ -155,7 +155,7 @@
 			s.forget(now, r)
 		}
 	}
-	slices.Sort(s.update.Readmit)
+	slices.Sort(s.update.Restore)
 }
 
 // returnKnown makes a released server a member again where it is selected anew before it is forgotten.
@@ -171,7 +171,7 @@
 func (s *Subset) forget(now time.Duration, r *record) {
 	delete(s.handed, r.server.Server)
 	if r.server.State == balancer.Ready {
-		s.update.Readmit = append(s.update.Readmit, r.server.Server)
+		s.update.Restore = append(s.update.Restore, r.server.Server)
 	}
 	r.enter(outside, now)
 	r.listed = r.server.State != balancer.Removed
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -36,9 +36,9 @@
 
 // Settings are what the operator and the platform state.
 type Settings struct {
-	Manager   string        // the manager's name: its key on the ring
-	Spill     int           // servers of other zones than home
-	WarmAfter time.Duration // a server that started longer ago needs no climb when it becomes a member
+	ManagerName    string        // the manager's name: its key on the ring
+	Spill          int           // servers of other zones than home
+	WarmUpDuration time.Duration // a server that started longer ago needs no climb when it becomes a member
 }
 
 // Server is one entry of the list and where the server listens.
@@ -49,14 +49,14 @@
 
 // Update is what the decision module has to be told, in the order of the fields.
 type Update struct {
-	Readmit []balancer.ServerID // withdrawals to lift: these servers left, and the module has forgotten them
-	Whole   bool                // Servers are the whole list; servers that are not among them are gone
-	Servers []Server            // by id
-	Notes   []string
+	Restore    []balancer.ServerID // withdrawals to lift: these servers left, and the module has forgotten them
+	Complete   bool                // Servers are the whole list; servers that are not among them are gone
+	Servers    []Server            // by id
+	LogRecords []string
 }
 
 // Empty tells whether there is nothing to hand on.
-func (u Update) Empty() bool { return !u.Whole && len(u.Servers)+len(u.Readmit) == 0 }
+func (u Update) IsEmpty() bool { return !u.Complete && len(u.Servers)+len(u.Restore) == 0 }
 
 // Fleet is the decision module's view of the servers that it was handed.
 type Fleet interface {
@@ -101,7 +101,7 @@
 func New(settings Settings) *Subset {
 	return &Subset{
 		settings: settings,
-		ring:     newRing(settings.Manager),
+		ring:     newRing(settings.ManagerName),
 		records:  map[balancer.ServerID]*record{},
 		handed:   map[balancer.ServerID]*record{},
 		zones:    map[balancer.ZoneID]*zone{},
@@ -110,11 +110,11 @@
 }
 
 // Listed takes the whole list, or changes of it.
-func (s *Subset) Listed(now time.Duration, whole bool, servers []Server) Update {
+func (s *Subset) HandleEndpointList(now time.Duration, whole bool, servers []Server) Update {
 	if whole {
 		s.replaceAll(servers)
 		s.admitAll(now)
-		s.update.Whole = s.started
+		s.update.Complete = s.started
 		return s.flush()
 	}
 	for _, server := range servers {
@@ -134,12 +134,12 @@
 }
 
 // Joined takes a proxy of a zone. The first one makes the zone home.
-func (s *Subset) Joined(now time.Duration, id balancer.ZoneID) Update {
+func (s *Subset) HandleProxyConnected(now time.Duration, id balancer.ZoneID) Update {
 	z := s.zone(id)
 	z.proxies++
 	if !z.home {
 		z.home = true
-		s.update.Whole = !s.started
+		s.update.Complete = !s.started
 		s.started = true
 		s.admitAll(now)
 	}
@@ -147,7 +147,7 @@
 }
 
 // Left takes a proxy's leave. Its zone stays home for a while, and then its servers leave few by few.
-func (s *Subset) Left(now time.Duration, id balancer.ZoneID) {
+func (s *Subset) HandleProxyDisconnected(now time.Duration, id balancer.ZoneID) {
 	z := s.zone(id)
 	if z.proxies--; z.proxies == 0 {
 		z.emptyAt = now
@@ -156,7 +156,7 @@
 
 // Looked takes what the decision module sees, once a second: the subset is widened or narrowed, servers that are no
 // members any more leave, and those that it has forgotten are dropped.
-func (s *Subset) Looked(now time.Duration, fleet Fleet) Update {
+func (s *Subset) HandleTick(now time.Duration, fleet Fleet) Update {
 	s.retireHomes(now)
 	s.finishLeaving(now, fleet)
 	if s.width.adjust(now, s.demand(now, fleet)) {
@@ -168,7 +168,7 @@
 }
 
 // Knows tells whether the list names a server, member or not.
-func (s *Subset) Knows(id balancer.ServerID) bool { return s.records[id] != nil }
+func (s *Subset) Tracks(id balancer.ServerID) bool { return s.records[id] != nil }
 
 // Counts tells the sizes of the subset.
 func (s *Subset) Counts() Counts {
@@ -251,7 +251,7 @@
 	case ready && r.phase == leaving && s.selects(r):
 		s.admit(now, r)
 	case ready && r.phase == outside && s.selects(r):
-		r.markWarm(now, s.settings.WarmAfter)
+		r.markWarm(now, s.settings.WarmUpDuration)
 		s.admit(now, r)
 	case !ready && r.phase == outside && r.listed:
 		s.leave(now, r)
@@ -280,14 +280,14 @@
 
 // note says in the log that the subset was widened.
 func (s *Subset) note(now time.Duration) {
-	s.update.Notes = append(s.update.Notes, fmt.Sprintf("subset widened %.1f times at %.1fs", s.width.factor, now.Seconds()))
+	s.update.LogRecords = append(s.update.LogRecords, fmt.Sprintf("subset widened %.1f times at %.1fs", s.width.factor, now.Seconds()))
 }
 
 // flush ends an input: each server that was told of is handed on once, with its latest state.
 func (s *Subset) flush() Update {
 	u := s.update
 	s.update = Update{}
-	if u.Whole {
+	if u.Complete {
 		u.Servers = u.Servers[:0]
 		for id := range s.handed {
 			u.Servers = append(u.Servers, Server{Endpoint: balancer.Endpoint{Server: id}})
@@ -298,7 +298,7 @@
 		record.told = false
 		u.Servers[i] = record.handOn()
 	}
-	if u.Whole { // who is absent from the whole list is gone
+	if u.Complete { // who is absent from the whole list is gone
 		u.Servers = slices.DeleteFunc(u.Servers, func(one Server) bool { return one.State == balancer.Removed })
 	}
 	slices.SortFunc(u.Servers, func(a, b Server) int { return cmp.Compare(a.Server, b.Server) })
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -66,7 +66,7 @@
 		}
 	}
 	for id, e := range f.entries {
-		if u.Whole && !handed[id] {
+		if u.Complete && !handed[id] {
 			e.State = balancer.Removed
 			f.entries[id] = e
 			if _, gone := f.goneAt[id]; !gone {
@@ -90,7 +90,7 @@
 }
 
 func newRun(manager string, spill int) *run {
-	return &run{subset: New(Settings{Manager: manager, Spill: spill, WarmAfter: 16 * time.Second}), fleet: newFakeFleet()}
+	return &run{subset: New(Settings{ManagerName: manager, Spill: spill, WarmUpDuration: 16 * time.Second}), fleet: newFakeFleet()}
 }
 
 func (r *run) take(u Update) Update {
@@ -99,7 +99,7 @@
 }
 
 func (r *run) list(whole bool, servers ...Server) Update {
-	return r.take(r.subset.Listed(r.now, whole, servers))
+	return r.take(r.subset.HandleEndpointList(r.now, whole, servers))
 }
 
 // joinElsewhere joins a proxy of a zone without servers, so that all members are spill servers.
@@ -108,7 +108,9 @@
 	return r
 }
 
-func (r *run) join(zone balancer.ZoneID) Update { return r.take(r.subset.Joined(r.now, zone)) }
+func (r *run) join(zone balancer.ZoneID) Update {
+	return r.take(r.subset.HandleProxyConnected(r.now, zone))
+}
 
 // seconds looks once a second.
 func (r *run) seconds(n int) {
@@ -121,7 +123,7 @@
 func (r *run) look() Update {
 	r.now += time.Second
 	r.fleet.now = r.now
-	return r.take(r.subset.Looked(r.now, r.fleet))
+	return r.take(r.subset.HandleTick(r.now, r.fleet))
 }
 
 // members are the servers that the fleet may send flows to, but for failures.
@@ -367,7 +369,7 @@
 				z := rapid.IntRange(0, zones-1).Draw(t, "zone")
 				if joined[z] > 0 {
 					joined[z]--
-					r.subset.Left(r.now, zoneName(z))
+					r.subset.HandleProxyDisconnected(r.now, zoneName(z))
 				}
 			},
 			"fail": func(t *rapid.T) { r.fleet.failed[rapid.SampledFrom(servers).Draw(t, "server").Server] = true },
