--- a/internal/node/versions_rig_test.go
+++ b/internal/node/versions_rig_test.go
@@ -36,7 +36,7 @@
 
 // versioned is a rig whose manager has an admin socket, a store and a listener for holders.
 type versioned struct {
-	*fakes.Rig
+	*fakes.Deployment
 	socket, feed string
 	settings     string // of the operator
 	store        string // file
@@ -44,17 +44,17 @@
 }
 
 // startReader reads the operator's settings, and with each call of the result the start's file joined to them.
-func startReader(start, settings string) (read func() (config.Start, error), err error) {
-	operator, err := config.ReadOperator(settings)
+func startReader(start, settings string) (read func() (config.Config, error), err error) {
+	operator, err := config.ReadOperatorSettings(settings)
 	if err != nil {
 		return nil, err
 	}
-	return func() (config.Start, error) {
+	return func() (config.Config, error) {
 		s, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": start}[key] })
 		if err != nil {
 			return s, err
 		}
-		return s.With(operator)
+		return s.WithOperator(operator)
 	}, nil
 }
 
@@ -68,17 +68,17 @@
 	}
 	v.store = filepath.Join(dir, "v.db")
 	v.settings = fmt.Sprintf("(admin (socket %q)) (store (path %q)) (tables (listen %q) (keys %q))", v.socket, v.store, v.feed, keys)
-	r, err := fakes.Raise(site, fakes.How{Cores: 1, MemoryMB: 512, Sockets: 4096, Seed: 1, Settings: v.settings}, v.begin)
+	r, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 1, OperatorSettings: v.settings}, v.begin)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.Rig = r
+	v.Deployment = r
 	t.Cleanup(r.Close)
 	return v
 }
 
 // begin starts the manager in this process.
-func (v *versioned) begin(start, settings string) (fakes.Daemon, error) {
+func (v *versioned) begin(start, settings string) (fakes.Manager, error) {
 	read, err := startReader(start, settings)
 	if err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 }
 
 func freeAddress(t testing.TB) string {
-	at, err := fakes.Free()
+	at, err := fakes.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,8 +144,8 @@
 	for i := range ids {
 		ids[i] = i
 	}
-	v.Relay.Join(ids...)
-	for late := time.Now().Add(10 * time.Second); v.Relay.Counts().Bound < v.Site.Proxies; time.Sleep(5 * time.Millisecond) {
+	v.Relay.ConnectProxies(ids...)
+	for late := time.Now().Add(10 * time.Second); v.Relay.Counts().AssignedProxies < v.Site.Proxies; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("not all bound within 10 s")
 		}
@@ -153,11 +153,11 @@
 }
 
 // tail follows the feed with a holder.
-func tail(t testing.TB, address string, n int, changed func(tables.Held)) *tables.Holder {
-	h := tables.NewHolder(tables.Keys{keyOf(t, testKey)}, tables.Patience{First: 50 * time.Millisecond, Most: time.Second}, uint64(n))
-	f := &follow.Follower{Name: fmt.Sprint("h", n), Keys: tables.Keys{keyOf(t, testKey)}, Holder: h, Most: 200 * time.Millisecond,
-		Dial:    func(ctx context.Context) (net.Conn, error) { return (&net.Dialer{}).DialContext(ctx, "tcp", address) },
-		Changed: func(held tables.Held, _ *tables.State) { changed(held) }}
+func tail(t testing.TB, address string, n int, changed func(tables.VersionRef)) *tables.Replica {
+	h := tables.NewReplica(tables.Keys{keyOf(t, testKey)}, tables.RetrySettings{InitialInterval: 50 * time.Millisecond, MaxInterval: time.Second}, uint64(n))
+	f := &follow.Follower{Name: fmt.Sprint("h", n), Keys: tables.Keys{keyOf(t, testKey)}, Replica: h, MaxBackoff: 200 * time.Millisecond,
+		Dial:      func(ctx context.Context) (net.Conn, error) { return (&net.Dialer{}).DialContext(ctx, "tcp", address) },
+		OnApplied: func(held tables.VersionRef, _ *tables.State) { changed(held) }}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -174,14 +174,16 @@
 // latest keeps what each of some holders runs.
 type latest struct {
 	mu   sync.Mutex
-	held map[int]tables.Held
+	held map[int]tables.VersionRef
 	n    map[int]map[tables.ID]int
 }
 
-func newLatest() *latest { return &latest{held: map[int]tables.Held{}, n: map[int]map[tables.ID]int{}} }
+func newLatest() *latest {
+	return &latest{held: map[int]tables.VersionRef{}, n: map[int]map[tables.ID]int{}}
+}
 
-func (l *latest) of(i int) func(tables.Held) {
-	return func(h tables.Held) {
+func (l *latest) of(i int) func(tables.VersionRef) {
+	return func(h tables.VersionRef) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.n[i] == nil {
@@ -236,11 +238,11 @@
 				go func() { io.Copy(to, c); to.Close() }()
 				in := bufio.NewReader(to)
 				for {
-					kind, body, err := follow.Read(in, tables.Longest)
+					kind, body, err := follow.ReadFrame(in, tables.MaxDeltaBytes)
 					if err != nil {
 						return
 					}
-					if kind == follow.Version && spoil.Load() && chance.IntN(2) == 0 {
+					if kind == follow.FrameDelta && spoil.Load() && chance.IntN(2) == 0 {
 						switch chance.IntN(3) {
 						case 0:
 							body[chance.IntN(len(body))] ^= 1 << chance.IntN(8)
@@ -250,7 +252,7 @@
 							return // cut between a push and its acknowledgement
 						}
 					}
-					if follow.Write(c, kind, body) != nil {
+					if follow.WriteFrame(c, kind, body) != nil {
 						return
 					}
 				}
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -23,7 +23,7 @@
 )
 
 func TestAWayBackTakesEffectOnceAlsoAfterARestart(t *testing.T) {
-	v := raise(t, fakes.Usual(6, 12))
+	v := raise(t, fakes.DefaultSite(6, 12))
 	l := newLatest()
 	for i := range 8 {
 		tail(t, v.feed, i, l.of(i))
@@ -33,8 +33,8 @@
 	good := v.versions(t)[0]
 	before := v.show(t, good)
 	drained := v.Servers[0]
-	v.Discovery.Change(drained.Entry("draining"))
-	soon(t, "drained", func() bool { return v.Relay.Flows(drained.ID) == 0 })
+	v.Discovery.Publish(drained.Entry("draining"))
+	soon(t, "drained", func() bool { return v.Relay.RequestRate(drained.ID) == 0 })
 	told, err := v.ask(t, Ask{Do: "rollback", Version: good, Key: "k1", For: time.Minute})
 	if err != nil || !strings.Contains(told, "done under key") {
 		t.Fatal(told, err)
@@ -48,7 +48,7 @@
 			t.Errorf("%q is not back in\n%s", line, now)
 		}
 	}
-	if v.Relay.Flows(drained.ID) != 0 || !strings.Contains(now, "withdrawn "+drained.ID) {
+	if v.Relay.RequestRate(drained.ID) != 0 || !strings.Contains(now, "withdrawn "+drained.ID) {
 		t.Error("a server that drained since gets flows back")
 	}
 	newest := v.versions(t)[0]
@@ -59,8 +59,8 @@
 	if text, err := v.ask(t, Ask{Do: "verify"}); err != nil || !strings.Contains(text, "hold") {
 		t.Error(text, err)
 	}
-	v.Daemon.Stop(false)
-	if err := v.Begin(); err != nil {
+	v.Manager.Stop(false)
+	if err := v.StartManager(); err != nil {
 		t.Fatal(err)
 	}
 	if again, err := v.ask(t, Ask{Do: "rollback", Version: good, Key: "k1"}); err != nil || !strings.HasPrefix(again, "done before") {
@@ -85,7 +85,7 @@
 }
 
 func TestCorruptDeltasLeaveEachHolderOnItsLastGoodVersion(t *testing.T) {
-	v := raise(t, fakes.Usual(9, 12))
+	v := raise(t, fakes.DefaultSite(9, 12))
 	var spoil atomic.Bool
 	spoil.Store(true)
 	way, l := between(t, v.feed, &spoil), newLatest()
@@ -95,9 +95,9 @@
 	v.bound(t)
 	for round := range 12 {
 		s := v.Servers[round%len(v.Servers)]
-		v.Discovery.Change(s.Entry("draining"))
+		v.Discovery.Publish(s.Entry("draining"))
 		time.Sleep(60 * time.Millisecond)
-		v.Discovery.Change(s.Entry("up"))
+		v.Discovery.Publish(s.Entry("up"))
 		time.Sleep(60 * time.Millisecond)
 	}
 	good := map[string]bool{}
@@ -119,15 +119,15 @@
 }
 
 func TestWhoCantProveAKeyGetsNothing(t *testing.T) {
-	v := raise(t, fakes.Usual(3, 3))
+	v := raise(t, fakes.DefaultSite(3, 3))
 	for what, say := range map[string]func(c net.Conn, nonce []byte){
 		"silent":  func(net.Conn, []byte) {},
 		"rubbish": func(c net.Conn, _ []byte) { io.WriteString(c, "GET / HTTP/1.1\r\n\r\n") },
 		"other key": func(c net.Conn, nonce []byte) {
-			follow.Write(c, follow.Hello, follow.Greet(nonce, keyOf(t, bytes.Repeat([]byte{6}, 32)), "x", tables.Held{}))
+			follow.WriteFrame(c, follow.FrameHello, follow.EncodeHello(nonce, keyOf(t, bytes.Repeat([]byte{6}, 32)), "x", tables.VersionRef{}))
 		},
 		"replay": func(c net.Conn, _ []byte) {
-			follow.Write(c, follow.Hello, follow.Greet(make([]byte, 16), keyOf(t, testKey), "x", tables.Held{}))
+			follow.WriteFrame(c, follow.FrameHello, follow.EncodeHello(make([]byte, 16), keyOf(t, testKey), "x", tables.VersionRef{}))
 		},
 	} {
 		c, err := net.Dial("tcp", v.feed)
@@ -135,12 +135,12 @@
 			t.Fatal(err)
 		}
 		c.SetDeadline(time.Now().Add(4 * time.Second))
-		kind, nonce, err := follow.Read(c, 64)
-		if err != nil || kind != follow.Nonce {
+		kind, nonce, err := follow.ReadFrame(c, 64)
+		if err != nil || kind != follow.FrameNonce {
 			t.Fatal(kind, err)
 		}
 		say(c, nonce)
-		if kind, _, err := follow.Read(c, 1<<20); err == nil {
+		if kind, _, err := follow.ReadFrame(c, 1<<20); err == nil {
 			t.Errorf("%s: got a frame %c", what, kind)
 		} else if late, ok := err.(net.Error); ok && late.Timeout() {
 			t.Errorf("%s: still open", what)
@@ -152,14 +152,14 @@
 // A store that fails costs no decision; once it is back, what it missed is saved as a whole.
 func TestAStoreThatFailsIsToldOnceAndCaughtUp(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "v.db")
-	s, kept, err := store.Open(path, 1, store.Usual(), nil)
+	s, kept, err := store.Open(path, 1, store.DefaultLimits(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
 	b := newMetrics(0, zerolog.New(&log))
 	va := &storeWriter{store: s, metrics: b, filled: make(chan struct{}, 1), saved: kept.State.Digest()}
-	c := versions.New(versions.Usual(1))
+	c := versions.New(versions.DefaultSettings(1))
 	propose := func(w float64) {
 		r := c.Propose(0, balancer.Commands{Weights: []balancer.EndpointWeight{{Table: 0, Server: balancer.ServerID(fmt.Sprint("s", w)), Weight: w}}}, "x", anyone{})
 		va.version(r.Version)
@@ -178,14 +178,14 @@
 	if n := strings.Count(log.String(), "store_failed"); n != 1 || len(va.waiting.versions) > maxWaitingVersions {
 		t.Errorf("told %d times, %d wait", n, len(va.waiting.versions))
 	}
-	if va.store, _, err = store.Open(path, 1, store.Usual(), nil); err != nil {
+	if va.store, _, err = store.Open(path, 1, store.DefaultLimits(), nil); err != nil {
 		t.Fatal(err)
 	}
 	if !va.save() || !strings.Contains(log.String(), "store_again") {
 		t.Error("not caught up")
 	}
 	va.store.Close()
-	if kept, err := store.Look(path, store.Usual()); err != nil || kept.State.Digest() != c.State().Digest() {
+	if kept, err := store.Check(path, store.DefaultLimits()); err != nil || kept.State.Digest() != c.State().Digest() {
 		t.Error(err)
 	}
 }
@@ -193,14 +193,14 @@
 type anyone struct{}
 
 func (anyone) ServerStatus(balancer.ServerID) versions.ServerStatus {
-	return versions.ServerStatus{Known: true, Open: true, Climbed: 1}
+	return versions.ServerStatus{Known: true, Available: true, WarmFraction: 1}
 }
 func (anyone) RequestRate(balancer.TableID) float64 { return 1 }
 func (anyone) ReadyServers() (int, int)             { return 1, 1 }
 
 // BenchmarkRollback is from a command of staff's to the holder that runs it last, of a thousand.
 func BenchmarkRollback(b *testing.B) {
-	v, l := raise(b, fakes.Usual(30, 60)), newLatest()
+	v, l := raise(b, fakes.DefaultSite(30, 60)), newLatest()
 	const n = 1000
 	for i := range n {
 		tail(b, v.feed, i, l.of(i))
@@ -217,7 +217,7 @@
 	wait(newest)
 	time.Sleep(time.Second)
 	good := newest()
-	c, err := net.Dial("tcp", v.Manager)
+	c, err := net.Dial("tcp", v.ManagerAddress)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -19,7 +19,7 @@
 type fleet struct {
 	scenario Scenario
 	site     fakes.Site
-	start    config.Start
+	start    config.Config
 	list     string         // the whole list at the first version
 	opening  []node.Message // what the relay tells a manager that starts
 	share    float64        // of a core, that each manager has
@@ -46,7 +46,7 @@
 	for proxy := range scenario.Proxies {
 		f.opening = append(f.opening, source.joined(proxy))
 	}
-	f.opening = append(f.opening, node.Message{Kind: node.NewsComplete}, usage(0, f.site.Groups[0].Name, 0, time.Second))
+	f.opening = append(f.opening, node.Message{Kind: node.NewsComplete}, usage(0, f.site.TrafficClasses[0].Name, 0, time.Second))
 	var err error
 	f.start, err = scenario.start(f.site)
 	return f, err
