--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -20,27 +20,27 @@
 // manager holds per zone n ready servers a0.., b0.. and a proxy, bound to its zone's table.
 func manager(n int) *Manager {
 	m := New(1, terms)
-	m.due, m.wakeAt, m.hold = time.Hour, time.Hour, 0
+	m.nextTick, m.timerAt, m.slowStartPause = time.Hour, time.Hour, 0
 	for z, name := range m.zones {
 		for i := range n {
 			id := ServerID(fmt.Sprint(name, i))
-			m.servers = append(m.servers, &server{id: id, zone: z, block: z, weight: 1, health: 1, load: -1, probedAt: -time.Hour})
-			m.tables[z].standing[id] = 100
-			m.tables[z].wanted[id] = 1 / float64(n)
+			m.servers = append(m.servers, &server{id: id, zone: z, partition: z, weight: 1, health: 1, inFlight: -1, checkedAt: -time.Hour})
+			m.tables[z].published[id] = 100
+			m.tables[z].target[id] = 1 / float64(n)
 		}
-		flows := [][]figure{{{0, 30, 1}}, {{0, 10, 1}}}
-		m.proxies = append(m.proxies, &proxy{id: ProxyID(z), zone: z, block: z, bound: true, flows: flows})
+		flows := [][]sample{{{0, 30, 1}}, {{0, 10, 1}}}
+		m.proxies = append(m.proxies, &proxy{id: ProxyID(z), zone: z, partition: z, assigned: true, usage: flows})
 	}
-	m.parted = true
-	m.used, m.solved = true, []float64{40, 40}
+	m.partitioned = true
+	m.usageReported, m.distributedRates = true, []float64{40, 40}
 	return m
 }
 
 // hear gives a server one report of late tries, in a second that just ended.
 func (m *Manager) hear(id ServerID, tries, failed int, latency time.Duration) {
 	s := m.server(id)
-	s.heard = append(s.heard, LoadReport{Server: id, Zone: m.zones[s.zone], Attempts: tries, Failed: failed, Latency: latency, Interval: time.Second, InFlight: -1})
-	s.heardAt, s.quietFrom = append(s.heardAt, m.now), m.now
+	s.reports = append(s.reports, LoadReport{Server: id, Zone: m.zones[s.zone], Attempts: tries, Failed: failed, Latency: latency, Interval: time.Second, InFlight: -1})
+	s.reportedAt, s.lastSeen = append(s.reportedAt, m.now), m.now
 }
 
 func near(t *testing.T, what string, got, want float64) {
@@ -51,8 +51,8 @@
 }
 
 // dealt is what a split gives, by zone and part.
-func dealt(volumes []float64, parts []part, nearest [][]int, closed func(a, b int) bool) [][]float64 {
-	s, all := split(volumes, parts, func(z int) []int { return nearest[z] }, closed), make([][]float64, len(volumes))
+func dealt(volumes []float64, parts []distributionPart, nearest [][]int, closed func(a, b int) bool) [][]float64 {
+	s, all := distribute(volumes, parts, func(z int) []int { return nearest[z] }, closed), make([][]float64, len(volumes))
 	for z := range volumes {
 		for i := range parts {
 			all[z] = append(all[z], s.at(z, i))
--- a/balancer/index.go
+++ b/balancer/index.go
@@ -8,128 +8,128 @@
 
 // index is what conditions look things up by, so that an input costs what it changes and not what there is. All of it
 // follows from the servers, proxies and tables; it is counted anew where a flag says so, and decides nothing.
-type index struct {
-	byID     map[ServerID]*server
-	byNumber map[ProxyID]*proxy
-	sorted   bool // the sets of servers are as the servers are
-	kept     sets
-	placed   bool     // proxies are dealt to their tables, and servers know the tables that name them
-	waits    []*proxy // without a table, by when they joined
-	least    float64  // lines of the cheapest table that they can be put on; 0: to be counted anew
-	inside   float64  // lines of the queue that entered the channel, as marks show it,
-	outside  float64  // and that have not
-	summed   bool     // they are counted
+type indexes struct {
+	serverByID      map[ServerID]*server
+	proxyByID       map[ProxyID]*proxy
+	serverSetsValid bool // the sets of servers are as the servers are
+	serverSets      serverSets
+	placementValid  bool     // proxies are dealt to their tables, and servers know the tables that name them
+	unassigned      []*proxy // without a table, by when they joined
+	cheapestAssign  float64  // lines of the cheapest table that they can be put on; 0: to be counted anew
+	sentCommands    float64  // lines of the queue that entered the channel, as marks show it,
+	unsentCommands  float64  // and that have not
+	queueSummed     bool     // they are counted
 }
 
 // sets are the servers that some condition asks for, by id where nothing else is said.
-type sets struct {
-	leave    []*server // to be withdrawn, those told first before others
-	comeBack []*server // withdrawn, and may get flows
-	climb    int       // may get flows, and climb
-	drained  int       // withdrawn, and may get none
+type serverSets struct {
+	leaving           []*server // to be withdrawn, those told first before others
+	returning         []*server // withdrawn, and may get flows
+	warmingUp         int       // may get flows, and climb
+	withdrawnUnusable int       // withdrawn, and may get none
 }
 
-func (m *Manager) sets() *sets {
-	if !m.sorted {
-		m.sorted, m.kept = true, sets{leave: m.kept.leave[:0], comeBack: m.kept.comeBack[:0]}
+func (m *Manager) sets() *serverSets {
+	if !m.serverSetsValid {
+		m.serverSetsValid, m.serverSets = true, serverSets{leaving: m.serverSets.leaving[:0], returning: m.serverSets.returning[:0]}
 		for _, s := range m.servers {
-			switch open := m.open(s); {
-			case !s.withdrawn && (s.state == Draining || s.state == Removed && !m.goneStays):
-				m.kept.leave = append(m.kept.leave, s)
+			switch open := m.mayServe(s); {
+			case !s.withdrawn && (s.state == Draining || s.state == Removed && !m.removedMayServe):
+				m.serverSets.leaving = append(m.serverSets.leaving, s)
 			case s.withdrawn && open:
-				m.kept.comeBack = append(m.kept.comeBack, s)
+				m.serverSets.returning = append(m.serverSets.returning, s)
 			case s.withdrawn:
-				m.kept.drained++
+				m.serverSets.withdrawnUnusable++
 			}
-			if m.cold(s) {
-				m.kept.climb++
+			if m.isWarmingUp(s) {
+				m.serverSets.warmingUp++
 			}
 		}
-		slices.SortStableFunc(m.kept.leave, func(a, b *server) int { return cmp.Compare(a.leavesAt, b.leavesAt) })
+		slices.SortStableFunc(m.serverSets.leaving, func(a, b *server) int { return cmp.Compare(a.leavingSince, b.leavingSince) })
 	}
-	return &m.kept
+	return &m.serverSets
 }
 
 // climbs tells whether a server that may get flows climbs.
-func (m *Manager) climbs() bool { return m.sets().climb > 0 }
+func (m *Manager) anyWarmingUp() bool { return m.sets().warmingUp > 0 }
 
 func (m *Manager) server(id ServerID) *server {
-	if m.byID == nil || len(m.byID) != len(m.servers) {
-		m.byID = map[ServerID]*server{}
+	if m.serverByID == nil || len(m.serverByID) != len(m.servers) {
+		m.serverByID = map[ServerID]*server{}
 		for _, s := range m.servers {
-			m.byID[s.id] = s
+			m.serverByID[s.id] = s
 		}
 	}
-	return m.byID[id]
+	return m.serverByID[id]
 }
 
 func (m *Manager) proxy(id ProxyID) *proxy {
-	if m.byNumber == nil || len(m.byNumber) != len(m.proxies) {
-		m.byNumber = map[ProxyID]*proxy{}
+	if m.proxyByID == nil || len(m.proxyByID) != len(m.proxies) {
+		m.proxyByID = map[ProxyID]*proxy{}
 		for _, p := range m.proxies {
-			m.byNumber[p.id] = p
+			m.proxyByID[p.id] = p
 		}
 	}
-	return m.byNumber[id]
+	return m.proxyByID[id]
 }
 
 // forget drops servers for good.
 func (m *Manager) forget(is func(*server) bool) {
-	m.least = 0
+	m.cheapestAssign = 0
 	n := len(m.servers)
 	if m.servers = slices.DeleteFunc(m.servers, is); len(m.servers) < n {
-		m.byID, m.sorted = nil, false
+		m.serverByID, m.serverSetsValid = nil, false
 	}
 }
 
 // pull notes that a server was withdrawn or let back in.
-func (m *Manager) pull(s *server, away bool) {
-	m.place()
-	s.withdrawn, m.sorted, m.least = away, false, 0
+func (m *Manager) setWithdrawn(s *server, away bool) {
+	m.updatePlacement()
+	s.withdrawn, m.serverSetsValid, m.cheapestAssign = away, false, 0
 	for _, t := range s.tables {
-		m.tables[t].cost = 0
+		m.tables[t].assignCost = 0
 	}
 }
 
 // place deals the proxies to the tables of their blocks, and tells servers which tables name them.
-func (m *Manager) place() {
-	if m.placed {
+func (m *Manager) updatePlacement() {
+	if m.placementValid {
 		return
 	}
-	m.placed, m.waits, m.least = true, nil, 0
+	m.placementValid, m.unassigned, m.cheapestAssign = true, nil, 0
 	for _, s := range m.servers {
 		s.tables = nil
 	}
 	for id, t := range m.tables {
-		t.dealt, t.load, t.cost, t.waiting = nil, 0, 0, 0
-		for s, w := range t.standing {
+		t.proxies, t.announcedRate, t.assignCost, t.unassigned = nil, 0, 0, 0
+		for s, w := range t.published {
 			if one := m.server(s); one != nil && w != 0 {
 				one.tables = append(one.tables, TableID(id))
 			}
 		}
 	}
 	for _, p := range m.proxies {
-		t := m.tables[p.block]
-		t.dealt, t.load = append(t.dealt, p), t.load+p.rate
-		if !p.bound {
-			m.waits, t.waiting = append(m.waits, p), t.waiting+1
+		t := m.tables[p.partition]
+		t.proxies, t.announcedRate = append(t.proxies, p), t.announcedRate+p.announcedRate
+		if !p.assigned {
+			m.unassigned, t.unassigned = append(m.unassigned, p), t.unassigned+1
 		}
 	}
-	slices.SortFunc(m.waits, byJoin)
+	slices.SortFunc(m.unassigned, compareConnectTimes)
 }
 
-func byNumber(p, q *proxy) int { return cmp.Compare(p.id, q.id) }
+func compareProxyIDs(p, q *proxy) int { return cmp.Compare(p.id, q.id) }
 
-func byJoin(p, q *proxy) int {
-	return cmp.Or(cmp.Compare(p.joinedAt, q.joinedAt), cmp.Compare(p.id, q.id))
+func compareConnectTimes(p, q *proxy) int {
+	return cmp.Or(cmp.Compare(p.connectedAt, q.connectedAt), cmp.Compare(p.id, q.id))
 }
 
-func with(x []*proxy, p *proxy, order func(p, q *proxy) int) []*proxy {
+func insertProxy(x []*proxy, p *proxy, order func(p, q *proxy) int) []*proxy {
 	i, _ := slices.BinarySearchFunc(x, p, order)
 	return slices.Insert(x, i, p)
 }
 
-func without(x []*proxy, p *proxy, order func(p, q *proxy) int) []*proxy {
+func deleteProxy(x []*proxy, p *proxy, order func(p, q *proxy) int) []*proxy {
 	if i, ok := slices.BinarySearchFunc(x, p, order); ok {
 		return slices.Delete(x, i, i+1)
 	}
@@ -137,102 +137,102 @@
 }
 
 // enter takes in a proxy that has no table.
-func (m *Manager) enter(p *proxy) {
-	m.place()
-	m.proxies, m.byNumber[p.id] = with(m.proxies, p, byNumber), p
-	t := m.tables[p.block]
-	t.dealt, m.waits, t.waiting = with(t.dealt, p, byNumber), with(m.waits, p, byJoin), t.waiting+1
-	m.weighLoad(t)
-	if m.least > 0 && !t.awaitsSolve && !m.bare(t) {
-		m.least = min(m.least, m.whole(t))
+func (m *Manager) addProxy(p *proxy) {
+	m.updatePlacement()
+	m.proxies, m.proxyByID[p.id] = insertProxy(m.proxies, p, compareProxyIDs), p
+	t := m.tables[p.partition]
+	t.proxies, m.unassigned, t.unassigned = insertProxy(t.proxies, p, compareProxyIDs), insertProxy(m.unassigned, p, compareConnectTimes), t.unassigned+1
+	m.sumAnnouncedRates(t)
+	if m.cheapestAssign > 0 && !t.awaitsDistribution && !m.isEmptyTable(t) {
+		m.cheapestAssign = min(m.cheapestAssign, m.assignmentCost(t))
 	}
 }
 
-func (m *Manager) leave(p *proxy) {
-	m.place()
-	m.proxies = without(m.proxies, p, byNumber)
-	delete(m.byNumber, p.id)
-	t := m.tables[p.block]
-	t.dealt = without(t.dealt, p, byNumber)
+func (m *Manager) removeProxy(p *proxy) {
+	m.updatePlacement()
+	m.proxies = deleteProxy(m.proxies, p, compareProxyIDs)
+	delete(m.proxyByID, p.id)
+	t := m.tables[p.partition]
+	t.proxies = deleteProxy(t.proxies, p, compareProxyIDs)
 	m.stopWaiting(p, t)
-	m.weighLoad(t)
+	m.sumAnnouncedRates(t)
 }
 
 // stopWaiting takes a proxy that is put on its table, or leaves, off those that wait for one.
 func (m *Manager) stopWaiting(p *proxy, t *table) {
-	if p.bound {
+	if p.assigned {
 		return
 	}
-	m.waits, t.waiting = without(m.waits, p, byJoin), t.waiting-1
-	if t.waiting == 0 {
-		m.least = 0
+	m.unassigned, t.unassigned = deleteProxy(m.unassigned, p, compareConnectTimes), t.unassigned-1
+	if t.unassigned == 0 {
+		m.cheapestAssign = 0
 	}
-	m.drains = m.drains || len(m.waits) == 0
+	m.drainPending = m.drainPending || len(m.unassigned) == 0
 }
 
 // endSolveWait lets proxies that wait until their tables are solved be put on them.
-func (m *Manager) endSolveWait() {
+func (m *Manager) endDistributionWait() {
 	for _, t := range m.tables {
-		t.awaitsSolve = false
+		t.awaitsDistribution = false
 	}
-	m.least = 0
+	m.cheapestAssign = 0
 }
 
 // weighLoad sums what a block's proxies told, in their order. Only blocks are chosen by it.
-func (m *Manager) weighLoad(t *table) {
-	if m.blocks > 1 {
-		t.load = 0
-		for _, p := range t.dealt {
-			t.load += p.rate
+func (m *Manager) sumAnnouncedRates(t *table) {
+	if m.partitionsPerZone > 1 {
+		t.announcedRate = 0
+		for _, p := range t.proxies {
+			t.announcedRate += p.announcedRate
 		}
 	}
 }
 
 // put notes that a proxy was bound to its block's table, and to its part for the groups that keep to their zone.
-func (m *Manager) put(p *proxy) {
-	m.place()
-	m.stopWaiting(p, m.tables[p.block])
-	p.bound, p.holds = true, false
-	if m.home == 0 || m.roaming != 0 {
-		m.o.Assign = append(m.o.Assign, TableAssignment{p.id, TableID(p.block), either(m.home == 0, 0, m.roaming)})
+func (m *Manager) recordAssignment(p *proxy) {
+	m.updatePlacement()
+	m.stopWaiting(p, m.tables[p.partition])
+	p.assigned, p.mayHoldTable = true, false
+	if m.zoneLocal == 0 || m.crossZone != 0 {
+		m.commands.Assign = append(m.commands.Assign, TableAssignment{p.id, TableID(p.partition), either(m.zoneLocal == 0, 0, m.crossZone)})
 	}
-	if m.home != 0 {
-		m.o.Assign = append(m.o.Assign, TableAssignment{p.id, ZoneLocalTables + TableID(p.block), m.home})
+	if m.zoneLocal != 0 {
+		m.commands.Assign = append(m.commands.Assign, TableAssignment{p.id, ZoneLocalTables + TableID(p.partition), m.zoneLocal})
 	}
 }
 
 // setLevel notes that a level was ordered.
-func (m *Manager) setLevel(t *table, l AdmissionLevel) {
-	t.levels[l.Classes], t.cost, m.least = l, 0, 0
-	l.Table += either(l.Classes&m.home != 0, ZoneLocalTables, 0)
-	m.o.AdmissionLevels = append(m.o.AdmissionLevels, l)
+func (m *Manager) recordLevel(t *table, l AdmissionLevel) {
+	t.publishedLevels[l.Classes], t.assignCost, m.cheapestAssign = l, 0, 0
+	l.Table += either(l.Classes&m.zoneLocal != 0, ZoneLocalTables, 0)
+	m.commands.AdmissionLevels = append(m.commands.AdmissionLevels, l)
 }
 
 // stands tells whether a table names a server.
-func (m *Manager) stands(s *server) bool {
-	m.place()
+func (m *Manager) isPublished(s *server) bool {
+	m.updatePlacement()
 	return len(s.tables) > 0
 }
 
 // holders are the proxies whose table names a server, and those that hold tables of others, by number.
 func (m *Manager) holders(s *server) []*proxy {
-	m.place()
-	to := slices.Clone(m.waits)
+	m.updatePlacement()
+	to := slices.Clone(m.unassigned)
 	for _, t := range s.tables {
-		to = append(to, m.users(int(t))...)
+		to = append(to, m.tableProxies(int(t))...)
 	}
 	if len(s.tables) > 0 {
-		slices.SortFunc(to, byNumber)
+		slices.SortFunc(to, compareProxyIDs)
 		to = slices.Compact(to) // who waits may hold a table still
 	}
 	return to
 }
 
 // users are the proxies bound to a table, or that may be, by number.
-func (m *Manager) users(z int) (to []*proxy) {
-	m.place()
-	for _, p := range m.tables[z].dealt {
-		if p.bound || p.holds {
+func (m *Manager) tableProxies(z int) (to []*proxy) {
+	m.updatePlacement()
+	for _, p := range m.tables[z].proxies {
+		if p.assigned || p.mayHoldTable {
 			to = append(to, p)
 		}
 	}
@@ -240,17 +240,17 @@
 }
 
 // named are the servers that a table names or should name, by id.
-func (m *Manager) named(t *table) (all []*server) {
+func (m *Manager) tableServers(t *table) (all []*server) {
 	add := func(id ServerID) {
 		if s := m.server(id); s != nil {
 			all = append(all, s)
 		}
 	}
-	for id := range t.standing {
+	for id := range t.published {
 		add(id)
 	}
-	for id := range t.wanted {
-		if _, both := t.standing[id]; !both {
+	for id := range t.target {
+		if _, both := t.published[id]; !both {
 			add(id)
 		}
 	}
@@ -260,34 +260,34 @@
 
 // unboundWithin are the proxies without a table, none where no table that they wait for has room. Guards against
 // a walk over thousands that wait after a restart with each input that comes.
-func (m *Manager) unboundWithin(spare float64) []*proxy {
-	if m.leastToBind() > spare {
+func (m *Manager) assignableWithin(spare float64) []*proxy {
+	if m.cheapestAssignment() > spare {
 		return nil
 	}
-	return m.waits
+	return m.unassigned
 }
 
 // leastToBind is what the cheapest binding costs of a proxy that waits; infinite where none can be bound.
-func (m *Manager) leastToBind() float64 {
-	if m.place(); len(m.waits) == 0 {
+func (m *Manager) cheapestAssignment() float64 {
+	if m.updatePlacement(); len(m.unassigned) == 0 {
 		return math.Inf(1)
 	}
-	if m.least == 0 {
-		m.least = math.Inf(1)
+	if m.cheapestAssign == 0 {
+		m.cheapestAssign = math.Inf(1)
 		for _, t := range m.tables {
-			if t.waiting > 0 && !t.awaitsSolve && !m.bare(t) {
-				m.least = min(m.least, m.whole(t))
+			if t.unassigned > 0 && !t.awaitsDistribution && !m.isEmptyTable(t) {
+				m.cheapestAssign = min(m.cheapestAssign, m.assignmentCost(t))
 			}
 		}
 	}
-	return m.least + either(m.markedAt == m.now, 0, m.head+1)
+	return m.cheapestAssign + either(m.barrierAt == m.now, 0, m.messageOverhead+1)
 }
 
 // allToBind is what the bindings of all proxies that wait cost.
-func (m *Manager) allToBind() (lines float64) {
+func (m *Manager) allAssignmentsCost() (lines float64) {
 	for _, t := range m.tables {
-		if t.waiting > 0 {
-			lines += float64(t.waiting) * (m.whole(t) + m.head + 1)
+		if t.unassigned > 0 {
+			lines += float64(t.unassigned) * (m.assignmentCost(t) + m.messageOverhead + 1)
 		}
 	}
 	return lines
--- a/balancer/ledger.go
+++ b/balancer/ledger.go
@@ -9,39 +9,41 @@
 // are answered, and counts the messages that each proxy was sent. What goes out by it is decided in choice.go.
 
 // room tells whether lines for each of these proxies fit into the queue and the messages they may get.
-func (m *Manager) room(to []*proxy, lines float64, u urgency) bool {
-	if !m.mayWrite(to, u) {
+func (m *Manager) fits(to []*proxy, lines float64, u priority) bool {
+	if !m.mayMessage(to, u) {
 		return false
 	}
 	cost := 0.0
 	for _, p := range to {
 		cost += lines
-		if !p.written(m.now) {
-			cost += m.head + 1
+		if !p.hasMessage(m.now) {
+			cost += m.messageOverhead + 1
 		}
 	}
 	// what is more than ever leaves soon goes when nothing waits
-	return cost <= m.spare(u) || cost <= m.rooms[u] && m.waiting() == 0
+	return cost <= m.available(u) || cost <= m.queueLimits[u] && m.queuedCommands() == 0
 }
 
 // fresh is what a line costs for so many proxies, that get a message for it alone if none was written yet.
-func (m *Manager) fresh(proxies int) float64 {
-	return float64(proxies) * (1 + either(m.markedAt == m.now, 0, m.head+1))
+func (m *Manager) singleCommandCost(proxies int) float64 {
+	return float64(proxies) * (1 + either(m.barrierAt == m.now, 0, m.messageOverhead+1))
 }
 
 // spare is how many lines there is room for.
-func (m *Manager) spare(u urgency) float64 { return max(0, min(m.soon[u], m.rooms[u])-m.waiting()) }
+func (m *Manager) available(u priority) float64 {
+	return max(0, min(m.sendableSoon[u], m.queueLimits[u])-m.queuedCommands())
+}
 
 // written tells whether a proxy gets a message at this time anyway.
-func (p *proxy) written(now time.Duration) bool {
-	return len(p.sent) > 0 && p.sent[len(p.sent)-1] == now
+func (p *proxy) hasMessage(now time.Duration) bool {
+	return len(p.messageTimes) > 0 && p.messageTimes[len(p.messageTimes)-1] == now
 }
 
 // mayWrite tells whether each of these proxies may get a further message.
-func (m *Manager) mayWrite(to []*proxy, u urgency) bool {
+func (m *Manager) mayMessage(to []*proxy, u priority) bool {
 	for _, p := range to {
-		p.sent = slices.DeleteFunc(p.sent, func(at time.Duration) bool { return m.now-at > m.span })
-		if most := m.perProxy[u]; most > 0 && len(p.sent) >= most && !p.written(m.now) {
+		p.messageTimes = slices.DeleteFunc(p.messageTimes, func(at time.Duration) bool { return m.now-at > m.messageWindow })
+		if most := m.messageLimits[u]; most > 0 && len(p.messageTimes) >= most && !p.hasMessage(m.now) {
 			return false
 		}
 	}
@@ -51,108 +53,108 @@
 // waiting bounds what waits in the channel, whatever becomes of the orders on their way. What was ordered waits whole
 // until it is known to have entered the channel: guards against calls that come late and then together. From then on
 // it leaves as the slowest channel sends, and as marks are answered.
-func (m *Manager) waiting() float64 {
-	if !m.summed {
-		m.inside, m.outside, m.summed = 0, 0, true
-		for _, q := range m.queue {
-			if q.entered {
-				m.inside += q.lines
+func (m *Manager) queuedCommands() float64 {
+	if !m.queueSummed {
+		m.sentCommands, m.unsentCommands, m.queueSummed = 0, 0, true
+		for _, q := range m.pending {
+			if q.sent {
+				m.sentCommands += q.commands
 			} else {
-				m.outside += q.lines
+				m.unsentCommands += q.commands
 			}
 		}
 	}
-	return m.left() + m.outside
+	return m.queuedAfterSend() + m.unsentCommands
 }
 
 // left bounds what waits of what entered.
-func (m *Manager) left() float64 {
-	return max(0, m.inside-m.sent-m.slowPace*(m.now-m.sentFrom).Seconds())
+func (m *Manager) queuedAfterSend() float64 {
+	return max(0, m.sentCommands-m.leftSince-m.slowestRate*(m.now-m.leftFrom).Seconds())
 }
 
 // post books lines for each proxy concerned, and a message and a mark for those that have none yet.
-func (m *Manager) post(to []*proxy, lines float64) {
+func (m *Manager) reserve(to []*proxy, lines float64) {
 	if len(to) == 0 {
 		return
 	}
-	if m.waiting() == 0 {
-		m.queue, m.sent = nil, 0
+	if m.queuedCommands() == 0 {
+		m.pending, m.leftSince = nil, 0
 	}
-	m.summed = false
-	if m.markedAt != m.now {
-		m.mark, m.markedAt = m.mark%65535+1, m.now
-		m.o.Barrier = m.mark
-		m.queue = append(m.queue, owed{mark: m.mark, at: m.now, of: map[ProxyID]float64{}})
+	m.queueSummed = false
+	if m.barrierAt != m.now {
+		m.lastBarrier, m.barrierAt = m.lastBarrier%65535+1, m.now
+		m.commands.Barrier = m.lastBarrier
+		m.pending = append(m.pending, pendingBatch{barrier: m.lastBarrier, at: m.now, byProxy: map[ProxyID]float64{}})
 	}
-	q := &m.queue[len(m.queue)-1]
+	q := &m.pending[len(m.pending)-1]
 	for _, p := range to {
 		cost := lines
-		if !p.written(m.now) {
-			p.sent, cost = append(p.sent, m.now), cost+m.head+1
+		if !p.hasMessage(m.now) {
+			p.messageTimes, cost = append(p.messageTimes, m.now), cost+m.messageOverhead+1
 		}
-		q.lines, q.of[p.id] = q.lines+cost, q.of[p.id]+cost
+		q.commands, q.byProxy[p.id] = q.commands+cost, q.byProxy[p.id]+cost
 	}
 }
 
 // Entered notes that what was ordered up to a mark is in the channel.
 func (m *Manager) HandleCommandsSent(now time.Duration, mark BarrierID) {
 	m.now = now
-	m.enters(slices.IndexFunc(m.queue, func(q owed) bool { return q.mark == mark }))
+	m.markSent(slices.IndexFunc(m.pending, func(q pendingBatch) bool { return q.barrier == mark }))
 }
 
 // enters lets the queue up to its i-th part leave from now on; what left of the parts before it stays off the books.
-func (m *Manager) enters(i int) {
-	m.waiting()
-	m.sent, m.sentFrom, m.summed = m.inside-m.left(), m.now, false
-	for i = min(i, len(m.queue)-1); i >= 0 && !m.queue[i].entered; i-- {
-		m.queue[i].entered = true
+func (m *Manager) markSent(i int) {
+	m.queuedCommands()
+	m.leftSince, m.leftFrom, m.queueSummed = m.sentCommands-m.queuedAfterSend(), m.now, false
+	for i = min(i, len(m.pending)-1); i >= 0 && !m.pending[i].sent; i-- {
+		m.pending[i].sent = true
 	}
 }
 
 // answered takes off the books what an answered mark shows to have left: all before its part, and of that the message
 // to who answers. Messages differ in length: guards against short ones that are answered first and count for long ones.
-func (m *Manager) answered(id ProxyID, mark BarrierID) {
-	i := slices.IndexFunc(m.queue, func(q owed) bool { return q.mark == mark })
+func (m *Manager) acknowledge(id ProxyID, mark BarrierID) {
+	i := slices.IndexFunc(m.pending, func(q pendingBatch) bool { return q.barrier == mark })
 	if i < 0 {
 		return
 	}
-	m.enters(i)
-	m.queue = slices.Delete(m.queue, 0, i)
-	q := &m.queue[0]
-	q.lines -= q.of[id]
-	delete(q.of, id)
-	m.sent, m.sentFrom = 0, m.now
+	m.markSent(i)
+	m.pending = slices.Delete(m.pending, 0, i)
+	q := &m.pending[0]
+	q.commands -= q.byProxy[id]
+	delete(q.byProxy, id)
+	m.leftSince, m.leftFrom = 0, m.now
 }
 
 // unbook takes off the books what has not entered the channel, but for what was ordered before a mark, and under it if
 // that may have been carried out, wholly or in part. All else goes out anew: guards against orders that wait for ever
 // for the room that they themselves are booked in.
-func (m *Manager) unbook(from BarrierID, carried bool) {
-	i := slices.IndexFunc(m.queue, func(q owed) bool { return q.mark == from })
-	m.enters(either(carried, i, i-1))
-	for _, q := range m.queue {
+func (m *Manager) releaseUnsent(from BarrierID, carried bool) {
+	i := slices.IndexFunc(m.pending, func(q pendingBatch) bool { return q.barrier == from })
+	m.markSent(either(carried, i, i-1))
+	for _, q := range m.pending {
 		for _, p := range m.proxies {
-			p.sent = slices.DeleteFunc(p.sent, func(at time.Duration) bool { return !q.entered && at == q.at })
+			p.messageTimes = slices.DeleteFunc(p.messageTimes, func(at time.Duration) bool { return !q.sent && at == q.at })
 		}
 	}
-	m.queue, m.summed = slices.DeleteFunc(m.queue, func(q owed) bool { return !q.entered }), false
+	m.pending, m.queueSummed = slices.DeleteFunc(m.pending, func(q pendingBatch) bool { return !q.sent }), false
 }
 
 // concerned are the proxies that get the n-th order, counted in the order of the fields, and its lines at each.
-func (m *Manager) concerned(o Commands, n int) (to []*proxy, lines float64) {
+func (m *Manager) recipients(o Commands, n int) (to []*proxy, lines float64) {
 	servers := slices.Concat(o.Withdraw, o.Restore)
 	if n >= len(o.Withdraw) {
 		switch n -= len(o.Withdraw); {
 		case n < len(o.Weights):
-			return m.users(int(o.Weights[n].Table &^ ZoneLocalTables)), 1
+			return m.tableProxies(int(o.Weights[n].Table &^ ZoneLocalTables)), 1
 		case n < len(o.Weights)+len(o.AdmissionLevels):
-			return m.users(int(o.AdmissionLevels[n-len(o.Weights)].Table &^ ZoneLocalTables)), 1
+			return m.tableProxies(int(o.AdmissionLevels[n-len(o.Weights)].Table &^ ZoneLocalTables)), 1
 		case n >= len(o.Weights)+len(o.AdmissionLevels)+len(o.Restore):
 			b := o.Assign[n-len(o.Weights)-len(o.AdmissionLevels)-len(o.Restore)]
 			if p := m.proxy(b.Proxy); p != nil {
 				to = []*proxy{p}
 			}
-			return to, m.whole(m.tables[b.Table&^ZoneLocalTables])
+			return to, m.assignmentCost(m.tables[b.Table&^ZoneLocalTables])
 		}
 		n += len(o.Withdraw) - len(o.Weights) - len(o.AdmissionLevels)
 	}
