--- a/cmd/tamarindshore/serve.go
+++ b/cmd/tamarindshore/serve.go
@@ -35,7 +35,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(count, syscall.SIGUSR1)
 	signal.Ignore(syscall.SIGPIPE)
-	return process{ctx, node.Signals{Reload: reload, Count: count}}
+	return process{ctx, node.Signals{Reload: reload, LogCounters: count}}
 }
 
 // Run serves until SIGTERM.
--- a/cmd/tamarindshore/tables.go
+++ b/cmd/tamarindshore/tables.go
@@ -48,7 +48,7 @@
 )
 
 // ask says a command at the admin socket and prints what comes back.
-func (t *tablesCmd) ask(a node.Ask) error {
+func (t *tablesCmd) ask(a node.AdminRequest) error {
 	if t.Socket == "" {
 		return errors.New("--socket: is missing; the manager's settings name it: (admin (socket \"PATH\"))")
 	}
@@ -61,7 +61,7 @@
 	if err := json.NewEncoder(c).Encode(a); err != nil {
 		return err
 	}
-	var told node.Told
+	var told node.AdminResponse
 	if err := json.NewDecoder(c).Decode(&told); err != nil {
 		return fmt.Errorf("no answer: %w; said again with the same key, a command takes effect once", err)
 	}
@@ -74,21 +74,23 @@
 	return nil
 }
 
-func (tablesLog) Run(c *commands) error { return c.Tables.ask(node.Ask{Do: "log"}) }
+func (tablesLog) Run(c *commands) error { return c.Tables.ask(node.AdminRequest{Command: "log"}) }
 func (t tablesShow) Run(c *commands) error {
-	return c.Tables.ask(node.Ask{Do: "show", Version: t.Version})
+	return c.Tables.ask(node.AdminRequest{Command: "show", Version: t.Version})
 }
 func (t tablesDiff) Run(c *commands) error {
-	return c.Tables.ask(node.Ask{Do: "diff", Version: t.A, Other: t.B})
+	return c.Tables.ask(node.AdminRequest{Command: "diff", Version: t.A, OtherVersion: t.B})
 }
-func (tablesCheck) Run(c *commands) error { return c.Tables.ask(node.Ask{Do: "verify"}) }
+func (tablesCheck) Run(c *commands) error { return c.Tables.ask(node.AdminRequest{Command: "verify"}) }
 func (t tablesBack) Run(c *commands) error {
-	return c.Tables.ask(node.Ask{Do: "rollback", Version: t.To, Key: t.ID, For: t.For})
+	return c.Tables.ask(node.AdminRequest{Command: "rollback", Version: t.To, Key: t.ID, Duration: t.For})
 }
 func (t tablesHold) Run(c *commands) error {
-	return c.Tables.ask(node.Ask{Do: "hold", Key: t.ID, For: t.For})
+	return c.Tables.ask(node.AdminRequest{Command: "hold", Key: t.ID, Duration: t.For})
+}
+func (t tablesEnd) Run(c *commands) error {
+	return c.Tables.ask(node.AdminRequest{Command: "resume", Key: t.ID})
 }
-func (t tablesEnd) Run(c *commands) error { return c.Tables.ask(node.Ask{Do: "resume", Key: t.ID}) }
 
 type storeCmd struct {
 	Check   storeCheck   `cmd:"" help:"Check all of a store that no manager has open."`
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -22,16 +22,16 @@
 )
 
 // Ask is one command of staff.
-type Ask struct {
-	Do      string        `json:"do"` // log, show, diff, verify, rollback, hold or resume
-	Version string        `json:"version,omitempty"`
-	Other   string        `json:"other,omitempty"`
-	Key     string        `json:"key,omitempty"`
-	For     time.Duration `json:"for_ns,omitempty"`
+type AdminRequest struct {
+	Command      string        `json:"do"` // log, show, diff, verify, rollback, hold or resume
+	Version      string        `json:"version,omitempty"`
+	OtherVersion string        `json:"other,omitempty"`
+	Key          string        `json:"key,omitempty"`
+	Duration     time.Duration `json:"for_ns,omitempty"`
 }
 
 // Told is what came of it.
-type Told struct {
+type AdminResponse struct {
 	Lines []string `json:"lines,omitempty"`
 	Error string   `json:"error,omitempty"`
 }
@@ -75,15 +75,15 @@
 	if err != nil {
 		return
 	}
-	var a Ask
-	var told Told
+	var a AdminRequest
+	var told AdminResponse
 	if err := json.Unmarshal(line, &a); err != nil {
 		told.Error = "unreadable: " + err.Error()
 	} else if told.Lines, err = n.staff(a); err != nil {
 		told.Error = err.Error()
 	}
-	if a.Do == "rollback" || a.Do == "hold" || a.Do == "resume" {
-		n.metrics.logEvent("command", "do", a.Do, "version", a.Version, "key", a.Key, "lines", strings.Join(told.Lines, "; "), "error", told.Error)
+	if a.Command == "rollback" || a.Command == "hold" || a.Command == "resume" {
+		n.metrics.logEvent("command", "do", a.Command, "version", a.Version, "key", a.Key, "lines", strings.Join(told.Lines, "; "), "error", told.Error)
 	}
 	json.NewEncoder(c).Encode(told)
 }
@@ -105,9 +105,9 @@
 	}
 }
 
-func (n *Node) staff(a Ask) ([]string, error) {
+func (n *Node) staff(a AdminRequest) ([]string, error) {
 	id, err := versionID(a.Version)
-	other, bad := versionID(a.Other)
+	other, bad := versionID(a.OtherVersion)
 	if err = errors.Join(err, bad); err != nil {
 		return nil, err
 	}
@@ -128,7 +128,7 @@
 	return id, fmt.Errorf("%q is no version: EPOCH.NUMBER is due", text)
 }
 
-func (r *router) staff(a Ask, id, other tables.ID) (lines []string, err error) {
+func (r *router) staff(a AdminRequest, id, other tables.ID) (lines []string, err error) {
 	c, see := r.chain, r.sight()
 	did := func(d versions.CompletedCommand, fresh bool, err error) ([]string, error) {
 		if err != nil {
@@ -141,7 +141,7 @@
 		r.done(d)
 		return []string{fmt.Sprintf("%s: done under key %q, from version %v on", d.Command, d.Key, d.Head)}, nil
 	}
-	switch a.Do {
+	switch a.Command {
 	case "log":
 		if h, held := c.CurrentHold(see); held {
 			lines = append(lines, fmt.Sprintf("held by key %q until %s, %.2f of its weight is left", h.Key, h.Until.Format(time.RFC3339), h.RemainingFraction))
@@ -175,13 +175,13 @@
 	case "verify":
 		return c.Verify()
 	case "rollback":
-		return did(c.RollBack(r.now, id, a.Key, a.For, see))
+		return did(c.RollBack(r.now, id, a.Key, a.Duration, see))
 	case "hold":
-		return did(c.Hold(r.now, a.Key, a.For, see))
+		return did(c.Hold(r.now, a.Key, a.Duration, see))
 	case "resume":
 		return did(c.Resume(r.now, a.Key))
 	default:
-		return nil, fmt.Errorf("%q is no command", a.Do)
+		return nil, fmt.Errorf("%q is no command", a.Command)
 	}
 	return lines, nil
 }
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -23,24 +23,24 @@
 
 // Kinds of messages.
 const (
-	ListMessage      MessageKind = iota // a line of discovery's watch
-	NewsMessage                         // an event of the relay's stream
-	ReportMessage                       // a collector's line on a server
-	UsageMessage                        // a collector's line on a proxy
-	ProbeMessage                        // a probe and its answer
-	CallMessage                         // a call to the relay and its answer
-	HeartbeatMessage                    // a sign of life on a stream
-	NewsOpened                          // the relay's stream has opened; it has no bytes of its own
-	NewsComplete                        // the relay's stream has told all that stands; it has no bytes of its own
-	messageKinds     int         = iota
+	EndpointListMessage   MessageKind = iota // a line of discovery's watch
+	ProxyEventMessage                        // an event of the relay's stream
+	LoadReportMessage                        // a collector's line on a server
+	UsageReportMessage                       // a collector's line on a proxy
+	HealthCheckMessage                       // a probe and its answer
+	RelayCallMessage                         // a call to the relay and its answer
+	HeartbeatMessage                         // a sign of life on a stream
+	ProxyEventsOpened                        // the relay's stream has opened; it has no bytes of its own
+	ProxySnapshotComplete                    // the relay's stream has told all that stands; it has no bytes of its own
+	messageKinds          int         = iota
 )
 
 // Message is one message to a hollow manager.
 type Message struct {
-	Kind  MessageKind
-	Event string // the event's name, for news
-	Text  string // the message as on the wire, without its framing
-	Probe balancer.ServerID
+	Kind   MessageKind
+	Event  string // the event's name, for news
+	Text   string // the message as on the wire, without its framing
+	Server balancer.ServerID
 }
 
 // Traffic counts the messages and bytes of one kind. TCP and IP headers are not counted.
@@ -50,28 +50,28 @@
 }
 
 // Result is what a hollow manager did in one step.
-type Result struct {
-	Calls  []balancer.Commands // in the order in which the relay gets them
-	Probes []balancer.ServerID // that the manager asks for
+type StepResult struct {
+	RelayCalls   []balancer.Commands // in the order in which the relay gets them
+	HealthChecks []balancer.ServerID // that the manager asks for
 }
 
 // relayRetry is how long orders wait that the module's limits hold back: the mean of the relay stage's backoff.
 const relayRetry = 125 * time.Millisecond
 
 // Hollow is a manager without a process. It isn't safe for concurrent use.
-type Hollow struct {
+type HollowManager struct {
 	node    *Node
 	traffic [messageKinds]Traffic
 	waiting balancer.Commands  // held back by the module's limits
 	mark    balancer.BarrierID // of the call that the waiting orders were cut from
 	retryAt time.Duration      // 0: nothing waits
-	result  Result
+	result  StepResult
 	// Observe is called with each input before and after the router takes it, where it is set.
 	Observe func(before bool)
 }
 
 // NewHollow makes a hollow manager from a daemon's start. Times in lists are counted from epoch.
-func NewHollow(start config.Config, epoch time.Time) (*Hollow, error) {
+func NewHollowManager(start config.Config, epoch time.Time) (*HollowManager, error) {
 	start.StorePath, start.TablesAddress, start.AdminSocket, start.StatusAddress = "", "", "", ""
 	node, err := New(start, io.Discard)
 	if err != nil {
@@ -81,20 +81,20 @@
 	// The router's own reading of the clock is never later than the virtual time: its tick only makes times differ.
 	node.router.born = time.Now().Add(hollowFuture)
 	node.router.opened = func() {}
-	return &Hollow{node: node}, nil
+	return &HollowManager{node: node}, nil
 }
 
 // hollowFuture is longer than any run lasts.
 const hollowFuture = 365 * 24 * time.Hour
 
 // Close ends what the manager started. It must not be used after that.
-func (h *Hollow) Close() {
+func (h *HollowManager) Close() {
 	h.node.end()
 	h.node.out.Shutdown(time.Second)
 }
 
 // Next is the time at which the manager wants to be stepped without a message; 0: not before one comes.
-func (h *Hollow) Next() time.Duration {
+func (h *HollowManager) NextWake() time.Duration {
 	wake := h.node.router.wake
 	if h.retryAt > 0 && (wake == 0 || h.retryAt < wake) {
 		return h.retryAt
@@ -103,14 +103,14 @@
 }
 
 // Traffic is what was counted of a kind so far.
-func (h *Hollow) Traffic(kind MessageKind) Traffic { return h.traffic[kind] }
+func (h *HollowManager) Traffic(kind MessageKind) Traffic { return h.traffic[kind] }
 
 // Step hands messages that come together to the router at a time since the start, lets it decide, and sends what it
 // ordered. The relay takes each call at once.
-func (h *Hollow) Step(at time.Duration, messages ...Message) (Result, error) {
+func (h *HollowManager) Step(at time.Duration, messages ...Message) (StepResult, error) {
 	router := h.node.router
 	router.now = max(router.now+1, at)
-	h.result = Result{}
+	h.result = StepResult{}
 	for _, message := range messages {
 		input, err := h.decode(message)
 		if err != nil {
@@ -131,7 +131,7 @@
 	return h.result, nil
 }
 
-func (h *Hollow) observed(do func()) {
+func (h *HollowManager) observed(do func()) {
 	if h.Observe == nil {
 		do()
 		return
@@ -142,38 +142,38 @@
 }
 
 // decode counts a message and decodes it as the daemon's readers do; nil where the router isn't told of it.
-func (h *Hollow) decode(message Message) (input any, err error) {
+func (h *HollowManager) decode(message Message) (input any, err error) {
 	words := h.node.decoder
 	switch message.Kind {
-	case ListMessage:
+	case EndpointListMessage:
 		h.count(message.Kind, chunked(len(message.Text)+len("\n")), 0)
 		list, _, err := words.list([]byte(message.Text))
 		return list, err
-	case NewsMessage:
+	case ProxyEventMessage:
 		size := len("event: \ndata: \n\n") + len(message.Event) + len(message.Text)
 		h.count(message.Kind, chunked(size), 0)
 		return words.event(message.Event, message.Text)
-	case ReportMessage, UsageMessage:
+	case LoadReportMessage, UsageReportMessage:
 		h.count(message.Kind, len(message.Text)+len("\r\n"), 0)
 		_, input, err = words.line(message.Text)
 		return input, err
-	case ProbeMessage:
-		address := h.node.router.servers[message.Probe]
-		size := ProbeTraffic(address)
+	case HealthCheckMessage:
+		address := h.node.router.servers[message.Server]
+		size := HealthCheckTraffic(address)
 		h.count(message.Kind, int(size.In), int(size.Out))
-		return probeResult{server: message.Probe, address: address, answer: balancer.HealthCheckPassed, took: time.Millisecond, load: -1}, nil
+		return probeResult{server: message.Server, address: address, answer: balancer.HealthCheckPassed, took: time.Millisecond, load: -1}, nil
 	case HeartbeatMessage:
 		h.count(message.Kind, chunked(len(message.Text)), 0)
 		return nil, nil
-	case NewsOpened:
+	case ProxyEventsOpened:
 		return newsOpened{}, nil
-	case NewsComplete:
+	case ProxySnapshotComplete:
 		return newsComplete{}, nil
 	}
 	return nil, fmt.Errorf("kind %d is none that comes in", message.Kind)
 }
 
-func (h *Hollow) count(kind MessageKind, in, out int) {
+func (h *HollowManager) count(kind MessageKind, in, out int) {
 	h.traffic[kind].Messages++
 	h.traffic[kind].In += int64(in)
 	h.traffic[kind].Out += int64(out)
@@ -192,13 +192,13 @@
 )
 
 // ProbeTraffic is what one probe of an address and its answer are on the wire.
-func ProbeTraffic(address string) Traffic {
+func HealthCheckTraffic(address string) Traffic {
 	return Traffic{Messages: 1, In: int64(len(probeAnswer)), Out: int64(len(probeRequest) + len(address))}
 }
 
 // send does what the relay stage does where each call is taken: it sends what waits, and asks the module for room for
 // what a call can't hold.
-func (h *Hollow) send() {
+func (h *HollowManager) send() {
 	if h.retryAt > 0 {
 		if h.node.router.now < h.retryAt {
 			return
@@ -219,7 +219,7 @@
 }
 
 // settle sends orders until nothing of them is missing; false where the rest has to wait.
-func (h *Hollow) settle(now, rest balancer.Commands) bool {
+func (h *HollowManager) settle(now, rest balancer.Commands) bool {
 	for {
 		sent := h.call(now)
 		missing := commands.Merge(commands.SkipFirst(now, sent), rest)
@@ -236,24 +236,24 @@
 	}
 }
 
-func (h *Hollow) resend(missing balancer.Commands, from balancer.BarrierID, carried bool) resendReply {
+func (h *HollowManager) resend(missing balancer.Commands, from balancer.BarrierID, carried bool) resendReply {
 	reply := make(chan resendReply, 1)
 	h.node.router.take(resendRequest{missing, from, carried, reply})
 	return <-reply
 }
 
 // call encodes as many orders as a call holds and gives how many those are. The router learns that they were taken.
-func (h *Hollow) call(o balancer.Commands) (sent int) {
+func (h *HollowManager) call(o balancer.Commands) (sent int) {
 	if commands.IsEmpty(o) {
 		return 0
 	}
 	text := encode(o, h.node.start.ClassNames, h.node.start.Limits.MaxCallBytes)
-	h.count(CallMessage, len(callAnswer), callSize(h.node.start.Relay, strings.Join(text, ";")))
+	h.count(RelayCallMessage, len(callAnswer), callSize(h.node.start.Relay, strings.Join(text, ";")))
 	sent = len(text)
 	if o.Barrier > 0 {
 		sent--
 	}
-	h.result.Calls = append(h.result.Calls, commands.KeepFirst(o, sent, o.Barrier))
+	h.result.RelayCalls = append(h.result.RelayCalls, commands.KeepFirst(o, sent, o.Barrier))
 	if o.Barrier > 0 && sent == o.Count() {
 		h.node.router.take(callSettled{o.Barrier, true})
 	}
@@ -288,11 +288,11 @@
 	return len(text), nil
 }
 
-func (h *Hollow) takeProbes() {
+func (h *HollowManager) takeProbes() {
 	for {
 		select {
 		case probe := <-h.node.router.probes:
-			h.result.Probes = append(h.result.Probes, probe.server)
+			h.result.HealthChecks = append(h.result.HealthChecks, probe.server)
 		case <-h.node.router.listen: // the list comes unasked
 		default:
 			return
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -13,11 +13,11 @@
 )
 
 // testHollow is a hollow manager that knows so many servers and has so many proxies; its clock stands at 3 s.
-func testHollow(t *testing.T, servers, proxies int, l config.Limits) (*Hollow, []balancer.Commands) {
+func testHollow(t *testing.T, servers, proxies int, l config.Limits) (*HollowManager, []balancer.Commands) {
 	t.Helper()
 	ofMany := terms
 	ofMany.Proxies, ofMany.QueueCapacity, ofMany.CommandsPerSecond = proxies+1, 1e6, 1e6
-	h, err := NewHollow(config.Config{Relay: "127.0.0.1:1", Limits: l, Balancer: ofMany, ClassNames: []string{"g"},
+	h, err := NewHollowManager(config.Config{Relay: "127.0.0.1:1", Limits: l, Balancer: ofMany, ClassNames: []string{"g"},
 		CachedEndpointList: json.RawMessage(`{"generation":0,"reset":true,"instances":[]}`)}, time.Unix(1000, 0))
 	if err != nil {
 		t.Fatal(err)
@@ -29,15 +29,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		calls = append(calls, result.Calls...)
+		calls = append(calls, result.RelayCalls...)
 	}
-	step(time.Millisecond, Message{Kind: ListMessage, Text: testList(1, true, servers, "up")})
-	opening := []Message{{Kind: NewsOpened}}
+	step(time.Millisecond, Message{Kind: EndpointListMessage, Text: testList(1, true, servers, "up")})
+	opening := []Message{{Kind: ProxyEventsOpened}}
 	for p := range proxies {
-		opening = append(opening, Message{Kind: NewsMessage, Event: "joined", Text: fmt.Sprintf("id=%d&site=a&rps=5", p+1)})
+		opening = append(opening, Message{Kind: ProxyEventMessage, Event: "joined", Text: fmt.Sprintf("id=%d&site=a&rps=5", p+1)})
 	}
-	step(2*time.Millisecond, append(opening, Message{Kind: NewsComplete})...)
-	for next := h.Next(); next > 0 && next < 3*time.Second; next = h.Next() {
+	step(2*time.Millisecond, append(opening, Message{Kind: ProxySnapshotComplete})...)
+	for next := h.NextWake(); next > 0 && next < 3*time.Second; next = h.NextWake() {
 		step(next)
 	}
 	return h, calls
@@ -61,8 +61,8 @@
 	if !slices.Equal(proxies, []balancer.ProxyID{1, 2}) {
 		t.Errorf("bound %v", proxies)
 	}
-	result, err := h.Step(3*time.Second, Message{Kind: ListMessage, Text: testList(2, false, 1, "draining")})
-	if err != nil || len(result.Calls) != 1 || !slices.Equal(result.Calls[0].Withdraw, []balancer.ServerID{"s-000"}) {
+	result, err := h.Step(3*time.Second, Message{Kind: EndpointListMessage, Text: testList(2, false, 1, "draining")})
+	if err != nil || len(result.RelayCalls) != 1 || !slices.Equal(result.RelayCalls[0].Withdraw, []balancer.ServerID{"s-000"}) {
 		t.Errorf("%+v, %v", result, err)
 	}
 }
@@ -102,10 +102,10 @@
 		message Message
 		in      int
 	}{
-		{Message{Kind: ReportMessage, Text: line}, len(line) + 2},
-		{Message{Kind: NewsMessage, Event: "left", Text: "id=2"}, len("19\r\n") + len("event: left\ndata: id=2\n\n") + 2},
+		{Message{Kind: LoadReportMessage, Text: line}, len(line) + 2},
+		{Message{Kind: ProxyEventMessage, Event: "left", Text: "id=2"}, len("19\r\n") + len("event: left\ndata: id=2\n\n") + 2},
 		{Message{Kind: HeartbeatMessage, Text: ":\n\n"}, len("3\r\n:\n\n\r\n")},
-		{Message{Kind: ProbeMessage, Probe: "s-001"}, len(probeAnswer)},
+		{Message{Kind: HealthCheckMessage, Server: "s-001"}, len(probeAnswer)},
 	} {
 		before := h.Traffic(one.message.Kind)
 		if _, err := h.Step(3*time.Second, one.message); err != nil {
@@ -116,15 +116,15 @@
 			t.Errorf("kind %d: %d bytes, %d are due", one.message.Kind, got, one.in)
 		}
 	}
-	if calls := h.Traffic(CallMessage); calls.Messages == 0 || calls.Out < calls.Messages*100 {
+	if calls := h.Traffic(RelayCallMessage); calls.Messages == 0 || calls.Out < calls.Messages*100 {
 		t.Errorf("calls: %+v", calls)
 	}
 }
 
 func TestAHollowManagerNamesWhatItCannotRead(t *testing.T) {
 	h, _ := testHollow(t, 4, 2, hollowLimits())
-	for _, message := range []Message{{Kind: ListMessage, Text: "{"}, {Kind: ReportMessage, Text: "heard site=nowhere"},
-		{Kind: NewsMessage, Event: "joined", Text: "id=x"}, {Kind: CallMessage, Text: "mark"}} {
+	for _, message := range []Message{{Kind: EndpointListMessage, Text: "{"}, {Kind: LoadReportMessage, Text: "heard site=nowhere"},
+		{Kind: ProxyEventMessage, Event: "joined", Text: "id=x"}, {Kind: RelayCallMessage, Text: "mark"}} {
 		if _, err := h.Step(3*time.Second, message); err == nil || !strings.Contains(err.Error(), message.Text) {
 			t.Errorf("%+v: %v", message, err)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -157,8 +157,8 @@
 // Signals ask a running manager for something. Each kind has a channel of its own: guards against one that finds no
 // room behind others.
 type Signals struct {
-	Reload <-chan os.Signal // to take the file anew
-	Count  <-chan os.Signal // to log the counters
+	Reload      <-chan os.Signal // to take the file anew
+	LogCounters <-chan os.Signal // to log the counters
 }
 
 // Run listens and serves until ctx ends.
@@ -318,7 +318,7 @@
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-		case <-signals.Count:
+		case <-signals.LogCounters:
 			n.metrics.logCounters("counters")
 		case <-signals.Reload:
 			retriesLeft = n.start.Limits.ReloadRetries
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -48,7 +48,7 @@
 		count <- syscall.SIGUSR1
 		end()
 	}()
-	if err := n.Run(ctx, Signals{Count: count}, nil); err != nil {
+	if err := n.Run(ctx, Signals{LogCounters: count}, nil); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"event=counters ", "event=end ", " reports_in=0 "} {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -12,50 +12,50 @@
 )
 
 // Lane is one lane as staff see it.
-type Lane struct {
+type ShardStatus struct {
 	Cores       float64 `json:"cores"`
 	Connections int     `json:"connections"`
-	Busy        float64 `json:"busy_s"` // at the piece in hand; 0: it waits
+	BusySeconds float64 `json:"busy_s"` // at the piece in hand; 0: it waits
 }
 
 // Status is what a manager tells of itself.
 type Status struct {
-	Name     string           `json:"name"`
-	Uptime   float64          `json:"uptime_s"`
-	Ready    bool             `json:"ready"`
-	Lanes    []Lane           `json:"lanes"`
-	Waits    int              `json:"samples_waiting"`
-	List     ListStatus       `json:"list"`
-	Counters map[string]int64 `json:"counters"`
+	Name           string           `json:"name"`
+	UptimeSeconds  float64          `json:"uptime_s"`
+	Ready          bool             `json:"ready"`
+	Shards         []ShardStatus    `json:"lanes"`
+	SamplesWaiting int              `json:"samples_waiting"`
+	List           ListStatus       `json:"list"`
+	Counters       map[string]int64 `json:"counters"`
 }
 
 // ListStatus is the server list that a manager goes by, as staff see it.
 type ListStatus struct {
-	Version   int64   `json:"version"`
-	Age       float64 `json:"age_s"`     // since discovery told it or stood by it, or since the manager began with it
-	Confirmed bool    `json:"confirmed"` // by discovery, since the manager began
+	Version    int64   `json:"version"`
+	AgeSeconds float64 `json:"age_s"`     // since discovery told it or stood by it, or since the manager began with it
+	Confirmed  bool    `json:"confirmed"` // by discovery, since the manager began
 }
 
 func (n *Node) tellStatus() Status {
-	s := Status{Name: n.start.Name, Uptime: roundedSeconds(time.Since(n.born)), Counters: map[string]int64{}}
+	s := Status{Name: n.start.Name, UptimeSeconds: roundedSeconds(time.Since(n.born)), Counters: map[string]int64{}}
 	for c, name := range counterNames {
 		s.Counters[name] = n.metrics.counts[c].Load()
 	}
 	s.Ready = n.readiness.ready()
 	held := n.watchState.held(time.Now())
-	s.List = ListStatus{Version: held.version, Age: roundedSeconds(held.age), Confirmed: held.confirmed}
+	s.List = ListStatus{Version: held.version, AgeSeconds: roundedSeconds(held.age), Confirmed: held.confirmed}
 	if h := n.hub; h != nil {
 		h.mu.Lock()
 		cores, conns := h.keeper.LoadByShard()
 		for i, w := range h.workers {
-			l := Lane{Cores: cores[i], Connections: conns[i]}
+			l := ShardStatus{Cores: cores[i], Connections: conns[i]}
 			if busy, working := w.busyFor(h.now()); working {
-				l.Busy = roundedSeconds(busy)
+				l.BusySeconds = roundedSeconds(busy)
 			}
-			s.Lanes = append(s.Lanes, l)
+			s.Shards = append(s.Shards, l)
 		}
 		h.mu.Unlock()
-		s.Waits = h.post.len()
+		s.SamplesWaiting = h.post.len()
 	}
 	return s
 }
--- a/internal/node/versions_rig_test.go
+++ b/internal/node/versions_rig_test.go
@@ -95,7 +95,7 @@
 	return at
 }
 
-func (v *versioned) ask(t testing.TB, a Ask) (string, error) {
+func (v *versioned) ask(t testing.TB, a AdminRequest) (string, error) {
 	t.Helper()
 	c, err := net.Dial("unix", v.socket)
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 	defer c.Close()
 	json.NewEncoder(c).Encode(a)
-	var told Told
+	var told AdminResponse
 	if err := json.NewDecoder(c).Decode(&told); err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 // versions are those kept, newest first.
 func (v *versioned) versions(t testing.TB) (all []string) {
 	t.Helper()
-	text, err := v.ask(t, Ask{Do: "log"})
+	text, err := v.ask(t, AdminRequest{Command: "log"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 
 func (v *versioned) show(t testing.TB, id string) string {
 	t.Helper()
-	text, err := v.ask(t, Ask{Do: "show", Version: id})
+	text, err := v.ask(t, AdminRequest{Command: "show", Version: id})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 }
 
 func (v *versioned) versionLines(t testing.TB) []string {
-	text, err := v.ask(t, Ask{Do: "log"})
+	text, err := v.ask(t, AdminRequest{Command: "log"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -35,7 +35,7 @@
 	drained := v.Servers[0]
 	v.Discovery.Publish(drained.Entry("draining"))
 	soon(t, "drained", func() bool { return v.Relay.RequestRate(drained.ID) == 0 })
-	told, err := v.ask(t, Ask{Do: "rollback", Version: good, Key: "k1", For: time.Minute})
+	told, err := v.ask(t, AdminRequest{Command: "rollback", Version: good, Key: "k1", Duration: time.Minute})
 	if err != nil || !strings.Contains(told, "done under key") {
 		t.Fatal(told, err)
 	}
@@ -53,17 +53,17 @@
 	}
 	newest := v.versions(t)[0]
 	soon(t, "all holders run it", func() bool { return l.all(8, newest) })
-	if again, err := v.ask(t, Ask{Do: "rollback", Version: good, Key: "k1"}); err != nil || !strings.HasPrefix(again, "done before") {
+	if again, err := v.ask(t, AdminRequest{Command: "rollback", Version: good, Key: "k1"}); err != nil || !strings.HasPrefix(again, "done before") {
 		t.Error(again, err)
 	}
-	if text, err := v.ask(t, Ask{Do: "verify"}); err != nil || !strings.Contains(text, "hold") {
+	if text, err := v.ask(t, AdminRequest{Command: "verify"}); err != nil || !strings.Contains(text, "hold") {
 		t.Error(text, err)
 	}
 	v.Manager.Stop(false)
 	if err := v.StartManager(); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := v.ask(t, Ask{Do: "rollback", Version: good, Key: "k1"}); err != nil || !strings.HasPrefix(again, "done before") {
+	if again, err := v.ask(t, AdminRequest{Command: "rollback", Version: good, Key: "k1"}); err != nil || !strings.HasPrefix(again, "done before") {
 		t.Errorf("after a restart: %q %v", again, err)
 	}
 	if !slices.Contains(v.versions(t), good) {
@@ -235,7 +235,7 @@
 	for i := 0; b.Loop(); i++ {
 		report()
 		was, began := newest(), time.Now()
-		if _, err := v.ask(b, Ask{Do: "rollback", Version: good, Key: fmt.Sprint("k", i)}); err != nil {
+		if _, err := v.ask(b, AdminRequest{Command: "rollback", Version: good, Key: fmt.Sprint("k", i)}); err != nil {
 			b.Fatal(err)
 		}
 		now := newest()
@@ -244,7 +244,7 @@
 		}
 		wait(func() string { return now })
 		took = append(took, time.Since(began))
-		v.ask(b, Ask{Do: "resume", Key: fmt.Sprint("r", i)})
+		v.ask(b, AdminRequest{Command: "resume", Key: fmt.Sprint("r", i)})
 	}
 	slices.Sort(took)
 	b.ReportMetric(float64(took[len(took)/2])/1e6, "p50-ms")
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -29,7 +29,7 @@
 
 // follower is one manager of a fleet, on its part of a core: a step begins once the one before it is done.
 type follower struct {
-	manager   *node.Hollow
+	manager   *node.HollowManager
 	share     float64
 	proxies   *proxyTables
 	now       time.Duration
@@ -41,12 +41,12 @@
 func newFleet(scenario Scenario, share float64) (*fleet, error) {
 	f := &fleet{scenario: scenario, site: scenario.site(), share: share}
 	f.list = scenario.wholeList(f.site, firstVersion)
-	f.opening = []node.Message{{Kind: node.NewsOpened}}
+	f.opening = []node.Message{{Kind: node.ProxyEventsOpened}}
 	source := &recorder{scenario: scenario, site: f.site}
 	for proxy := range scenario.Proxies {
 		f.opening = append(f.opening, source.joined(proxy))
 	}
-	f.opening = append(f.opening, node.Message{Kind: node.NewsComplete}, usage(0, f.site.TrafficClasses[0].Name, 0, time.Second))
+	f.opening = append(f.opening, node.Message{Kind: node.ProxySnapshotComplete}, usage(0, f.site.TrafficClasses[0].Name, 0, time.Second))
 	var err error
 	f.start, err = scenario.start(f.site)
 	return f, err
@@ -62,7 +62,7 @@
 func (f *fleet) add() (*follower, error) {
 	start := f.start
 	start.Seed = f.scenario.Seed + uint64(len(f.managers))
-	manager, err := node.NewHollow(start, scriptEpoch)
+	manager, err := node.NewHollowManager(start, scriptEpoch)
 	if err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 	if _, err := one.advance(at, ""); err != nil {
 		return err
 	}
-	if _, err := one.step(at, node.Message{Kind: node.ListMessage, Text: f.list}); err != nil {
+	if _, err := one.step(at, node.Message{Kind: node.EndpointListMessage, Text: f.list}); err != nil {
 		return err
 	}
 	one.busyUntil += one.paced(reading)
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, call := range result.Calls {
+	for _, call := range result.RelayCalls {
 		withdrawn = append(withdrawn, call.Withdraw...)
 		answers := step{at: f.busyUntil + answerDelay}
 		for _, proxy := range f.proxies.apply(call) {
@@ -144,7 +144,7 @@
 func (f *follower) advance(to time.Duration, server balancer.ServerID) (withdrawn bool, err error) {
 	for {
 		at := to + 1
-		if next := f.manager.Next(); next > 0 {
+		if next := f.manager.NextWake(); next > 0 {
 			at = max(next, f.now)
 		}
 		var messages []node.Message
--- a/internal/scale/inforce.go
+++ b/internal/scale/inforce.go
@@ -182,7 +182,7 @@
 		}
 		list.Endpoints = append(list.Endpoints, r.fleet.scenario.entry(r.fleet.site, server, lifecycle))
 	}
-	return node.Message{Kind: node.ListMessage, Text: encodeList(list)}
+	return node.Message{Kind: node.EndpointListMessage, Text: encodeList(list)}
 }
 
 // addTimes adds the median, the 99th percentile and the last of sorted times.
--- a/internal/scale/replay.go
+++ b/internal/scale/replay.go
@@ -30,7 +30,7 @@
 		return nil, err
 	}
 	empty := heldBytes()
-	manager, err := node.NewHollow(start, scriptEpoch)
+	manager, err := node.NewHollowManager(start, scriptEpoch)
 	if err != nil {
 		return nil, err
 	}
@@ -47,7 +47,7 @@
 	return costs, nil
 }
 
-func replayPhase(ctx context.Context, manager *node.Hollow, p *phase) (cost played, err error) {
+func replayPhase(ctx context.Context, manager *node.HollowManager, p *phase) (cost played, err error) {
 	var began time.Duration
 	manager.Observe = func(before bool) {
 		if before {
@@ -78,7 +78,7 @@
 			cost.reports += len(step.messages)
 			cost.reportCPU += processCPU() - processBegan
 		}
-		for _, call := range result.Calls {
+		for _, call := range result.RelayCalls {
 			cost.calls += call.Count()
 		}
 	}
@@ -95,7 +95,7 @@
 		return false, false
 	}
 	kind := s.messages[0].Kind
-	return kind == node.ListMessage, kind == node.ReportMessage || kind == node.UsageMessage
+	return kind == node.EndpointListMessage, kind == node.LoadReportMessage || kind == node.UsageReportMessage
 }
 
 // heldBytes is the heap that is in use after a collection.
--- a/internal/scale/script.go
+++ b/internal/scale/script.go
@@ -84,7 +84,7 @@
 	ctx      context.Context
 	scenario Scenario
 	site     fakes.Site
-	manager  *node.Hollow
+	manager  *node.HollowManager
 	proxies  *proxyTables
 	now      time.Duration
 	pending  []step // answers under way, in the order of their time
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	manager, err := node.NewHollow(start, scriptEpoch)
+	manager, err := node.NewHollowManager(start, scriptEpoch)
 	if err != nil {
 		return nil, err
 	}
@@ -175,7 +175,7 @@
 	r.current.steps = append(r.current.steps, step{r.now, messages})
 	r.current.inputs += len(messages)
 	var answers, probes []node.Message
-	for _, call := range result.Calls {
+	for _, call := range result.RelayCalls {
 		r.current.orders += call.Count()
 		for _, proxy := range r.proxies.apply(call) {
 			if call.Barrier > 0 {
@@ -183,8 +183,8 @@
 			}
 		}
 	}
-	for _, server := range result.Probes {
-		probes = append(probes, node.Message{Kind: node.ProbeMessage, Probe: server})
+	for _, server := range result.HealthChecks {
+		probes = append(probes, node.Message{Kind: node.HealthCheckMessage, Server: server})
 	}
 	r.later(r.now+probeDelay, probes)
 	r.later(r.now+answerDelay, answers)
@@ -193,7 +193,7 @@
 
 // appliedMessage is a proxy's answer to a call's mark.
 func appliedMessage(proxy balancer.ProxyID, mark balancer.BarrierID) node.Message {
-	return node.Message{Kind: node.NewsMessage, Event: "applied",
+	return node.Message{Kind: node.ProxyEventMessage, Event: "applied",
 		Text: fmt.Sprintf("id=%d&seq=%d&ms=%.1f", proxy, mark, answerDelay.Seconds()*1000)}
 }
 
@@ -215,7 +215,7 @@
 // advance lets time pass: answers come, and the manager wakes when it asked to.
 func (r *recorder) advance(to time.Duration) error {
 	for {
-		at, wakes := to+1, r.manager.Next()
+		at, wakes := to+1, r.manager.NextWake()
 		if wakes > 0 {
 			at = min(at, max(wakes, r.now))
 		}
@@ -239,12 +239,12 @@
 }
 
 func (r *recorder) list() error {
-	return r.step(time.Millisecond, node.Message{Kind: node.ListMessage, Text: r.scenario.wholeList(r.site, r.version)})
+	return r.step(time.Millisecond, node.Message{Kind: node.EndpointListMessage, Text: r.scenario.wholeList(r.site, r.version)})
 }
 
 func (r *recorder) join() error {
 	began := r.now
-	messages := []node.Message{{Kind: node.NewsOpened}}
+	messages := []node.Message{{Kind: node.ProxyEventsOpened}}
 	for proxy := range r.scenario.Proxies {
 		messages = append(messages, r.joined(proxy))
 		if len(messages) == newsBatch {
@@ -254,7 +254,7 @@
 			messages = nil
 		}
 	}
-	messages = append(messages, node.Message{Kind: node.NewsComplete})
+	messages = append(messages, node.Message{Kind: node.ProxySnapshotComplete})
 	if err := r.step(r.now+time.Millisecond, messages...); err != nil {
 		return err
 	}
@@ -262,7 +262,7 @@
 }
 
 func (r *recorder) joined(proxy int) node.Message {
-	return node.Message{Kind: node.NewsMessage, Event: "joined",
+	return node.Message{Kind: node.ProxyEventMessage, Event: "joined",
 		Text: fmt.Sprintf("id=%d&site=%s&rps=%g&new=1", proxy, r.scenario.zoneOfProxy(r.site, proxy), r.site.RequestRate)}
 }
 
@@ -318,7 +318,7 @@
 	if r.reports%2 == 1 {
 		server := n % r.scenario.Servers
 		zone := r.site.Zones[(n/r.scenario.Servers+server)%len(r.site.Zones)]
-		return node.Message{Kind: node.ReportMessage, Text: fmt.Sprintf("heard site=%s target=%s count=%d fail=0 mean=%.1f over=%.1f util=inflight:%d",
+		return node.Message{Kind: node.LoadReportMessage, Text: fmt.Sprintf("heard site=%s target=%s count=%d fail=0 mean=%.1f over=%.1f util=inflight:%d",
 			zone, fakes.ServerID(server), flowsPerReport, 100+float64(n%7), r.between(r.scenario.Servers).Seconds()*1000, 1+n%3)}
 	}
 	group := r.site.TrafficClasses[n/r.scenario.Proxies%len(r.site.TrafficClasses)]
@@ -326,7 +326,7 @@
 }
 
 func usage(proxy int, group string, flows int, span time.Duration) node.Message {
-	return node.Message{Kind: node.UsageMessage,
+	return node.Message{Kind: node.UsageReportMessage,
 		Text: fmt.Sprintf("usage id=%d lane=%s count=%d fail=0 over=%.1f", proxy, group, flows, span.Seconds()*1000)}
 }
 
@@ -354,12 +354,12 @@
 	if r.restarts++; drains {
 		r.next -= servers // the same ones come back
 	}
-	return node.Message{Kind: node.ListMessage, Text: encodeList(list)}
+	return node.Message{Kind: node.EndpointListMessage, Text: encodeList(list)}
 }
 
 // inputs tells many reports right after a second's decision.
 func (r *recorder) inputs() error {
-	if err := r.advance(max(r.manager.Next(), r.now) + answerDelay + time.Millisecond); err != nil {
+	if err := r.advance(max(r.manager.NextWake(), r.now) + answerDelay + time.Millisecond); err != nil {
 		return err
 	}
 	for told := 0; told < inputsMeasured; {
--- a/internal/scale/subset_read.go
+++ b/internal/scale/subset_read.go
@@ -43,19 +43,19 @@
 		return 0, err
 	}
 	start.Spill = spillServers
-	manager, err := node.NewHollow(start, scriptEpoch)
+	manager, err := node.NewHollowManager(start, scriptEpoch)
 	if err != nil {
 		return 0, err
 	}
 	defer manager.Close()
 	source := &recorder{scenario: scenario, site: site}
-	list := node.Message{Kind: node.ListMessage, Text: scenario.wholeList(site, firstVersion)}
+	list := node.Message{Kind: node.EndpointListMessage, Text: scenario.wholeList(site, firstVersion)}
 	runtime.GC()
 	began := processCPU()
 	if _, err := manager.Step(time.Millisecond, list); err != nil {
 		return 0, err
 	}
-	if _, err := manager.Step(2*time.Millisecond, node.Message{Kind: node.NewsOpened}, source.joined(0)); err != nil {
+	if _, err := manager.Step(2*time.Millisecond, node.Message{Kind: node.ProxyEventsOpened}, source.joined(0)); err != nil {
 		return 0, err
 	}
 	return processCPU() - began, nil
--- a/internal/scale/work_test.go
+++ b/internal/scale/work_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	manager, err := node.NewHollow(start, scriptEpoch)
+	manager, err := node.NewHollowManager(start, scriptEpoch)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := r.advance(r.manager.Next() + 2*answerDelay); err != nil {
+	if err := r.advance(r.manager.NextWake() + 2*answerDelay); err != nil {
 		t.Fatal(err)
 	}
 	if bound := len(r.proxies.tableOf); bound != scenario.Proxies {
@@ -53,7 +53,7 @@
 }
 
 // tell steps the manager at the next instant.
-func (o opened) tell(messages ...node.Message) node.Result {
+func (o opened) tell(messages ...node.Message) node.StepResult {
 	o.now += time.Microsecond
 	result, err := o.manager.Step(o.now, messages...)
 	if err != nil {
@@ -191,11 +191,11 @@
 func TestADrainOrdersOneWithdrawalInAnyFleet(t *testing.T) {
 	size := func(servers int) (orders int, bytes int64) {
 		o := open(t, smaller().With(Servers, float64(servers)))
-		before := o.manager.Traffic(node.CallMessage).Out
-		for _, call := range o.tell(o.change(1)).Calls {
+		before := o.manager.Traffic(node.RelayCallMessage).Out
+		for _, call := range o.tell(o.change(1)).RelayCalls {
 			orders += call.Count()
 		}
-		return orders, o.manager.Traffic(node.CallMessage).Out - before
+		return orders, o.manager.Traffic(node.RelayCallMessage).Out - before
 	}
 	fewOrders, fewBytes := size(60)
 	manyOrders, manyBytes := size(6000)
