--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -15,13 +15,13 @@
 )
 
 // shapes are the kinds of day on which the orders must stay the same, to the byte.
-var shapes = []fleetmodel.Shape{
-	{Name: "calm", Zones: 3, Servers: 30, Proxies: 40, Rate: 6, Capacity: 12},
-	{Name: "drains", Zones: 3, Servers: 24, Proxies: 60, Rate: 3, Capacity: 12, Draining: 0.5, Churn: 200 * time.Millisecond},
-	{Name: "overload", Zones: 3, Servers: 18, Proxies: 40, Rate: 4, Capacity: 10, Slow: 0.3, Surge: 2.5},
-	{Name: "rates", Zones: 2, Servers: 16, Proxies: 24, Rate: 6, Capacity: 10, Slow: 0.2, Surge: 2, Rates: true, GoneStays: true, Draining: 0.2},
-	{Name: "blocks", Zones: 3, Servers: 120, Proxies: 240, Rate: 2, Capacity: 6, Draining: 0.2, Slow: 0.1, Churn: 50 * time.Millisecond},
-	{Name: "tight", Zones: 4, Servers: 40, Proxies: 400, Rate: 1, Capacity: 12, Draining: 0.4, Churn: 20 * time.Millisecond, Messages: 12},
+var shapes = []fleetmodel.Scenario{
+	{Name: "calm", Zones: 3, Servers: 30, Proxies: 40, RequestRate: 6, ServerCapacity: 12},
+	{Name: "drains", Zones: 3, Servers: 24, Proxies: 60, RequestRate: 3, ServerCapacity: 12, DrainFraction: 0.5, ChurnInterval: 200 * time.Millisecond},
+	{Name: "overload", Zones: 3, Servers: 18, Proxies: 40, RequestRate: 4, ServerCapacity: 10, SlowFraction: 0.3, SurgeFactor: 2.5},
+	{Name: "rates", Zones: 2, Servers: 16, Proxies: 24, RequestRate: 6, ServerCapacity: 10, SlowFraction: 0.2, SurgeFactor: 2, AdmitByRate: true, RemovedMayServe: true, DrainFraction: 0.2},
+	{Name: "blocks", Zones: 3, Servers: 120, Proxies: 240, RequestRate: 2, ServerCapacity: 6, DrainFraction: 0.2, SlowFraction: 0.1, ChurnInterval: 50 * time.Millisecond},
+	{Name: "tight", Zones: 4, Servers: 40, Proxies: 400, RequestRate: 1, ServerCapacity: 12, DrainFraction: 0.4, ChurnInterval: 20 * time.Millisecond, MaxMessages: 12},
 }
 
 // goldenRun is what one run of a shape must come to.
@@ -66,12 +66,12 @@
 }
 
 // play runs forty seconds of a shape and digests what the manager commands and what it logs.
-func play(shape fleetmodel.Shape, seed uint64) (run goldenRun, byEvent map[string]int) {
+func play(shape fleetmodel.Scenario, seed uint64) (run goldenRun, byEvent map[string]int) {
 	fleet := fleetmodel.New(shape, seed)
 	commandsSum := blake3.New()
 	recordsSum := blake3.New()
 	byEvent = map[string]int{}
-	fleet.Seen = func(now time.Duration, commands balancer.Commands) {
+	fleet.OnCommands = func(now time.Duration, commands balancer.Commands) {
 		fmt.Fprintf(commandsSum, "%d %v\n", now, withoutRecords(commands))
 		run.commands += commands.Count()
 		for _, record := range commands.LogRecords {
@@ -81,9 +81,9 @@
 			run.records++
 		}
 	}
-	fleet.Open()
+	fleet.Start()
 	for second := range 40 {
-		fleet.Second(second, 40)
+		fleet.PlaySecond(second, 40)
 	}
 	run.commandsDigest = hex.EncodeToString(commandsSum.Sum(nil)[:16])
 	run.recordsDigest = hex.EncodeToString(recordsSum.Sum(nil)[:16])
@@ -122,19 +122,19 @@
 func BenchmarkSecond(b *testing.B) {
 	for _, size := range [][2]int{{400, 30}, {1000, 500}, {4000, 500}, {4000, 2000}, {20000, 5000}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			s := fleetmodel.Shape{Zones: 4, Proxies: size[0], Servers: size[1], Rate: 2, Capacity: 4 * float64(size[0]) / float64(size[1])}
+			s := fleetmodel.Scenario{Zones: 4, Proxies: size[0], Servers: size[1], RequestRate: 2, ServerCapacity: 4 * float64(size[0]) / float64(size[1])}
 			f := fleetmodel.New(s, 1)
-			f.Open()
+			f.Start()
 			for n := range 3 {
-				f.Second(n, 100)
+				f.PlaySecond(n, 100)
 			}
-			inputs, spent := f.Inputs, f.Spent
+			inputs, spent := f.InputCount, f.ManagerTime
 			for b.Loop() {
-				f.Second(50, 100)
+				f.PlaySecond(50, 100)
 			}
-			per := float64(f.Spent-spent) / float64(b.N)
+			per := float64(f.ManagerTime-spent) / float64(b.N)
 			b.ReportMetric(per/1e6, "module-ms/s")
-			b.ReportMetric(per/(float64(f.Inputs-inputs)/float64(b.N)), "ns/input")
+			b.ReportMetric(per/(float64(f.InputCount-inputs)/float64(b.N)), "ns/input")
 		})
 	}
 }
@@ -144,9 +144,9 @@
 	for _, size := range [][2]int{{400, 30}, {4000, 2000}, {20000, 5000}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			for b.Loop() {
-				f := fleetmodel.New(fleetmodel.Shape{Zones: 4, Proxies: size[0], Servers: size[1], Rate: 2, Capacity: 100}, 1)
-				f.Open()
-				b.ReportMetric(float64(f.Spent)/1e6, "module-ms")
+				f := fleetmodel.New(fleetmodel.Scenario{Zones: 4, Proxies: size[0], Servers: size[1], RequestRate: 2, ServerCapacity: 100}, 1)
+				f.Start()
+				b.ReportMetric(float64(f.ManagerTime)/1e6, "module-ms")
 			}
 		})
 	}
--- a/cmd/tamarindshore/capacity.go
+++ b/cmd/tamarindshore/capacity.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	var tables strings.Builder
-	passed := capacity.NewModel(plan, slopes).Tables(&tables)
+	passed := capacity.NewModel(plan, slopes).WriteTables(&tables)
 	if _, err := fmt.Print(tables.String()); err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	renewed, err := capacity.WithTables(string(page), tables)
+	renewed, err := capacity.ReplaceTables(string(page), tables)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Page, err)
 	}
--- a/cmd/tamarindshore/load.go
+++ b/cmd/tamarindshore/load.go
@@ -33,9 +33,9 @@
 
 // Run loads and judges.
 func (l loads) Run() error {
-	plan := loadtest.Usual()
-	plan.Cores, plan.Servers, plan.Proxies, plan.Collectors, plan.Rate = l.Cores, l.Servers, l.Proxies, l.Collectors, l.Rate
-	plan.For, plan.Step, plan.Faults, plan.Seed = l.For, l.Step, l.Faults, l.Seed
+	plan := loadtest.DefaultPlan()
+	plan.Cores, plan.Servers, plan.Proxies, plan.CollectorsPerZone, plan.Rate = l.Cores, l.Servers, l.Proxies, l.Collectors, l.Rate
+	plan.HoldDuration, plan.StepDuration, plan.FaultFraction, plan.Seed = l.For, l.Step, l.Faults, l.Seed
 	for _, one := range []struct {
 		key         string
 		value       float64
@@ -53,7 +53,7 @@
 			return fmt.Errorf("--cores: %d is not from 1 to 64", c)
 		}
 	}
-	program, err := loadtest.Program()
+	program, err := loadtest.ExecutablePath()
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 		}
 	}
 	all, err := loadtest.Run(plan, fakes.ProcessStarter(program, log), progress)
-	loadtest.Table(os.Stdout, all)
+	loadtest.WriteTable(os.Stdout, all)
 	if err == nil && l.JSON != "" {
 		err = writeJSON(l.JSON, all)
 	}
@@ -93,5 +93,5 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(loadtest.JSON(f, all), f.Close())
+	return errors.Join(loadtest.WriteJSON(f, all), f.Close())
 }
--- a/cmd/tamarindshore/scale.go
+++ b/cmd/tamarindshore/scale.go
@@ -46,7 +46,7 @@
 	} else if err != nil {
 		return err
 	}
-	scale.Table(os.Stdout, report)
+	scale.WriteTable(os.Stdout, report)
 	if c.JSON != "" {
 		if err := scale.WriteReport(c.JSON, report); err != nil {
 			return err
--- a/cmd/tamarindshore/scale_test.go
+++ b/cmd/tamarindshore/scale_test.go
@@ -111,8 +111,8 @@
 
 func TestScaleRaisesAFleetOfRealProcesses(t *testing.T) {
 	report := measured(t, "--axis", "real-processes", "--sizes", "2,5", "--runs", "1")
-	for _, cost := range []scale.Cost{scale.ProcessInForceLast, scale.ProcessReadyLast, scale.ProcessBesideOpeningsLast, scale.ProcessMemory,
-		scale.HollowInForceLast} {
+	for _, cost := range []scale.Cost{scale.ProcessPropagationLast, scale.ProcessReadyLast, scale.ProcessPropagationDuringOpeningsLast, scale.ProcessMemory,
+		scale.HollowPropagationLast} {
 		slope, found := report.Find(cost, scale.Processes)
 		if !found || len(slope.Points) != 2 || slope.Points[0].Runs[0] <= 0 || slope.Points[1].Runs[0] <= 0 {
 			t.Errorf("%s: %+v", cost, slope.Points)
--- a/cmd/tamarindshore/search.go
+++ b/cmd/tamarindshore/search.go
@@ -21,7 +21,7 @@
 
 func scenario(path string) (faultsim.Scenario, error) {
 	if path == "" {
-		return faultsim.Usual(), nil
+		return faultsim.DefaultScenario(), nil
 	}
 	return faultsim.ReadScenario(path)
 }
@@ -43,7 +43,7 @@
 		cores = runtime.NumCPU()
 	}
 	began, shown := time.Now(), time.Now()
-	all, played := faultsim.Seeds(sc, first, last, cores, s.GoOn, func(done int) {
+	all, played := faultsim.SearchSeeds(sc, first, last, cores, s.GoOn, func(done int) {
 		if done%100 == 0 && time.Since(shown) > time.Second {
 			shown = time.Now()
 			fmt.Fprintf(os.Stderr, "%d of %d seeds, %.0f a second\n", done, last-first+1, float64(done)/time.Since(began).Seconds())
@@ -52,7 +52,7 @@
 	took := time.Since(began).Seconds()
 	fmt.Printf("%d seeds in %.1fs on %d cores, %.0f a second: %d broke a rule\n", played, took, cores, float64(played)/took, len(all))
 	for _, f := range all {
-		fmt.Printf("seed %d: %v\n", f.Script.Seed, f.Break)
+		fmt.Printf("seed %d: %v\n", f.Script.Seed, f.Violation)
 	}
 	if len(all) == 0 {
 		return nil
@@ -80,7 +80,7 @@
 	}
 	var script faultsim.Script
 	if seed, bad := strconv.ParseUint(r.Script, 10, 62); bad == nil {
-		script = faultsim.Draw(sc, seed)
+		script = faultsim.GenerateScript(sc, seed)
 	} else if text, err := os.ReadFile(r.Script); err != nil {
 		return err
 	} else if script, err = faultsim.ParseScript(r.Script, text); err != nil {
@@ -96,8 +96,8 @@
 		lines = lines[max(0, len(lines)-80):]
 	}
 	if r.Shrink && broken != nil {
-		less, played := faultsim.Shrink(sc, faultsim.Found{Script: script, Break: broken}, 500)
-		fmt.Printf("; %d scripts played; %v\n%v", played, less.Break, less.Script)
+		less, played := faultsim.Shrink(sc, faultsim.Failure{Script: script, Violation: broken}, 500)
+		fmt.Printf("; %d scripts played; %v\n%v", played, less.Violation, less.Script)
 		return errNotGood
 	}
 	fmt.Print(script)
--- a/internal/capacity/budget_test.go
+++ b/internal/capacity/budget_test.go
@@ -69,7 +69,7 @@
 		p.Judged = scope
 		m := NewModel(p, madeUp(t))
 		var out strings.Builder
-		passed := m.Tables(&out)
+		passed := m.WriteTables(&out)
 		if len(passed) == 0 || !strings.Contains(out.String(), "scope that the plan judges, `"+string(scope)+"`") {
 			t.Errorf("%s: %d passed", scope, len(passed))
 		}
@@ -84,7 +84,7 @@
 func TestAPlanWithinItsBudgets(t *testing.T) {
 	m := NewModel(small(t), madeUp(t))
 	var out strings.Builder
-	if passed := m.Tables(&out); len(passed) > 0 {
+	if passed := m.WriteTables(&out); len(passed) > 0 {
 		t.Errorf("passed: %+v", passed)
 	}
 	if !strings.Contains(out.String(), "No budget is passed") {
--- a/internal/capacity/cases.go
+++ b/internal/capacity/cases.go
@@ -10,7 +10,7 @@
 
 // caseCosts are the costs that are shown of each case measured at the plan's size.
 var caseCosts = []scale.Cost{scale.CPUPerBusySecond, scale.CPUPerQuietSecond, scale.CPUPerOpening, scale.CPUPerListChange, scale.LongestDecision,
-	scale.HeapBytes, scale.NewsPerSecond, scale.ProxiesBound}
+	scale.HeapBytes, scale.RelayEventsPerSecond, scale.ProxiesAssigned}
 
 // axesOfManager are the axes along which those costs are summed.
 var axesOfManager = []scale.Axis{scale.Servers, scale.Proxies, scale.Zones, scale.TrafficGroups, scale.ListChanges, scale.Reports, scale.RestartsAtOnce}
--- a/internal/capacity/cases_test.go
+++ b/internal/capacity/cases_test.go
@@ -11,7 +11,7 @@
 func tablesOf(r scale.Report, t *testing.T) string {
 	t.Helper()
 	var out strings.Builder
-	NewModel(planned(t), r).Tables(&out)
+	NewModel(planned(t), r).WriteTables(&out)
 	return out.String()
 }
 
@@ -65,7 +65,7 @@
 
 func TestAChangeInForceReckonedByHand(t *testing.T) {
 	r := madeUp(t)
-	r.Slopes = append(r.Slopes, constant(scale.ChangeInForceLast, scale.Managers, 2), constant(scale.LongestDecision, scale.Servers, 0.011),
+	r.Slopes = append(r.Slopes, constant(scale.PropagationLast, scale.Managers, 2), constant(scale.LongestDecision, scale.Servers, 0.011),
 		constant(scale.ControlCPUPerManager, scale.Managers, 0.08))
 	p := small(t)
 	m := NewModel(p, r)
@@ -141,8 +141,8 @@
 
 func TestAChangeBesideOpeningsAsMeasured(t *testing.T) {
 	r := madeUp(t)
-	r.Slopes = append(r.Slopes, constant(scale.ChangeInForceLast, scale.Managers, 2), constant(scale.LongestDecision, scale.Servers, 0.011),
-		constant(scale.ChangeBesideOpeningsLast, scale.Managers, 6), constant(scale.ChangeMachinesLostLast, scale.Managers, 8),
+	r.Slopes = append(r.Slopes, constant(scale.PropagationLast, scale.Managers, 2), constant(scale.LongestDecision, scale.Servers, 0.011),
+		constant(scale.PropagationDuringOpeningsLast, scale.Managers, 6), constant(scale.PropagationDuringControlLossLast, scale.Managers, 8),
 		constant(scale.CPUPerSubsetRead, scale.OpeningListSize, 0.022), constant(scale.CPUPerListRead, scale.OpeningListSize, 0.033))
 	m := NewModel(small(t), r)
 	checks := m.inForce()
--- a/internal/capacity/inforce.go
+++ b/internal/capacity/inforce.go
@@ -22,21 +22,21 @@
 // changeInForce is when the last manager's orders carry a change: as measured with managers of the smallest useful state,
 // and the longest decision of a manager of the plan's size, for which a change may wait, on its share of a core.
 func (m *Model) changeInForce(scope Scope) Figure {
-	return m.allManagers(scale.ChangeInForceLast).plus(m.waitForDecision(scope))
+	return m.allManagers(scale.PropagationLast).plus(m.waitForDecision(scope))
 }
 
 // changeBesideOpenings is the same where all managers open as the change is told: as measured, or else the change alone
 // and what a control machine needs for its openings.
 func (m *Model) changeBesideOpenings(scope Scope) Figure {
-	if !m.Costs.measured(scale.ChangeBesideOpeningsLast) {
+	if !m.Costs.measured(scale.PropagationDuringOpeningsLast) {
 		return m.changeInForce(scope).plus(m.allOpenings(scope))
 	}
-	return m.afterReading(scale.ChangeBesideOpeningsLast, scope)
+	return m.afterReading(scale.PropagationDuringOpeningsLast, scope)
 }
 
 // changeMachinesLost is the same where two control machines are lost as the change is told.
 func (m *Model) changeMachinesLost(scope Scope) Figure {
-	return m.afterReading(scale.ChangeMachinesLostLast, scope)
+	return m.afterReading(scale.PropagationDuringControlLossLast, scope)
 }
 
 // afterReading is a time that was measured with managers that read a whole list of the plan's size and take a subset of
--- a/internal/capacity/inforce_page.go
+++ b/internal/capacity/inforce_page.go
@@ -13,9 +13,9 @@
 }
 
 var circumstances = []circumstance{
-	{"quiet, one control machine tells all", scale.ChangeInForceMedian, scale.ChangeInForceTail, scale.ChangeInForceLast},
-	{"all managers open, seven machines tell them", scale.ChangeBesideOpeningsMedian, scale.ChangeBesideOpeningsTail, scale.ChangeBesideOpeningsLast},
-	{"two of seven machines are lost", scale.ChangeMachinesLostMedian, scale.ChangeMachinesLostTail, scale.ChangeMachinesLostLast},
+	{"quiet, one control machine tells all", scale.PropagationMedian, scale.PropagationTail, scale.PropagationLast},
+	{"all managers open, seven machines tell them", scale.PropagationDuringOpeningsMedian, scale.PropagationDuringOpeningsTail, scale.PropagationDuringOpeningsLast},
+	{"two of seven machines are lost", scale.PropagationDuringControlLossMedian, scale.PropagationDuringControlLossTail, scale.PropagationDuringControlLossLast},
 }
 
 // writeInForce shows the times until a change is in force, as measured.
@@ -40,13 +40,13 @@
 	cost    scale.Cost
 	heading string
 }{
-	{scale.ProcessInForceMedian, "in force, half of them"},
-	{scale.ProcessInForceLast, "the last"},
-	{scale.HollowInForceMedian, "hollow, half of them"},
-	{scale.HollowInForceLast, "hollow, the last"},
+	{scale.ProcessPropagationMedian, "in force, half of them"},
+	{scale.ProcessPropagationLast, "the last"},
+	{scale.HollowPropagationMedian, "hollow, half of them"},
+	{scale.HollowPropagationLast, "hollow, the last"},
 	{scale.ProcessReadyMedian, "started at once: half ready"},
 	{scale.ProcessReadyLast, "the last ready"},
-	{scale.ProcessBesideOpeningsLast, "a change told meanwhile, in force at the last"},
+	{scale.ProcessPropagationDuringOpeningsLast, "a change told meanwhile, in force at the last"},
 	{scale.ProcessCPUPerQuietSecond, "processor time of a quiet second, each"},
 	{scale.ProcessMemory, "largest resident set"},
 }
@@ -54,7 +54,7 @@
 // writeFleets shows fleets of real processes beside as many hollow managers.
 func (m *Model) writeFleets(w io.Writer) {
 	heading(w, "Fleets of real processes on one machine, and as many hollow managers")
-	slope, measured := m.Costs.report.Find(scale.ProcessInForceLast, scale.Processes)
+	slope, measured := m.Costs.report.Find(scale.ProcessPropagationLast, scale.Processes)
 	if !measured {
 		io.WriteString(w, "The slopes' file has none: not measured.\n")
 		return
--- a/internal/capacity/inforce_page_test.go
+++ b/internal/capacity/inforce_page_test.go
@@ -21,9 +21,9 @@
 		}
 	}
 	r.Slopes = append(r.Slopes,
-		measuredSlope(scale.ChangeMachinesLostMedian, scale.Managers, "seconds", 56, 0.06),
-		measuredSlope(scale.ChangeMachinesLostLast, scale.Managers, "seconds", 56, 9, 8, 10),
-		measuredSlope(scale.ProcessInForceLast, scale.Processes, "seconds", 30, 0.004),
+		measuredSlope(scale.PropagationDuringControlLossMedian, scale.Managers, "seconds", 56, 0.06),
+		measuredSlope(scale.PropagationDuringControlLossLast, scale.Managers, "seconds", 56, 9, 8, 10),
+		measuredSlope(scale.ProcessPropagationLast, scale.Processes, "seconds", 30, 0.004),
 		measuredSlope(scale.ProcessMemory, scale.Processes, "bytes", 30, 27e6))
 	text = tablesOf(r, t)
 	for _, want := range []string{
--- a/internal/capacity/load_test.go
+++ b/internal/capacity/load_test.go
@@ -208,7 +208,7 @@
 	r := madeUp(t)
 	r.Reference[scale.Reports] = 10
 	busy := scale.Slope{Cost: scale.CPUPerBusySecond, Axis: scale.Reports, Unit: "seconds", Shape: scale.Linear, Base: 0.5, PerUnit: 0.001, Fits: true}
-	news := scale.Slope{Cost: scale.NewsPerSecond, Axis: scale.Reports, Unit: "per second", Shape: scale.Constant, Base: 30, Fits: true}
+	news := scale.Slope{Cost: scale.RelayEventsPerSecond, Axis: scale.Reports, Unit: "per second", Shape: scale.Constant, Base: 30, Fits: true}
 	r.Slopes = append(r.Slopes, busy, news)
 	p := small(t)
 	lines := 100*(1-math.Exp(-0.1)) + 50*(1-math.Exp(-0.2))
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -37,10 +37,10 @@
 
 // newsPerSecond is how many events of the relay come: mostly answers to marks, more where tables change more.
 func (m *Model) newsPerSecond(h holding, in inputs) float64 {
-	if !m.Costs.measured(scale.NewsPerSecond) {
+	if !m.Costs.measured(scale.RelayEventsPerSecond) {
 		return callsPerSecond
 	}
-	return max(callsPerSecond, m.cost(scale.NewsPerSecond, m.busySizes(h, in, 0)).Value)
+	return max(callsPerSecond, m.cost(scale.RelayEventsPerSecond, m.busySizes(h, in, 0)).Value)
 }
 
 func (m *Model) manager(s Situation, scope Scope) Load {
@@ -157,7 +157,7 @@
 }
 
 func (m *Model) newsBytes(in inputs) Figure {
-	return m.bytesOf(scale.BytesOfNews, m.Plan.Messages.News).times(in.news)
+	return m.bytesOf(scale.BytesOfRelayEvent, m.Plan.Messages.News).times(in.news)
 }
 
 func (m *Model) heartbeats() Figure {
@@ -171,7 +171,7 @@
 // probeBytes counts a silent server's probe as the packet that opens its connection, which nobody answers.
 func (m *Model) probeBytes(s Situation, in inputs) Figure {
 	if s.Recovering > 0 {
-		return m.bytesOf(scale.BytesOfProbe, m.Plan.Messages.Probe).times(in.probes)
+		return m.bytesOf(scale.BytesOfHealthCheck, m.Plan.Messages.Probe).times(in.probes)
 	}
 	return known(m.Plan.Messages.UnansweredProbe * in.probes)
 }
--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -9,7 +9,7 @@
 )
 
 // Tables writes all tables of the page as Markdown, and tells which budgets are passed in the scope that is judged.
-func (m *Model) Tables(w io.Writer) (passed []Check) {
+func (m *Model) WriteTables(w io.Writer) (passed []Check) {
 	checks := m.Checks()
 	m.writeAssumptions(w)
 	m.writeTail(w)
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -14,7 +14,7 @@
 var errNoMarks = errors.New("the page has no marks around its tables")
 
 // TablesOf are the tables that stand in a page.
-func TablesOf(page string) (string, error) {
+func ExtractTables(page string) (string, error) {
 	_, rest, began := strings.Cut(page, BeginMark)
 	tables, _, ended := strings.Cut(rest, EndMark)
 	if !began || !ended {
@@ -24,7 +24,7 @@
 }
 
 // WithTables is a page with other tables between its marks.
-func WithTables(page, tables string) (string, error) {
+func ReplaceTables(page, tables string) (string, error) {
 	before, rest, began := strings.Cut(page, BeginMark)
 	_, after, ended := strings.Cut(rest, EndMark)
 	if !began || !ended {
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -37,7 +37,7 @@
 // An unfinished table would pass for a whole one.
 func TestEachTableIsEven(t *testing.T) {
 	var out strings.Builder
-	NewModel(planned(t), madeUp(t)).Tables(&out)
+	NewModel(planned(t), madeUp(t)).WriteTables(&out)
 	columns := 0
 	for n, line := range strings.Split(out.String(), "\n") {
 		if !strings.HasPrefix(line, "|") {
@@ -54,7 +54,7 @@
 
 func TestAPageWithOtherTables(t *testing.T) {
 	page := "before\n" + BeginMark + "old\n" + EndMark + "after\n"
-	renewed, err := WithTables(page, "new\n")
+	renewed, err := ReplaceTables(page, "new\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,10 +62,10 @@
 		t.Errorf("%q", renewed)
 	}
 	for _, spoilt := range []string{"", BeginMark, EndMark + BeginMark} {
-		if _, err := WithTables(spoilt, "new\n"); err == nil {
+		if _, err := ReplaceTables(spoilt, "new\n"); err == nil {
 			t.Errorf("%q: no error", spoilt)
 		}
-		if _, err := TablesOf(spoilt); err == nil {
+		if _, err := ExtractTables(spoilt); err == nil {
 			t.Errorf("%q: no error", spoilt)
 		}
 	}
--- a/internal/capacity/repository_test.go
+++ b/internal/capacity/repository_test.go
@@ -15,12 +15,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := TablesOf(read(t, pageFile))
+	got, err := ExtractTables(read(t, pageFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var want strings.Builder
-	NewModel(planned(t), slopes).Tables(&want)
+	NewModel(planned(t), slopes).WriteTables(&want)
 	if got != want.String() {
 		t.Errorf("the tables of %s are not those of the command; first difference: %s", filepath.Base(pageFile), difference(got, want.String()))
 	}
--- a/internal/capacity/surroundings.go
+++ b/internal/capacity/surroundings.go
@@ -56,7 +56,7 @@
 		MessagesIn:  known(callsPerSecond),
 		MessagesOut: known(callsPerSecond),
 		BytesIn:     orders,
-		BytesOut:    m.bytesOf(scale.BytesOfNews, p.Messages.News),
+		BytesOut:    m.bytesOf(scale.BytesOfRelayEvent, p.Messages.News),
 		Connections: known(1 + m.tableLines(h)),
 	}
 }
@@ -74,7 +74,7 @@
 		State:       stateOf(requests, "requests a second") + ", held by " + stateOf(holders, "managers"),
 		MessagesIn:  known(probes),
 		MessagesOut: known(probes),
-		BytesIn:     m.bytesOf(scale.BytesOfProbe, p.Messages.Probe).times(probes),
+		BytesIn:     m.bytesOf(scale.BytesOfHealthCheck, p.Messages.Probe).times(probes),
 		BytesOut:    Figure{},
 		Connections: Figure{},
 	}
--- a/internal/faultsim/events.go
+++ b/internal/faultsim/events.go
@@ -26,13 +26,13 @@
 	return x
 }
 
-func (w *World) at(at time.Duration, do func()) {
+func (w *Simulation) at(at time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.todo, event{max(at, w.now), w.seq, do})
 }
 
-func (w *World) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+func (w *Simulation) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
-func (w *World) between(b [2]time.Duration) time.Duration {
+func (w *Simulation) between(b [2]time.Duration) time.Duration {
 	return b[0] + time.Duration(w.chance.Float64()*float64(b[1]-b[0]))
 }
--- a/internal/faultsim/rules.go
+++ b/internal/faultsim/rules.go
@@ -8,16 +8,16 @@
 )
 
 // Break is the first rule that was broken.
-type Break struct {
-	Rule string
-	At   time.Duration
-	Whom string
-	What string
+type Violation struct {
+	Rule    string
+	At      time.Duration
+	Subject string
+	Details string
 }
 
 // String says which rule was broken, when, by whom and how.
-func (b *Break) String() string {
-	return fmt.Sprintf("%s: broken at %.3fs by %s: %s", b.Rule, b.At.Seconds(), b.Whom, b.What)
+func (b *Violation) String() string {
+	return fmt.Sprintf("%s: broken at %.3fs by %s: %s", b.Rule, b.At.Seconds(), b.Subject, b.Details)
 }
 
 // mark is since when something is so, and how long the relay was not as stated by then.
@@ -27,15 +27,15 @@
 
 // rules judges a run. The times of rules stand still while the relay, its channel or the manager does.
 type rules struct {
-	w      *World
-	broken *Break
+	w      *Simulation
+	broken *Violation
 	bare   map[balancer.ProxyID]mark
 	over   map[balancer.ServerID]mark
 }
 
 func (r *rules) fail(rule, whom, format string, values ...any) {
 	if r.broken == nil {
-		r.broken = &Break{rule, r.w.now, whom, fmt.Sprintf(format, values...)}
+		r.broken = &Violation{rule, r.w.now, whom, fmt.Sprintf(format, values...)}
 		r.w.say("BROKEN %v", r.broken)
 	}
 }
@@ -48,7 +48,7 @@
 // ready tells whether some server is listed ready, by what the manager was told, and warm.
 func (r *rules) ready() bool {
 	for _, s := range r.w.servers {
-		if t := r.w.list[s.id]; t.state == balancer.Ready && r.w.now-t.since >= r.w.sc.WarmAfter {
+		if t := r.w.list[s.id]; t.state == balancer.Ready && r.w.now-t.since >= r.w.sc.WarmUpDuration {
 			return true
 		}
 	}
@@ -81,7 +81,7 @@
 			delete(r.bare, p.id)
 		} else if m, before := r.bare[p.id]; !before {
 			r.bare[p.id] = r.begin()
-		} else if d := r.passed(m); d > w.sc.BareFor {
+		} else if d := r.passed(m); d > w.sc.MaxTimeWithoutServer {
 			r.fail("no proxy without a server", fmt.Sprint("proxy ", p.id), "none to pick for %.2fs", d.Seconds())
 		}
 		if !p.joined {
@@ -90,14 +90,14 @@
 		for s, weight := range p.lines {
 			if t := w.list[s]; t.state == balancer.Ready || weight == 0 || p.pulled[s] {
 				continue
-			} else if since := max(t.at, p.since); w.now-since > w.sc.DrainGrace && r.quiet(since) > w.sc.DrainGrace {
+			} else if since := max(t.at, p.since); w.now-since > w.sc.DrainGracePeriod && r.quiet(since) > w.sc.DrainGracePeriod {
 				r.fail("drains kept", fmt.Sprint("proxy ", p.id), "sends to %s, told to drain or gone %.2fs ago", s, (w.now - since).Seconds())
 			}
 		}
 	}
 	for _, s := range w.servers {
 		// what comes before the start is told, by tables of before, is nobody's fault
-		if !s.up || w.now-s.started >= w.sc.WarmAfter || w.list[s.id].since < s.started {
+		if !s.up || w.now-s.started >= w.sc.WarmUpDuration || w.list[s.id].since < s.started {
 			delete(r.over, s.id)
 			continue
 		}
@@ -109,7 +109,7 @@
 			delete(r.over, s.id)
 		} else if m, before := r.over[s.id]; !before {
 			r.over[s.id] = r.begin()
-		} else if r.passed(m) >= w.sc.OverloadFor {
+		} else if r.passed(m) >= w.sc.MaxOverloadTime {
 			r.fail("no cold server pushed over", string(s.id), "gets %.1f of %.1f flows/s for %.1fs", gets, can, r.passed(m).Seconds())
 		}
 	}
@@ -121,13 +121,13 @@
 }
 
 func (r *rules) queue(lines float64) {
-	if lines > r.w.sc.QueueLines {
-		r.fail("queue and messages short", "channel", "%.0f lines wait, %.0f at most", lines, r.w.sc.QueueLines)
+	if lines > r.w.sc.QueueCapacity {
+		r.fail("queue and messages short", "channel", "%.0f lines wait, %.0f at most", lines, r.w.sc.QueueCapacity)
 	}
 }
 
 func (r *rules) messages(p *proxy) {
-	if most := r.w.sc.Messages; most > 0 && len(p.sent) > most {
+	if most := r.w.sc.MaxMessages; most > 0 && len(p.sent) > most {
 		r.fail("queue and messages short", fmt.Sprint("proxy ", p.id), "%d messages in 10s, %d at most", len(p.sent), most)
 	}
 }
@@ -139,7 +139,7 @@
 func (r *rules) progress() {
 	w := r.w
 	if w.calling || len(w.backlog) > 0 {
-		r.fail("progress", "relay", "orders still wait %.0fs after the last fault", w.sc.Settle.Seconds())
+		r.fail("progress", "relay", "orders still wait %.0fs after the last fault", w.sc.SettlePhase.Seconds())
 	}
 	for _, p := range w.proxies {
 		switch {
--- a/internal/faultsim/search_test.go
+++ b/internal/faultsim/search_test.go
@@ -8,17 +8,17 @@
 )
 
 func TestTheSameSeedGivesTheSameRun(t *testing.T) {
-	s := Usual()
+	s := DefaultScenario()
 	want := map[uint64]string{}
 	for seed := range uint64(6) {
-		_, w := Run(s, Draw(s, seed), nil)
+		_, w := Run(s, GenerateScript(s, seed), nil)
 		want[seed] = w.Digest()
 	}
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
 	for n := range 6 {
 		runtime.GOMAXPROCS(1 + n%4)
 		for seed := range uint64(6) {
-			if _, w := Run(s, Draw(s, seed), nil); w.Digest() != want[seed] {
+			if _, w := Run(s, GenerateScript(s, seed), nil); w.Digest() != want[seed] {
 				t.Fatalf("seed %d: another run", seed)
 			}
 		}
@@ -29,9 +29,9 @@
 }
 
 func TestAHundredSeedsKeepAllRules(t *testing.T) {
-	found, played := Seeds(Usual(), 1, 100, 4, true, func(int) {})
+	found, played := SearchSeeds(DefaultScenario(), 1, 100, 4, true, func(int) {})
 	for _, f := range found {
-		t.Errorf("%v\n%v", f.Break, f.Script)
+		t.Errorf("%v\n%v", f.Violation, f.Script)
 	}
 	if played != 100 {
 		t.Errorf("%d played", played)
@@ -40,9 +40,9 @@
 
 // Guards against a queue that is filled because it may be: tables then come half a minute late.
 func TestAFleetKeepsAllRules(t *testing.T) {
-	found, played := Seeds(Fleet(), 1, 16, 4, true, func(int) {})
+	found, played := SearchSeeds(LargeFleetScenario(), 1, 16, 4, true, func(int) {})
 	for _, f := range found {
-		t.Errorf("%v\n%v", f.Break, f.Script)
+		t.Errorf("%v\n%v", f.Violation, f.Script)
 	}
 	if played != 16 {
 		t.Errorf("%d played", played)
@@ -50,7 +50,7 @@
 }
 
 func TestScriptsAreWrittenAndRead(t *testing.T) {
-	want := Draw(Usual(), 7)
+	want := GenerateScript(DefaultScenario(), 7)
 	got, err := ParseScript("f", []byte(want.String()))
 	if err != nil || got.String() != want.String() || len(got.Faults) == 0 {
 		t.Errorf("%v\n%v\n%v", err, got, want)
@@ -69,7 +69,7 @@
 
 func TestScenariosAreReadWithDefaults(t *testing.T) {
 	s, err := ParseScenario("f", []byte("(scenario (servers 9) (reports-late (least 1s) (most 2s)) (weights (crash 0)))"))
-	if err != nil || s.Servers != 9 || s.ReportsLate[1] != 2*time.Second || s.Weights[Crash] != 0 || s.Weights[Slow] != 1 || s.Proxies != Usual().Proxies {
+	if err != nil || s.Servers != 9 || s.ReportDelay[1] != 2*time.Second || s.FaultWeights[Crash] != 0 || s.FaultWeights[SlowServers] != 1 || s.Proxies != DefaultScenario().Proxies {
 		t.Errorf("%+v %v", s, err)
 	}
 	if _, err := ParseScenario("f", []byte("(scenario\n (transit (least 2s) (most 1s)))")); err == nil || err.Error() != "f:2: transit: most is under least" {
@@ -78,17 +78,17 @@
 }
 
 func TestShrinkKeepsWhatBreaks(t *testing.T) {
-	s := Usual()
-	s.QueueLines = 40 // far too few for what the module is told: it is told so too, and then has no room to bind
-	s.Faults = [2]int{4, 4}
+	s := DefaultScenario()
+	s.QueueCapacity = 40 // far too few for what the module is told: it is told so too, and then has no room to bind
+	s.FaultCount = [2]int{4, 4}
 	for seed := uint64(1); seed < 40; seed++ {
-		script := Draw(s, seed)
+		script := GenerateScript(s, seed)
 		b, _ := Run(s, script, nil)
 		if b == nil {
 			continue
 		}
-		less, played := Shrink(s, Found{script, b}, 60)
-		if less.Break.Rule != b.Rule || len(less.Script.Faults) > len(script.Faults) || played > 60 {
+		less, played := Shrink(s, Failure{script, b}, 60)
+		if less.Violation.Rule != b.Rule || len(less.Script.Faults) > len(script.Faults) || played > 60 {
 			t.Errorf("%v after %d", less, played)
 		}
 		return
@@ -97,8 +97,8 @@
 }
 
 func BenchmarkRun(b *testing.B) {
-	s := Usual()
+	s := DefaultScenario()
 	for i := 0; b.Loop(); i++ {
-		Run(s, Draw(s, uint64(i)), nil)
+		Run(s, GenerateScript(s, uint64(i)), nil)
 	}
 }
--- a/internal/faultsim/world.go
+++ b/internal/faultsim/world.go
@@ -16,17 +16,17 @@
 )
 
 // World is one run.
-type World struct {
-	sc     Scenario
-	script Script
-	chance *rand.Rand
-	now    time.Duration
-	seq    int
-	todo   events
-	steps  int
-	turn   int // of the channel
-	sum    hash.Hash
-	Trace  func(line string) // nil: nobody reads it
+type Simulation struct {
+	sc      Scenario
+	script  Script
+	chance  *rand.Rand
+	now     time.Duration
+	seq     int
+	todo    events
+	steps   int
+	turn    int // of the channel
+	sum     hash.Hash
+	OnTrace func(line string) // nil: nobody reads it
 
 	servers []*server
 	byID    map[balancer.ServerID]*server
@@ -63,8 +63,8 @@
 }
 
 // Run plays a script and tells what broke first; nil where all was kept.
-func Run(s Scenario, script Script, trace func(string)) (*Break, *World) {
-	w := &World{sc: s, script: script, chance: rand.New(rand.NewPCG(script.Seed, 0xc4a9ce)), sum: blake3.New(), Trace: trace,
+func Run(s Scenario, script Script, trace func(string)) (*Violation, *Simulation) {
+	w := &Simulation{sc: s, script: script, chance: rand.New(rand.NewPCG(script.Seed, 0xc4a9ce)), sum: blake3.New(), OnTrace: trace,
 		byID: map[balancer.ServerID]*server{}, tables: map[balancer.TableID]map[balancer.ServerID]float64{}, pulled: map[balancer.ServerID]bool{},
 		tries: map[uint]balancer.RetryPolicy{}, repeats: map[string]bool{}, pace: 1, cut: make([]int, s.Zones), list: map[balancer.ServerID]told{}}
 	w.rules = &rules{w: w, bare: map[balancer.ProxyID]mark{}, over: map[balancer.ServerID]mark{}}
@@ -80,7 +80,7 @@
 	for _, f := range script.Faults {
 		w.at(f.At, func() { w.befall(f) })
 	}
-	end := s.Length + s.Settle
+	end := s.FaultPhase + s.SettlePhase
 	w.at(100*time.Millisecond, w.look)
 	w.at(time.Second, w.second)
 	for len(w.todo) > 0 && w.rules.broken == nil {
@@ -102,24 +102,24 @@
 }
 
 // Digest is that of all that happened.
-func (w *World) Digest() string { return hex.EncodeToString(w.sum.Sum(nil)[:16]) }
+func (w *Simulation) Digest() string { return hex.EncodeToString(w.sum.Sum(nil)[:16]) }
 
 // Steps is how many events were played.
-func (w *World) Steps() int { return w.steps }
+func (w *Simulation) Steps() int { return w.steps }
 
-func (w *World) say(format string, values ...any) {
+func (w *Simulation) say(format string, values ...any) {
 	line := fmt.Sprintf("%9.3f ", w.now.Seconds()) + fmt.Sprintf(format, values...)
 	w.sum.Write(append([]byte(line), '\n'))
-	if w.Trace != nil {
-		w.Trace(line)
+	if w.OnTrace != nil {
+		w.OnTrace(line)
 	}
 }
 
 // begin starts a manager, with the list as last told; the proxies join it one after another.
-func (w *World) begin() {
+func (w *Simulation) begin() {
 	w.gen++
 	w.born, w.last, w.stalled, w.wake, w.calling, w.backlog = w.now, 0, 0, 0, false, nil
-	w.manager = balancer.New(w.script.Seed+uint64(w.gen)*7919, w.sc.Terms())
+	w.manager = balancer.New(w.script.Seed+uint64(w.gen)*7919, w.sc.Settings())
 	t := versions.DefaultSettings(uint64(w.gen))
 	t.StartedAt = time.Unix(1_790_000_000, 0).Add(w.now)
 	w.chain = versions.New(t)
@@ -140,7 +140,7 @@
 	}
 }
 
-func (w *World) entry(s *server, t told) balancer.Endpoint {
+func (w *Simulation) entry(s *server, t told) balancer.Endpoint {
 	e := balancer.Endpoint{Server: s.id, Zone: w.zone(s.zone), Weight: 1, State: t.state}
 	if t.since > 0 {
 		e.Started, e.RecentlyStarted = t.since-w.born, true
@@ -148,10 +148,10 @@
 	return e
 }
 
-func (w *World) zone(z int) balancer.ZoneID { return balancer.ZoneID(fmt.Sprint("z", z)) }
+func (w *Simulation) zone(z int) balancer.ZoneID { return balancer.ZoneID(fmt.Sprint("z", z)) }
 
 // input gives the manager one thing it learns, once it does not stand still; what is for one that is gone is lost.
-func (w *World) input(learn func(now time.Duration) balancer.Commands) {
+func (w *Simulation) input(learn func(now time.Duration) balancer.Commands) {
 	gen := w.gen
 	if w.now < w.stalled {
 		w.at(w.stalled, func() {
@@ -165,7 +165,7 @@
 	w.decided(learn(w.last))
 }
 
-func (w *World) decided(o balancer.Commands) {
+func (w *Simulation) decided(o balancer.Commands) {
 	gen := w.gen
 	for _, n := range o.LogRecords {
 		w.say("note %s", n)
--- a/internal/faultsim/world_checks.go
+++ b/internal/faultsim/world_checks.go
@@ -7,7 +7,7 @@
 	"tamarindshore/internal/versions"
 )
 
-func (w *World) pin() {
+func (w *Simulation) pin() {
 	pin, held := w.chain.Pinned()
 	if !held {
 		pin = versions.PinnedTables{}
@@ -18,7 +18,7 @@
 }
 
 // look judges what stands, ten times a second.
-func (w *World) look() {
+func (w *Simulation) look() {
 	w.hurt = w.unreachable > 0 || w.lost > 0 || w.pace < 1 || w.now < w.stalled
 	if w.hurt {
 		w.outage += w.now - w.looked
@@ -31,7 +31,7 @@
 }
 
 // hurtSince is for how long the relay, its channel or the manager was not as stated since a time.
-func (w *World) hurtSince(since time.Duration) (all time.Duration) {
+func (w *Simulation) hurtSince(since time.Duration) (all time.Duration) {
 	for i := len(w.hurts) - 1; i >= 0 && w.hurts[i].outage > since; i-- {
 		all += w.hurts[i].outage - max(since, w.hurts[i].since)
 	}
@@ -39,7 +39,7 @@
 }
 
 // flows are what each server gets, by what the proxies hold.
-func (w *World) flows() {
+func (w *Simulation) flows() {
 	for _, s := range w.servers {
 		clear(s.gets)
 	}
@@ -52,20 +52,20 @@
 		}
 		for _, s := range w.servers {
 			if x := p.lines[s.id]; x > 0 && !p.pulled[s.id] {
-				s.gets[p.zone] += w.sc.Rate * x / sum
+				s.gets[p.zone] += w.sc.RequestRate * x / sum
 			}
 		}
 	}
 }
 
 // can is how many flows a second a server serves.
-func (w *World) can(s *server) float64 {
-	warm := min(1, max(0, (w.now-s.started).Seconds()/w.sc.WarmAfter.Seconds()))
-	return w.sc.Capacity * (w.sc.ColdShare + (1-w.sc.ColdShare)*warm) / s.slow
+func (w *Simulation) can(s *server) float64 {
+	warm := min(1, max(0, (w.now-s.started).Seconds()/w.sc.WarmUpDuration.Seconds()))
+	return w.sc.ServerCapacity * (w.sc.ColdCapacity + (1-w.sc.ColdCapacity)*warm) / s.slow
 }
 
 // second sends the sums of a second, late; and lets a hold end that is over.
-func (w *World) second() {
+func (w *Simulation) second() {
 	w.after(time.Second, w.second)
 	if ended, _ := w.chain.ExpireHold(w.last, fleetView{w.manager}); ended && w.now >= w.stalled {
 		w.pin()
@@ -73,7 +73,7 @@
 	gen := w.gen
 	hear := func(learn func(now time.Duration) balancer.Commands) {
 		for range 1 + min(1, w.doubled) {
-			w.after(w.between(w.sc.ReportsLate), func() {
+			w.after(w.between(w.sc.ReportDelay), func() {
 				if w.gen == gen && w.deaf == 0 {
 					w.input(learn)
 				}
@@ -100,7 +100,7 @@
 				}
 			}
 			if r.Failed < r.Attempts {
-				r.Latency = min(3*time.Second, time.Duration(float64(w.sc.Service)*s.slow/max(0.05, 1-use)*(0.9+0.2*w.chance.Float64())))
+				r.Latency = min(3*time.Second, time.Duration(float64(w.sc.ServiceTime)*s.slow/max(0.05, 1-use)*(0.9+0.2*w.chance.Float64())))
 			}
 			if r.Attempts > 0 {
 				hear(func(now time.Duration) balancer.Commands { return w.manager.HandleLoadReport(now, r) })
@@ -112,7 +112,7 @@
 			continue
 		}
 		for g, part := range []float64{0.8, 0.2} {
-			u := balancer.UsageReport{Proxy: p.id, Class: balancer.ClassID(g), Requests: int(w.sc.Rate*part + w.chance.Float64()), Interval: time.Second}
+			u := balancer.UsageReport{Proxy: p.id, Class: balancer.ClassID(g), Requests: int(w.sc.RequestRate*part + w.chance.Float64()), Interval: time.Second}
 			hear(func(now time.Duration) balancer.Commands { return w.manager.HandleUsageReport(now, u) })
 		}
 	}
--- a/internal/faultsim/world_fleet.go
+++ b/internal/faultsim/world_fleet.go
@@ -41,7 +41,7 @@
 }
 
 // join gives a proxy a stream; it goes on with what it holds until it is told.
-func (w *World) join(p *proxy) {
+func (w *Simulation) join(p *proxy) {
 	if p.joined {
 		return
 	}
@@ -50,11 +50,11 @@
 		p.lines, p.pulled = map[balancer.ServerID]float64{}, map[balancer.ServerID]bool{}
 	}
 	w.input(func(now time.Duration) balancer.Commands {
-		return w.manager.HandleProxyConnected(now, p.id, w.zone(p.zone), w.sc.Rate)
+		return w.manager.HandleProxyConnected(now, p.id, w.zone(p.zone), w.sc.RequestRate)
 	})
 }
 
-func (w *World) leave(p *proxy, told bool) {
+func (w *Simulation) leave(p *proxy, told bool) {
 	if !p.joined {
 		return
 	}
@@ -65,12 +65,12 @@
 }
 
 // tell lets discovery tell a server's state, late.
-func (w *World) tell(s *server, c balancer.ServerState) {
+func (w *Simulation) tell(s *server, c balancer.ServerState) {
 	since := time.Duration(-time.Hour)
 	if s.started > 0 {
 		since = s.started
 	}
-	w.after(w.between(w.sc.ListLate)+w.late, func() {
+	w.after(w.between(w.sc.ListDelay)+w.late, func() {
 		if t := w.list[s.id]; since < t.since {
 			return // overtaken by a later start
 		}
@@ -99,20 +99,20 @@
 }
 
 // some are a part of the servers, at least one, by a fault's own chance.
-func (w *World) some(f Fault) (all []*server) {
-	order := rand.New(rand.NewPCG(f.Seed, 1)).Perm(len(w.servers))
-	for _, i := range order[:max(1, int(f.Part*float64(len(order))))] {
+func (w *Simulation) some(f Fault) (all []*server) {
+	order := rand.New(rand.NewPCG(f.TargetSeed, 1)).Perm(len(w.servers))
+	for _, i := range order[:max(1, int(f.Fraction*float64(len(order))))] {
 		all = append(all, w.servers[i])
 	}
 	return all
 }
 
-func (w *World) down(s *server) {
+func (w *Simulation) down(s *server) {
 	s.up, s.silent = false, false
 	w.tell(s, balancer.Removed)
 }
 
-func (w *World) back(s *server) {
+func (w *Simulation) back(s *server) {
 	if !s.up {
 		s.up, s.started = true, max(w.now, 1)
 		w.tell(s, balancer.Ready)
@@ -120,76 +120,76 @@
 }
 
 // befall lets a fault begin, and sets its end.
-func (w *World) befall(f Fault) {
-	w.say("fault %s for %v part %.2f", f.Kind, f.For, f.Part)
+func (w *Simulation) befall(f Fault) {
+	w.say("fault %s for %v part %.2f", f.Kind, f.Duration, f.Fraction)
 	hold := func(n *int) {
 		*n++
-		w.after(f.For, func() { *n-- })
+		w.after(f.Duration, func() { *n-- })
 	}
 	each := func(begin, end func(s *server)) {
 		for _, s := range w.some(f) {
 			begin(s)
-			w.after(f.For, func() { end(s) })
+			w.after(f.Duration, func() { end(s) })
 		}
 	}
 	switch f.Kind {
 	case Crash:
 		each(w.down, w.back)
-	case Silence:
+	case Unresponsive:
 		each(func(s *server) { s.silent = true }, func(s *server) { s.silent = false })
-	case Slow:
+	case SlowServers:
 		each(func(s *server) { s.slow *= 5 }, func(s *server) { s.slow /= 5 })
-	case Errors:
+	case ServerErrors:
 		each(func(s *server) { s.fails = 0.7 }, func(s *server) { s.fails = 0 })
 	case Drain:
 		each(func(s *server) {
 			w.tell(s, balancer.Draining)
 			w.after(5*time.Second, func() { w.down(s) })
 		}, func(s *server) { w.after(6*time.Second, func() { w.back(s) }) })
-	case ZoneLost:
+	case ZoneOutage:
 		for _, s := range w.servers {
-			if s.zone == int(f.Seed)%w.sc.Zones {
+			if s.zone == int(f.TargetSeed)%w.sc.Zones {
 				w.down(s)
-				w.after(f.For, func() { w.back(s) })
+				w.after(f.Duration, func() { w.back(s) })
 			}
 		}
-	case ZoneCut:
-		hold(&w.cut[int(f.Seed)%w.sc.Zones])
-	case Deaf:
+	case ZonePartition:
+		hold(&w.cut[int(f.TargetSeed)%w.sc.Zones])
+	case ReportsLost:
 		hold(&w.deaf)
-	case Unreachable:
+	case RelayUnreachable:
 		hold(&w.unreachable)
-	case LostAnswers:
+	case ResponsesLost:
 		hold(&w.lost)
-	case Doubled:
+	case DuplicateReports:
 		hold(&w.doubled)
 	case SlowChannel:
 		w.sends(w.pace / 3)
-		w.after(f.For, func() { w.sends(w.pace * 3) })
-	case Restart:
+		w.after(f.Duration, func() { w.sends(w.pace * 3) })
+	case ManagerRestart:
 		w.begin()
-	case Stall:
-		w.stalled = max(w.stalled, w.now+min(f.For, 2*time.Second))
-	case Rejoin:
-		chance := rand.New(rand.NewPCG(f.Seed, 2))
+	case ManagerStall:
+		w.stalled = max(w.stalled, w.now+min(f.Duration, 2*time.Second))
+	case ProxyReconnect:
+		chance := rand.New(rand.NewPCG(f.TargetSeed, 2))
 		for _, p := range w.proxies {
-			if chance.Float64() < f.Part*2 {
+			if chance.Float64() < f.Fraction*2 {
 				w.leave(p, true)
 				w.after(time.Duration(200+chance.IntN(1500))*time.Millisecond, func() { w.join(p) })
 			}
 		}
-	case WrongList:
+	case WrongEndpointList:
 		each(func(s *server) { w.tell(s, balancer.Removed) }, func(s *server) {
 			if s.up {
 				w.tell(s, balancer.Ready)
 			}
 		})
-	case LateList:
+	case DelayedEndpointList:
 		w.late += 4 * time.Second
-		w.after(f.For, func() { w.late -= 4 * time.Second })
-	case RollBack:
+		w.after(f.Duration, func() { w.late -= 4 * time.Second })
+	case Rollback:
 		if all := w.chain.Versions(); len(all) > 0 && w.now >= w.stalled {
-			_, _, err := w.chain.RollBack(w.last, all[len(all)/2].ID, fmt.Sprint(f.Seed), f.For+time.Second, fleetView{w.manager})
+			_, _, err := w.chain.RollBack(w.last, all[len(all)/2].ID, fmt.Sprint(f.TargetSeed), f.Duration+time.Second, fleetView{w.manager})
 			w.say("rollback %v", err)
 			w.pin()
 		}
--- a/internal/faultsim/world_relay.go
+++ b/internal/faultsim/world_relay.go
@@ -26,7 +26,7 @@
 }
 
 // next begins the next call to the relay; they go one after another.
-func (w *World) next() {
+func (w *Simulation) next() {
 	if w.calling || len(w.backlog) == 0 {
 		return
 	}
@@ -35,7 +35,7 @@
 	w.call(o, balancer.Commands{})
 }
 
-func (w *World) call(o, wait balancer.Commands) {
+func (w *Simulation) call(o, wait balancer.Commands) {
 	w.calling = true
 	gen, rest := w.gen, w.between([2]time.Duration{50 * time.Millisecond, 200 * time.Millisecond})
 	later := func(d time.Duration, do func()) {
@@ -69,7 +69,7 @@
 }
 
 // again asks the module what of the orders may go out once more, or late, with all that waits by then.
-func (w *World) again(rest, wait balancer.Commands, carried bool) {
+func (w *Simulation) again(rest, wait balancer.Commands, carried bool) {
 	gen := w.gen
 	if w.now < w.stalled {
 		w.at(w.stalled, func() {
@@ -88,7 +88,7 @@
 }
 
 // carryOut is the relay's: it changes what stands and sends each proxy concerned a message.
-func (w *World) carryOut(o balancer.Commands, unanswered bool) {
+func (w *Simulation) carryOut(o balancer.Commands, unanswered bool) {
 	out := map[*proxy][]change{}
 	cost := map[*proxy]float64{}
 	put := func(p *proxy, c change, lines float64) { out[p], cost[p] = append(out[p], c), cost[p]+lines }
@@ -185,8 +185,8 @@
 }
 
 // sends moves the channel on to now. The first message leaves in its turn, unless the channel has changed by then.
-func (w *World) sends(pace float64) {
-	left := (w.now - w.since).Seconds() * w.sc.LinesPerS * w.pace
+func (w *Simulation) sends(pace float64) {
+	left := (w.now - w.since).Seconds() * w.sc.CommandsPerSecond * w.pace
 	w.since, w.pace = w.now, pace
 	for len(w.channel) > 0 && left >= w.channel[0].lines-1e-6 {
 		m := w.channel[0]
@@ -200,7 +200,7 @@
 	w.channel[0].lines, w.waits = w.channel[0].lines-left, w.waits-left
 	w.turn++
 	turn := w.turn
-	w.after(time.Duration(w.channel[0].lines/(w.sc.LinesPerS*w.pace)*float64(time.Second))+1, func() {
+	w.after(time.Duration(w.channel[0].lines/(w.sc.CommandsPerSecond*w.pace)*float64(time.Second))+1, func() {
 		if w.turn == turn {
 			w.sends(w.pace)
 		}
@@ -208,12 +208,12 @@
 }
 
 // send puts a message into the channel; it reaches the proxy in its turn, if that still has the same stream.
-func (w *World) send(p *proxy, changes []change, lines float64, mark balancer.BarrierID) {
+func (w *Simulation) send(p *proxy, changes []change, lines float64, mark balancer.BarrierID) {
 	if lines > 0 {
 		p.sent = append(slices.DeleteFunc(p.sent, func(at time.Duration) bool { return w.now-at > 10*time.Second }), w.now)
 		w.rules.messages(p)
 	}
-	session, gen, transit := p.session, w.gen, w.between(w.sc.Transit)
+	session, gen, transit := p.session, w.gen, w.between(w.sc.MessageDelay)
 	p.told = w.now
 	reaches := func() {
 		if p.session != session || !p.joined {
--- a/internal/fleetmodel/divided_test.go
+++ b/internal/fleetmodel/divided_test.go
@@ -18,9 +18,9 @@
 	slowest time.Duration // sum of what the slowest lane of each input took
 }
 
-func divide(s Shape, n int, byZone bool) *divided {
+func divide(s Scenario, n int, byZone bool) *divided {
 	d := &divided{byZone: byZone, zones: map[balancer.ZoneID]int{}, pulled: map[balancer.ServerID]map[int]bool{}}
-	t := s.Terms()
+	t := s.Settings()
 	t.Managers, t.QueueCapacity, t.CommandsPerSecond = n, t.QueueCapacity/float64(n), t.CommandsPerSecond/float64(n)
 	for z := range s.Zones {
 		d.zones[zone(z)] = z
@@ -132,9 +132,9 @@
 // BenchmarkDivided weighs one module for all against one for each lane: the module's time that can't be divided
 // further (the slowest lane of each input), the time of all lanes, and what the decisions are worth.
 func BenchmarkDivided(b *testing.B) {
-	for _, s := range []Shape{
-		{Name: "even", Zones: 4, Servers: 400, Proxies: 2000, Rate: 2, Capacity: 16},
-		{Name: "uneven", Zones: 4, Servers: 60, Proxies: 120, Rate: 4, Capacity: 12, Slow: 0.25, Draining: 0.2},
+	for _, s := range []Scenario{
+		{Name: "even", Zones: 4, Servers: 400, Proxies: 2000, RequestRate: 2, ServerCapacity: 16},
+		{Name: "uneven", Zones: 4, Servers: 60, Proxies: 120, RequestRate: 4, ServerCapacity: 12, SlowFraction: 0.25, DrainFraction: 0.2},
 	} {
 		for _, how := range []string{"one", "zones", "proxies"} {
 			b.Run(fmt.Sprint(s.Name, "/", how), func(b *testing.B) {
@@ -144,20 +144,20 @@
 						d = divide(s, 4, how == "zones")
 						f.Manager = d
 					}
-					f.Open()
+					f.Start()
 					for n := range 30 {
-						f.Second(n, 30)
+						f.PlaySecond(n, 30)
 					}
-					alone := f.Spent
+					alone := f.ManagerTime
 					if d != nil {
 						alone = d.slowest
 					}
 					t := f.Tally
 					b.ReportMetric(float64(alone)/30e6, "slowest-ms/s")
-					b.ReportMetric(float64(f.Spent)/30e6, "all-ms/s")
-					b.ReportMetric(100*t.Crossed/t.Asked, "%crossed")
-					b.ReportMetric(100*t.Dropped/t.Asked, "%dropped")
-					b.ReportMetric(100*t.Blocked/t.Asked, "%blocked")
+					b.ReportMetric(float64(f.ManagerTime)/30e6, "all-ms/s")
+					b.ReportMetric(100*t.CrossZone/t.Offered, "%crossed")
+					b.ReportMetric(100*t.Failed/t.Offered, "%dropped")
+					b.ReportMetric(100*t.Shed/t.Offered, "%blocked")
 				}
 			})
 		}
--- a/internal/fleetmodel/fleet.go
+++ b/internal/fleetmodel/fleet.go
@@ -13,33 +13,33 @@
 )
 
 // Shape says how large a fleet is and what happens to it.
-type Shape struct {
-	Name             string
-	Zones            int
-	Servers, Proxies int
-	Rate             float64       // flows a second at each proxy, of all groups
-	Capacity         float64       // flows a second that a warm server serves
-	Draining         float64       // part of the servers that drain and come back cold, one after another
-	Slow             float64       // part of the servers that run five times slower from a third of the run on
-	Surge            float64       // factor on all flows from a third of the run on; 0: none
-	Churn            time.Duration // between two proxies that leave and join again; 0: none
-	GoneStays, Rates bool          // gone does not bind; levels are rates
-	Messages         int           // to one proxy within 10 s; 0: no limit
+type Scenario struct {
+	Name                         string
+	Zones                        int
+	Servers, Proxies             int
+	RequestRate                  float64       // flows a second at each proxy, of all groups
+	ServerCapacity               float64       // flows a second that a warm server serves
+	DrainFraction                float64       // part of the servers that drain and come back cold, one after another
+	SlowFraction                 float64       // part of the servers that run five times slower from a third of the run on
+	SurgeFactor                  float64       // factor on all flows from a third of the run on; 0: none
+	ChurnInterval                time.Duration // between two proxies that leave and join again; 0: none
+	RemovedMayServe, AdmitByRate bool          // gone does not bind; levels are rates
+	MaxMessages                  int           // to one proxy within 10 s; 0: no limit
 }
 
 // Terms are those of a site of this shape.
-func (s Shape) Terms() balancer.Settings {
+func (s Scenario) Settings() balancer.Settings {
 	t := balancer.Settings{
 		Classes: []balancer.TrafficClass{
 			{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent},
 			{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 3},
 		},
 		HealthChecks: true, AdmissionUnit: balancer.AdmitShare, DefaultRetryPolicy: balancer.RetryIfNotExecuted, ColdCapacity: 0.15,
-		WarmUpDuration: 16 * time.Second, Proxies: s.Proxies, IdleTimeout: 4 * time.Second, RemovedMayServe: s.GoneStays,
+		WarmUpDuration: 16 * time.Second, Proxies: s.Proxies, IdleTimeout: 4 * time.Second, RemovedMayServe: s.RemovedMayServe,
 		QueueCapacity: max(8600, 8*float64(s.Proxies)), CommandsPerSecond: max(8600, 8*float64(s.Proxies)), MessageOverhead: 4,
-		CommandPrice: 0.02, MaxMessages: s.Messages, MessageWindow: 10 * time.Second,
+		CommandPrice: 0.02, MaxMessages: s.MaxMessages, MessageWindow: 10 * time.Second,
 	}
-	if s.Rates {
+	if s.AdmitByRate {
 		t.AdmissionUnit = balancer.AdmitRate
 	}
 	for z := range s.Zones {
@@ -73,7 +73,7 @@
 }
 
 // Decider is what the fleet hears of its manager: the decision module, or a way of dividing it.
-type Decider interface {
+type Balancer interface {
 	HandleEndpointList(now time.Duration, whole bool, entries []balancer.Endpoint) balancer.Commands
 	HandleProxyConnected(now time.Duration, id balancer.ProxyID, zone balancer.ZoneID, rate float64) balancer.Commands
 	HandleProxyDisconnected(now time.Duration, id balancer.ProxyID) balancer.Commands
@@ -86,16 +86,16 @@
 }
 
 // Tally sums flows over all seconds played.
-type Tally struct{ Asked, Blocked, Dropped, Crossed float64 }
+type Tally struct{ Offered, Shed, Failed, CrossZone float64 }
 
 // Fleet is one run. Each input of the manager goes through Say, so that a caller may look at it.
 type Fleet struct {
-	Shape   Shape
-	Manager Decider
-	Tally   Tally
-	Seen    func(now time.Duration, o balancer.Commands) // all that was ordered
-	Inputs  int
-	Spent   time.Duration // by the manager, on the wall clock
+	Scenario    Scenario
+	Manager     Balancer
+	Tally       Tally
+	OnCommands  func(now time.Duration, o balancer.Commands) // all that was ordered
+	InputCount  int
+	ManagerTime time.Duration // by the manager, on the wall clock
 
 	now     time.Duration
 	chance  *rand.Rand
@@ -109,10 +109,10 @@
 }
 
 // New makes a fleet at rest; the seed settles its chance and the manager's.
-func New(s Shape, seed uint64) *Fleet {
-	f := &Fleet{Shape: s, Manager: balancer.New(seed, s.Terms()), chance: rand.New(rand.NewPCG(seed, 7)),
+func New(s Scenario, seed uint64) *Fleet {
+	f := &Fleet{Scenario: s, Manager: balancer.New(seed, s.Settings()), chance: rand.New(rand.NewPCG(seed, 7)),
 		named: map[balancer.ServerID]*server{}, tables: map[balancer.TableID]map[balancer.ServerID]float64{},
-		levels: map[balancer.TableID]map[uint]float64{}, Seen: func(time.Duration, balancer.Commands) {}}
+		levels: map[balancer.TableID]map[uint]float64{}, OnCommands: func(time.Duration, balancer.Commands) {}}
 	for i := range s.Servers {
 		one := &server{id: balancer.ServerID(fmt.Sprintf("s-%05x", (i*2654435761)&0xfffff)), zone: i % s.Zones, started: -time.Hour,
 			at: make([]float64, s.Zones)}
@@ -128,9 +128,9 @@
 func (f *Fleet) call(input func(time.Duration) balancer.Commands) {
 	began := time.Now()
 	o := input(f.now)
-	f.Spent += time.Since(began)
-	f.Inputs++
-	f.Seen(f.now, o)
+	f.ManagerTime += time.Since(began)
+	f.InputCount++
+	f.OnCommands(f.now, o)
 	for _, s := range o.Withdraw {
 		f.named[s].pulled = true
 	}
@@ -246,7 +246,7 @@
 }
 
 // Open tells the manager the whole list, and then all proxies, one by one.
-func (f *Fleet) Open() {
+func (f *Fleet) Start() {
 	var all []balancer.Endpoint
 	for _, s := range f.servers {
 		all = append(all, f.entry(s))
@@ -262,7 +262,7 @@
 func (f *Fleet) join(i int) {
 	f.proxies[i].bound = false
 	f.call(func(now time.Duration) balancer.Commands {
-		return f.Manager.HandleProxyConnected(now, balancer.ProxyID(i), zone(f.proxies[i].zone), f.Shape.Rate)
+		return f.Manager.HandleProxyConnected(now, balancer.ProxyID(i), zone(f.proxies[i].zone), f.Scenario.RequestRate)
 	})
 }
 
@@ -282,20 +282,20 @@
 				sum += f.tables[p.table][id]
 			}
 		}
-		f.Tally.Asked += flows
+		f.Tally.Offered += flows
 		let := 1.0
-		if l := f.levels[p.table][1]; l > 0 && !f.Shape.Rates {
+		if l := f.levels[p.table][1]; l > 0 && !f.Scenario.AdmitByRate {
 			let = min(1, l)
 		}
 		for _, id := range ids {
 			if s := f.named[id]; !s.pulled {
 				x := flows * let * f.tables[p.table][id] / max(sum, 1e-9)
 				if s.at[p.zone] += x; s.zone != p.zone {
-					f.Tally.Crossed += x
+					f.Tally.CrossZone += x
 				}
 			}
 		}
-		f.Tally.Blocked += flows * (1 - let)
+		f.Tally.Shed += flows * (1 - let)
 	}
 }
 
@@ -310,7 +310,7 @@
 
 // meets is what one server does with what comes to it: how long an answer takes, and the part that is dropped.
 func (f *Fleet) meets(s *server) (latency time.Duration, drops float64) {
-	capacity, comes := f.Shape.Capacity, 0.0
+	capacity, comes := f.Scenario.ServerCapacity, 0.0
 	if warm := f.now - s.started; warm < 16*time.Second {
 		capacity *= 0.15 + 0.85*warm.Seconds()/16
 	}
@@ -333,16 +333,16 @@
 
 // Second plays one second: what happens to the fleet, then reports and usages spread over the second as they come,
 // late, from each zone.
-func (f *Fleet) Second(n, of int) {
-	s, flows := f.Shape, f.Shape.Rate
-	if s.Surge > 0 && n > of/3 {
-		flows *= s.Surge
+func (f *Fleet) PlaySecond(n, of int) {
+	s, flows := f.Scenario, f.Scenario.RequestRate
+	if s.SurgeFactor > 0 && n > of/3 {
+		flows *= s.SurgeFactor
 	}
-	if most := int(s.Draining * float64(s.Servers)); most > 0 && n > 2 {
+	if most := int(s.DrainFraction * float64(s.Servers)); most > 0 && n > 2 {
 		f.rollOn(n, most)
 	}
-	if s.Slow > 0 && n == of/3 {
-		for i := range int(s.Slow * float64(s.Servers)) {
+	if s.SlowFraction > 0 && n == of/3 {
+		for i := range int(s.SlowFraction * float64(s.Servers)) {
 			f.servers[i*7%s.Servers].slow = true
 		}
 	}
@@ -356,7 +356,7 @@
 	for _, one := range f.servers {
 		latency, drops := f.meets(one)
 		for z, x := range one.at {
-			f.Tally.Dropped += x * drops
+			f.Tally.Failed += x * drops
 			if next(); x <= 0 {
 				continue
 			}
@@ -378,8 +378,8 @@
 			}
 		}
 	}
-	if s.Churn > 0 {
-		for range int(time.Second / s.Churn) {
+	if s.ChurnInterval > 0 {
+		for range int(time.Second / s.ChurnInterval) {
 			i := f.chance.IntN(len(f.proxies))
 			if p := f.proxies[i]; p.away {
 				p.away = false
@@ -398,7 +398,7 @@
 // rollOn drains one server after another; a drained one goes, and comes back as a fresh process.
 func (f *Fleet) rollOn(n, most int) {
 	for i := range max(1, most/5) {
-		one := f.servers[(n*7+i*13)%f.Shape.Servers]
+		one := f.servers[(n*7+i*13)%f.Scenario.Servers]
 		switch one.state {
 		case balancer.Ready:
 			f.list(one, balancer.Draining)
--- a/internal/fleetmodel/subset_test.go
+++ b/internal/fleetmodel/subset_test.go
@@ -17,8 +17,8 @@
 	lookAt time.Duration
 }
 
-func newSubsetted(s Shape, seed uint64, spill int) *subsetted {
-	terms := s.Terms()
+func newSubsetted(s Scenario, seed uint64, spill int) *subsetted {
+	terms := s.Settings()
 	settings := subset.Settings{ManagerName: fmt.Sprint("n", seed), Spill: spill, WarmUpDuration: terms.WarmUpDuration}
 	return &subsetted{Manager: balancer.New(seed, terms), subset: subset.New(settings), zones: map[balancer.ProxyID]balancer.ZoneID{}}
 }
@@ -95,30 +95,30 @@
 
 // day is a shape, how many zones have proxies, and whether a home zone is lost for a while.
 type day struct {
-	Shape
+	Scenario
 	homes int
 	lost  bool
 }
 
 var days = []day{
-	{Shape: Shape{Name: "calm", Zones: 8, Servers: 320, Proxies: 160, Rate: 2, Capacity: 16}, homes: 1},
-	{Shape: Shape{Name: "home overloaded", Zones: 8, Servers: 320, Proxies: 160, Rate: 6, Capacity: 16}, homes: 1},
-	{Shape: Shape{Name: "two homes", Zones: 8, Servers: 320, Proxies: 160, Rate: 4, Capacity: 12}, homes: 2},
-	{Shape: Shape{Name: "rolling restart", Zones: 8, Servers: 320, Proxies: 160, Rate: 2, Capacity: 16, Draining: 0.1}, homes: 1},
-	{Shape: Shape{Name: "slow servers", Zones: 8, Servers: 320, Proxies: 160, Rate: 3, Capacity: 16, Slow: 0.25}, homes: 1},
-	{Shape: Shape{Name: "home lost and back", Zones: 8, Servers: 320, Proxies: 160, Rate: 2, Capacity: 16}, homes: 1, lost: true},
+	{Scenario: Scenario{Name: "calm", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 2, ServerCapacity: 16}, homes: 1},
+	{Scenario: Scenario{Name: "home overloaded", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 6, ServerCapacity: 16}, homes: 1},
+	{Scenario: Scenario{Name: "two homes", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 4, ServerCapacity: 12}, homes: 2},
+	{Scenario: Scenario{Name: "rolling restart", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 2, ServerCapacity: 16, DrainFraction: 0.1}, homes: 1},
+	{Scenario: Scenario{Name: "slow servers", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 3, ServerCapacity: 16, SlowFraction: 0.25}, homes: 1},
+	{Scenario: Scenario{Name: "home lost and back", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 2, ServerCapacity: 16}, homes: 1, lost: true},
 }
 
 // play runs a day; spill 0 uses the whole list.
 func (d day) play(seed uint64, spill int) Tally {
-	f := New(d.Shape, seed)
+	f := New(d.Scenario, seed)
 	for i, p := range f.proxies {
 		p.zone = i % d.homes
 	}
 	if spill > 0 {
-		f.Manager = newSubsetted(d.Shape, seed, spill)
+		f.Manager = newSubsetted(d.Scenario, seed, spill)
 	}
-	f.Open()
+	f.Start()
 	for n := range qualitySeconds {
 		if d.lost && n == lostAt {
 			f.loseZone(0)
@@ -126,7 +126,7 @@
 		if d.lost && n == backAt {
 			f.returnZone(0)
 		}
-		f.Second(n, qualitySeconds)
+		f.PlaySecond(n, qualitySeconds)
 	}
 	return f.Tally
 }
@@ -156,12 +156,12 @@
 	var sum Tally
 	for seed := range seeds {
 		t := d.play(uint64(seed+1), spill)
-		sum.Asked += t.Asked
-		sum.Dropped += t.Dropped
-		sum.Blocked += t.Blocked
-		sum.Crossed += t.Crossed
+		sum.Offered += t.Offered
+		sum.Failed += t.Failed
+		sum.Shed += t.Shed
+		sum.CrossZone += t.CrossZone
 	}
-	return quality{sum.Dropped / sum.Asked, sum.Blocked / sum.Asked, 1 - sum.Crossed/(sum.Asked-sum.Blocked)}
+	return quality{sum.Failed / sum.Offered, sum.Shed / sum.Offered, 1 - sum.CrossZone/(sum.Offered-sum.Shed)}
 }
 
 // BenchmarkSubsetQuality weighs the whole list against subsets, over seeds: what is dropped, what is not let in, and
--- a/internal/loadtest/feed.go
+++ b/internal/loadtest/feed.go
@@ -28,22 +28,22 @@
 }
 
 // Spread is what a meter saw.
-type Spread struct {
-	N    int64         `json:"n"`
-	P50  time.Duration `json:"p50_ns"`
-	P99  time.Duration `json:"p99_ns"`
-	P999 time.Duration `json:"p999_ns"`
-	Most time.Duration `json:"most_ns"`
+type LatencySummary struct {
+	Count int64         `json:"n"`
+	P50   time.Duration `json:"p50_ns"`
+	P99   time.Duration `json:"p99_ns"`
+	P999  time.Duration `json:"p999_ns"`
+	Max   time.Duration `json:"most_ns"`
 }
 
-func (m *meter) spread() Spread {
+func (m *meter) spread() LatencySummary {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at := func(q float64) time.Duration { return time.Duration(m.h.ValueAtQuantile(q)) * time.Microsecond }
 	if m.h.TotalCount() == 0 {
-		return Spread{}
+		return LatencySummary{}
 	}
-	return Spread{m.h.TotalCount(), at(50), at(99), at(99.9), time.Duration(m.h.Max()) * time.Microsecond}
+	return LatencySummary{m.h.TotalCount(), at(50), at(99), at(99.9), time.Duration(m.h.Max()) * time.Microsecond}
 }
 
 // voice is one collector's connection: it says its messages over and over, each at its time.
--- a/internal/loadtest/report.go
+++ b/internal/loadtest/report.go
@@ -8,7 +8,7 @@
 )
 
 // Table writes results for people.
-func Table(out io.Writer, all []Result) {
+func WriteTable(out io.Writer, all []Result) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "cores\ttop/s\tx one\theld/s\ttaken\ttake in 50/99/99.9%\tjoin to bind 50/99/99.9%\tdrain to withdrawal 50/99/99.9%\tCPU\tMB\trules")
 	for _, r := range all {
@@ -19,20 +19,20 @@
 			}
 		}
 		top, times := "-", "-"
-		if r.Top > 0 {
-			top, times = fmt.Sprintf("%.0f", r.Top), fmt.Sprintf("%.2f", r.Top/all[0].Top)
+		if r.MaxRate > 0 {
+			top, times = fmt.Sprintf("%.0f", r.MaxRate), fmt.Sprintf("%.2f", r.MaxRate/all[0].MaxRate)
 		}
 		note := ""
-		if r.Cores > r.Real {
-			note = fmt.Sprintf(" (on %d)", r.Real)
+		if r.Cores > r.MachineCores {
+			note = fmt.Sprintf(" (on %d)", r.MachineCores)
 		}
-		fmt.Fprintf(w, "%d%s\t%s\t%s\t%.0f\t%.2f%%\t%s\t%s\t%s\t%.2f\t%.0f\t%s\n", r.Cores, note, top, times, r.Rate,
-			100*float64(r.Taken)/float64(max(1, r.Sent)), r.TakeIn, r.Bind, r.Drain, r.CPU, r.MemoryMB, rules)
+		fmt.Fprintf(w, "%d%s\t%s\t%s\t%.0f\t%.2f%%\t%s\t%s\t%s\t%.2f\t%.0f\t%s\n", r.Cores, note, top, times, r.HeldRate,
+			100*float64(r.Accepted)/float64(max(1, r.Sent)), r.AcceptLatency, r.AssignLatency, r.WithdrawLatency, r.CPU, r.MemoryMB, rules)
 	}
 	w.Flush()
 	for _, r := range all {
 		fmt.Fprintf(out, "\n%d cores: all bound in %.2fs, %d calls, %d orders, %d refused, %d effects, faults %v, %.1f%% of samples folded, %d connections broken\n",
-			r.Cores, r.Joined.Seconds(), r.Relay.Calls, r.Relay.CommandsAccepted, r.Relay.CommandsRejected, r.Relay.StateChanges, r.Relay.Faults, 100*r.Folded, r.Broken)
+			r.Cores, r.AllAssignedAfter.Seconds(), r.Relay.Calls, r.Relay.CommandsAccepted, r.Relay.CommandsRejected, r.Relay.StateChanges, r.Relay.Faults, 100*r.MergedFraction, r.BrokenConnections)
 		for _, rule := range r.Rules {
 			verdict := "kept"
 			if !rule.OK() {
@@ -44,8 +44,8 @@
 }
 
 // String gives the three figures in milliseconds.
-func (s Spread) String() string {
-	if s.N == 0 {
+func (s LatencySummary) String() string {
+	if s.Count == 0 {
 		return "-"
 	}
 	ms := func(x float64) string { return fmt.Sprintf("%.1f", x/1e6) }
@@ -53,7 +53,7 @@
 }
 
 // JSON writes results for machines.
-func JSON(out io.Writer, all []Result) error {
+func WriteJSON(out io.Writer, all []Result) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return e.Encode(all)
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -15,46 +15,46 @@
 
 // Plan is what a run of the tool does. All counts and times are bounded by it.
 type Plan struct {
-	Cores            []int // one manager after another, with so many each
-	Servers, Proxies int
-	Collectors       int           // connections of each zone
-	Rate             float64       // messages a second; 0: the top is searched for, and 80% of it is held
-	For              time.Duration // that a rate is held
-	Step             time.Duration // of the search
-	First            float64       // rate of the search
-	Seed             uint64
-	MemoryMB         float64
-	Sockets          int
-	Faults           float64 // part of the relay's calls that go wrong
+	Cores             []int // one manager after another, with so many each
+	Servers, Proxies  int
+	CollectorsPerZone int           // connections of each zone
+	Rate              float64       // messages a second; 0: the top is searched for, and 80% of it is held
+	HoldDuration      time.Duration // that a rate is held
+	StepDuration      time.Duration // of the search
+	InitialRate       float64       // rate of the search
+	Seed              uint64
+	MemoryMB          float64
+	MaxSockets        int
+	FaultFraction     float64 // part of the relay's calls that go wrong
 }
 
 // Usual is a plan that ends within about half a minute for each number of cores.
-func Usual() Plan {
-	return Plan{Cores: []int{1}, Servers: 60, Proxies: 600, Collectors: 4, For: 8 * time.Second, Step: 1500 * time.Millisecond,
-		First: 20_000, Seed: 1, MemoryMB: 512, Sockets: 4096}
+func DefaultPlan() Plan {
+	return Plan{Cores: []int{1}, Servers: 60, Proxies: 600, CollectorsPerZone: 4, HoldDuration: 8 * time.Second, StepDuration: 1500 * time.Millisecond,
+		InitialRate: 20_000, Seed: 1, MemoryMB: 512, MaxSockets: 4096}
 }
 
 // Result is what one manager came to.
 type Result struct {
-	Cores    int                `json:"cores"`
-	Real     int                `json:"real_cores"` // of the machine, which the tool shares
-	Top      float64            `json:"top_per_s,omitempty"`
-	Rate     float64            `json:"rate_per_s"` // that was held
-	Sent     int64              `json:"sent"`
-	Taken    int64              `json:"taken"`   // of them, by the manager's counters
-	TakeIn   Spread             `json:"take_in"` // from a message's time until all before it is taken in
-	Late     Spread             `json:"late"`    // from a message's time until it is written
-	Bind     Spread             `json:"bind"`    // from a proxy's joining told to the order that binds it
-	Drain    Spread             `json:"drain"`   // from a drain told to the order that withdraws
-	Joined   time.Duration      `json:"all_bound_ns"`
-	CPU      float64            `json:"cpu_s_per_s"`
-	MemoryMB float64            `json:"memory_mb"`
-	Rules    []fakes.RuleResult `json:"rules"`
-	Relay    fakes.Counts       `json:"relay"`
-	Broken   int64              `json:"connections_broken"`
-	Extra    map[string]int64   `json:"counters"`
-	Steps    []map[string]any   `json:"steps,omitempty"`
-	Folded   float64            `json:"folded_part"`
+	Cores             int                `json:"cores"`
+	MachineCores      int                `json:"real_cores"` // of the machine, which the tool shares
+	MaxRate           float64            `json:"top_per_s,omitempty"`
+	HeldRate          float64            `json:"rate_per_s"` // that was held
+	Sent              int64              `json:"sent"`
+	Accepted          int64              `json:"taken"`   // of them, by the manager's counters
+	AcceptLatency     LatencySummary     `json:"take_in"` // from a message's time until all before it is taken in
+	SendDelay         LatencySummary     `json:"late"`    // from a message's time until it is written
+	AssignLatency     LatencySummary     `json:"bind"`    // from a proxy's joining told to the order that binds it
+	WithdrawLatency   LatencySummary     `json:"drain"`   // from a drain told to the order that withdraws
+	AllAssignedAfter  time.Duration      `json:"all_bound_ns"`
+	CPU               float64            `json:"cpu_s_per_s"`
+	MemoryMB          float64            `json:"memory_mb"`
+	Rules             []fakes.RuleResult `json:"rules"`
+	Relay             fakes.Counts       `json:"relay"`
+	BrokenConnections int64              `json:"connections_broken"`
+	Counters          map[string]int64   `json:"counters"`
+	Steps             []map[string]any   `json:"steps,omitempty"`
+	MergedFraction    float64            `json:"folded_part"`
 }
 
 // OK tells whether each rule was kept and each message was taken.
@@ -64,7 +64,7 @@
 			return false
 		}
 	}
-	return r.Broken == 0 && r.Taken >= r.Sent
+	return r.BrokenConnections == 0 && r.Accepted >= r.Sent
 }
 
 // Run loads one manager after another and tells how it goes on.
@@ -92,9 +92,9 @@
 
 func one(p Plan, cores int, begin fakes.StartFunc, progress io.Writer) (Result, error) {
 	site := fakes.DefaultSite(p.Servers, p.Proxies)
-	res := Result{Cores: cores, Real: runtime.NumCPU()}
+	res := Result{Cores: cores, MachineCores: runtime.NumCPU()}
 	fmt.Fprintf(progress, "%d cores: %d servers, %d proxies, a manager\n", cores, p.Servers, p.Proxies)
-	rig, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: cores, MemoryMB: p.MemoryMB, MaxDescriptors: p.Sockets, Seed: p.Seed}, begin)
+	rig, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: cores, MemoryMB: p.MemoryMB, MaxDescriptors: p.MaxSockets, Seed: p.Seed}, begin)
 	if err != nil {
 		return res, err
 	}
@@ -105,16 +105,16 @@
 	if err := w.allBound(p.Proxies, 60*time.Second); err != nil {
 		return res, err
 	}
-	res.Joined = time.Since(began)
-	fmt.Fprintf(progress, "%d cores: all bound after %.2fs\n", cores, res.Joined.Seconds())
-	rig.Relay.Configure(func(r *fakes.Relay) { r.InjectFault = mishaps(p.Faults, p.Seed) })
-	f := newFeed(rig.ManagerAddress, site, p.Collectors)
+	res.AllAssignedAfter = time.Since(began)
+	fmt.Fprintf(progress, "%d cores: all bound after %.2fs\n", cores, res.AllAssignedAfter.Seconds())
+	rig.Relay.Configure(func(r *fakes.Relay) { r.InjectFault = mishaps(p.FaultFraction, p.Seed) })
+	f := newFeed(rig.ManagerAddress, site, p.CollectorsPerZone)
 	defer f.end()
-	res.Rate = p.Rate
+	res.HeldRate = p.Rate
 	if p.Rate == 0 {
-		ramp := NewRamp(p.First)
+		ramp := NewRamp(p.InitialRate)
 		for more := true; more; {
-			s, err := w.step(f, ramp.Rate(), p.Step)
+			s, err := w.step(f, ramp.Rate(), p.StepDuration)
 			if err != nil {
 				return res, err
 			}
@@ -126,14 +126,14 @@
 				w.settle(f)
 			}
 		}
-		if res.Top = ramp.Top(); res.Top == 0 {
+		if res.MaxRate = ramp.Top(); res.MaxRate == 0 {
 			return res, errors.New("no rate was taken in")
 		}
 		w.settle(f)
-		res.Rate = 0.8 * res.Top
+		res.HeldRate = 0.8 * res.MaxRate
 	}
-	fmt.Fprintf(progress, "%d cores: %.0f messages/s for %v, with drains and joins\n", cores, res.Rate, p.For)
-	if err := w.hold(f, &res, p.For); err != nil {
+	fmt.Fprintf(progress, "%d cores: %.0f messages/s for %v, with drains and joins\n", cores, res.HeldRate, p.HoldDuration)
+	if err := w.hold(f, &res, p.HoldDuration); err != nil {
 		return res, err
 	}
 	return res, nil
@@ -196,7 +196,7 @@
 
 type step struct {
 	accepted float64
-	late     Spread
+	late     LatencySummary
 }
 
 // step holds a rate and tells which part of what was due was taken in.
@@ -242,7 +242,7 @@
 	sent := f.sent.Load()
 	cpu, _ := fakes.ResourceUsage(w.rig.Manager)
 	f.measure()
-	f.rate.Store(int64(res.Rate))
+	f.rate.Store(int64(res.HeldRate))
 	w.all.Go(w.drain)
 	w.all.Go(w.rejoin)
 	w.all.Go(w.look)
@@ -260,7 +260,7 @@
 	}
 	used, memory := fakes.ResourceUsage(w.rig.Manager)
 	res.CPU, res.MemoryMB = (used-cpu)/took, memory
-	res.TakeIn, res.Late = f.pings.Load().spread(), f.late.Load().spread()
+	res.AcceptLatency, res.SendDelay = f.pings.Load().spread(), f.late.Load().spread()
 	w.settle(f)
 	time.Sleep(200 * time.Millisecond) // what is under way ends
 	w.rig.Relay.CheckState()
@@ -268,10 +268,10 @@
 	if err != nil {
 		return err
 	}
-	res.Sent, res.Taken = f.sent.Load()-sent, counters["reports_in"]+counters["usages_in"]-before
-	res.Extra, res.Folded = counters, float64(counters["samples_folded"])/float64(max(1, counters["reports_in"]+counters["usages_in"]))
-	res.Bind, res.Drain = w.binds.spread(), w.drains.spread()
-	res.Rules, res.Relay, res.Broken = w.rig.Relay.Rules.Results(), w.rig.Relay.Counts(), f.broken.Load()
+	res.Sent, res.Accepted = f.sent.Load()-sent, counters["reports_in"]+counters["usages_in"]-before
+	res.Counters, res.MergedFraction = counters, float64(counters["samples_folded"])/float64(max(1, counters["reports_in"]+counters["usages_in"]))
+	res.AssignLatency, res.WithdrawLatency = w.binds.spread(), w.drains.spread()
+	res.Rules, res.Relay, res.BrokenConnections = w.rig.Relay.Rules.Results(), w.rig.Relay.Counts(), f.broken.Load()
 	return nil
 }
 
@@ -332,4 +332,4 @@
 }
 
 // Program is this program, to be started once more as the manager.
-func Program() (string, error) { return os.Executable() }
+func ExecutablePath() (string, error) { return os.Executable() }
--- a/internal/loadtest/run_test.go
+++ b/internal/loadtest/run_test.go
@@ -63,8 +63,8 @@
 }
 
 func small(cores int) Plan {
-	p := Usual()
-	p.Cores, p.Servers, p.Proxies, p.Collectors, p.Rate, p.For = []int{cores}, 12, 60, 2, 5000, 2*time.Second
+	p := DefaultPlan()
+	p.Cores, p.Servers, p.Proxies, p.CollectorsPerZone, p.Rate, p.HoldDuration = []int{cores}, 12, 60, 2, 5000, 2*time.Second
 	return p
 }
 
@@ -75,11 +75,11 @@
 			t.Errorf("%+v", rule)
 		}
 	}
-	if r.Taken != r.Sent || r.Broken != 0 {
-		t.Errorf("%d of %d messages taken in, %d connections broken", r.Taken, r.Sent, r.Broken)
+	if r.Accepted != r.Sent || r.BrokenConnections != 0 {
+		t.Errorf("%d of %d messages taken in, %d connections broken", r.Accepted, r.Sent, r.BrokenConnections)
 	}
-	if r.Drain.N == 0 || r.Bind.N < 20 || r.Relay.AssignedProxies < r.Relay.ConnectedProxies-2 {
-		t.Errorf("%d drains, %d binds, %+v", r.Drain.N, r.Bind.N, r.Relay)
+	if r.WithdrawLatency.Count == 0 || r.AssignLatency.Count < 20 || r.Relay.AssignedProxies < r.Relay.ConnectedProxies-2 {
+		t.Errorf("%d drains, %d binds, %+v", r.WithdrawLatency.Count, r.AssignLatency.Count, r.Relay)
 	}
 }
 
@@ -96,7 +96,7 @@
 // The relay's answers are lost, come late or can't be read while servers drain, proxies join and connections move.
 func TestLostAnswersRepeatNoEffectOnSeveralCores(t *testing.T) {
 	p := small(4)
-	p.Faults = 0.3
+	p.FaultFraction = 0.3
 	all, err := Run(p, begin(io.Discard), io.Discard)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/inforce.go
+++ b/internal/scale/inforce.go
@@ -30,8 +30,8 @@
 }
 
 // inForceCosts are measured for changes in force.
-var inForceCosts = []Cost{ChangeInForceMedian, ChangeInForceTail, ChangeInForceLast, ChangeBesideOpeningsMedian, ChangeBesideOpeningsTail,
-	ChangeBesideOpeningsLast, ChangeMachinesLostMedian, ChangeMachinesLostTail, ChangeMachinesLostLast, HollowBytes}
+var inForceCosts = []Cost{PropagationMedian, PropagationTail, PropagationLast, PropagationDuringOpeningsMedian, PropagationDuringOpeningsTail,
+	PropagationDuringOpeningsLast, PropagationDuringControlLossMedian, PropagationDuringControlLossTail, PropagationDuringControlLossLast, HollowBytes}
 
 // inForceTerms is what a measurement of changes in force goes by.
 type inForceTerms struct {
@@ -80,19 +80,19 @@
 	if err != nil {
 		return nil, err
 	}
-	one.addTimes(opening, ChangeBesideOpeningsMedian, ChangeBesideOpeningsTail, ChangeBesideOpeningsLast)
+	one.addTimes(opening, PropagationDuringOpeningsMedian, PropagationDuringOpeningsTail, PropagationDuringOpeningsLast)
 	quiet, err := r.drain(ctx, 2*inForceEvery, r.control.quiet(managers))
 	if err != nil {
 		return nil, err
 	}
-	one.addTimes(quiet, ChangeInForceMedian, ChangeInForceTail, ChangeInForceLast)
+	one.addTimes(quiet, PropagationMedian, PropagationTail, PropagationLast)
 	limits := f.start.Limits
 	again := reconnect{silent: limits.EndpointWatchIdleTimeout, backoffLeast: limits.MinBackoff, backoffMost: limits.MaxBackoff}
 	lost, err := r.drain(ctx, 4*inForceEvery, r.control.machinesLost(managers, again))
 	if err != nil {
 		return nil, err
 	}
-	one.addTimes(lost, ChangeMachinesLostMedian, ChangeMachinesLostTail, ChangeMachinesLostLast)
+	one.addTimes(lost, PropagationDuringControlLossMedian, PropagationDuringControlLossTail, PropagationDuringControlLossLast)
 	one[HollowBytes] = f.bytes
 	return one, nil
 }
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -62,15 +62,15 @@
 	into[BytesOfListChange] = perMessage(changes.traffic[node.EndpointListMessage])
 	into[BytesOfReport] = perMessage(busy.traffic[node.LoadReportMessage])
 	into[BytesOfUsage] = perMessage(busy.traffic[node.UsageReportMessage])
-	into[BytesOfNews] = perMessage(join.traffic[node.ProxyEventMessage])
+	into[BytesOfRelayEvent] = perMessage(join.traffic[node.ProxyEventMessage])
 	into[BytesOfCalls] = perSecond(busy.traffic[node.RelayCallMessage])
 	into[BytesOfHeartbeat] = perSecond(busy.traffic[node.HeartbeatMessage])
 	probe := node.HealthCheckTraffic(s.scenario.entry(s.site, 0, "up").HostPort)
-	into[BytesOfProbe] = float64(probe.In + probe.Out)
-	into[ProbesPerSecond] = float64(busy.traffic[node.HealthCheckMessage].Messages) / busySpan.Seconds()
-	into[NewsPerSecond] = float64(busy.traffic[node.ProxyEventMessage].Messages) / busySpan.Seconds()
-	into[ProxiesBound] = float64(s.bound)
-	into[OrdersPerSecond] = float64(busy.orders) / busySpan.Seconds()
+	into[BytesOfHealthCheck] = float64(probe.In + probe.Out)
+	into[HealthChecksPerSecond] = float64(busy.traffic[node.HealthCheckMessage].Messages) / busySpan.Seconds()
+	into[RelayEventsPerSecond] = float64(busy.traffic[node.ProxyEventMessage].Messages) / busySpan.Seconds()
+	into[ProxiesAssigned] = float64(s.bound)
+	into[CommandsPerSecond] = float64(busy.orders) / busySpan.Seconds()
 }
 
 func perMessage(t node.Traffic) float64 {
--- a/internal/scale/plan.go
+++ b/internal/scale/plan.go
@@ -20,11 +20,11 @@
 
 // managerCosts are measured where a manager's whole work depends on the axis.
 var managerCosts = []Cost{CPUPerInput, CPUPerQuietSecond, CPUPerBusySecond, CPUPerListChange, CPUPerListRead, CPUPerOpening, LongestDecision,
-	HeapBytes, BytesOfOpening, BytesOfListChange, BytesOfReport, BytesOfUsage, BytesOfNews, BytesOfCalls, BytesOfProbe, BytesOfHeartbeat,
-	ProbesPerSecond, NewsPerSecond, OrdersPerSecond, ProxiesBound}
+	HeapBytes, BytesOfOpening, BytesOfListChange, BytesOfReport, BytesOfUsage, BytesOfRelayEvent, BytesOfCalls, BytesOfHealthCheck, BytesOfHeartbeat,
+	HealthChecksPerSecond, RelayEventsPerSecond, CommandsPerSecond, ProxiesAssigned}
 
 // busyCosts are measured where only what comes in a busy second grows.
-var busyCosts = []Cost{CPUPerInput, CPUPerBusySecond, LongestDecision, HeapBytes, BytesOfCalls, ProbesPerSecond, NewsPerSecond, OrdersPerSecond}
+var busyCosts = []Cost{CPUPerInput, CPUPerBusySecond, LongestDecision, HeapBytes, BytesOfCalls, HealthChecksPerSecond, RelayEventsPerSecond, CommandsPerSecond}
 
 // controlCosts are the control side's for each manager that it serves.
 var controlCosts = []Cost{ControlCPUPerManager, ControlCPUPerChange, ControlHeapPerManager, ControlBytesPerManager, ControlConnections, OpeningLast,
@@ -204,13 +204,13 @@
 var units = map[Cost]string{
 	CPUPerInput: seconds, CPUPerQuietSecond: seconds, CPUPerBusySecond: seconds, CPUPerListChange: seconds, CPUPerListRead: seconds,
 	CPUPerSubsetRead: seconds, CPUPerOpening: seconds, LongestDecision: seconds,
-	ChangeInForceMedian: seconds, ChangeInForceTail: seconds, ChangeInForceLast: seconds,
-	ChangeBesideOpeningsMedian: seconds, ChangeBesideOpeningsTail: seconds, ChangeBesideOpeningsLast: seconds,
-	ProcessInForceMedian: seconds, ProcessInForceLast: seconds, HollowInForceMedian: seconds, HollowInForceLast: seconds,
-	ProcessReadyMedian: seconds, ProcessReadyLast: seconds, ProcessBesideOpeningsLast: seconds, ProcessCPUPerQuietSecond: seconds,
-	ChangeMachinesLostMedian: seconds, ChangeMachinesLostTail: seconds, ChangeMachinesLostLast: seconds,
+	PropagationMedian: seconds, PropagationTail: seconds, PropagationLast: seconds,
+	PropagationDuringOpeningsMedian: seconds, PropagationDuringOpeningsTail: seconds, PropagationDuringOpeningsLast: seconds,
+	ProcessPropagationMedian: seconds, ProcessPropagationLast: seconds, HollowPropagationMedian: seconds, HollowPropagationLast: seconds,
+	ProcessReadyMedian: seconds, ProcessReadyLast: seconds, ProcessPropagationDuringOpeningsLast: seconds, ProcessCPUPerQuietSecond: seconds,
+	PropagationDuringControlLossMedian: seconds, PropagationDuringControlLossTail: seconds, PropagationDuringControlLossLast: seconds,
 	ControlCPUPerQuietSecond: seconds, ControlCPUPerManager: seconds, ControlCPUPerChange: seconds, OpeningLast: seconds, ControlConnections: "connections",
-	ProbesPerSecond: perSecondUnit, NewsPerSecond: perSecondUnit, OrdersPerSecond: perSecondUnit, ProxiesBound: "proxies",
+	HealthChecksPerSecond: perSecondUnit, RelayEventsPerSecond: perSecondUnit, CommandsPerSecond: perSecondUnit, ProxiesAssigned: "proxies",
 }
 
 const (
--- a/internal/scale/real_fleet.go
+++ b/internal/scale/real_fleet.go
@@ -64,8 +64,8 @@
 }
 
 // processCosts are measured on fleets of real processes.
-var processCosts = []Cost{ProcessInForceMedian, ProcessInForceLast, HollowInForceMedian, HollowInForceLast, ProcessReadyMedian, ProcessReadyLast,
-	ProcessBesideOpeningsLast, ProcessCPUPerQuietSecond, ProcessMemory}
+var processCosts = []Cost{ProcessPropagationMedian, ProcessPropagationLast, HollowPropagationMedian, HollowPropagationLast, ProcessReadyMedian, ProcessReadyLast,
+	ProcessPropagationDuringOpeningsLast, ProcessCPUPerQuietSecond, ProcessMemory}
 
 // measureRealFleet raises a fleet of real processes on loopback and measures it, and as many hollow managers beside it.
 func measureRealFleet(ctx context.Context, options Options, change time.Duration, size int) (samples []sample, err error) {
@@ -247,8 +247,8 @@
 	if err != nil {
 		return err
 	}
-	into[ProcessInForceMedian] = quantile(quiet, 0.5)
-	into[ProcessInForceLast] = quiet[len(quiet)-1]
+	into[ProcessPropagationMedian] = quantile(quiet, 0.5)
+	into[ProcessPropagationLast] = quiet[len(quiet)-1]
 
 	f.end()
 	var ready []float64
@@ -261,7 +261,7 @@
 	}
 	into[ProcessReadyMedian] = quantile(ready, 0.5)
 	into[ProcessReadyLast] = ready[len(ready)-1]
-	into[ProcessBesideOpeningsLast] = beside[len(beside)-1]
+	into[ProcessPropagationDuringOpeningsLast] = beside[len(beside)-1]
 	return f.awaitBound(ctx)
 }
 
@@ -313,8 +313,8 @@
 	if err != nil {
 		return err
 	}
-	into[HollowInForceMedian] = quantile(times, 0.5)
-	into[HollowInForceLast] = times[len(times)-1]
+	into[HollowPropagationMedian] = quantile(times, 0.5)
+	into[HollowPropagationLast] = times[len(times)-1]
 	return nil
 }
 
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if bound := samples[0][ProxiesBound]; int(bound) != smaller().Proxies {
+	if bound := samples[0][ProxiesAssigned]; int(bound) != smaller().Proxies {
 		t.Errorf("%g bound", bound)
 	}
 }
@@ -214,7 +214,7 @@
 		t.Errorf("%v", err)
 	}
 	out := bytes.Buffer{}
-	Table(&out, sound())
+	WriteTable(&out, sound())
 	if !strings.Contains(out.String(), string(HeapBytes)) {
 		t.Error(out.String())
 	}
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -30,37 +30,37 @@
 
 // Costs of one manager, but for those of the control side, which are the control side's for all managers that it serves.
 const (
-	CPUPerInput         Cost = "cpu-per-input"        // seconds
-	CPUPerQuietSecond   Cost = "cpu-per-quiet-second" // seconds, no input in it
-	CPUPerBusySecond    Cost = "cpu-per-busy-second"  // seconds, with the reference inputs
-	CPUPerListChange    Cost = "cpu-per-list-change"  // seconds
-	CPUPerOpening       Cost = "cpu-per-opening"      // seconds
-	CPUPerListRead      Cost = "cpu-per-list-read"    // seconds of a whole list's decoding and first decision
-	LongestDecision     Cost = "longest-decision"     // seconds
-	HeapBytes           Cost = "heap-bytes"           // bytes held after a collection
-	BytesOfOpening      Cost = "bytes-of-opening"     // bytes of a whole list
-	BytesOfListChange   Cost = "bytes-of-list-change" // bytes of one change on the wire
-	BytesOfReport       Cost = "bytes-of-report"      // bytes of one collector's line on a server
-	BytesOfUsage        Cost = "bytes-of-usage"       // bytes of one collector's line on a proxy
-	BytesOfNews         Cost = "bytes-of-news"        // bytes of one event of the relay
-	BytesOfCalls        Cost = "bytes-of-calls"       // bytes of a second's calls to the relay
-	BytesOfProbe        Cost = "bytes-of-probe"       // bytes of one probe and its answer
-	BytesOfHeartbeat    Cost = "bytes-of-heartbeat"   // bytes of a second's signs of life
-	ProbesPerSecond     Cost = "probes-per-second"    // probes that a busy second orders
-	NewsPerSecond       Cost = "news-per-second"      // events of the relay in a busy second: answers to marks
-	OrdersPerSecond     Cost = "orders-per-second"    // orders to the relay in a busy second
-	ChangeInForceMedian Cost = "change-in-force-p50"  // seconds until half of the managers' orders carry it
-	ChangeInForceTail   Cost = "change-in-force-p99"  // seconds, 99 in 100
-	ChangeInForceLast   Cost = "change-in-force-last" // seconds, the last manager
-	CPUPerSubsetRead    Cost = "cpu-per-subset-read"  // seconds of a whole list's decoding where a subset is taken of it
+	CPUPerInput           Cost = "cpu-per-input"        // seconds
+	CPUPerQuietSecond     Cost = "cpu-per-quiet-second" // seconds, no input in it
+	CPUPerBusySecond      Cost = "cpu-per-busy-second"  // seconds, with the reference inputs
+	CPUPerListChange      Cost = "cpu-per-list-change"  // seconds
+	CPUPerOpening         Cost = "cpu-per-opening"      // seconds
+	CPUPerListRead        Cost = "cpu-per-list-read"    // seconds of a whole list's decoding and first decision
+	LongestDecision       Cost = "longest-decision"     // seconds
+	HeapBytes             Cost = "heap-bytes"           // bytes held after a collection
+	BytesOfOpening        Cost = "bytes-of-opening"     // bytes of a whole list
+	BytesOfListChange     Cost = "bytes-of-list-change" // bytes of one change on the wire
+	BytesOfReport         Cost = "bytes-of-report"      // bytes of one collector's line on a server
+	BytesOfUsage          Cost = "bytes-of-usage"       // bytes of one collector's line on a proxy
+	BytesOfRelayEvent     Cost = "bytes-of-news"        // bytes of one event of the relay
+	BytesOfCalls          Cost = "bytes-of-calls"       // bytes of a second's calls to the relay
+	BytesOfHealthCheck    Cost = "bytes-of-probe"       // bytes of one probe and its answer
+	BytesOfHeartbeat      Cost = "bytes-of-heartbeat"   // bytes of a second's signs of life
+	HealthChecksPerSecond Cost = "probes-per-second"    // probes that a busy second orders
+	RelayEventsPerSecond  Cost = "news-per-second"      // events of the relay in a busy second: answers to marks
+	CommandsPerSecond     Cost = "orders-per-second"    // orders to the relay in a busy second
+	PropagationMedian     Cost = "change-in-force-p50"  // seconds until half of the managers' orders carry it
+	PropagationTail       Cost = "change-in-force-p99"  // seconds, 99 in 100
+	PropagationLast       Cost = "change-in-force-last" // seconds, the last manager
+	CPUPerSubsetRead      Cost = "cpu-per-subset-read"  // seconds of a whole list's decoding where a subset is taken of it
 
 	// The same where all managers open at once, and where two control machines are lost, just as the change is told.
-	ChangeBesideOpeningsMedian Cost = "change-beside-openings-p50"
-	ChangeBesideOpeningsTail   Cost = "change-beside-openings-p99"
-	ChangeBesideOpeningsLast   Cost = "change-beside-openings-last"
-	ChangeMachinesLostMedian   Cost = "change-machines-lost-p50"
-	ChangeMachinesLostTail     Cost = "change-machines-lost-p99"
-	ChangeMachinesLostLast     Cost = "change-machines-lost-last"
+	PropagationDuringOpeningsMedian    Cost = "change-beside-openings-p50"
+	PropagationDuringOpeningsTail      Cost = "change-beside-openings-p99"
+	PropagationDuringOpeningsLast      Cost = "change-beside-openings-last"
+	PropagationDuringControlLossMedian Cost = "change-machines-lost-p50"
+	PropagationDuringControlLossTail   Cost = "change-machines-lost-p99"
+	PropagationDuringControlLossLast   Cost = "change-machines-lost-last"
 
 	ControlCPUPerManager   Cost = "control-cpu-per-manager"   // seconds of an opening
 	ControlHeapPerManager  Cost = "control-heap-per-manager"  // bytes
@@ -74,18 +74,18 @@
 
 	// Of fleets of real processes, all on one machine: a change told in quiet until it is in force, beside the same of
 	// hollow managers with a core each; all started at once, until ready, and until a change told meanwhile is in force.
-	ProcessInForceMedian      Cost = "process-in-force-p50"
-	ProcessInForceLast        Cost = "process-in-force-last"
-	HollowInForceMedian       Cost = "hollow-in-force-p50"
-	HollowInForceLast         Cost = "hollow-in-force-last"
-	ProcessReadyMedian        Cost = "process-ready-p50"
-	ProcessReadyLast          Cost = "process-ready-last"
-	ProcessBesideOpeningsLast Cost = "process-beside-openings-last"
-	ProcessCPUPerQuietSecond  Cost = "process-cpu-per-quiet-second" // seconds of each process
-	ConnectionsMemory         Cost = "connections-memory"           // bytes that a real process takes for its connections
-	ProcessMemory             Cost = "process-memory"               // bytes, the largest resident set
-
-	ProxiesBound Cost = "proxies-bound" // proxies that have a table
+	ProcessPropagationMedian             Cost = "process-in-force-p50"
+	ProcessPropagationLast               Cost = "process-in-force-last"
+	HollowPropagationMedian              Cost = "hollow-in-force-p50"
+	HollowPropagationLast                Cost = "hollow-in-force-last"
+	ProcessReadyMedian                   Cost = "process-ready-p50"
+	ProcessReadyLast                     Cost = "process-ready-last"
+	ProcessPropagationDuringOpeningsLast Cost = "process-beside-openings-last"
+	ProcessCPUPerQuietSecond             Cost = "process-cpu-per-quiet-second" // seconds of each process
+	ConnectionsMemory                    Cost = "connections-memory"           // bytes that a real process takes for its connections
+	ProcessMemory                        Cost = "process-memory"               // bytes, the largest resident set
+
+	ProxiesAssigned Cost = "proxies-bound" // proxies that have a table
 )
 
 // Shape is the form of curve that fits best.
--- a/internal/scale/table.go
+++ b/internal/scale/table.go
@@ -7,7 +7,7 @@
 )
 
 // Table writes a report's slopes for people.
-func Table(out io.Writer, report Report) {
+func WriteTable(out io.Writer, report Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "axis\tcost\tshape\tbase\tper unit\tunit\tworst point off\tspread of runs\t")
 	for _, s := range report.Slopes {
@@ -20,7 +20,7 @@
 	w.Flush()
 	for _, c := range report.PlanSize {
 		fmt.Fprintf(out, "\n%s: a quiet second %.3g s, a busy one %.3g s, longest decision %.3g s, opening %.3g s, heap %.3g MB, %g proxies bound\n", c.Name,
-			c.Costs[CPUPerQuietSecond], c.Costs[CPUPerBusySecond], c.Costs[LongestDecision], c.Costs[CPUPerOpening], c.Costs[HeapBytes]/mib, c.Costs[ProxiesBound])
+			c.Costs[CPUPerQuietSecond], c.Costs[CPUPerBusySecond], c.Costs[LongestDecision], c.Costs[CPUPerOpening], c.Costs[HeapBytes]/mib, c.Costs[ProxiesAssigned])
 	}
 	for _, c := range report.Real {
 		fmt.Fprintf(out, "\nreal process, %d servers, %d proxies, %g s between reads, %s: %.4f of a core, %.0f wakeups and %.0f probes a second; hollow %.4f of a core\n", c.Servers,
