--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -14,7 +14,7 @@
 	"tamarindshore/internal/fleetmodel"
 )
 
-// shapes are the kinds of day on which the orders must stay the same, to the byte.
+// shapes are the kinds of day on which the commands must stay the same, to the byte.
 var shapes = []fleetmodel.Scenario{
 	{Name: "calm", Zones: 3, Servers: 30, Proxies: 40, RequestRate: 6, ServerCapacity: 12},
 	{Name: "drains", Zones: 3, Servers: 24, Proxies: 60, RequestRate: 3, ServerCapacity: 12, DrainFraction: 0.5, ChurnInterval: 200 * time.Millisecond},
@@ -66,18 +66,17 @@
 }
 
 // play runs forty seconds of a shape and digests what the manager commands and what it logs.
-func play(shape fleetmodel.Scenario, seed uint64) (run goldenRun, byEvent map[string]int) {
+func play(shape fleetmodel.Scenario, seed uint64) (run goldenRun, byEvent map[balancer.LogEvent]int) {
 	fleet := fleetmodel.New(shape, seed)
 	commandsSum := blake3.New()
 	recordsSum := blake3.New()
-	byEvent = map[string]int{}
+	byEvent = map[balancer.LogEvent]int{}
 	fleet.OnCommands = func(now time.Duration, commands balancer.Commands) {
 		fmt.Fprintf(commandsSum, "%d %v\n", now, withoutRecords(commands))
 		run.commands += commands.Count()
 		for _, record := range commands.LogRecords {
-			event, figures := figuresOf(record)
-			fmt.Fprintf(recordsSum, "%d %s %q\n", now, event, figures)
-			byEvent[event]++
+			fmt.Fprintf(recordsSum, "%d %s %q\n", now, record.Event, figuresOf(record))
+			byEvent[record.Event]++
 			run.records++
 		}
 	}
@@ -90,6 +89,15 @@
 	return run, byEvent
 }
 
+// figuresOf are the values of a record, in their order.
+func figuresOf(record balancer.LogRecord) []string {
+	var figures []string
+	for _, field := range record.Fields {
+		figures = append(figures, field.Value)
+	}
+	return figures
+}
+
 // withoutRecords has a fixed form for the digest: all commands but the log records, and assignments without classes
 // where they are for all of them.
 func withoutRecords(c balancer.Commands) any {
@@ -118,7 +126,7 @@
 	}{c.Withdraw, c.Weights, c.AdmissionLevels, c.Restore, assign, c.Barrier, c.HealthCheck, c.Subscribe, c.NextTimer}
 }
 
-// BenchmarkSecond is a second of inputs: a report for each server and zone, a usage for each proxy and group.
+// BenchmarkSecond is a second of inputs: a report for each server and zone, a usage for each proxy and class.
 func BenchmarkSecond(b *testing.B) {
 	for _, size := range [][2]int{{400, 30}, {1000, 500}, {4000, 500}, {4000, 2000}, {20000, 5000}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-var terms = Settings{
+var testSettings = Settings{
 	Zones: []ZoneID{"a", "b"},
 	Classes: []TrafficClass{
 		{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, Idempotency: Idempotent},
@@ -17,9 +17,9 @@
 	QueueCapacity: 1000, CommandsPerSecond: 1000, MessageOverhead: 4, MaxMessages: 20, MessageWindow: 10 * time.Second,
 }
 
-// manager holds per zone n ready servers a0.., b0.. and a proxy, bound to its zone's table.
-func manager(n int) *Manager {
-	m := New(1, terms)
+// newTestManager holds per zone n ready servers a0.., b0.. and a proxy, assigned to its zone's table.
+func newTestManager(n int) *Manager {
+	m := New(1, testSettings)
 	m.nextTick, m.timerAt, m.slowStartPause = time.Hour, time.Hour, 0
 	for z, name := range m.zones {
 		for i := range n {
@@ -36,22 +36,22 @@
 	return m
 }
 
-// hear gives a server one report of late tries, in a second that just ended.
-func (m *Manager) hear(id ServerID, tries, failed int, latency time.Duration) {
+// report gives a server one report of late attempts, in a second that just ended.
+func (m *Manager) report(id ServerID, tries, failed int, latency time.Duration) {
 	s := m.server(id)
 	s.reports = append(s.reports, LoadReport{Server: id, Zone: m.zones[s.zone], Attempts: tries, Failed: failed, Latency: latency, Interval: time.Second, InFlight: -1})
 	s.reportedAt, s.lastSeen = append(s.reportedAt, m.now), m.now
 }
 
-func near(t *testing.T, what string, got, want float64) {
+func wantNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-6 {
 		t.Errorf("%s: %v, not %v", what, got, want)
 	}
 }
 
-// dealt is what a split gives, by zone and part.
-func dealt(volumes []float64, parts []distributionPart, nearest [][]int, closed func(a, b int) bool) [][]float64 {
+// distributed is what a distribution gives, by partition and part.
+func distributed(volumes []float64, parts []distributionPart, nearest [][]int, closed func(a, b int) bool) [][]float64 {
 	s, all := distribute(volumes, parts, func(z int) []int { return nearest[z] }, closed), make([][]float64, len(volumes))
 	for z := range volumes {
 		for i := range parts {
@@ -60,3 +60,39 @@
 	}
 	return all
 }
+
+func noPairClosed(a, b int) bool { return false }
+
+func equalParts(zone, n int, target float64) (parts []distributionPart) {
+	for range n {
+		parts = append(parts, distributionPart{zone, target, 0.8, 1.2})
+	}
+	return parts
+}
+
+// managerWithUnassigned holds four servers a zone, one of which warms up, and so many proxies of zone a that connected meanwhile.
+func managerWithUnassigned(proxies int) *Manager {
+	m := newTestManager(4)
+	m.nextTick, m.servers[1].warmingUp, m.servers[1].warmUpFrom = time.Hour, true, 0
+	for i := range proxies {
+		m.HandleProxyConnected(time.Second+time.Duration(i)*time.Millisecond, ProxyID(10+i), "a", 5)
+	}
+	return m
+}
+
+// pinAt pins the tables of two zones at these weights of zone a's servers, and zone b's as they stand.
+func (m *Manager) pinAt(a ...float64) Commands {
+	lines := map[TableID]map[ServerID]float64{0: {}, 1: {}}
+	for i, w := range a {
+		lines[0][ServerID(fmt.Sprint("a", i))] = w
+		lines[1][ServerID(fmt.Sprint("b", i))] = 100
+	}
+	return m.HandlePin(m.now, lines, map[TableID]map[uint]AdmissionLevel{0: {2: {Table: 0, Classes: 2, Amount: 0.5, Retry: RetryIfNotExecuted}}})
+}
+
+// newZoneLocalManager has a second class that stays in its zone.
+func newZoneLocalManager(n int) *Manager {
+	m := newTestManager(n)
+	m.zoneLocal, m.crossZone = 2, 1
+	return m
+}
--- /dev/null
+++ b/balancer/log_record.go
@@ -0,0 +1,67 @@
+package balancer
+
+import (
+	"fmt"
+	"strings"
+)
+
+// LogEvent names what a log record tells of.
+type LogEvent string
+
+// Events of log records, each with its fields in their order.
+const (
+	// EventServerEjected has server, unresponsive_seconds and cause.
+	EventServerEjected LogEvent = "server_ejected"
+	// EventServerRestored has server.
+	EventServerRestored LogEvent = "server_restored"
+	// EventServerDegraded has server, health, failed, attempts, latency_seconds, peer_latency_seconds and
+	// peer_failure_rate.
+	EventServerDegraded LogEvent = "server_degraded"
+	// EventSlowStartPaused has below (progress under which servers get no requests; 0: none is paused),
+	// failure_rate, reporting and peers.
+	EventSlowStartPaused LogEvent = "slow_start_paused"
+	// EventZonePair has from, to, closed and usual_latency_seconds.
+	EventZonePair LogEvent = "zone_pair"
+	// EventAdmissionLimit has limit, offered and delivered (requests per second), load (latency over objective)
+	// and failure_rate.
+	EventAdmissionLimit LogEvent = "admission_limit"
+	// EventZonesPartitioned has partitions, servers (of a zone) and connection_uses.
+	EventZonesPartitioned LogEvent = "zones_partitioned"
+)
+
+// LogField is a named value of a log record, rounded for the log.
+type LogField struct {
+	Name  string
+	Value string
+}
+
+// LogRecord tells staff of one decision.
+type LogRecord struct {
+	Event  LogEvent
+	Fields []LogField
+}
+
+// String is the record as key=value pairs, the event first.
+func (r LogRecord) String() string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "event=%s", r.Event)
+	for _, field := range r.Fields {
+		fmt.Fprintf(&text, " %s=%s", field.Name, field.Value)
+	}
+	return text.String()
+}
+
+func textField(name, value string) LogField { return LogField{name, value} }
+
+func countField(name string, value int) LogField { return LogField{name, fmt.Sprint(value)} }
+
+func boolField(name string, value bool) LogField { return LogField{name, fmt.Sprint(value)} }
+
+// numberField rounds a value to so many decimals.
+func numberField(name string, value float64, decimals int) LogField {
+	return LogField{name, fmt.Sprintf("%.*f", decimals, value)}
+}
+
+func (m *Manager) log(event LogEvent, fields ...LogField) {
+	m.commands.LogRecords = append(m.commands.LogRecords, LogRecord{event, fields})
+}
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -1,192 +1,149 @@
-// Package balancer decides which servers each proxy zone sends its flows to.
-// This file holds the ids and the plain data at the boundary; choice.go decides.
 package balancer
 
 import "time"
 
 type (
-	// ServerID names a server.
+	// ServerID identifies a server; it stays the same when the server's process restarts.
 	ServerID string
-	// ZoneID names a zone.
+	// ZoneID identifies a zone.
 	ZoneID string
 	// ProxyID is the number of a proxy.
 	ProxyID int
-	// GroupID is the number of a traffic group.
-	ClassID int // position of a traffic group in what the site states
-	// TableID is the number of a table of servers and their weights.
+	// ClassID is the position of a traffic class in Settings.Classes.
+	ClassID int
+	// TableID is the number of a table of endpoints and their weights.
 	TableID int
-	// MarkID is the number of a mark, which shows that the orders before it have left the channel.
+	// BarrierID identifies a barrier; its acknowledgement shows that the commands before it have left the channel.
 	BarrierID int
 )
 
-// Condition is what the list says of a server.
+// ServerState is what the endpoint list says of a server.
 type ServerState int
 
 const (
-	// Ready to take flows.
+	// Ready servers take requests.
 	Ready ServerState = iota
-	// Draining takes no new flows.
+	// Draining servers take no new requests.
 	Draining
-	// Gone from the list.
+	// Removed servers are no longer on the list.
 	Removed
 )
 
-// Entry is one line of the list. Started is 0 when the start is long past.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Server          ServerID
 	Zone            ZoneID
 	Weight          float64
-	Started         time.Duration
+	Started         time.Duration // since the manager's start; read only if RecentlyStarted
 	RecentlyStarted bool
 	State           ServerState
 }
 
-// Repeat says whether a flow of a traffic group may run again.
+// Idempotency says whether a request of a traffic class may run again.
 type Idempotency int
 
 const (
-	// NonRetriable flows run once.
-	NonIdempotent    Idempotency = iota
-	IdempotencyKeyed             // copies are dropped by all servers within Window
-	// Retriable flows may run again.
+	// NonIdempotent requests run at most once.
+	NonIdempotent Idempotency = iota
+	// IdempotencyKeyed requests carry a key by which all servers drop copies within DedupWindow.
+	IdempotencyKeyed
+	// Idempotent requests may run again.
 	Idempotent
 )
 
-// Group is a traffic group as the site states it.
+// TrafficClass is a class of requests with its own objective and retry policy.
 type TrafficClass struct {
 	LatencyObjective time.Duration
 	Deadline         time.Duration
 	PriorityWeight   float64
 	Idempotency      Idempotency
-	DedupWindow      time.Duration
-	ZoneLocal        bool // its flows keep to the servers of their proxy's zone
+	DedupWindow      time.Duration // of IdempotencyKeyed
+	ZoneLocal        bool          // its requests stay with the servers of their proxy's zone
 }
 
-// AdmitBy says in what unit proxies take a level.
+// AdmissionUnit is the unit in which proxies take an admission level.
 type AdmissionUnit int
 
 const (
-	// AdmitNone: proxies take no level.
+	// AdmitNone means that proxies take no admission level.
 	AdmitNone AdmissionUnit = iota
-	// AdmitShare is a share of the flows.
+	// AdmitShare is a share of the requests, from 0 to 1.
 	AdmitShare
-	// AdmitRate is flows a second.
+	// AdmitRate is requests per second at each proxy.
 	AdmitRate
 )
 
-// Terms is all that a site states when a manager starts.
+// RetryPolicy says when a proxy tries another server.
+type RetryPolicy int
+
+const (
+	// NoRetry sends a request to one server only.
+	NoRetry RetryPolicy = iota
+	// RetryIfNotExecuted tries another server where the first did not execute the request.
+	RetryIfNotExecuted
+	// MaxTwoAttempts tries up to two servers.
+	MaxTwoAttempts
+	// MaxThreeAttempts tries up to three servers.
+	MaxThreeAttempts
+)
+
+// Settings are what the platform states when a manager starts.
 type Settings struct {
 	Zones              []ZoneID
 	Classes            []TrafficClass
-	PollsEndpoints     bool
+	PollsEndpoints     bool // the endpoint list comes only after Commands.Subscribe
 	Managers           int
 	Proxies            int  // of all managers
-	Sliced             bool // keys fall into slices with tables of their own
-	RemovedMayServe    bool // only draining binds
-	HealthChecks       bool
-	WeightsFollowLoad  bool // listed weights follow the load
+	Sliced             bool // keys are divided into slices with tables of their own
+	RemovedMayServe    bool // only draining forbids requests; a removed server may still serve
+	HealthChecks       bool // the manager may send health checks
+	WeightsFollowLoad  bool // listed weights change with the load
 	AdmissionUnit      AdmissionUnit
 	DefaultRetryPolicy RetryPolicy
-	IdleTimeout        time.Duration // proxies close idle connections then
-	ColdCapacity       float64
+	IdleTimeout        time.Duration // after which proxies close idle connections
+	ColdCapacity       float64       // share of its capacity that a server has when it starts
 	WarmUpDuration     time.Duration
-	DrainGrace         time.Duration // from when a server is told to drain until no proxy may send to it; 0: not told
-	QueueCapacity      float64
-	CommandsPerSecond  float64
-	CommandPrice       float64 // of sending at that pace all day, as a part of the service
-	MessageOverhead    float64
-	MaxMessages        int
+	DrainGrace         time.Duration // from a server's drain until no proxy may send to it; 0: not stated
+	QueueCapacity      float64       // commands that may wait in the channel
+	CommandsPerSecond  float64       // that the channel sends
+	CommandPrice       float64       // of sending at that pace all day, as a share of the service
+	MessageOverhead    float64       // commands that a message costs besides its own
+	MaxMessages        int           // to one proxy within MessageWindow; 0: no limit
 	MessageWindow      time.Duration
 }
 
-// Report sums what the proxies of one zone met at one server.
+// LoadReport sums the attempts of one zone's proxies at one server.
 type LoadReport struct {
 	Server   ServerID
 	Zone     ZoneID
 	Attempts int
 	Failed   int
-	Latency  time.Duration // mean of the good ones, 0 without any
-	Interval time.Duration
-	InFlight float64 // flows the server holds; below 0 where not told
+	Latency  time.Duration // mean of the successful attempts, 0 without any
+	Interval time.Duration // that the report covers
+	InFlight float64       // requests at the server; below 0 where not told
 }
 
-// Usage counts the flows of one traffic group that came to a proxy.
+// UsageReport counts the requests of one traffic class that came to a proxy.
 type UsageReport struct {
 	Proxy    ProxyID
 	Class    ClassID
 	Requests int
-	Dropped  int // let in, and without an answer
+	Dropped  int // admitted, and without an answer
 	Interval time.Duration
 }
 
-// Tries says when a proxy tries another server.
-type RetryPolicy int
-
-const (
-	// TryOnce never tries another server.
-	NoRetry RetryPolicy = iota
-	// TryUnrun tries another server where the first did not run the flow.
-	RetryIfNotExecuted
-	// TryTwice tries up to two servers.
-	MaxTwoAttempts
-	// TryThrice tries up to three servers.
-	MaxThreeAttempts
-)
-
-// Line sets a server's weight in a table; 0 removes it.
-type EndpointWeight struct {
-	Table  TableID
-	Server ServerID
-	Weight float64
-}
-
-// Level sets what a table lets in of the groups of a mask, and its tries.
-type AdmissionLevel struct {
-	Table   TableID
-	Classes uint
-	Amount  float64
-	Retry   RetryPolicy
-}
-
-// Place puts a proxy on a table for the groups of a mask.
-type TableAssignment struct {
-	Proxy   ProxyID
-	Table   TableID
-	Classes uint // 0: all
-}
-
-// HomeTables is from where on tables name only servers of their proxies' zone, for groups that keep to it: what is added
-// to the number of the table that they are part of.
-const ZoneLocalTables TableID = 1 << 15
-
-// Orders is what one call decided, to be carried out in the order of the fields.
-type Commands struct {
-	Withdraw        []ServerID
-	Weights         []EndpointWeight
-	AdmissionLevels []AdmissionLevel
-	Restore         []ServerID
-	Assign          []TableAssignment
-	Barrier         BarrierID // 0: none
-	HealthCheck     []ServerID
-	Subscribe       bool
-	NextTimer       time.Duration // 0: none
-	LogRecords      []string
-}
-
-// Answer is how a probe ended.
+// HealthCheckResult is the outcome of a health check. From HealthCheckTimedOut on nothing answers.
 type HealthCheckResult int
 
 const (
-	// Answered as a server that is alive does.
+	// HealthCheckPassed is the answer of a live server.
 	HealthCheckPassed HealthCheckResult = iota
-	// Erred: something answers there, but not as a live server does.
+	// HealthCheckInvalid is an answer that no live server gives.
 	HealthCheckInvalid
-	HealthCheckRejected    // turned away by a server that runs
-	HealthCheckTimedOut    // no answer, or a broken connection; from here on nothing answers
-	HealthCheckUnreachable // no connection came up
+	// HealthCheckRejected is the refusal of a server that runs.
+	HealthCheckRejected
+	// HealthCheckTimedOut is no answer, or a broken connection.
+	HealthCheckTimedOut
+	// HealthCheckUnreachable is a connection that did not come up.
+	HealthCheckUnreachable
 )
-
-// Count is how many orders for proxies there are, the mark not among them.
-func (o Commands) Count() int {
-	return len(o.Withdraw) + len(o.Weights) + len(o.AdmissionLevels) + len(o.Restore) + len(o.Assign)
-}
--- a/deploy/capacity.sexp
+++ b/deploy/capacity.sexp
@@ -50,7 +50,7 @@
     (collectors-per-zone 1)
     (relays-per-zone 1)
     (queue-lines 8600)                 ; `queueCap` of today's largest deployment
-    (probe-interval 2s)                ; `silentFor` of `balancer/choice.go`
+    (probe-interval 2s)                ; `unresponsiveAfter` of `balancer/health.go`
     (probe-timeout 600ms)              ; `ProbeAnswer` of `internal/config`
     (probes-open 64))                  ; `ProbesOpen` of `internal/config`
 
--- a/internal/node/route.go
+++ b/internal/node/route.go
@@ -240,8 +240,12 @@
 }
 
 func (r *router) decided(o balancer.Commands) {
-	for _, n := range o.LogRecords {
-		r.metrics.logger.Info().Str("event", "note").Str("stage", "route").Float64("at", roundedSeconds(r.now)).Str("note", n).Send()
+	for _, record := range o.LogRecords {
+		line := r.metrics.logger.Info().Str("event", string(record.Event)).Str("stage", "route").Float64("at", roundedSeconds(r.now))
+		for _, field := range record.Fields {
+			line.Str(field.Name, field.Value)
+		}
+		line.Send()
 	}
 	for _, s := range o.HealthCheck {
 		select {
