--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -66,11 +66,13 @@
 	taken   int
 	effects int // orders that changed what stands
 	refused int
-	repeats map[string]bool // orders that were carried out without an answer
-	server  *http.Server
-	over    chan struct{}
-	once    sync.Once
-	away    bool
+	// unanswered holds the commands of the last call that was executed without an answer. A command that assigns a
+	// proxy has the incarnation of the proxy that it reached, each other command nil.
+	unanswered map[string]*proxy
+	server     *http.Server
+	over       chan struct{}
+	once       sync.Once
+	away       bool
 }
 
 // NewRelay listens at an address and sends by the site's pace.
@@ -81,7 +83,7 @@
 	}
 	r := &Relay{Address: l.Addr().String(), site: site, InjectFault: func(int) Fault { return NoFault }, AnswerDelay: 100 * time.Millisecond,
 		OnCommand: func(time.Time, string, string) {}, Rules: NewRuleChecker(site), proxies: map[int]*proxy{}, tables: map[int]*table{},
-		pulled: map[string]bool{}, listed: map[string]bool{}, news: map[chan string]bool{}, repeats: map[string]bool{}, pace: 1,
+		pulled: map[string]bool{}, listed: map[string]bool{}, news: map[chan string]bool{}, unanswered: map[string]*proxy{}, pace: 1,
 		over: make(chan struct{})}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v3/kv/", r.call)
--- a/internal/fakes/relay_call.go
+++ b/internal/fakes/relay_call.go
@@ -83,17 +83,17 @@
 			r.refused++
 			break
 		}
-		if r.repeats[o] && kind != "mark" {
+		if kind != "mark" && r.isRepeat(o) {
 			r.Rules.repeated(now, o, r.effects != before)
 		}
 		taken++
 		r.OnCommand(now, kind, about)
 	}
 	r.taken += taken
-	clear(r.repeats)
+	clear(r.unanswered)
 	if unanswered {
 		for _, o := range orders[:taken] {
-			r.repeats[o] = true
+			r.unanswered[o] = r.assignedProxy(o)
 		}
 	}
 	var ids []int
@@ -114,6 +114,23 @@
 	return taken
 }
 
+// isRepeat tells whether a command was already executed by the last call, which was not answered. A proxy that has
+// disconnected and connected again since is on no table and has received no earlier command, so its assignment is
+// not a repeat: the earlier one took effect on another incarnation, which is gone.
+func (r *Relay) isRepeat(command string) bool {
+	reached, executed := r.unanswered[command]
+	return executed && reached == r.assignedProxy(command)
+}
+
+// assignedProxy is the connected proxy that an assignment is about; nil for any other command.
+func (r *Relay) assignedProxy(command string) *proxy {
+	words := fields(strings.Split(command, ","))
+	if words[0] != "bind" || len(words) != orderKinds["bind"].words {
+		return nil
+	}
+	return r.proxies[words.number(1)]
+}
+
 // sending is what one call sends, by proxy.
 type sending struct {
 	at time.Time
--- a/internal/fakes/rules_test.go
+++ b/internal/fakes/rules_test.go
@@ -121,3 +121,47 @@
 		}
 	}
 }
+
+// An assignment that is executed once more after a call without an answer is a repeat as long as the proxy is the
+// same incarnation; one that has connected again has to be assigned anew.
+func TestAnAssignmentIsARepeatForTheSameIncarnationOnly(t *testing.T) {
+	const assignment = "bind,1,5,*"
+	reassign := func(r *Relay) { // a true repeat with an effect: the table was changed in between
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.proxies[1].table = 0
+	}
+	reconnect := func(r *Relay) {
+		r.DisconnectProxies(1)
+		r.ConnectProxies(1)
+	}
+	for name, one := range map[string]struct {
+		between func(r *Relay)
+		kept    bool
+		repeats int // commands that were judged as repeats
+	}{
+		"same incarnation, nothing changed":      {between: func(*Relay) {}, kept: true, repeats: 1},
+		"same incarnation, on another table":     {between: reassign, kept: false, repeats: 1},
+		"connected again":                        {between: reconnect, kept: true, repeats: 0},
+		"connected again, then on another table": {between: func(r *Relay) { reconnect(r); reassign(r) }, kept: true, repeats: 0},
+		"connected again, assigned without an answer": {between: func(r *Relay) {
+			reconnect(r)
+			r.mu.Lock()
+			r.carryOut([]string{assignment}, true)
+			r.mu.Unlock()
+			reassign(r)
+		}, kept: false, repeats: 1},
+	} {
+		r := relay(t)
+		r.settle()
+		r.mu.Lock()
+		r.carryOut([]string{assignment}, true)
+		r.mu.Unlock()
+		one.between(r)
+		r.do(t, assignment)
+		result := r.Rules.Results()[twiceRule]
+		if result.OK() != one.kept || result.Checks != one.repeats {
+			t.Errorf("%s: %+v", name, result)
+		}
+	}
+}
--- a/internal/node/moves_test.go
+++ b/internal/node/moves_test.go
@@ -154,6 +154,15 @@
 	}
 }
 
+const (
+	// leastRounds is how many servers are replaced at least while connections move.
+	leastRounds = 6
+	// leastMoves is how many connections have to move while servers are replaced; more are replaced until then.
+	leastMoves = 50
+	// roundsWithin is how long servers may go on being replaced.
+	roundsWithin = 60 * time.Second
+)
+
 // Drains, restarts, lost answers, a reload and news that break, all while connections move.
 func TestMovesLoseNoDrainAndRepeatNoEffect(t *testing.T) {
 	site := fakes.DefaultSite(12, 60)
@@ -165,35 +174,16 @@
 	r.Relay.ConnectProxies(all...)
 	soon(t, "all bound", func() bool { return r.Relay.Counts().AssignedProxies == site.Proxies })
 	speakers(t, r, 6)
-	call := 0
-	r.Relay.InjectFault = func(int) fakes.Fault {
-		call++
-		return []fakes.Fault{fakes.NoFault, fakes.AnswerLost, fakes.NoFault, fakes.NotExecuted, fakes.NoFault, fakes.AnswerGarbled, fakes.NoFault}[call%7]
-	}
-	for round, s := range r.Servers[:6] {
-		r.Discovery.Publish(s.Entry("draining"))
-		if round%3 == 1 {
-			d.reload <- syscall.SIGHUP
-		}
-		if round%3 == 2 {
-			r.Relay.SetUnavailable(true)
-			time.Sleep(30 * time.Millisecond)
-			r.Relay.SetUnavailable(false)
-		}
-		soon(t, "withdrawn", func() bool { return r.Relay.RequestRate(s.ID) == 0 })
-		s.SetBehaviour(fakes.Down)
-		r.Discovery.Publish(s.Entry("removed"))
-		r.Relay.DisconnectProxies(round, round+10)
-		r.Relay.ConnectProxies(round, round+10)
-		if err := s.SetBehaviour(fakes.Healthy); err != nil {
-			t.Fatal(err)
-		}
-		r.Discovery.Publish(s.Entry("up"))
+	r.Relay.Configure(injectFaultsInTurn)
+	moves := func() int64 { return d.metrics.counts[laneMoves].Load() }
+	began := time.Now()
+	for round := 0; round < leastRounds || moves() < leastMoves && time.Since(began) < roundsWithin; round++ {
+		replaceServer(t, r, d, round)
 	}
 	soon(t, "all bound again", func() bool { return r.Relay.Counts().AssignedProxies == site.Proxies })
 	allRules(t, r)
-	if n := d.metrics.counts[laneMoves].Load(); n < 50 {
-		t.Errorf("%d moves only", n)
+	if n := moves(); n < leastMoves {
+		t.Errorf("%d moves only within %v", n, time.Since(began))
 	}
 	if n := d.metrics.counts[callsUnknown].Load(); n == 0 {
 		t.Error("no answer was lost")
@@ -203,6 +193,46 @@
 	}
 }
 
+// injectFaultsInTurn has a relay lose, refuse and garble some answers, in a fixed order.
+func injectFaultsInTurn(relay *fakes.Relay) {
+	faults := []fakes.Fault{
+		fakes.NoFault, fakes.AnswerLost, fakes.NoFault, fakes.NotExecuted, fakes.NoFault, fakes.AnswerGarbled, fakes.NoFault,
+	}
+	call := 0
+	relay.InjectFault = func(int) fakes.Fault {
+		call++
+		return faults[call%len(faults)]
+	}
+}
+
+// replaceServer drains a server, removes it and lists it again as a fresh process, while two proxies reconnect. In
+// one round of three the manager reloads its configuration, in another the relay breaks all connections.
+func replaceServer(t *testing.T, r *fakes.Deployment, d *ours, round int) {
+	t.Helper()
+	number := round % leastRounds
+	server := r.Servers[number]
+	r.Discovery.Publish(server.Entry("draining"))
+	switch round % 3 {
+	case 1:
+		d.reload <- syscall.SIGHUP
+	case 2:
+		r.Relay.SetUnavailable(true)
+		time.Sleep(30 * time.Millisecond)
+		r.Relay.SetUnavailable(false)
+	}
+	soon(t, "withdrawn", func() bool { return r.Relay.RequestRate(server.ID) == 0 })
+	if err := server.SetBehaviour(fakes.Down); err != nil {
+		t.Fatal(err)
+	}
+	r.Discovery.Publish(server.Entry("removed"))
+	r.Relay.DisconnectProxies(number, number+10)
+	r.Relay.ConnectProxies(number, number+10)
+	if err := server.SetBehaviour(fakes.Healthy); err != nil {
+		t.Fatal(err)
+	}
+	r.Discovery.Publish(server.Entry("up"))
+}
+
 // Guards against a burst that overruns the channel: 10,000 proxies join within a second while connections move.
 func TestTenThousandJoinsInASecond(t *testing.T) {
 	site := fakes.DefaultSite(40, 10_000)
