--- /dev/null
+++ b/internal/faultsim/format_test.go
@@ -0,0 +1,182 @@
+package faultsim
+
+import (
+	"bufio"
+	"crypto/sha256"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// The files under testdata were written by the program before its names were changed: they pin the formats of scenario
+// and replay files, and what a replay comes to. A decision that is meant to change changes lines of runs.txt: the failing
+// test prints the line that takes the place of each.
+
+func readFixture(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func fixtureScenario(t *testing.T) Scenario {
+	t.Helper()
+	scenario, err := ReadScenario(filepath.Join("testdata", "scenario.sexp"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return scenario
+}
+
+func fixtureScript(t *testing.T, name string) Script {
+	t.Helper()
+	script, err := ParseScript(name, readFixture(t, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return script
+}
+
+func TestScenarioFixtureHoldsEachKey(t *testing.T) {
+	const ms = time.Millisecond
+	want := Scenario{
+		Zones: 2, Servers: 9, Proxies: 11, RequestRate: 5.5, ServerCapacity: 13.5, ServiceTime: 140 * ms,
+		ReportDelay: [2]time.Duration{300 * ms, 1500 * ms}, ListDelay: [2]time.Duration{400 * ms, 2500 * ms},
+		MessageDelay: [2]time.Duration{70 * ms, 290 * ms}, CommandsPerSecond: 1200, QueueCapacity: 2500, MaxMessages: 90,
+		ColdCapacity: 0.25, WarmUpDuration: 15 * time.Second, DrainGracePeriod: 1600 * ms, MaxTimeWithoutServer: 3500 * ms,
+		OverloadFactor: 3.5, MaxOverloadTime: 2500 * ms, FaultPhase: 35 * time.Second, SettlePhase: 24 * time.Second,
+		FaultCount: [2]int{2, 6}, FaultWeights: map[FaultKind]float64{},
+	}
+	for kind := range FaultKind(len(kinds)) {
+		want.FaultWeights[kind] = 2 + float64(kind)
+	}
+	if got := fixtureScenario(t); !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+}
+
+func TestScriptFixtureIsReadAndWrittenToTheByte(t *testing.T) {
+	const ms = time.Millisecond
+	want := Script{Seed: 1<<61 + 7, Faults: []Fault{
+		{Kind: Rollback, At: 18080 * ms, Duration: 4207 * ms, Fraction: 0.11, TargetSeed: 751453801},
+		{Kind: ZoneOutage, At: 18130 * ms, Duration: 11456 * ms, Fraction: 0.24, TargetSeed: 2096964189},
+		{Kind: WrongEndpointList, At: 21768 * ms, Duration: 11518 * ms, Fraction: 0.28, TargetSeed: 2924797225},
+		{Kind: RelayUnreachable, At: 23563 * ms, Duration: 10222 * ms, Fraction: 0.23, TargetSeed: 3686555912},
+		{Kind: Drain, At: 23941 * ms, Duration: 7762 * ms, Fraction: 0.15, TargetSeed: 3206754600},
+		{Kind: Crash, At: 24680 * ms, Duration: 4248 * ms, Fraction: 0.1, TargetSeed: 3407495777},
+	}}
+	got := fixtureScript(t, "script.replay")
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+	if text := string(readFixture(t, "script.replay")); got.String() != text {
+		t.Errorf("written %s, want %s", got, text)
+	}
+}
+
+// TestFaultNamesOfFiles pins the name of each kind of fault in scenario and replay files.
+func TestFaultNamesOfFiles(t *testing.T) {
+	want := map[FaultKind]string{
+		Crash: "crash", Unresponsive: "silence", SlowServers: "slow", ServerErrors: "errors", Drain: "drain",
+		ZoneOutage: "zone-lost", ZonePartition: "zone-cut", ReportsLost: "deaf", RelayUnreachable: "unreachable",
+		ResponsesLost: "lost-answers", SlowChannel: "slow-channel", ManagerRestart: "restart", ManagerStall: "stall",
+		ProxyReconnect: "rejoin", WrongEndpointList: "wrong-list", DuplicateReports: "doubled",
+		DelayedEndpointList: "late-list", Rollback: "rollback",
+	}
+	got := map[FaultKind]string{}
+	for kind := range FaultKind(len(kinds)) {
+		got[kind] = kind.String()
+	}
+	if !maps.Equal(got, want) {
+		t.Errorf("kinds %v, want %v", got, want)
+	}
+}
+
+// fixtureScenarios are the scenarios of the runs in testdata/runs.txt, by name. Some are so strict that rules break.
+func fixtureScenarios(t *testing.T) map[string]Scenario {
+	t.Helper()
+	changed := func(change func(*Scenario)) Scenario {
+		s := DefaultScenario()
+		change(&s)
+		return s
+	}
+	unsettled := changed(func(s *Scenario) { s.SettlePhase = time.Millisecond })
+	return map[string]Scenario{
+		"default":       DefaultScenario(),
+		"large":         LargeFleetScenario(),
+		"file":          fixtureScenario(t),
+		"script.replay": fixtureScenario(t),
+		"unsettled":     unsettled,
+		"stuck.replay":  unsettled,
+		"short-queue":   changed(func(s *Scenario) { s.QueueCapacity, s.FaultCount = 40, [2]int{4, 4} }),
+		"few-messages":  changed(func(s *Scenario) { s.MaxMessages = 2 }),
+		"bare":          changed(func(s *Scenario) { s.MaxTimeWithoutServer = time.Millisecond }),
+		"cold-overload": changed(func(s *Scenario) { s.OverloadFactor, s.MaxOverloadTime = 1, time.Millisecond }),
+		"sensitive": changed(func(s *Scenario) {
+			s.MaxTimeWithoutServer, s.DrainGracePeriod = 200*time.Millisecond, 100*time.Millisecond
+			s.OverloadFactor, s.MaxOverloadTime = 1, 300*time.Millisecond
+		}),
+	}
+}
+
+// withoutWording drops from a line of the trace the wording of other packages' log records; their number and times stay.
+func withoutWording(line string) string {
+	const timeWidth = 10
+	at, event := line[:timeWidth], line[timeWidth:]
+	for _, kind := range []string{"note ", "version ", "rollback "} {
+		if strings.HasPrefix(event, kind) {
+			return at + kind
+		}
+	}
+	return line
+}
+
+// outcome is one line of testdata/runs.txt: scenario, seed, events played, digest of the trace, verdict.
+func outcome(name string, scenario Scenario, script Script) string {
+	sum := sha256.New()
+	violation, simulation := Run(scenario, script, func(line string) { fmt.Fprintln(sum, withoutWording(line)) })
+	verdict := "all rules kept"
+	if violation != nil {
+		verdict = violation.String()
+	}
+	return fmt.Sprintf("%s %d %d %x %s", name, script.Seed, simulation.Steps(), sum.Sum(nil)[:16], verdict)
+}
+
+func TestRunsComeToTheRecordedVerdictAndTrace(t *testing.T) {
+	scenarios := fixtureScenarios(t)
+	const recorded = 100
+	runs := 0
+	for lines := bufio.NewScanner(strings.NewReader(string(readFixture(t, "runs.txt")))); lines.Scan(); runs++ {
+		want := lines.Text()
+		fields := strings.SplitN(want, " ", 3)
+		name := fields[0]
+		scenario, known := scenarios[name]
+		if !known {
+			t.Fatalf("scenario %s is not known", name)
+		}
+		seed, err := strconv.ParseUint(fields[1], 10, 64)
+		if err != nil {
+			t.Fatal(err)
+		}
+		script := Script{}
+		if strings.HasSuffix(name, ".replay") {
+			script = fixtureScript(t, name)
+		} else {
+			script = GenerateScript(scenario, seed)
+		}
+		if got := outcome(name, scenario, script); got != want {
+			t.Errorf("got  %s\nwant %s", got, want)
+		}
+	}
+	if runs != recorded {
+		t.Errorf("%d runs were compared, not %d", runs, recorded)
+	}
+}
--- /dev/null
+++ b/internal/faultsim/testdata/scenario.sexp
@@ -0,0 +1,11 @@
+(scenario
+  (zones 2) (servers 9) (proxies 11)
+  (rate 5.5) (capacity 13.5) (service 140ms)
+  (reports-late (least 300ms) (most 1.5s)) (list-late (least 400ms) (most 2.5s)) (transit (least 70ms) (most 290ms))
+  (lines-per-s 1200) (queue-lines 2500) (messages 90)
+  (cold-share 0.25) (warm-after 15s) (drain-grace 1.6s) (bare-for 3.5s)
+  (overload-factor 3.5) (overload-for 2.5s)
+  (length 35s) (settle 24s)
+  (faults (least 2) (most 6))
+  (weights (crash 2) (silence 3) (slow 4) (errors 5) (drain 6) (zone-lost 7) (zone-cut 8) (deaf 9) (unreachable 10) (lost-answers 11)
+    (slow-channel 12) (restart 13) (stall 14) (rejoin 15) (wrong-list 16) (doubled 17) (late-list 18) (rollback 19)))
