--- a/internal/loadtest/feed.go
+++ b/internal/loadtest/feed.go
@@ -28,22 +28,22 @@
 }
 
 // Spread is what a meter saw.
-type Spread struct {
-	N    int64         `json:"n"`
-	P50  time.Duration `json:"p50_ns"`
-	P99  time.Duration `json:"p99_ns"`
-	P999 time.Duration `json:"p999_ns"`
-	Most time.Duration `json:"most_ns"`
+type LatencySummary struct {
+	Count int64         `json:"n"`
+	P50   time.Duration `json:"p50_ns"`
+	P99   time.Duration `json:"p99_ns"`
+	P999  time.Duration `json:"p999_ns"`
+	Max   time.Duration `json:"most_ns"`
 }
 
-func (m *meter) spread() Spread {
+func (m *meter) spread() LatencySummary {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at := func(q float64) time.Duration { return time.Duration(m.h.ValueAtQuantile(q)) * time.Microsecond }
 	if m.h.TotalCount() == 0 {
-		return Spread{}
+		return LatencySummary{}
 	}
-	return Spread{m.h.TotalCount(), at(50), at(99), at(99.9), time.Duration(m.h.Max()) * time.Microsecond}
+	return LatencySummary{m.h.TotalCount(), at(50), at(99), at(99.9), time.Duration(m.h.Max()) * time.Microsecond}
 }
 
 // voice is one collector's connection: it says its messages over and over, each at its time.
@@ -64,7 +64,7 @@
 				one.text = fmt.Appendf(one.text, format+"\r\n", values...)
 				one.ends = append(one.ends, len(one.text))
 			}
-			tries := s.Rate * float64(s.Proxies) / float64(s.Servers*len(s.Zones))
+			tries := s.RequestRate * float64(s.Proxies) / float64(s.Servers*len(s.Zones))
 			for n := range s.Servers {
 				if n%perZone == v {
 					put("heard site=%s target=%s count=%d fail=0 mean=%.1f over=1000.0 util=inflight:%d", zone, fakes.ServerID(n),
@@ -75,8 +75,8 @@
 				if p%len(s.Zones) != z || p/len(s.Zones)%perZone != v {
 					continue
 				}
-				for _, g := range s.Groups {
-					put("usage id=%d lane=%s count=%d fail=0 over=1000.0", p, g.Name, max(1, int(s.Rate*g.Part+0.5)))
+				for _, g := range s.TrafficClasses {
+					put("usage id=%d lane=%s count=%d fail=0 over=1000.0", p, g.Name, max(1, int(s.RequestRate*g.TrafficShare+0.5)))
 				}
 			}
 			all = append(all, one)
--- a/internal/node/versions_rig_test.go
+++ b/internal/node/versions_rig_test.go
@@ -36,7 +36,7 @@
 
 // versioned is a rig whose manager has an admin socket, a store and a listener for holders.
 type versioned struct {
-	*fakes.Rig
+	*fakes.Deployment
 	socket, feed string
 	settings     string // of the operator
 	store        string // file
@@ -44,17 +44,17 @@
 }
 
 // startReader reads the operator's settings, and with each call of the result the start's file joined to them.
-func startReader(start, settings string) (read func() (config.Start, error), err error) {
-	operator, err := config.ReadOperator(settings)
+func startReader(start, settings string) (read func() (config.Config, error), err error) {
+	operator, err := config.ReadOperatorSettings(settings)
 	if err != nil {
 		return nil, err
 	}
-	return func() (config.Start, error) {
+	return func() (config.Config, error) {
 		s, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": start}[key] })
 		if err != nil {
 			return s, err
 		}
-		return s.With(operator)
+		return s.WithOperator(operator)
 	}, nil
 }
 
@@ -68,17 +68,17 @@
 	}
 	v.store = filepath.Join(dir, "v.db")
 	v.settings = fmt.Sprintf("(admin (socket %q)) (store (path %q)) (tables (listen %q) (keys %q))", v.socket, v.store, v.feed, keys)
-	r, err := fakes.Raise(site, fakes.How{Cores: 1, MemoryMB: 512, Sockets: 4096, Seed: 1, Settings: v.settings}, v.begin)
+	r, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 1, OperatorSettings: v.settings}, v.begin)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.Rig = r
+	v.Deployment = r
 	t.Cleanup(r.Close)
 	return v
 }
 
 // begin starts the manager in this process.
-func (v *versioned) begin(start, settings string) (fakes.Daemon, error) {
+func (v *versioned) begin(start, settings string) (fakes.Manager, error) {
 	read, err := startReader(start, settings)
 	if err != nil {
 		return nil, err
@@ -88,14 +88,14 @@
 }
 
 func freeAddress(t testing.TB) string {
-	at, err := fakes.Free()
+	at, err := fakes.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return at
 }
 
-func (v *versioned) ask(t testing.TB, a Ask) (string, error) {
+func (v *versioned) ask(t testing.TB, a AdminRequest) (string, error) {
 	t.Helper()
 	c, err := net.Dial("unix", v.socket)
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 	defer c.Close()
 	json.NewEncoder(c).Encode(a)
-	var told Told
+	var told AdminResponse
 	if err := json.NewDecoder(c).Decode(&told); err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 // versions are those kept, newest first.
 func (v *versioned) versions(t testing.TB) (all []string) {
 	t.Helper()
-	text, err := v.ask(t, Ask{Do: "log"})
+	text, err := v.ask(t, AdminRequest{Command: "log"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 
 func (v *versioned) show(t testing.TB, id string) string {
 	t.Helper()
-	text, err := v.ask(t, Ask{Do: "show", Version: id})
+	text, err := v.ask(t, AdminRequest{Command: "show", Version: id})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,8 +144,8 @@
 	for i := range ids {
 		ids[i] = i
 	}
-	v.Relay.Join(ids...)
-	for late := time.Now().Add(10 * time.Second); v.Relay.Counts().Bound < v.Site.Proxies; time.Sleep(5 * time.Millisecond) {
+	v.Relay.ConnectProxies(ids...)
+	for late := time.Now().Add(10 * time.Second); v.Relay.Counts().AssignedProxies < v.Site.Proxies; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("not all bound within 10 s")
 		}
@@ -207,7 +207,7 @@
 }
 
 func (v *versioned) versionLines(t testing.TB) []string {
-	text, err := v.ask(t, Ask{Do: "log"})
+	text, err := v.ask(t, AdminRequest{Command: "log"})
 	if err != nil {
 		t.Fatal(err)
 	}
