--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -1,7 +1,6 @@
 package balancer_test
 
 import (
-	"bufio"
 	"encoding/hex"
 	"fmt"
 	"os"
@@ -16,97 +15,126 @@
 )
 
 // shapes are the kinds of day on which the orders must stay the same, to the byte.
-var shapes = []fleetmodel.Shape{
-	{Name: "calm", Zones: 3, Servers: 30, Proxies: 40, Rate: 6, Capacity: 12},
-	{Name: "drains", Zones: 3, Servers: 24, Proxies: 60, Rate: 3, Capacity: 12, Draining: 0.5, Churn: 200 * time.Millisecond},
-	{Name: "overload", Zones: 3, Servers: 18, Proxies: 40, Rate: 4, Capacity: 10, Slow: 0.3, Surge: 2.5},
-	{Name: "rates", Zones: 2, Servers: 16, Proxies: 24, Rate: 6, Capacity: 10, Slow: 0.2, Surge: 2, Rates: true, GoneStays: true, Draining: 0.2},
-	{Name: "blocks", Zones: 3, Servers: 120, Proxies: 240, Rate: 2, Capacity: 6, Draining: 0.2, Slow: 0.1, Churn: 50 * time.Millisecond},
-	{Name: "tight", Zones: 4, Servers: 40, Proxies: 400, Rate: 1, Capacity: 12, Draining: 0.4, Churn: 20 * time.Millisecond, Messages: 12},
+var shapes = []fleetmodel.Scenario{
+	{Name: "calm", Zones: 3, Servers: 30, Proxies: 40, RequestRate: 6, ServerCapacity: 12},
+	{Name: "drains", Zones: 3, Servers: 24, Proxies: 60, RequestRate: 3, ServerCapacity: 12, DrainFraction: 0.5, ChurnInterval: 200 * time.Millisecond},
+	{Name: "overload", Zones: 3, Servers: 18, Proxies: 40, RequestRate: 4, ServerCapacity: 10, SlowFraction: 0.3, SurgeFactor: 2.5},
+	{Name: "rates", Zones: 2, Servers: 16, Proxies: 24, RequestRate: 6, ServerCapacity: 10, SlowFraction: 0.2, SurgeFactor: 2, AdmitByRate: true, RemovedMayServe: true, DrainFraction: 0.2},
+	{Name: "blocks", Zones: 3, Servers: 120, Proxies: 240, RequestRate: 2, ServerCapacity: 6, DrainFraction: 0.2, SlowFraction: 0.1, ChurnInterval: 50 * time.Millisecond},
+	{Name: "tight", Zones: 4, Servers: 40, Proxies: 400, RequestRate: 1, ServerCapacity: 12, DrainFraction: 0.4, ChurnInterval: 20 * time.Millisecond, MaxMessages: 12},
 }
 
-// The digests were taken before the module's conditions were made to follow change instead of size.
-func TestOrdersStayTheSame(t *testing.T) {
-	known := map[string]string{}
-	file, err := os.Open("testdata/golden.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer file.Close()
-	for in := bufio.NewScanner(file); in.Scan(); {
-		name, digest, _ := strings.Cut(in.Text(), " ")
-		known[name] = digest
-	}
-	for _, s := range shapes {
+// goldenRun is what one run of a shape must come to.
+type goldenRun struct {
+	commands       int    // commands for proxies
+	commandsDigest string // over all commands and their times, without log records
+	records        int
+	recordsDigest  string // over each record's event, time and figures, without the wording
+}
+
+func (r goldenRun) String() string {
+	return fmt.Sprintf("%d %s %d %s", r.commands, r.commandsDigest, r.records, r.recordsDigest)
+}
+
+func TestCommandsAndLogRecordsStayTheSame(t *testing.T) {
+	known := readGolden(t)
+	for _, shape := range shapes {
 		for seed := range uint64(3) {
-			name := fmt.Sprintf("%s/%d", s.Name, seed)
+			name := fmt.Sprintf("%s/%d", shape.Name, seed)
 			t.Run(name, func(t *testing.T) {
-				if got := digest(s, seed); got != known[name] {
-					t.Errorf("%s %s, not %s", name, got, known[name])
+				got, byEvent := play(shape, seed)
+				if got.String() != known[name] {
+					t.Errorf("%s %v, not %s; records by event: %v", name, got, known[name], byEvent)
 				}
 			})
 		}
 	}
 }
 
-// asBefore prints orders in the form of when the digests were taken: a place had no groups, and has none where no group
-// keeps to its zone.
-func asBefore(o balancer.Commands) any {
-	type place struct {
-		Proxy balancer.ProxyID
-		Table balancer.TableID
+func readGolden(t *testing.T) map[string]string {
+	t.Helper()
+	text, err := os.ReadFile("testdata/golden.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	known := map[string]string{}
+	for line := range strings.Lines(string(text)) {
+		name, run, _ := strings.Cut(strings.TrimSpace(line), " ")
+		known[name] = run
 	}
-	var bind []place
-	for _, b := range o.Assign {
-		if b.Classes != 0 {
-			return o
+	return known
+}
+
+// play runs forty seconds of a shape and digests what the manager commands and what it logs.
+func play(shape fleetmodel.Scenario, seed uint64) (run goldenRun, byEvent map[string]int) {
+	fleet := fleetmodel.New(shape, seed)
+	commandsSum := blake3.New()
+	recordsSum := blake3.New()
+	byEvent = map[string]int{}
+	fleet.OnCommands = func(now time.Duration, commands balancer.Commands) {
+		fmt.Fprintf(commandsSum, "%d %v\n", now, withoutRecords(commands))
+		run.commands += commands.Count()
+		for _, record := range commands.LogRecords {
+			event, figures := figuresOf(record)
+			fmt.Fprintf(recordsSum, "%d %s %q\n", now, event, figures)
+			byEvent[event]++
+			run.records++
 		}
-		bind = append(bind, place{b.Proxy, b.Table})
 	}
-	return struct {
-		Withdraw []balancer.ServerID
-		Lines    []balancer.EndpointWeight
-		Levels   []balancer.AdmissionLevel
-		Readmit  []balancer.ServerID
-		Bind     []place
-		Mark     balancer.BarrierID
-		Probe    []balancer.ServerID
-		Listen   bool
-		Wake     time.Duration
-		Notes    []string
-	}{o.Withdraw, o.Weights, o.AdmissionLevels, o.Restore, bind, o.Barrier, o.HealthCheck, o.Subscribe, o.NextTimer, o.LogRecords}
+	fleet.Start()
+	for second := range 40 {
+		fleet.PlaySecond(second, 40)
+	}
+	run.commandsDigest = hex.EncodeToString(commandsSum.Sum(nil)[:16])
+	run.recordsDigest = hex.EncodeToString(recordsSum.Sum(nil)[:16])
+	return run, byEvent
 }
 
-func digest(s fleetmodel.Shape, seed uint64) string {
-	f, sum, orders := fleetmodel.New(s, seed), blake3.New(), 0
-	f.Seen = func(now time.Duration, o balancer.Commands) {
-		fmt.Fprintf(sum, "%d %v\n", now, asBefore(o))
-		orders += o.Count()
+// withoutRecords has a fixed form for the digest: all commands but the log records, and assignments without classes
+// where they are for all of them.
+func withoutRecords(c balancer.Commands) any {
+	type assignment struct {
+		Proxy balancer.ProxyID
+		Table balancer.TableID
 	}
-	f.Open()
-	for n := range 40 {
-		f.Second(n, 40)
+	var assign []assignment
+	for _, a := range c.Assign {
+		if a.Classes != 0 {
+			c.LogRecords = nil
+			return c
+		}
+		assign = append(assign, assignment{a.Proxy, a.Table})
 	}
-	return fmt.Sprintf("%d %s", orders, hex.EncodeToString(sum.Sum(nil)[:16]))
+	return struct {
+		Withdraw        []balancer.ServerID
+		Weights         []balancer.EndpointWeight
+		AdmissionLevels []balancer.AdmissionLevel
+		Restore         []balancer.ServerID
+		Assign          []assignment
+		Barrier         balancer.BarrierID
+		HealthCheck     []balancer.ServerID
+		Subscribe       bool
+		NextTimer       time.Duration
+	}{c.Withdraw, c.Weights, c.AdmissionLevels, c.Restore, assign, c.Barrier, c.HealthCheck, c.Subscribe, c.NextTimer}
 }
 
 // BenchmarkSecond is a second of inputs: a report for each server and zone, a usage for each proxy and group.
 func BenchmarkSecond(b *testing.B) {
 	for _, size := range [][2]int{{400, 30}, {1000, 500}, {4000, 500}, {4000, 2000}, {20000, 5000}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			s := fleetmodel.Shape{Zones: 4, Proxies: size[0], Servers: size[1], Rate: 2, Capacity: 4 * float64(size[0]) / float64(size[1])}
+			s := fleetmodel.Scenario{Zones: 4, Proxies: size[0], Servers: size[1], RequestRate: 2, ServerCapacity: 4 * float64(size[0]) / float64(size[1])}
 			f := fleetmodel.New(s, 1)
-			f.Open()
+			f.Start()
 			for n := range 3 {
-				f.Second(n, 100)
+				f.PlaySecond(n, 100)
 			}
-			inputs, spent := f.Inputs, f.Spent
+			inputs, spent := f.InputCount, f.ManagerTime
 			for b.Loop() {
-				f.Second(50, 100)
+				f.PlaySecond(50, 100)
 			}
-			per := float64(f.Spent-spent) / float64(b.N)
+			per := float64(f.ManagerTime-spent) / float64(b.N)
 			b.ReportMetric(per/1e6, "module-ms/s")
-			b.ReportMetric(per/(float64(f.Inputs-inputs)/float64(b.N)), "ns/input")
+			b.ReportMetric(per/(float64(f.InputCount-inputs)/float64(b.N)), "ns/input")
 		})
 	}
 }
@@ -116,9 +144,9 @@
 	for _, size := range [][2]int{{400, 30}, {4000, 2000}, {20000, 5000}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			for b.Loop() {
-				f := fleetmodel.New(fleetmodel.Shape{Zones: 4, Proxies: size[0], Servers: size[1], Rate: 2, Capacity: 100}, 1)
-				f.Open()
-				b.ReportMetric(float64(f.Spent)/1e6, "module-ms")
+				f := fleetmodel.New(fleetmodel.Scenario{Zones: 4, Proxies: size[0], Servers: size[1], RequestRate: 2, ServerCapacity: 100}, 1)
+				f.Start()
+				b.ReportMetric(float64(f.ManagerTime)/1e6, "module-ms")
 			}
 		})
 	}
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -58,19 +58,19 @@
 // trafficCosts are the figures of a script's bytes and counts, which are the same in each run.
 func trafficCosts(s *script, into sample) {
 	list, join, busy, changes := s.find(PhaseList), s.find(PhaseJoin), s.find(PhaseBusy), s.find(PhaseChanges)
-	into[BytesOfOpening] = perMessage(list.traffic[node.ListMessage])
-	into[BytesOfListChange] = perMessage(changes.traffic[node.ListMessage])
-	into[BytesOfReport] = perMessage(busy.traffic[node.ReportMessage])
-	into[BytesOfUsage] = perMessage(busy.traffic[node.UsageMessage])
-	into[BytesOfNews] = perMessage(join.traffic[node.NewsMessage])
-	into[BytesOfCalls] = perSecond(busy.traffic[node.CallMessage])
+	into[BytesOfOpening] = perMessage(list.traffic[node.EndpointListMessage])
+	into[BytesOfListChange] = perMessage(changes.traffic[node.EndpointListMessage])
+	into[BytesOfReport] = perMessage(busy.traffic[node.LoadReportMessage])
+	into[BytesOfUsage] = perMessage(busy.traffic[node.UsageReportMessage])
+	into[BytesOfRelayEvent] = perMessage(join.traffic[node.ProxyEventMessage])
+	into[BytesOfCalls] = perSecond(busy.traffic[node.RelayCallMessage])
 	into[BytesOfHeartbeat] = perSecond(busy.traffic[node.HeartbeatMessage])
-	probe := node.ProbeTraffic(s.scenario.entry(s.site, 0, "up").HostPort)
-	into[BytesOfProbe] = float64(probe.In + probe.Out)
-	into[ProbesPerSecond] = float64(busy.traffic[node.ProbeMessage].Messages) / busySpan.Seconds()
-	into[NewsPerSecond] = float64(busy.traffic[node.NewsMessage].Messages) / busySpan.Seconds()
-	into[ProxiesBound] = float64(s.bound)
-	into[OrdersPerSecond] = float64(busy.orders) / busySpan.Seconds()
+	probe := node.HealthCheckTraffic(s.scenario.entry(s.site, 0, "up").HostPort)
+	into[BytesOfHealthCheck] = float64(probe.In + probe.Out)
+	into[HealthChecksPerSecond] = float64(busy.traffic[node.HealthCheckMessage].Messages) / busySpan.Seconds()
+	into[RelayEventsPerSecond] = float64(busy.traffic[node.ProxyEventMessage].Messages) / busySpan.Seconds()
+	into[ProxiesAssigned] = float64(s.bound)
+	into[CommandsPerSecond] = float64(busy.orders) / busySpan.Seconds()
 }
 
 func perMessage(t node.Traffic) float64 {
