--- a/internal/node/versions_rig_test.go
+++ b/internal/node/versions_rig_test.go
@@ -44,17 +44,17 @@
 }
 
 // startReader reads the operator's settings, and with each call of the result the start's file joined to them.
-func startReader(start, settings string) (read func() (config.Start, error), err error) {
-	operator, err := config.ReadOperator(settings)
+func startReader(start, settings string) (read func() (config.Config, error), err error) {
+	operator, err := config.ReadOperatorSettings(settings)
 	if err != nil {
 		return nil, err
 	}
-	return func() (config.Start, error) {
+	return func() (config.Config, error) {
 		s, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": start}[key] })
 		if err != nil {
 			return s, err
 		}
-		return s.With(operator)
+		return s.WithOperator(operator)
 	}, nil
 }
 
@@ -95,7 +95,7 @@
 	return at
 }
 
-func (v *versioned) ask(t testing.TB, a Ask) (string, error) {
+func (v *versioned) ask(t testing.TB, a AdminRequest) (string, error) {
 	t.Helper()
 	c, err := net.Dial("unix", v.socket)
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 	defer c.Close()
 	json.NewEncoder(c).Encode(a)
-	var told Told
+	var told AdminResponse
 	if err := json.NewDecoder(c).Decode(&told); err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 // versions are those kept, newest first.
 func (v *versioned) versions(t testing.TB) (all []string) {
 	t.Helper()
-	text, err := v.ask(t, Ask{Do: "log"})
+	text, err := v.ask(t, AdminRequest{Command: "log"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 
 func (v *versioned) show(t testing.TB, id string) string {
 	t.Helper()
-	text, err := v.ask(t, Ask{Do: "show", Version: id})
+	text, err := v.ask(t, AdminRequest{Command: "show", Version: id})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -207,7 +207,7 @@
 }
 
 func (v *versioned) versionLines(t testing.TB) []string {
-	text, err := v.ask(t, Ask{Do: "log"})
+	text, err := v.ask(t, AdminRequest{Command: "log"})
 	if err != nil {
 		t.Fatal(err)
 	}
