--- a/ci_test.go
+++ b/ci_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Guards against tests that are passed over without a cause, an issue or an end to their number, or that do not exist.
+// Guards against tests that are passed over without a command, what was seen, an issue or an end to their number, or that do not exist.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs(".ci/known-red")
 	if err != nil {
@@ -23,7 +23,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "x_test.go"), []byte(tests), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	line := func(name string) string { return name + " | a cause | issue 7\n" }
+	line := func(name string) string { return name + " | go test -run " + name + " ., seed 3 | 2 of 9 | issue 7\n" }
 	for text, want := range map[string]string{
 		"-":                              "",
 		"":                               "",
@@ -31,13 +31,25 @@
 		strings.TrimSpace(line("TestA")): "^(TestA)$",
 		line("TestA") + line("TestB") + line("TestC"):                 "^(TestA|TestB|TestC)$",
 		line("TestA") + line("TestB") + line("TestC") + line("TestD"): "error: three at most",
-		line("TestE"):            "error: there is no test TestE",
-		"TestA\n":                "error: is not",
-		"TestA | | issue 7\n":    "error: is not",
-		"TestA | a cause\n":      "error: is not",
-		"TestA | a cause | 7\n":  "error: is not",
-		"Test.* | all | issue 7": "error: is not",
-		"\n":                     "error: is not",
+		line("TestE"):                              "error: there is no test TestE",
+		"TestA\n":                                  "error: is not",
+		"TestA | go test, seed 3 | 2 of 9\n":       "error: is not", // no issue
+		"TestA | 2 of 9 | issue 7\n":               "error: is not", // no command
+		"TestA | go test, seed 3 | issue 7\n":      "error: is not", // not what was seen
+		"TestA | | 2 of 9 | issue 7\n":             "error: is not",
+		"TestA |  | 2 of 9 | issue 7\n":            "error: is not",
+		"TestA | go test, seed 3 | | issue 7\n":    "error: is not",
+		"TestA | go test, seed 3 |  | issue 7\n":   "error: is not",
+		"TestA | go test, seed 3 | 2 of 9 | 7\n":   "error: is not",
+		"TestA | go test | 2 of 9 | issue\n":       "error: is not",
+		"TestA | go test | 2 of 9 | issue 7b\n":    "error: is not",
+		"TestA | go test | 2 of 9 | issue 7 | 8\n": "error: is not",
+		"TestA|go test|2 of 9|issue 7\n":           "error: is not",
+		" | go test | 2 of 9 | issue 7\n":          "error: is not",
+		"A | go test | 2 of 9 | issue 7\n":         "error: is not",
+		"Test.* | go test | all | issue 7":         "error: is not",
+		line("TestA") + "\n":                       "error: is not",
+		"\n":                                       "error: is not",
 	} {
 		file := filepath.Join(dir, "KNOWN-RED.txt")
 		os.Remove(file)
