--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -11,188 +11,233 @@
 	"time"
 )
 
-// Entry is one line of the list, in the platform's words.
+// Lifecycle states of an endpoint, as the platform names them.
+const (
+	lifecycleUp      = "up"
+	lifecycleRemoved = "removed"
+)
+
+// Endpoint is one entry of the endpoint list, with the platform's names on the wire.
 type Endpoint struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
 	Zone      string  `json:"zone"`
 	Lifecycle string  `json:"lifecycle"` // up, draining or removed
 	Weight    float64 `json:"weight"`
-	Started   int64   `json:"startedAtMs"`
+	Started   int64   `json:"startedAtMs"` // Unix milliseconds; 0: long ago
 }
 
-// List is the whole list, or changes of it.
+// EndpointList is the complete endpoint list, or changes of it.
 type EndpointList struct {
 	Version   int        `json:"generation"`
 	Complete  bool       `json:"reset"`
 	Endpoints []Endpoint `json:"instances"`
 }
 
-// Discovery tells the list to all that watch it.
+const (
+	firstVersion     = 41   // of the list that discovery starts with
+	maxChanges       = 1000 // that discovery remembers, for watchers that resume
+	watchBuffer      = 4096 // changes that may wait for one watcher
+	watchKeepAlive   = 2 * time.Second
+	discoveryHosts   = "/discovery/hosts"
+	watchParameter   = "watch"
+	versionParameter = "after"
+)
+
+// Discovery serves the endpoint list to all that read or watch it. All its methods may be called at any time.
 type Discovery struct {
 	Address  string
-	OnChange func(at time.Time, e Endpoint) // each change, once it is written to those that watch
+	OnChange func(at time.Time, endpoint Endpoint) // called for each change, once it is queued for the watchers
 
-	mu      sync.Mutex
-	version int
-	entries map[string]Endpoint
-	order   []string
-	changes []EndpointList
-	watches map[chan []byte]bool
-	server  *http.Server
-	silent  bool
-	asked   []int // the versions that watches asked from
-}
+	mu              sync.Mutex
+	version         int
+	endpoints       map[string]Endpoint
+	order           []string // ids, as first listed
+	changes         []EndpointList
+	watchers        map[chan []byte]bool
+	unresponsive    bool
+	watchedVersions []int
 
-// AskedFrom are the versions that watches asked from so far, in their order.
-func (d *Discovery) WatchedVersions() []int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return slices.Clone(d.asked)
+	server *http.Server
 }
 
-// NewDiscovery listens at an address ("127.0.0.1:0" for any port) with the list as it stands.
-func NewDiscovery(address string, entries []Endpoint) (*Discovery, error) {
-	l, err := net.Listen("tcp", address)
+// NewDiscovery listens at an address ("127.0.0.1:0" for any port) with a list.
+func NewDiscovery(address string, endpoints []Endpoint) (*Discovery, error) {
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("start discovery: %w", err)
+	}
+	d := &Discovery{
+		Address:   listener.Addr().String(),
+		OnChange:  func(time.Time, Endpoint) {},
+		version:   firstVersion,
+		endpoints: map[string]Endpoint{},
+		watchers:  map[chan []byte]bool{},
 	}
-	d := &Discovery{Address: l.Addr().String(), version: 41, entries: map[string]Endpoint{}, watches: map[chan []byte]bool{},
-		OnChange: func(time.Time, Endpoint) {}}
-	for _, e := range entries {
-		d.entries[e.ID], d.order = e, append(d.order, e.ID)
+	for _, endpoint := range endpoints {
+		d.endpoints[endpoint.ID] = endpoint
+		d.order = append(d.order, endpoint.ID)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /discovery/hosts", d.hosts)
+	mux.HandleFunc("GET "+discoveryHosts, d.serveHosts)
 	d.server = &http.Server{Handler: mux}
-	go d.server.Serve(l)
+	go d.server.Serve(listener)
 	return d, nil
 }
 
-// Close ends it, and all watches.
+// Close ends the listener and all watches.
 func (d *Discovery) Close() { d.server.Close() }
 
-// Whole is the list as it stands.
+// WatchedVersions returns the versions from which watchers asked for changes so far, in order.
+func (d *Discovery) WatchedVersions() []int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.watchedVersions)
+}
+
+// Snapshot returns the complete list as it stands.
 func (d *Discovery) Snapshot() EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.whole()
+	return d.snapshot()
 }
 
-func (d *Discovery) whole() EndpointList {
-	l := EndpointList{Version: d.version, Complete: true, Endpoints: []Endpoint{}}
+// snapshot is the complete list, without removed endpoints. The caller holds the lock.
+func (d *Discovery) snapshot() EndpointList {
+	list := EndpointList{Version: d.version, Complete: true, Endpoints: []Endpoint{}}
 	for _, id := range d.order {
-		if e := d.entries[id]; e.Lifecycle != "removed" {
-			l.Endpoints = append(l.Endpoints, e)
+		if endpoint := d.endpoints[id]; endpoint.Lifecycle != lifecycleRemoved {
+			list.Endpoints = append(list.Endpoints, endpoint)
 		}
 	}
-	return l
+	return list
+}
+
+// Publish sends changed endpoints to all watchers, as one version.
+func (d *Discovery) Publish(endpoints ...Endpoint) {
+	d.recordChange(endpoints)
+	at := time.Now()
+	for _, endpoint := range endpoints {
+		d.OnChange(at, endpoint)
+	}
 }
 
-// Change tells changed entries to all that watch, as one version.
-func (d *Discovery) Publish(entries ...Endpoint) {
+// recordChange makes a new version and queues it for the watchers. One that fell too far behind is closed; it will
+// watch again.
+func (d *Discovery) recordChange(endpoints []Endpoint) {
 	d.mu.Lock()
+	defer d.mu.Unlock()
 	d.version++
-	for _, e := range entries {
-		if _, known := d.entries[e.ID]; !known {
-			d.order = append(d.order, e.ID)
+	for _, endpoint := range endpoints {
+		if _, known := d.endpoints[endpoint.ID]; !known {
+			d.order = append(d.order, endpoint.ID)
 		}
-		d.entries[e.ID] = e
+		d.endpoints[endpoint.ID] = endpoint
 	}
-	l := EndpointList{Version: d.version, Endpoints: entries}
-	d.changes = append(d.changes, l)
-	d.changes = d.changes[max(0, len(d.changes)-1000):]
-	line := encode(l)
-	if !d.silent {
-		for w := range d.watches {
-			select {
-			case w <- line:
-			default: // it stands still; it will ask again
-				delete(d.watches, w)
-				close(w)
-			}
-		}
+	change := EndpointList{Version: d.version, Endpoints: endpoints}
+	d.changes = append(d.changes, change)
+	d.changes = d.changes[max(0, len(d.changes)-maxChanges):]
+	if d.unresponsive {
+		return
 	}
-	d.mu.Unlock()
-	at := time.Now()
-	for _, e := range entries {
-		d.OnChange(at, e)
+	line := encodeList(change)
+	for watcher := range d.watchers {
+		select {
+		case watcher <- line:
+		default:
+			delete(d.watchers, watcher)
+			close(watcher)
+		}
 	}
 }
 
-// Silence makes it answer nothing and write nothing, or go on.
+// SetUnresponsive has discovery answer and write nothing, or go on.
 func (d *Discovery) SetUnresponsive(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.silent = on
+	d.unresponsive = on
 }
 
-func encode(l EndpointList) []byte {
-	text, _ := json.Marshal(l)
+func encodeList(list EndpointList) []byte {
+	text, err := json.Marshal(list)
+	if err != nil {
+		panic(err) // a list has no value that can't be encoded
+	}
 	return append(text, '\n')
 }
 
-func (d *Discovery) hosts(w http.ResponseWriter, r *http.Request) {
+// serveHosts answers with the complete list, or serves a watch.
+func (d *Discovery) serveHosts(w http.ResponseWriter, request *http.Request) {
 	d.mu.Lock()
-	if d.silent {
-		d.mu.Unlock()
-		<-r.Context().Done()
-		return
-	}
-	if r.FormValue("watch") == "" {
-		text := encode(d.whole())
-		d.mu.Unlock()
-		w.Write(text)
-		return
-	}
-	after, _ := strconv.Atoi(r.FormValue("after"))
-	d.asked = append(d.asked, after)
-	first := d.since(after)
-	lines := make(chan []byte, 4096)
-	d.watches[lines] = true
+	unresponsive := d.unresponsive
 	d.mu.Unlock()
-	defer func() {
-		d.mu.Lock()
-		delete(d.watches, lines)
-		d.mu.Unlock()
-	}()
-	w.Write(encode(first))
-	flush := w.(http.Flusher)
-	flush.Flush()
-	idle := time.NewTicker(2 * time.Second)
-	defer idle.Stop()
+	switch {
+	case unresponsive:
+		<-request.Context().Done()
+	case request.FormValue(watchParameter) == "":
+		w.Write(encodeList(d.Snapshot()))
+	default:
+		d.serveWatch(w, request)
+	}
+}
+
+// serveWatch writes what changed after the version that the watcher holds, then each change.
+func (d *Discovery) serveWatch(w http.ResponseWriter, request *http.Request) {
+	held, _ := strconv.Atoi(request.FormValue(versionParameter)) // a watcher without a version gets the complete list
+	lines := make(chan []byte, watchBuffer)
+	opening := d.addWatcher(lines, held)
+	defer d.removeWatcher(lines)
+	flusher := w.(http.Flusher)
+	w.Write(encodeList(opening))
+	flusher.Flush()
+	keepAlive := time.NewTicker(watchKeepAlive)
+	defer keepAlive.Stop()
 	for {
 		select {
-		case line, ok := <-lines:
-			if !ok {
+		case line, open := <-lines:
+			if !open {
 				return
 			}
 			w.Write(line)
-		case <-idle.C:
+		case <-keepAlive.C:
 			fmt.Fprint(w, "\n")
-		case <-r.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
-		flush.Flush()
+		flusher.Flush()
 	}
 }
 
-// since is what changed after a version, or else the whole list.
-func (d *Discovery) since(version int) EndpointList {
-	if len(d.changes) == 0 && version == d.version {
+// addWatcher registers a watcher that holds a version, and returns what it is to read first.
+func (d *Discovery) addWatcher(lines chan []byte, held int) EndpointList {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.watchedVersions = append(d.watchedVersions, held)
+	d.watchers[lines] = true
+	return d.changesAfter(held)
+}
+
+func (d *Discovery) removeWatcher(lines chan []byte) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.watchers, lines)
+}
+
+// changesAfter is what changed after a version, or the complete list where that is not known any more. The caller
+// holds the lock.
+func (d *Discovery) changesAfter(version int) EndpointList {
+	if version == d.version {
 		return EndpointList{Version: version, Endpoints: []Endpoint{}}
 	}
-	for i, c := range d.changes {
-		if c.Version == version+1 {
-			all := EndpointList{Version: d.version, Endpoints: []Endpoint{}}
-			for _, later := range d.changes[i:] {
-				all.Endpoints = append(all.Endpoints, later.Endpoints...)
-			}
-			return all
+	for i, change := range d.changes {
+		if change.Version != version+1 {
+			continue
 		}
+		all := EndpointList{Version: d.version, Endpoints: []Endpoint{}}
+		for _, later := range d.changes[i:] {
+			all.Endpoints = append(all.Endpoints, later.Endpoints...)
+		}
+		return all
 	}
-	if version == d.version {
-		return EndpointList{Version: version, Endpoints: []Endpoint{}}
-	}
-	return d.whole()
+	return d.snapshot()
 }
--- a/internal/fakes/manager.go
+++ b/internal/fakes/manager.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -9,73 +10,84 @@
 	"time"
 )
 
-// Daemon is a manager that a rig runs.
+// Manager is a running manager: a process, or one within this process.
 type Manager interface {
-	Stop(kill bool) error // SIGTERM, or SIGKILL
-	Signal(s os.Signal) error
+	// Stop ends it, by SIGTERM or SIGKILL, and waits for its end.
+	Stop(kill bool) error
+	Signal(signal os.Signal) error
+	// Done is closed once it has ended.
 	Done() <-chan struct{}
 }
 
-// Begin starts a manager with the files of a rig: the platform's JSON and the operator's settings.
-type StartFunc func(start, settings string) (Manager, error)
+// StartFunc starts a manager with its two files: the platform's JSON and the operator's settings.
+type StartFunc func(configFile, settingsFile string) (Manager, error)
 
-// How is what a manager is started with.
+// ManagerOptions are the limits, the seed and the settings that a manager starts with.
 type ManagerOptions struct {
 	Cores            int
 	MemoryMB         float64
 	MaxDescriptors   int
 	Seed             uint64
-	OperatorSettings string // further forms of the operator's
+	OperatorSettings string // further forms of the operator's settings
 }
 
-// ManagerStart is what one manager of a site is told at its start.
+// ManagerConfig is what one manager of a site starts with.
 type ManagerConfig struct {
-	Dir                            string // of its files
-	Name                           string
-	ListenAddress, StatusAddress   string // its addresses
-	DiscoveryAddress, RelayAddress string
-	Endpoints                      EndpointList
-	Options                        ManagerOptions
+	Dir              string // where its files are written
+	Name             string
+	ListenAddress    string
+	StatusAddress    string
+	DiscoveryAddress string
+	RelayAddress     string
+	Endpoints        EndpointList // as last held
+	Options          ManagerOptions
 }
 
 // StartManager writes a manager's files and starts it.
-func (s Site) StartManager(m ManagerConfig, begin StartFunc) (Manager, error) {
-	start, settings := filepath.Join(m.Dir, "start.json"), filepath.Join(m.Dir, "operator.sexp")
-	text := s.Start(m.Name, m.ListenAddress, m.DiscoveryAddress, m.RelayAddress, m.Endpoints, m.Options.Seed, float64(m.Options.Cores), m.Options.MemoryMB, m.Options.MaxDescriptors)
-	if err := os.WriteFile(start, text, 0o600); err != nil {
-		return nil, err
+func (s Site) StartManager(config ManagerConfig, start StartFunc) (Manager, error) {
+	configFile := filepath.Join(config.Dir, "start.json")
+	if err := os.WriteFile(configFile, s.ConfigFile(config), 0o600); err != nil {
+		return nil, fmt.Errorf("write the manager's configuration: %w", err)
 	}
-	operator := fmt.Sprintf("(tamarindshore (cores %d) (listen (status %q)) %s)\n", m.Options.Cores, m.StatusAddress, m.Options.OperatorSettings)
-	if err := os.WriteFile(settings, []byte(operator), 0o600); err != nil {
-		return nil, err
+	settings := fmt.Sprintf("(tamarindshore (cores %d) (listen (status %q)) %s)\n",
+		config.Options.Cores, config.StatusAddress, config.Options.OperatorSettings)
+	settingsFile := filepath.Join(config.Dir, "operator.sexp")
+	if err := os.WriteFile(settingsFile, []byte(settings), 0o600); err != nil {
+		return nil, fmt.Errorf("write the operator's settings: %w", err)
 	}
-	return begin(start, settings)
+	return start(configFile, settingsFile)
 }
 
-// readyMost is how long a rig waits for its manager.
-const readyMost = 10 * time.Second
+const (
+	readyTimeout  = 10 * time.Second // of a manager that a deployment starts
+	readyInterval = 5 * time.Millisecond
+	pingTimeout   = 200 * time.Millisecond
+)
 
 // AwaitReady waits until a manager answers a ping.
-func AwaitReady(daemon Manager, address string, within time.Duration) error {
-	for late := time.Now().Add(within); time.Now().Before(late); time.Sleep(5 * time.Millisecond) {
+func AwaitReady(manager Manager, address string, timeout time.Duration) error {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(readyInterval) {
 		select {
-		case <-daemon.Done():
-			return fmt.Errorf("the manager ended before it was ready; its log says why%s", causeOf(daemon))
+		case <-manager.Done():
+			return endedEarly(manager)
 		default:
 		}
 		if answersPing(address) {
 			return nil
 		}
 	}
-	return fmt.Errorf("the manager was not ready within %v", within)
+	return fmt.Errorf("the manager was not ready within %v", timeout)
 }
 
-// causeOf is why a manager within this process ended, where it tells that.
-func causeOf(daemon Manager) string {
-	if told, ok := daemon.(interface{ Err() error }); ok && told.Err() != nil {
-		return ": " + told.Err().Error()
+// errEndedEarly is that a manager ended before it was ready.
+var errEndedEarly = errors.New("the manager ended before it was ready; its log says why")
+
+// endedEarly is errEndedEarly, with the cause where the manager runs in this process.
+func endedEarly(manager Manager) error {
+	if inProcess, ok := manager.(interface{ Err() error }); ok && inProcess.Err() != nil {
+		return fmt.Errorf("%w: %w", errEndedEarly, inProcess.Err())
 	}
-	return ""
+	return errEndedEarly
 }
 
 func answersPing(address string) bool {
@@ -84,7 +96,7 @@
 		return false
 	}
 	defer connection.Close()
-	connection.SetDeadline(time.Now().Add(200 * time.Millisecond))
+	connection.SetDeadline(time.Now().Add(pingTimeout))
 	fmt.Fprint(connection, "ping\r\n")
 	line, err := bufio.NewReader(connection).ReadString('\n')
 	return err == nil && line == "pong\r\n"
--- a/internal/fakes/process.go
+++ b/internal/fakes/process.go
@@ -1,7 +1,6 @@
 package fakes
 
 import (
-	"errors"
 	"fmt"
 	"os"
 	"os/exec"
@@ -11,84 +10,106 @@
 	"time"
 )
 
-// process is a manager that runs by itself.
+// stopTimeout is how long a manager may take to end after SIGTERM.
+const stopTimeout = 3 * time.Second
+
+// process is a manager that runs as a process of its own.
 type process struct {
-	cmd   *exec.Cmd
-	ended chan struct{}
+	cmd  *exec.Cmd
+	done chan struct{}
 }
 
-// Process starts a program as the manager, with its log in a file.
-func ProcessStarter(program, log string, args ...string) StartFunc {
-	return func(start, settings string) (Manager, error) {
-		out, err := os.OpenFile(log, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
+// ProcessStarter starts a program as the manager and appends what it logs to a file.
+func ProcessStarter(program, logFile string, args ...string) StartFunc {
+	return func(configFile, settingsFile string) (Manager, error) {
+		output, err := os.OpenFile(logFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("open the manager's log: %w", err)
 		}
-		defer out.Close()
-		cmd := exec.Command(program, append(args, "serve", "--settings", settings)...)
-		cmd.Env = append(os.Environ(), "PROXY_CONFIG="+start)
-		cmd.Stdout, cmd.Stderr = out, out
+		defer output.Close()
+		cmd := exec.Command(program, append(args, "serve", "--settings", settingsFile)...)
+		cmd.Env = append(os.Environ(), "PROXY_CONFIG="+configFile)
+		cmd.Stdout = output
+		cmd.Stderr = output
 		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		if err := cmd.Start(); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("start the manager: %w", err)
 		}
-		p := &process{cmd: cmd, ended: make(chan struct{})}
+		p := &process{cmd: cmd, done: make(chan struct{})}
 		go func() {
 			cmd.Wait()
-			close(p.ended)
+			close(p.done)
 		}()
 		return p, nil
 	}
 }
 
-func (p *process) Done() <-chan struct{}    { return p.ended }
-func (p *process) Signal(s os.Signal) error { return p.cmd.Process.Signal(s) }
+// Done is closed once the process has ended.
+func (p *process) Done() <-chan struct{} { return p.done }
+
+// Signal sends a signal to the process.
+func (p *process) Signal(signal os.Signal) error { return p.cmd.Process.Signal(signal) }
 
+// Stop ends the process and waits for it. One that does not end after SIGTERM is killed, and an error says so.
 func (p *process) Stop(kill bool) error {
-	s := syscall.SIGTERM
+	signal := syscall.SIGTERM
 	if kill {
-		s = syscall.SIGKILL
+		signal = syscall.SIGKILL
 	}
-	p.cmd.Process.Signal(s)
+	p.cmd.Process.Signal(signal)
 	select {
-	case <-p.ended:
+	case <-p.done:
 		return nil
-	case <-time.After(3 * time.Second):
+	case <-time.After(stopTimeout):
 		p.cmd.Process.Kill()
-		<-p.ended
-		return errors.New("the manager did not end within 3 s")
+		<-p.done
+		return fmt.Errorf("the manager did not end within %v", stopTimeout)
 	}
 }
 
-// Use is what a process has used: seconds of CPU, and the most memory in MB. Zero where it can't be told.
-func ResourceUsage(d Manager) (cpu, memory float64) {
-	p, ok := d.(*process)
+// Fields of /proc/PID/stat after the program's name, and the unit of the times in it.
+const (
+	statUserTicks   = 11
+	statSystemTicks = 12
+	ticksPerSecond  = 100
+)
+
+// ResourceUsage returns the seconds of CPU that a process has used, and the most memory that it held, in MB. Both are
+// zero where that is not known: for a manager within this process, and on other systems.
+func ResourceUsage(manager Manager) (cpuSeconds, peakMemoryMB float64) {
+	p, ok := manager.(*process)
 	if !ok {
 		return 0, 0
 	}
-	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
-	if text, err := os.ReadFile(dir + "stat"); err == nil {
-		if _, rest, ok := strings.Cut(string(text), ") "); ok {
-			if f := strings.Fields(rest); len(f) > 13 {
-				user, _ := strconv.ParseFloat(f[11], 64)
-				system, _ := strconv.ParseFloat(f[12], 64)
-				cpu = (user + system) / 100
-			}
-		}
-	}
-	return cpu, p.statusMB("VmHWM:")
+	return p.cpuSeconds(), p.statusMB("VmHWM:")
 }
 
-// Resident is the memory in MB that a process holds now. Zero where it can't be told.
-func ResidentMemoryMB(d Manager) float64 {
-	p, ok := d.(*process)
+// ResidentMemoryMB returns the memory in MB that a process holds now, zero where that is not known.
+func ResidentMemoryMB(manager Manager) float64 {
+	p, ok := manager.(*process)
 	if !ok {
 		return 0
 	}
 	return p.statusMB("VmRSS:")
 }
 
-// statusMB is a size that the kernel tells of the process; zero where it tells none.
+// cpuSeconds reads the CPU time of the process; zero where the kernel does not tell it.
+func (p *process) cpuSeconds() float64 {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
+	if err != nil {
+		return 0
+	}
+	_, afterName, found := strings.Cut(string(text), ") ")
+	fields := strings.Fields(afterName)
+	if !found || len(fields) <= statSystemTicks {
+		return 0
+	}
+	user, _ := strconv.ParseFloat(fields[statUserTicks], 64)
+	system, _ := strconv.ParseFloat(fields[statSystemTicks], 64)
+	return (user + system) / ticksPerSecond
+}
+
+// statusMB reads a size of the process in MB; zero where the kernel does not tell it.
 func (p *process) statusMB(key string) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
--- a/internal/fakes/relay_call.go
+++ b/internal/fakes/relay_call.go
@@ -13,136 +13,175 @@
 // Fault is what becomes of a call.
 type Fault int
 
+// The faults of a call. Only the first answers in time and readably.
 const (
-	// None: the call is carried out and answered.
-	NoFault       Fault = iota
-	AnswerLost          // carried out, and the connection breaks before the answer
-	NotExecuted         // the connection breaks, and nothing was carried out
-	NoAnswer            // carried out, and no answer ever comes
-	AnswerGarbled       // carried out, and the answer can't be read
-	AnswerBusy          // nothing was carried out, and the answer says so
-	AnswerDelayed       // carried out, and the answer comes late
-	faultsOf            // how many there are
+	NoFault       Fault = iota // executed and answered
+	AnswerLost                 // executed, and the connection breaks before the answer
+	NotExecuted                // the connection breaks, and nothing was executed
+	NoAnswer                   // executed, and no answer ever comes
+	AnswerGarbled              // executed, and the answer can't be read
+	AnswerBusy                 // nothing was executed, and the answer says so
+	AnswerDelayed              // executed, and the answer comes late
+	faultCount
 )
 
-var faultNames = []string{"none", "lost", "undone", "mute", "garbled", "busy", "slow"}
+var faultNames = [faultCount]string{"none", "lost", "undone", "mute", "garbled", "busy", "slow"}
 
-// String is the name of a fault.
+// String is the name of a fault in reports.
 func (f Fault) String() string { return faultNames[f] }
 
-func (r *Relay) call(w http.ResponseWriter, req *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(req.Body, 1<<20))
-	form, bad := url.ParseQuery(string(body))
-	if err != nil || bad != nil || form.Get("Action") != "CommitChanges" || len(form.Get("orders")) > 60000 {
-		fmt.Fprint(w, `<?xml version="1.0"?><Response><error>SYNTAX</error></Response>`)
+// executed tells whether a call with this fault is executed.
+func (f Fault) executed() bool { return f != NotExecuted && f != AnswerBusy }
+
+// unanswered tells whether a call with this fault is executed without the caller learning of it.
+func (f Fault) unanswered() bool { return f == AnswerLost || f == NoAnswer || f == AnswerGarbled }
+
+// serveCall takes a call with commands, executes it and answers, as its fault has it.
+func (r *Relay) serveCall(w http.ResponseWriter, request *http.Request) {
+	commands, ok := readCommands(request)
+	if !ok {
+		fmt.Fprintf(w, answerError, errorSyntax)
 		return
 	}
-	orders := strings.Split(form.Get("orders"), ";")
-	r.mu.Lock()
-	r.calls++
-	fault := r.InjectFault(r.calls)
-	if r.away {
-		fault = NotExecuted
-	}
-	r.faults[fault]++
-	taken := 0
-	if fault != NotExecuted && fault != AnswerBusy {
-		taken = r.carryOut(orders, fault == AnswerLost || fault == NoAnswer || fault == AnswerGarbled)
-	}
-	r.mu.Unlock()
-	answer := fmt.Sprintf(`<?xml version="1.0"?><Response><items><item><taken>%d</taken></item></items></Response>`, taken)
+	fault, accepted := r.executeCall(commands)
+	answer := fmt.Sprintf(answerAccepted, accepted)
 	switch fault {
 	case AnswerLost, NotExecuted:
-		cutOff(w)
+		breakConnection(w)
 		return
 	case NoAnswer:
 		select {
-		case <-req.Context().Done():
-		case <-r.over:
+		case <-request.Context().Done():
+		case <-r.closed:
 		}
 		return
 	case AnswerGarbled:
 		answer = answer[:len(answer)/2] + "\x00\x01"
 	case AnswerBusy:
-		answer = `<?xml version="1.0"?><Response><error>BUSY</error></Response>`
+		answer = fmt.Sprintf(answerError, errorBusy)
 	case AnswerDelayed:
 		time.Sleep(r.AnswerDelay)
 	}
 	io.WriteString(w, answer)
 }
 
-// carryOut takes orders one after another, up to the first that it can't use, and puts what they cost each proxy into
-// the channel as one message. An order that is carried out again after a call without an answer must change nothing.
-func (r *Relay) carryOut(orders []string, unanswered bool) (taken int) {
+// readCommands reads the commands of a call; false where the call can't be read or is too long.
+func readCommands(request *http.Request) (commands []string, ok bool) {
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxCallBytes))
+	if err != nil {
+		return nil, false
+	}
+	form, err := url.ParseQuery(string(body))
+	if err != nil || form.Get(actionField) != commitAction || len(form.Get(commandsField)) > maxCommandsBytes {
+		return nil, false
+	}
+	return strings.Split(form.Get(commandsField), commandSeparator), true
+}
+
+// executeCall executes a call unless its fault prevents that, and returns how many of its commands were accepted.
+func (r *Relay) executeCall(commands []string) (fault Fault, accepted int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.calls++
+	fault = r.InjectFault(r.calls)
+	if r.unavailable {
+		fault = NotExecuted
+	}
+	r.faults[fault]++
+	if !fault.executed() {
+		return fault, 0
+	}
+	return fault, r.executeAll(commands, fault.unanswered())
+}
+
+// executeAll executes commands one after another, up to the first that it can't use, and queues what they cost each
+// proxy as one message. A command that is executed again after a call without an answer must change nothing. The
+// caller holds the lock.
+func (r *Relay) executeAll(commands []string, unanswered bool) (accepted int) {
 	now := time.Now()
-	m := &sending{at: now, of: map[int]*message{}}
-	for _, o := range orders {
-		before := r.effects
-		kind, about, ok := r.order(o, m)
-		if !ok {
-			r.refused++
+	messages := &callMessages{at: now, byProxy: map[int]*message{}}
+	executed := map[string]*proxy{}
+	for _, text := range commands {
+		changesBefore := r.stateChanges
+		command, ok := parseCommand(text)
+		if !ok || !command.execute(r, messages) {
+			r.rejected++
 			break
 		}
-		if kind != "mark" && r.isRepeat(o) {
-			r.Rules.repeated(now, o, r.effects != before)
+		accepted++
+		executed[text] = r.assignedProxy(command)
+		if r.isRepeat(text, command) {
+			r.Rules.commandRepeated(now, text, r.stateChanges != changesBefore)
 		}
-		taken++
-		r.OnCommand(now, kind, about)
+		r.OnCommand(now, commandWord(text), command.subject())
 	}
-	r.taken += taken
+	r.accepted += accepted
 	clear(r.unanswered)
 	if unanswered {
-		for _, o := range orders[:taken] {
-			r.unanswered[o] = r.assignedProxy(o)
-		}
-	}
-	var ids []int
-	for id := range m.of {
-		ids = append(ids, id)
+		r.unanswered = executed
 	}
-	slices.Sort(ids)
-	for _, id := range ids {
-		one := m.of[id]
-		one.lines += r.site.MessageHeaderLines
-		r.waiting += one.lines
-		r.queue = append(r.queue, *one)
-		one.to.sent = append(one.to.sent, now)
-		one.to.sent = slices.DeleteFunc(one.to.sent, func(at time.Time) bool { return now.Sub(at) > r.site.MessageWindow })
-		r.Rules.messages(now, id, len(one.to.sent))
-	}
-	r.Rules.waits(now, r.waiting)
-	return taken
+	r.enqueue(messages)
+	return accepted
 }
 
 // isRepeat tells whether a command was already executed by the last call, which was not answered. A proxy that has
 // disconnected and connected again since is on no table and has received no earlier command, so its assignment is
-// not a repeat: the earlier one took effect on another incarnation, which is gone.
-func (r *Relay) isRepeat(command string) bool {
-	reached, executed := r.unanswered[command]
+// not a repeat: the earlier one took effect on another incarnation, which is gone. A barrier has no effect to repeat.
+func (r *Relay) isRepeat(text string, command command) bool {
+	if _, isBarrier := command.(setBarrier); isBarrier {
+		return false
+	}
+	reached, executed := r.unanswered[text]
 	return executed && reached == r.assignedProxy(command)
 }
 
 // assignedProxy is the connected proxy that an assignment is about; nil for any other command.
-func (r *Relay) assignedProxy(command string) *proxy {
-	words := fields(strings.Split(command, ","))
-	if words[0] != "bind" || len(words) != orderKinds["bind"].words {
-		return nil
+func (r *Relay) assignedProxy(command command) *proxy {
+	if assignment, ok := command.(assignTable); ok {
+		return r.proxies[assignment.proxy]
 	}
-	return r.proxies[words.number(1)]
+	return nil
+}
+
+// enqueue puts the messages of a call into the channel, by the number of their proxy.
+func (r *Relay) enqueue(messages *callMessages) {
+	ids := make([]int, 0, len(messages.byProxy))
+	for id := range messages.byProxy {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	for _, id := range ids {
+		m := messages.byProxy[id]
+		m.lines += r.site.MessageHeaderLines
+		r.queuedLines += m.lines
+		r.queue = append(r.queue, *m)
+		r.countMessage(m.to, messages.at)
+	}
+	r.Rules.checkQueue(messages.at, r.queuedLines)
+}
+
+// countMessage counts a message to a proxy within the site's window.
+func (r *Relay) countMessage(p *proxy, now time.Time) {
+	p.messageTimes = append(p.messageTimes, now)
+	p.messageTimes = slices.DeleteFunc(p.messageTimes, func(at time.Time) bool {
+		return now.Sub(at) > r.site.MessageWindow
+	})
+	r.Rules.checkMessageCount(now, p.id, len(p.messageTimes))
 }
 
-// sending is what one call sends, by proxy.
-type sending struct {
-	at time.Time
-	of map[int]*message
+// callMessages is what one call sends, by proxy.
+type callMessages struct {
+	at      time.Time
+	byProxy map[int]*message
 }
 
-func (m *sending) line(p *proxy, lines float64) *message {
-	one := m.of[p.id]
-	if one == nil {
-		one = &message{to: p, at: m.at}
-		m.of[p.id] = one
+// add adds lines to the message to a proxy, and returns that message.
+func (c *callMessages) add(p *proxy, lines int) *message {
+	m := c.byProxy[p.id]
+	if m == nil {
+		m = &message{to: p, sentAt: c.at}
+		c.byProxy[p.id] = m
 	}
-	one.lines += lines
-	return one
+	m.lines += float64(lines)
+	return m
 }
--- a/internal/fakes/relay_counts.go
+++ b/internal/fakes/relay_counts.go
@@ -2,93 +2,108 @@
 
 import "time"
 
-// Flows is what the joined proxies send a server a second, by the tables that they are bound to.
-func (r *Relay) RequestRate(server string) (flows float64) {
+// RequestRate returns how many requests per second the connected proxies send a server, by the tables that they use.
+func (r *Relay) RequestRate(server string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.flows(server)
+	return r.requestRate(server)
 }
 
-func (r *Relay) flows(server string) (flows float64) {
-	if r.pulled[server] {
+// requestRate is RequestRate for a caller that holds the lock.
+func (r *Relay) requestRate(server string) (rate float64) {
+	if r.withdrawn[server] {
 		return 0
 	}
 	for _, t := range r.tables {
-		w := t.lines[server]
-		if w == 0 {
-			continue
+		if weight := t.weights[server]; weight != 0 {
+			rate += t.offeredRate() * weight / t.usableWeight(r.withdrawn)
 		}
-		sum, rate := 0.0, 0.0
-		for s, x := range t.lines {
-			if !r.pulled[s] {
-				sum += x
-			}
-		}
-		for _, p := range t.users {
-			rate += p.rate
+	}
+	return rate
+}
+
+// offeredRate is how many requests per second the users of a table have.
+func (t *table) offeredRate() (rate float64) {
+	for _, p := range t.users {
+		rate += p.requestRate
+	}
+	return rate
+}
+
+// usableWeight is the weight of all servers of a table that are not withdrawn.
+func (t *table) usableWeight(withdrawn map[string]bool) (sum float64) {
+	for server, weight := range t.weights {
+		if !withdrawn[server] {
+			sum += weight
 		}
-		flows += rate * w / sum
 	}
-	return flows
+	return sum
 }
 
-// Look judges what stands at this time: proxies without a server, and what cold servers get.
+// CheckState judges what stands now: proxies without a server, and what warming servers get.
 func (r *Relay) CheckState() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	for _, p := range r.proxies {
-		if !p.bareAt.IsZero() {
-			r.Rules.bare(now, p.id, now.Sub(p.bareAt))
+		if !p.emptySince.IsZero() {
+			r.Rules.checkEmptyTime(now, p.id, now.Sub(p.emptySince))
 		}
 	}
-	r.Rules.cold(now, r.flows)
+	r.Rules.checkWarmingServers(now, r.requestRate)
 }
 
-// Counts are what came to a relay.
+// Counts is what a relay received so far, and what stands.
 type Counts struct {
 	Calls            int            `json:"calls"`
 	CommandsAccepted int            `json:"orders_taken"`
 	CommandsRejected int            `json:"orders_refused"`
 	StateChanges     int            `json:"effects"`
 	ConnectedProxies int            `json:"proxies"`
-	AssignedProxies  int            `json:"bound"`
+	AssignedProxies  int            `json:"bound"` // that have applied their assignment
 	Tables           int            `json:"tables"`
 	TableLines       int            `json:"lines"`
-	Withdrawn        int            `json:"withdrawn"`
+	Withdrawn        int            `json:"withdrawn"` // servers
 	Faults           map[string]int `json:"faults,omitempty"`
 }
 
-// Counts tells what came so far and what stands.
+// Counts returns what came so far and what stands.
 func (r *Relay) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := Counts{Calls: r.calls, CommandsAccepted: r.taken, CommandsRejected: r.refused, StateChanges: r.effects, ConnectedProxies: len(r.proxies), Tables: len(r.tables),
-		Faults: map[string]int{}}
+	counts := Counts{
+		Calls:            r.calls,
+		CommandsAccepted: r.accepted,
+		CommandsRejected: r.rejected,
+		StateChanges:     r.stateChanges,
+		ConnectedProxies: len(r.proxies),
+		Tables:           len(r.tables),
+		Faults:           map[string]int{},
+	}
 	for _, p := range r.proxies {
-		if p.table >= 0 && p.applied > 0 {
-			c.AssignedProxies++
+		if p.table != noTable && p.messagesApplied > 0 {
+			counts.AssignedProxies++
 		}
 	}
 	for _, t := range r.tables {
-		c.TableLines += len(t.lines)
+		counts.TableLines += len(t.weights)
 	}
-	for _, on := range r.pulled {
-		if on {
-			c.Withdrawn++
+	for _, withdrawn := range r.withdrawn {
+		if withdrawn {
+			counts.Withdrawn++
 		}
 	}
-	for f, n := range r.faults {
-		if n > 0 && Fault(f) != NoFault {
-			c.Faults[Fault(f).String()] = n
+	for fault, count := range r.faults {
+		if count > 0 && Fault(fault) != NoFault {
+			counts.Faults[Fault(fault).String()] = count
 		}
 	}
-	return c
+	return counts
 }
 
-// Pulled tells whether a server is withdrawn.
+// Withdrawn tells whether a server is withdrawn.
 func (r *Relay) Withdrawn(server string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.pulled[server]
+	return r.withdrawn[server]
 }
--- a/internal/fakes/rules_test.go
+++ b/internal/fakes/rule_checker_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// relay is one with 4 servers and 3 bound proxies on table 0, without sockets.
+// relay is a relay with 4 servers and 3 proxies that use table 0.
 func relay(t *testing.T) *Relay {
 	r, err := NewRelay("127.0.0.1:0", DefaultSite(4, 3))
 	if err != nil {
@@ -20,12 +20,12 @@
 	return r
 }
 
-func (r *Relay) do(t *testing.T, orders ...string) {
+func (r *Relay) do(t *testing.T, commands ...string) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if n := r.carryOut(orders, false); n != len(orders) {
-		t.Fatalf("%d of %d orders taken", n, len(orders))
+	if n := r.executeAll(commands, false); n != len(commands) {
+		t.Fatalf("%d of %d commands accepted", n, len(commands))
 	}
 }
 
@@ -45,7 +45,7 @@
 	}
 }
 
-func broken(r *Relay) (names []string) {
+func violated(r *Relay) (names []string) {
 	for _, rule := range r.Rules.Results() {
 		if !rule.OK() {
 			names = append(names, rule.Name)
@@ -54,31 +54,31 @@
 	return names
 }
 
-// Each rule can be broken: a verdict that can't fail says nothing.
-func TestEachRuleIsSeenBroken(t *testing.T) {
-	for name, breaks := range map[string]func(r *Relay){
+// Each rule can be violated: a check that can't fail says nothing.
+func TestEachViolationOfARuleIsSeen(t *testing.T) {
+	for name, violate := range map[string]func(r *Relay){
 		"no proxy without a server": func(r *Relay) {
 			r.do(t, "withdraw,"+ServerID(0), "withdraw,"+ServerID(1))
 			for _, p := range r.proxies {
-				p.bareAt = p.bareAt.Add(-time.Minute)
+				p.emptySince = p.emptySince.Add(-time.Minute)
 			}
 		},
 		"no effect twice": func(r *Relay) {
-			r.carryOut([]string{"share,0," + ServerID(2) + ",5"}, true)
-			r.tables[0].lines[ServerID(2)] = 1 // as if the first had been undone by a later one
+			r.executeAll([]string{"share,0," + ServerID(2) + ",5"}, true)
+			r.tables[0].weights[ServerID(2)] = 1 // as if the first had been undone by a later one
 			r.do(t, "share,0,"+ServerID(2)+",5")
 		},
 		"drains kept": func(r *Relay) {
 			r.Rules.EndpointChanged(time.Now().Add(-time.Minute), Endpoint{ID: ServerID(0), Lifecycle: "draining"})
-			r.Rules.CheckDrains(time.Now(), func(s string) bool { return r.flows(s) > 0 })
+			r.Rules.CheckDrains(time.Now(), func(s string) bool { return r.requestRate(s) > 0 })
 		},
 		"no cold server pushed over": func(r *Relay) {
 			now := time.Now()
 			r.Rules.EndpointChanged(now, Endpoint{ID: ServerID(0), Lifecycle: "up", Started: now.UnixMilli()})
 			r.site.ServerCapacity = 1
 			r.Rules.site.ServerCapacity = 1
-			r.Rules.cold(now, r.flows)
-			r.Rules.cold(now.Add(2500*time.Millisecond), r.flows)
+			r.Rules.checkWarmingServers(now, r.requestRate)
+			r.Rules.checkWarmingServers(now.Add(2500*time.Millisecond), r.requestRate)
 		},
 		"queue and messages short": func(r *Relay) {
 			r.SetChannelSpeed(0)
@@ -88,36 +88,36 @@
 	} {
 		r := relay(t)
 		r.settle()
-		if got := broken(r); len(got) > 0 {
-			t.Fatalf("broken at rest: %v", got)
+		if got := violated(r); len(got) > 0 {
+			t.Fatalf("violated at rest: %v", got)
 		}
-		breaks(r)
+		violate(r)
 		r.CheckState()
-		if got := broken(r); len(got) != 1 || got[0] != name {
-			t.Errorf("%s: %v seen broken", name, got)
+		if got := violated(r); len(got) != 1 || got[0] != name {
+			t.Errorf("%s: %v seen violated", name, got)
 		}
 	}
 }
 
-func TestANonRetriableGroupIsGivenNoFurtherTries(t *testing.T) {
+func TestAClassThatIsNotIdempotentIsGivenNoFurtherAttempts(t *testing.T) {
 	r := relay(t)
 	r.do(t, "admit,0,quote,1,3", "admit,0,book,1,1")
-	if got := broken(r); len(got) > 0 {
+	if got := violated(r); len(got) > 0 {
 		t.Errorf("%v", got)
 	}
 	r.do(t, "admit,0,book,1,2")
-	if got := broken(r); len(got) != 1 || got[0] != "no effect twice" {
+	if got := violated(r); len(got) != 1 || got[0] != "no effect twice" {
 		t.Errorf("%v", got)
 	}
 }
 
-func TestTheRelayStopsAtTheFirstOrderThatItCantUse(t *testing.T) {
+func TestTheRelayStopsAtTheFirstCommandThatItCantUse(t *testing.T) {
 	r := relay(t)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, bad := range []string{"bind,9,0,*", "share,0,nobody,1", "share,0," + ServerID(0) + ",-1", "sing", "withdraw,nobody", "admit,0,quote,1"} {
-		if n := r.carryOut([]string{"share,0," + ServerID(2) + ",1", bad, "share,0," + ServerID(3) + ",1"}, false); n != 1 {
-			t.Errorf("%s: %d taken", bad, n)
+		if n := r.executeAll([]string{"share,0," + ServerID(2) + ",1", bad, "share,0," + ServerID(3) + ",1"}, false); n != 1 {
+			t.Errorf("%s: %d accepted", bad, n)
 		}
 	}
 }
@@ -147,7 +147,7 @@
 		"connected again, assigned without an answer": {between: func(r *Relay) {
 			reconnect(r)
 			r.mu.Lock()
-			r.carryOut([]string{assignment}, true)
+			r.executeAll([]string{assignment}, true)
 			r.mu.Unlock()
 			reassign(r)
 		}, kept: false, repeats: 1},
@@ -155,11 +155,11 @@
 		r := relay(t)
 		r.settle()
 		r.mu.Lock()
-		r.carryOut([]string{assignment}, true)
+		r.executeAll([]string{assignment}, true)
 		r.mu.Unlock()
 		one.between(r)
 		r.do(t, assignment)
-		result := r.Rules.Results()[twiceRule]
+		result := r.Rules.Results()[repeatRule]
 		if result.OK() != one.kept || result.Checks != one.repeats {
 			t.Errorf("%s: %+v", name, result)
 		}
--- a/internal/fakes/site.go
+++ b/internal/fakes/site.go
@@ -1,97 +1,97 @@
-// Package fakes holds stand-ins of all that a manager meets: discovery, the relay with its proxies, collectors and
-// servers, on loopback, written from the platform's pages. They do as they are told, break as they are told, and count
-// what reaches them; rules.go judges that by the five rules. It must never be imported by the daemon, decide anything
-// that the manager decides, or reach beyond loopback.
+// Package fakes holds stand-ins of all that a manager meets, on loopback: discovery, the relay with its proxies, and
+// servers, written from the platform's pages. They behave and fail as a test has them, and count what reaches them;
+// RuleChecker judges that by the platform's five rules. The daemon must never import it. It decides nothing that the
+// manager decides, and reaches nothing beyond loopback.
 package fakes
 
 import (
-	"encoding/json"
 	"fmt"
 	"time"
 )
 
-// Group is a traffic group of a site.
+// Idempotency of a class, as the platform names it.
+const (
+	idempotent = "idempotent"
+	atMostOnce = "at_most_once"
+)
+
+// TrafficClass is a class of requests of a site.
 type TrafficClass struct {
-	Name                       string
-	LatencyObjective, Deadline time.Duration
-	PriorityWeight             float64
-	Idempotency                string  // idempotent, deduplicated or at_most_once
-	TrafficShare               float64 // of all flows
+	Name             string
+	LatencyObjective time.Duration
+	Deadline         time.Duration
+	PriorityWeight   float64
+	Idempotency      string  // idempotent, deduplicated or at_most_once
+	TrafficShare     float64 // of all requests
 }
 
-// Site is what a deployment states, in the platform's units where it goes to the manager.
+// Site is a deployment's size, traffic and limits.
 type Site struct {
 	Zones          []string
 	TrafficClasses []TrafficClass
 	Servers        int
 	Proxies        int
-	RequestRate    float64 // flows a second at each proxy
-	ServerCapacity float64 // flows a second of a warm server
+	RequestRate    float64 // requests per second at each proxy
+	ServerCapacity float64 // requests per second of a warm server
+
+	ChannelLinesPerSecond float64
+	ChannelQueueLines     float64 // that may wait
+	MessageHeaderLines    float64 // that each message costs beside its own
+	MaxMessages           int     // to one proxy within MessageWindow; 0: no limit
+	MessageWindow         time.Duration
 
-	ChannelLinesPerSecond, ChannelQueueLines float64
-	MessageHeaderLines                       float64
-	MaxMessages                              int // to one proxy within MessagesOver; 0: no limit
-	MessageWindow                            time.Duration
-	InitialCapacityShare                     float64
-	WarmUpDuration                           time.Duration
-	OverloadFactor                           float64
-	OverloadDuration                         time.Duration
-	DrainGracePeriod                         time.Duration
-	EmptyTableLimit                          time.Duration // that a proxy may be without a server to pick
+	InitialCapacityShare float64 // of a server that has just started
+	WarmUpDuration       time.Duration
+	OverloadFactor       float64 // more than this multiple of a warming server's capacity is too much
+	OverloadDuration     time.Duration
+	DrainGracePeriod     time.Duration
+	EmptyTableLimit      time.Duration // that a proxy may be without a server to pick
 }
 
-// Usual is a site of so many servers and proxies with room to spare.
+// Least lines per second of a default site's channel, and what each proxy adds where that is more.
+const (
+	leastChannelLines    = 8600
+	channelLinesPerProxy = 10
+)
+
+// DefaultSite is a site with some servers and proxies, and room to spare.
 func DefaultSite(servers, proxies int) Site {
-	lines := max(8600, 10*float64(proxies))
+	const requestRate = 4.0
+	const spareCapacity = 2.0
+	lines := max(leastChannelLines, channelLinesPerProxy*float64(proxies))
 	return Site{
-		Zones: []string{"a", "b", "c"}, Servers: servers, Proxies: proxies, RequestRate: 4,
+		Zones: []string{"a", "b", "c"},
 		TrafficClasses: []TrafficClass{
-			{"quote", 2 * time.Second, 6 * time.Second, 1, "idempotent", 0.8},
-			{"book", time.Second, 4 * time.Second, 3, "at_most_once", 0.2},
+			{"quote", 2 * time.Second, 6 * time.Second, 1, idempotent, 0.8},
+			{"book", time.Second, 4 * time.Second, 3, atMostOnce, 0.2},
 		},
-		ServerCapacity:        4 * float64(proxies) / float64(servers) * 2,
-		ChannelLinesPerSecond: lines, ChannelQueueLines: lines, MessageHeaderLines: 4, InitialCapacityShare: 0.15, WarmUpDuration: 16 * time.Second,
-		OverloadFactor: 3, OverloadDuration: 2 * time.Second, DrainGracePeriod: 1500 * time.Millisecond, EmptyTableLimit: 3 * time.Second,
+		Servers:               servers,
+		Proxies:               proxies,
+		RequestRate:           requestRate,
+		ServerCapacity:        requestRate * float64(proxies) / float64(servers) * spareCapacity,
+		ChannelLinesPerSecond: lines,
+		ChannelQueueLines:     lines,
+		MessageHeaderLines:    4,
+		InitialCapacityShare:  0.15,
+		WarmUpDuration:        16 * time.Second,
+		OverloadFactor:        3,
+		OverloadDuration:      2 * time.Second,
+		DrainGracePeriod:      1500 * time.Millisecond,
+		EmptyTableLimit:       3 * time.Second,
 	}
 }
 
-// Zone is that of a server or proxy by its number.
+// Zone is the zone of the n-th server or proxy.
 func (s Site) Zone(n int) string { return s.Zones[n%len(s.Zones)] }
 
-// ServerID names a server by its number.
-func ServerID(n int) string { return fmt.Sprintf("s-%05x", uint32(n)*2654435761&0xfffff) }
+// capacityAtAge is the capacity of a server some time after its start, until it is warm.
+func (s Site) capacityAtAge(age time.Duration) float64 {
+	progress := max(0, age.Seconds()) / s.WarmUpDuration.Seconds()
+	return s.ServerCapacity * (s.InitialCapacityShare + (1-s.InitialCapacityShare)*progress)
+}
 
-// Start is the manager's configuration file.
-func (s Site) Start(name, listen, discovery, relay string, list EndpointList, seed uint64, cores, memoryMB float64, sockets int) []byte {
-	type class struct {
-		Name       string  `json:"name"`
-		AimUs      int64   `json:"aimUs"`
-		HardUs     int64   `json:"hardLimitUs"`
-		Worth      float64 `json:"worth"`
-		Repeat     string  `json:"repeat"`
-		Everywhere string  `json:"group,omitempty"`
-		WindowUs   int64   `json:"windowUs,omitempty"`
-	}
-	var classes []class
-	for _, g := range s.TrafficClasses {
-		classes = append(classes, class{Name: g.Name, AimUs: g.LatencyObjective.Microseconds(), HardUs: g.Deadline.Microseconds(), Worth: g.PriorityWeight, Repeat: g.Idempotency})
-	}
-	text, err := json.MarshalIndent(map[string]any{
-		"name": name, "listen": listen, "discovery": discovery, "seed": fmt.Sprintf("%016x", seed),
-		"limits": map[string]any{"cores": cores, "memory_mb": memoryMB, "sockets": sockets},
-		"store":  map[string]any{"address": relay}, "known": list,
-		"settings": map[string]any{
-			"zones": s.Zones, "classes": classes, "report": map[string]any{"how": "piggyback"},
-			"limits": map[string]any{"probing": true, "connIdleUs": 15_000_000},
-			"domain": map[string]any{"egressPerS": s.ChannelLinesPerSecond, "envelope": s.MessageHeaderLines, "queueCap": s.ChannelQueueLines,
-				"admit": "share", "proxies": s.Proxies, "usualHow": 1, "tryAims": 0.8, "lineFee": 0.02,
-				"messagesMost": s.MaxMessages, "reloadSpanUs": s.MessageWindow.Microseconds()},
-			"rules": map[string]any{"coldFrom": s.InitialCapacityShare, "warmAfterUs": s.WarmUpDuration.Microseconds(),
-				"drainGraceUs": s.DrainGracePeriod.Microseconds(), "emptyForUs": s.EmptyTableLimit.Microseconds()},
-		},
-	}, "", " ")
-	if err != nil {
-		panic(err) // no value above can fail
-	}
-	return text
+// ServerID is the id of the n-th server. Ids carry no order.
+func ServerID(n int) string {
+	const multiplier = 2654435761 // odd, so that distinct numbers have distinct products
+	return fmt.Sprintf("s-%05x", uint32(n)*multiplier&0xfffff)
 }
