--- /dev/null
+++ b/internal/faultsim/bad_input_test.go
@@ -0,0 +1,93 @@
+package faultsim
+
+import (
+	"errors"
+	"io/fs"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestBadScenariosNameFileLineAndKey(t *testing.T) {
+	for _, one := range []struct{ name, text, want string }{
+		{"empty", "", "f:1: one form (scenario ...) is due"},
+		{"another form", "(replay (seed 1))", "f:1: one form (scenario ...) is due"},
+		{"two forms", "(scenario) (scenario)", "f:1: one form (scenario ...) is due"},
+		{"open bracket", "(scenario\n (zones 2)", "f:2: a bracket is not closed"},
+		{"unknown key", "(scenario\n (racks 2))", "f:2: racks: is no key here"},
+		{"key twice", "(scenario (zones 2)\n (zones 2))", "f:2: zones: "},
+		{"no value", "(scenario\n (zones))", "f:2: zones: one value is due"},
+		{"no number", "(scenario\n (zones many))", "f:2: zones: many is no whole number from 1 to 16"},
+		{"integer out of range", "(scenario\n (zones 17))", "f:2: zones: 17 is no whole number from 1 to 16"},
+		{"number out of range", "(scenario\n (rate 0))", "f:2: rate: 0 is no number from 0.01 to 10000"},
+		{"no duration", "(scenario\n (service 5))", "f:2: service: 5 is no time"},
+		{"reversed range", "(scenario\n (transit (least 2s) (most 1s)))", "f:2: transit: most is under least"},
+		{"reversed counts", "(scenario (faults (least 5) (most 4)))", "f:1: faults: most is under least"},
+		{"unknown fault", "(scenario (weights\n (fire 1)))", "f:2: fire: is no key here"},
+		{"negative weight", "(scenario (weights\n (crash -1)))", "f:2: crash: -1 is no number from 0 to 100"},
+	} {
+		t.Run(one.name, func(t *testing.T) {
+			_, err := ParseScenario("f", []byte(one.text))
+			if err == nil || !strings.HasPrefix(err.Error(), one.want) {
+				t.Errorf("got %v, want %s", err, one.want)
+			}
+		})
+	}
+}
+
+func TestBadScriptsNameFileLineAndKey(t *testing.T) {
+	for _, one := range []struct{ name, text, want string }{
+		{"empty", "", "f:1: one form (replay ...) is due"},
+		{"another form", "(scenario)", "f:1: one form (replay ...) is due"},
+		{"open bracket", "(replay\n (seed 1)", "f:2: a bracket is not closed"},
+		{"no seed", "(replay)", "f:1: seed: is missing"},
+		{"negative seed", "(replay\n (seed -1))", "f:2: seed: -1 is no whole number"},
+		{"unknown fault", "(replay (seed 1)\n (fire (at 1s)))", "f:2: fire: is no key here"},
+		{"no duration", "(replay (seed 1)\n (crash (at 1s) (part 1) (whom 1)))", "f:2: for: is missing"},
+		{"fraction over 1", "(replay (seed 1)\n (crash (at 1s) (for 1s) (part 1.5) (whom 1)))", "f:2: part: 1.5 is no number from 0 to 1"},
+		{"late", "(replay (seed 1)\n (crash (at 2h) (for 1s) (part 1) (whom 1)))", "f:2: at: 2h is no time"},
+	} {
+		t.Run(one.name, func(t *testing.T) {
+			_, err := ParseScript("f", []byte(one.text))
+			if err == nil || !strings.HasPrefix(err.Error(), one.want) {
+				t.Errorf("got %v, want %s", err, one.want)
+			}
+		})
+	}
+}
+
+func TestAnotherFormIsAFormError(t *testing.T) {
+	var form *FormError
+	if _, err := ParseScenario("f", []byte("(other)")); !errors.As(err, &form) || form.File != "f" || form.Head != "scenario" {
+		t.Errorf("scenario: %v", err)
+	}
+	if _, err := ParseScript("g", []byte("(other)")); !errors.As(err, &form) || form.File != "g" || form.Head != "replay" {
+		t.Errorf("replay: %v", err)
+	}
+	if _, err := ReadScenario(filepath.Join(t.TempDir(), "none.sexp")); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("no file: %v", err)
+	}
+}
+
+// Several servers are over the limit at once there: the verdict must not depend on the order of a map.
+func TestTheSameSeedGivesTheSameVerdict(t *testing.T) {
+	s := DefaultScenario()
+	s.DrainGracePeriod = 100 * time.Millisecond
+	s.MaxTimeWithoutServer = 200 * time.Millisecond
+	s.OverloadFactor = 1
+	s.MaxOverloadTime = 300 * time.Millisecond
+	want := ""
+	for range 20 {
+		violation, _ := Run(s, GenerateScript(s, 6), nil)
+		if violation == nil || violation.Rule != RuleDrainsKept {
+			t.Fatalf("no drain is late: %v", violation)
+		}
+		if want == "" {
+			want = violation.String()
+		}
+		if got := violation.String(); got != want {
+			t.Fatalf("%s, and before %s", got, want)
+		}
+	}
+}
--- a/internal/faultsim/format_test.go
+++ b/internal/faultsim/format_test.go
@@ -49,13 +49,13 @@
 	const ms = time.Millisecond
 	want := Scenario{
 		Zones: 2, Servers: 9, Proxies: 11, RequestRate: 5.5, ServerCapacity: 13.5, ServiceTime: 140 * ms,
-		ReportDelay: [2]time.Duration{300 * ms, 1500 * ms}, ListDelay: [2]time.Duration{400 * ms, 2500 * ms},
-		MessageDelay: [2]time.Duration{70 * ms, 290 * ms}, CommandsPerSecond: 1200, QueueCapacity: 2500, MaxMessages: 90,
+		ReportDelay: DurationRange{300 * ms, 1500 * ms}, ListDelay: DurationRange{400 * ms, 2500 * ms},
+		MessageDelay: DurationRange{70 * ms, 290 * ms}, CommandsPerSecond: 1200, QueueCapacity: 2500, MaxMessages: 90,
 		ColdCapacity: 0.25, WarmUpDuration: 15 * time.Second, DrainGracePeriod: 1600 * ms, MaxTimeWithoutServer: 3500 * ms,
 		OverloadFactor: 3.5, MaxOverloadTime: 2500 * ms, FaultPhase: 35 * time.Second, SettlePhase: 24 * time.Second,
-		FaultCount: [2]int{2, 6}, FaultWeights: map[FaultKind]float64{},
+		FaultCount: CountRange{2, 6}, FaultWeights: map[FaultKind]float64{},
 	}
-	for kind := range FaultKind(len(kinds)) {
+	for kind := range FaultKind(len(faultNames)) {
 		want.FaultWeights[kind] = 2 + float64(kind)
 	}
 	if got := fixtureScenario(t); !reflect.DeepEqual(got, want) {
@@ -92,7 +92,7 @@
 		DelayedEndpointList: "late-list", Rollback: "rollback",
 	}
 	got := map[FaultKind]string{}
-	for kind := range FaultKind(len(kinds)) {
+	for kind := range FaultKind(len(faultNames)) {
 		got[kind] = kind.String()
 	}
 	if !maps.Equal(got, want) {
@@ -116,7 +116,7 @@
 		"script.replay": fixtureScenario(t),
 		"unsettled":     unsettled,
 		"stuck.replay":  unsettled,
-		"short-queue":   changed(func(s *Scenario) { s.QueueCapacity, s.FaultCount = 40, [2]int{4, 4} }),
+		"short-queue":   changed(func(s *Scenario) { s.QueueCapacity, s.FaultCount = 40, CountRange{4, 4} }),
 		"few-messages":  changed(func(s *Scenario) { s.MaxMessages = 2 }),
 		"bare":          changed(func(s *Scenario) { s.MaxTimeWithoutServer = time.Millisecond }),
 		"cold-overload": changed(func(s *Scenario) { s.OverloadFactor, s.MaxOverloadTime = 1, time.Millisecond }),
--- a/internal/faultsim/rules.go
+++ b/internal/faultsim/rules.go
@@ -2,164 +2,246 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"time"
 
 	"tamarindshore/balancer"
 )
 
-// Break is the first rule that was broken.
+// Rule is the name of a rule that each run must keep.
+type Rule string
+
+// Rules, as verdicts and reports name them.
+const (
+	RuleServerAvailable  Rule = "no proxy without a server"
+	RuleDrainsKept       Rule = "drains kept"
+	RuleNoColdOverload   Rule = "no cold server pushed over"
+	RuleNoRepeatedEffect Rule = "no effect twice"
+	RuleShortQueue       Rule = "queue and messages short"
+	RuleProgress         Rule = "progress"
+	RuleBounded          Rule = "bounded"
+)
+
+// Violation is the first break of a rule in a run.
 type Violation struct {
-	Rule    string
-	At      time.Duration
-	Subject string
+	Rule    Rule
+	At      time.Duration // since the start of the run
+	Subject string        // the proxy, server, command or queue that broke it
 	Details string
 }
 
-// String says which rule was broken, when, by whom and how.
-func (b *Violation) String() string {
-	return fmt.Sprintf("%s: broken at %.3fs by %s: %s", b.Rule, b.At.Seconds(), b.Subject, b.Details)
+// String is the verdict on a run: which rule was broken, when, by what and how.
+func (v *Violation) String() string {
+	return fmt.Sprintf("%s: broken at %.3fs by %s: %s", v.Rule, v.At.Seconds(), v.Subject, v.Details)
 }
 
-// mark is since when something is so, and how long the relay was not as stated by then.
-type mark struct {
-	since, outage time.Duration
+// condition is since when something holds, and how long outages had lasted in all by then.
+type condition struct {
+	since         time.Duration
+	outagesBefore time.Duration
 }
 
-// rules judges a run. The times of rules stand still while the relay, its channel or the manager does.
+// rules judges a run. Outages do not count towards the time limits of rules.
 type rules struct {
-	w      *Simulation
-	broken *Violation
-	bare   map[balancer.ProxyID]mark
-	over   map[balancer.ServerID]mark
+	simulation    *Simulation
+	violation     *Violation // the first
+	withoutServer map[balancer.ProxyID]condition
+	overloaded    map[balancer.ServerID]condition
+}
+
+func newRules(s *Simulation) *rules {
+	return &rules{
+		simulation:    s,
+		withoutServer: map[balancer.ProxyID]condition{},
+		overloaded:    map[balancer.ServerID]condition{},
+	}
 }
 
-func (r *rules) fail(rule, whom, format string, values ...any) {
-	if r.broken == nil {
-		r.broken = &Violation{rule, r.w.now, whom, fmt.Sprintf(format, values...)}
-		r.w.say("BROKEN %v", r.broken)
+// fail notes a violation, unless there was one before.
+func (r *rules) fail(rule Rule, subject, format string, values ...any) {
+	if r.violation != nil {
+		return
 	}
+	r.violation = &Violation{Rule: rule, At: r.simulation.now, Subject: subject, Details: fmt.Sprintf(format, values...)}
+	r.simulation.record("BROKEN %v", r.violation)
 }
 
-func (r *rules) begin() mark { return mark{r.w.now, r.w.outage} }
+func (r *rules) newCondition() condition {
+	return condition{since: r.simulation.now, outagesBefore: r.simulation.outages.total}
+}
 
-// passed is the time since a mark in which all was as stated.
-func (r *rules) passed(m mark) time.Duration { return r.w.now - m.since - (r.w.outage - m.outage) }
+// duration is how long a condition has held, without outages.
+func (r *rules) duration(c condition) time.Duration {
+	return r.simulation.now - c.since - (r.simulation.outages.total - c.outagesBefore)
+}
 
-// ready tells whether some server is listed ready, by what the manager was told, and warm.
-func (r *rules) ready() bool {
-	for _, s := range r.w.servers {
-		if t := r.w.list[s.id]; t.state == balancer.Ready && r.w.now-t.since >= r.w.sc.WarmUpDuration {
-			return true
+// workingSince is the time since start without outages.
+func (r *rules) workingSince(start time.Duration) time.Duration {
+	return r.simulation.now - start - r.simulation.outages.since(start)
+}
+
+// check looks at the rules that hold at all times.
+func (r *rules) check() {
+	serverReady := r.hasWarmServer()
+	for _, p := range r.simulation.proxies {
+		r.checkServerAvailable(p, serverReady)
+		if p.connected {
+			r.checkDrains(p)
 		}
 	}
-	return false
+	for _, server := range r.simulation.servers {
+		r.checkColdOverload(server)
+	}
 }
 
-// usable tells whether a proxy has a line to pick.
-func usable(p *proxy) bool {
-	for s := range p.lines {
-		if !p.pulled[s] {
+// hasWarmServer reports whether some server is listed ready, as the manager was told, and warm.
+func (r *rules) hasWarmServer() bool {
+	s := r.simulation
+	for _, server := range s.servers {
+		listed := s.manager.endpoints[server.id]
+		if listed.state == balancer.Ready && s.now-listed.startedAt >= s.scenario.WarmUpDuration {
 			return true
 		}
 	}
 	return false
 }
 
-// held is a proxy that took over a message.
-func (r *rules) held(p *proxy) {
-	if usable(p) {
-		delete(r.bare, p.id)
+// checkServerAvailable checks that a connected proxy is not without a server for long while one is ready.
+func (r *rules) checkServerAvailable(p *proxy, serverReady bool) {
+	if !p.connected || p.hasServer() || !serverReady {
+		delete(r.withoutServer, p.id)
+		return
+	}
+	since, known := r.withoutServer[p.id]
+	if !known {
+		r.withoutServer[p.id] = r.newCondition()
+		return
+	}
+	if d := r.duration(since); d > r.simulation.scenario.MaxTimeWithoutServer {
+		r.fail(RuleServerAvailable, proxyName(p), "none to pick for %.2fs", d.Seconds())
 	}
 }
 
-// look judges what stands.
-func (r *rules) look() {
-	w := r.w
-	ready := r.ready()
-	for _, p := range w.proxies {
-		if !p.joined || usable(p) || !ready {
-			delete(r.bare, p.id)
-		} else if m, before := r.bare[p.id]; !before {
-			r.bare[p.id] = r.begin()
-		} else if d := r.passed(m); d > w.sc.MaxTimeWithoutServer {
-			r.fail("no proxy without a server", fmt.Sprint("proxy ", p.id), "none to pick for %.2fs", d.Seconds())
-		}
-		if !p.joined {
-			continue
-		}
-		for s, weight := range p.lines {
-			if t := w.list[s]; t.state == balancer.Ready || weight == 0 || p.pulled[s] {
-				continue
-			} else if since := max(t.at, p.since); w.now-since > w.sc.DrainGracePeriod && r.quiet(since) > w.sc.DrainGracePeriod {
-				r.fail("drains kept", fmt.Sprint("proxy ", p.id), "sends to %s, told to drain or gone %.2fs ago", s, (w.now - since).Seconds())
-			}
-		}
+// tableReceived notes that a proxy took over a message.
+func (r *rules) tableReceived(p *proxy) {
+	if p.hasServer() {
+		delete(r.withoutServer, p.id)
 	}
-	for _, s := range w.servers {
-		// what comes before the start is told, by tables of before, is nobody's fault
-		if !s.up || w.now-s.started >= w.sc.WarmUpDuration || w.list[s.id].since < s.started {
-			delete(r.over, s.id)
+}
+
+// checkDrains checks that a proxy sends nothing to a server for longer than the grace period after the manager was told
+// that the server drains or is gone. Of several such servers the first by name is reported.
+func (r *rules) checkDrains(p *proxy) {
+	s := r.simulation
+	grace := s.scenario.DrainGracePeriod
+	var late balancer.ServerID
+	for server, weight := range p.weights {
+		listed := s.manager.endpoints[server]
+		if listed.state == balancer.Ready || weight == 0 || p.withdrawn[server] {
 			continue
 		}
-		gets := 0.0
-		for _, x := range s.gets {
-			gets += x
-		}
-		if can := w.can(s); gets <= w.sc.OverloadFactor*can {
-			delete(r.over, s.id)
-		} else if m, before := r.over[s.id]; !before {
-			r.over[s.id] = r.begin()
-		} else if r.passed(m) >= w.sc.MaxOverloadTime {
-			r.fail("no cold server pushed over", string(s.id), "gets %.1f of %.1f flows/s for %.1fs", gets, can, r.passed(m).Seconds())
+		since := max(listed.toldAt, p.connectedAt)
+		if s.now-since > grace && r.workingSince(since) > grace && (late == "" || server < late) {
+			late = server
 		}
 	}
+	if late != "" {
+		since := max(s.manager.endpoints[late].toldAt, p.connectedAt)
+		r.fail(RuleDrainsKept, proxyName(p), "sends to %s, told to drain or gone %.2fs ago", late, (s.now - since).Seconds())
+	}
 }
 
-// quiet is the time since then in which all was as stated; hurts are remembered by the world as they end.
-func (r *rules) quiet(since time.Duration) time.Duration {
-	return r.w.now - since - r.w.hurtSince(since)
+// checkColdOverload checks that a server that warms up does not get far more than it can serve. Requests by tables from
+// before its start are nobody's fault.
+func (r *rules) checkColdOverload(server *server) {
+	s := r.simulation
+	warm := s.now-server.startedAt >= s.scenario.WarmUpDuration
+	listedBeforeStart := s.manager.endpoints[server.id].startedAt < server.startedAt
+	if !server.running || warm || listedBeforeStart {
+		delete(r.overloaded, server.id)
+		return
+	}
+	rate := 0.0
+	for _, x := range server.rateByZone {
+		rate += x
+	}
+	capacity := s.capacity(server)
+	if rate <= s.scenario.OverloadFactor*capacity {
+		delete(r.overloaded, server.id)
+		return
+	}
+	since, known := r.overloaded[server.id]
+	if !known {
+		r.overloaded[server.id] = r.newCondition()
+		return
+	}
+	if d := r.duration(since); d >= s.scenario.MaxOverloadTime {
+		r.fail(RuleNoColdOverload, string(server.id), "gets %.1f of %.1f flows/s for %.1fs", rate, capacity, d.Seconds())
+	}
 }
 
-func (r *rules) queue(lines float64) {
-	if lines > r.w.sc.QueueCapacity {
-		r.fail("queue and messages short", "channel", "%.0f lines wait, %.0f at most", lines, r.w.sc.QueueCapacity)
+// checkQueue checks the commands that wait in the channel against its capacity.
+func (r *rules) checkQueue(queued float64) {
+	if capacity := r.simulation.scenario.QueueCapacity; queued > capacity {
+		r.fail(RuleShortQueue, "channel", "%.0f lines wait, %.0f at most", queued, capacity)
 	}
 }
 
-func (r *rules) messages(p *proxy) {
-	if most := r.w.sc.MaxMessages; most > 0 && len(p.sent) > most {
-		r.fail("queue and messages short", fmt.Sprint("proxy ", p.id), "%d messages in 10s, %d at most", len(p.sent), most)
+// checkMessages checks how many messages a proxy was sent lately.
+func (r *rules) checkMessages(p *proxy) {
+	if limit := r.simulation.scenario.MaxMessages; limit > 0 && len(p.recentSends) > limit {
+		r.fail(RuleShortQueue, proxyName(p), "%d messages in 10s, %d at most", len(p.recentSends), limit)
 	}
 }
 
-// reaches is how long a message may take, through the channel too, once all is well.
-const reaches = 5 * time.Second
+// maxMessageTime is how long a message may take once there are no faults, its wait in the channel included.
+const maxMessageTime = 5 * time.Second
 
-// progress judges the end: nothing waits, all that are joined are bound and hold what stands.
-func (r *rules) progress() {
-	w := r.w
-	if w.calling || len(w.backlog) > 0 {
-		r.fail("progress", "relay", "orders still wait %.0fs after the last fault", w.sc.SettlePhase.Seconds())
+// checkProgress judges the end of a run: nothing waits, and all connected proxies hold the tables that stand.
+func (r *rules) checkProgress() {
+	s := r.simulation
+	if s.manager.calling || len(s.manager.backlog) > 0 {
+		r.fail(RuleProgress, "relay", "orders still wait %.0fs after the last fault", s.scenario.SettlePhase.Seconds())
 	}
-	for _, p := range w.proxies {
-		switch {
-		case !p.joined:
-		case !p.bound:
-			r.fail("progress", fmt.Sprint("proxy ", p.id), "joined at %.1fs, and not bound", p.since.Seconds())
-		default:
-			for s, weight := range w.tables[p.table] {
-				if p.lines[s] != weight && w.now-p.told > reaches {
-					r.fail("progress", fmt.Sprint("proxy ", p.id), "holds %v for %s, and %v stands", p.lines[s], s, weight)
-				}
-			}
+	for _, p := range s.proxies {
+		if p.connected {
+			r.checkTable(p)
 		}
 	}
-	state := w.chain.State()
+	r.checkRelayTables()
+}
+
+// checkTable checks that a proxy has a table, and holds it as the relay does.
+func (r *rules) checkTable(p *proxy) {
+	s := r.simulation
+	if !p.assigned {
+		r.fail(RuleProgress, proxyName(p), "joined at %.1fs, and not bound", p.connectedAt.Seconds())
+		return
+	}
+	if s.now-p.sentAt <= maxMessageTime {
+		return
+	}
+	table := s.relay.tables[p.table]
+	for _, server := range slices.Sorted(maps.Keys(table)) {
+		if p.weights[server] != table[server] {
+			r.fail(RuleProgress, proxyName(p), "holds %v for %s, and %v stands", p.weights[server], server, table[server])
+		}
+	}
+}
+
+// checkRelayTables checks that the relay holds the weights of the versioned tables.
+func (r *rules) checkRelayTables() {
+	state := r.simulation.manager.chain.State()
 	for _, id := range state.TableIDs() {
-		for s, weight := range state.Table(id).Weights {
-			if w.tables[balancer.TableID(id)][balancer.ServerID(s)] != weight {
-				r.fail("progress", "relay", "table %d has %v for %s, and the chain %v", id, w.tables[balancer.TableID(id)][balancer.ServerID(s)], s, weight)
+		weights := state.Table(id).Weights
+		held := r.simulation.relay.tables[balancer.TableID(id)]
+		for _, server := range slices.Sorted(maps.Keys(weights)) {
+			if got := held[balancer.ServerID(server)]; got != weights[server] {
+				r.fail(RuleProgress, "relay", "table %d has %v for %s, and the chain %v", id, got, server, weights[server])
 			}
 		}
 	}
 }
+
+func proxyName(p *proxy) string { return fmt.Sprint("proxy ", p.id) }
--- /dev/null
+++ b/internal/faultsim/scenario_file.go
@@ -0,0 +1,107 @@
+package faultsim
+
+import (
+	"os"
+	"path/filepath"
+	"time"
+
+	"tamarindshore/internal/sexp"
+)
+
+// ReadScenario reads a scenario file of the form (scenario (key value) ...). What the file does not say is as in
+// DefaultScenario. An error names the file, the line and the key.
+func ReadScenario(path string) (Scenario, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return Scenario{}, err
+	}
+	return ParseScenario(filepath.Base(path), text)
+}
+
+// ParseScenario reads the text of a scenario file; errors call the file by name.
+func ParseScenario(name string, text []byte) (Scenario, error) {
+	s := DefaultScenario()
+	form, err := parseForm(name, text, "scenario")
+	if err != nil {
+		return s, err
+	}
+	if err := sexp.Read(form, form.Args(), s.keys()...); err != nil {
+		return s, err
+	}
+	if s.FaultCount.Max < s.FaultCount.Min {
+		return s, form.Errorf("faults: most is under least")
+	}
+	return s, nil
+}
+
+// keys are the keys of a scenario file, with their bounds.
+func (s *Scenario) keys() []sexp.Key {
+	return []sexp.Key{
+		integerKey("zones", &s.Zones, 1, 16),
+		integerKey("servers", &s.Servers, 1, 5000),
+		integerKey("proxies", &s.Proxies, 1, 20000),
+		numberKey("rate", &s.RequestRate, 0.01, 1e4),
+		numberKey("capacity", &s.ServerCapacity, 0.1, 1e5),
+		durationKey("service", &s.ServiceTime),
+		durationRangeKey("reports-late", &s.ReportDelay),
+		durationRangeKey("list-late", &s.ListDelay),
+		durationRangeKey("transit", &s.MessageDelay),
+		numberKey("lines-per-s", &s.CommandsPerSecond, 10, 1e7),
+		numberKey("queue-lines", &s.QueueCapacity, 10, 1e7),
+		integerKey("messages", &s.MaxMessages, 0, 1000),
+		numberKey("cold-share", &s.ColdCapacity, 0.01, 1),
+		durationKey("warm-after", &s.WarmUpDuration),
+		durationKey("drain-grace", &s.DrainGracePeriod),
+		durationKey("bare-for", &s.MaxTimeWithoutServer),
+		numberKey("overload-factor", &s.OverloadFactor, 1, 100),
+		durationKey("overload-for", &s.MaxOverloadTime),
+		durationKey("length", &s.FaultPhase),
+		durationKey("settle", &s.SettlePhase),
+		countRangeKey("faults", &s.FaultCount, 0, 50),
+		{Name: "weights", Read: s.readFaultWeights},
+	}
+}
+
+// readFaultWeights reads a weight for each kind of fault that is named.
+func (s *Scenario) readFaultWeights(node *sexp.Node) error {
+	var keys []sexp.Key
+	for _, kind := range FaultKinds() {
+		keys = append(keys, sexp.Key{Name: kind.String(), Read: func(node *sexp.Node) error {
+			weight := 0.0
+			err := node.Float(&weight, 0, 100)
+			s.FaultWeights[kind] = weight
+			return err
+		}})
+	}
+	return sexp.Read(node, node.Args(), keys...)
+}
+
+func integerKey(name string, value *int, least, most int) sexp.Key {
+	return sexp.Key{Name: name, Read: func(node *sexp.Node) error { return node.Int(value, least, most) }}
+}
+
+func numberKey(name string, value *float64, least, most float64) sexp.Key {
+	return sexp.Key{Name: name, Read: func(node *sexp.Node) error { return node.Float(value, least, most) }}
+}
+
+func durationKey(name string, value *time.Duration) sexp.Key {
+	return sexp.Key{Name: name, Read: func(node *sexp.Node) error { return node.Duration(value, time.Millisecond, time.Hour) }}
+}
+
+func countRangeKey(name string, value *CountRange, least, most int) sexp.Key {
+	return sexp.Key{Name: name, Read: func(node *sexp.Node) error {
+		return sexp.Read(node, node.Args(), integerKey("least", &value.Min, least, most), integerKey("most", &value.Max, least, most))
+	}}
+}
+
+func durationRangeKey(name string, value *DurationRange) sexp.Key {
+	return sexp.Key{Name: name, Read: func(node *sexp.Node) error {
+		if err := sexp.Read(node, node.Args(), durationKey("least", &value.Min), durationKey("most", &value.Max)); err != nil {
+			return err
+		}
+		if value.Max < value.Min {
+			return node.Errorf("%s: most is under least", name)
+		}
+		return nil
+	}}
+}
--- a/internal/faultsim/script.go
+++ b/internal/faultsim/script.go
@@ -1,122 +1,132 @@
 package faultsim
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"slices"
-	"strings"
 	"time"
-
-	"tamarindshore/internal/sexp"
 )
 
-// Kind is what may befall a run.
+// FaultKind is a kind of fault. Its String is its name in files.
 type FaultKind int
 
+// Kinds of faults. Those that last end after Fault.Duration.
 const (
-	Crash               FaultKind = iota // servers die and come back cold
-	Unresponsive                         // servers say nothing, and come back as they were
+	Crash               FaultKind = iota // servers die, and come back cold
+	Unresponsive                         // servers answer nothing, and go on as before
 	SlowServers                          // servers run slower
-	ServerErrors                         // servers fail quickly
-	Drain                                // servers are drained, end and come back fresh
-	ZoneOutage                           // all servers of a zone die and come back cold
-	ZonePartition                        // flows from a zone to others fail
-	ReportsLost                          // no reports come
+	ServerErrors                         // servers fail most requests quickly
+	Drain                                // servers drain, end, and come back as fresh processes
+	ZoneOutage                           // all servers of a zone die, and come back cold
+	ZonePartition                        // requests between a zone and the others fail
+	ReportsLost                          // no reports arrive
 	RelayUnreachable                     // the relay takes no calls
-	ResponsesLost                        // calls are carried out or not, and not answered
+	ResponsesLost                        // calls are carried out or not, without a response
 	SlowChannel                          // the relay sends slower
-	ManagerRestart                       // the manager restarts with the list as last held
-	ManagerStall                         // the manager stands still
-	ProxyReconnect                       // proxies lose their streams and join again
-	WrongEndpointList                    // the list calls running servers gone, and then up again
-	DuplicateReports                     // reports come twice
-	DelayedEndpointList                  // the list is late by seconds more
-	Rollback                             // staff go back to a version, and resume
+	ManagerRestart                       // the manager restarts with the endpoint list as last told
+	ManagerStall                         // the manager does nothing for a while
+	ProxyReconnect                       // proxies lose their streams and connect again
+	WrongEndpointList                    // the endpoint list has running servers removed, then ready again
+	DuplicateReports                     // reports arrive twice
+	DelayedEndpointList                  // the endpoint list is late by more seconds
+	Rollback                             // the operator rolls back to an older version, then resumes
 )
 
-var kinds = []string{"crash", "silence", "slow", "errors", "drain", "zone-lost", "zone-cut", "deaf", "unreachable", "lost-answers",
-	"slow-channel", "restart", "stall", "rejoin", "wrong-list", "doubled", "late-list", "rollback"}
+// faultNames are the names in scenario and replay files.
+var faultNames = [...]string{
+	Crash:               "crash",
+	Unresponsive:        "silence",
+	SlowServers:         "slow",
+	ServerErrors:        "errors",
+	Drain:               "drain",
+	ZoneOutage:          "zone-lost",
+	ZonePartition:       "zone-cut",
+	ReportsLost:         "deaf",
+	RelayUnreachable:    "unreachable",
+	ResponsesLost:       "lost-answers",
+	SlowChannel:         "slow-channel",
+	ManagerRestart:      "restart",
+	ManagerStall:        "stall",
+	ProxyReconnect:      "rejoin",
+	WrongEndpointList:   "wrong-list",
+	DuplicateReports:    "doubled",
+	DelayedEndpointList: "late-list",
+	Rollback:            "rollback",
+}
+
+// String is the name of a kind in files.
+func (k FaultKind) String() string { return faultNames[k] }
 
-// String is the name of a kind.
-func (k FaultKind) String() string { return kinds[k] }
+// FaultKinds are all kinds, in the order in which scripts draw from them.
+func FaultKinds() []FaultKind {
+	kinds := make([]FaultKind, len(faultNames))
+	for i := range kinds {
+		kinds[i] = FaultKind(i)
+	}
+	return kinds
+}
 
-// Fault is one thing that befalls a run.
+// Fault is one fault of a run.
 type Fault struct {
-	Kind         FaultKind
-	At, Duration time.Duration
-	Fraction     float64 // of the servers or proxies
-	TargetSeed   uint64  // who that is
+	Kind       FaultKind
+	At         time.Duration // since the start of the run
+	Duration   time.Duration
+	Fraction   float64 // of the servers or proxies
+	TargetSeed uint64  // draws which servers, proxies or zone
 }
 
-// Script is what befalls a run, by time. The seed settles all other chance.
+// Script is the faults of a run, by time. The seed settles all else that is drawn.
 type Script struct {
 	Seed   uint64
 	Faults []Fault
 }
 
-// Draw makes a script from a seed.
+// Bounds of the faults that a script draws.
+const (
+	firstFaultAt       = 2 * time.Second
+	minFaultDuration   = time.Second
+	minFaultPercent    = 5
+	faultPercentSpread = 36
+)
+
+// GenerateScript draws a script from a seed.
 func GenerateScript(s Scenario, seed uint64) Script {
-	chance := rand.New(rand.NewPCG(seed, 0x5eed))
-	sum := 0.0
-	for k := range kinds {
-		sum += s.FaultWeights[FaultKind(k)]
-	}
+	rng := rand.New(rand.NewPCG(seed, scriptStream))
 	script := Script{Seed: seed}
-	for range s.FaultCount[0] + chance.IntN(s.FaultCount[1]-s.FaultCount[0]+1) {
-		x, kind := chance.Float64()*sum, FaultKind(0)
-		for k := range kinds {
-			if x -= s.FaultWeights[FaultKind(k)]; x < 0 {
-				kind = FaultKind(k)
-				break
-			}
-		}
-		at := 2*time.Second + time.Duration(chance.Float64()*float64(s.FaultPhase*2/3))
-		script.Faults = append(script.Faults, Fault{Kind: kind, At: at.Round(time.Millisecond), Duration: (time.Second + time.Duration(chance.Float64()*float64(s.FaultPhase/3))).Round(time.Millisecond),
-			Fraction: float64(5+chance.IntN(36)) / 100, TargetSeed: chance.Uint64() >> 32})
+	count := s.FaultCount.Min + rng.IntN(s.FaultCount.Max-s.FaultCount.Min+1)
+	for range count {
+		script.Faults = append(script.Faults, s.drawFault(rng))
 	}
 	slices.SortStableFunc(script.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 	return script
 }
 
-// String is a script as a replay file holds it.
-func (s Script) String() string {
-	var out strings.Builder
-	fmt.Fprintf(&out, "(replay\n  (seed %d)", s.Seed)
-	for _, f := range s.Faults {
-		fmt.Fprintf(&out, "\n  (%s (at %v) (for %v) (part %g) (whom %d))", f.Kind, f.At, f.Duration, f.Fraction, f.TargetSeed)
+// drawFault draws one fault. The order of the draws is part of what a seed means.
+func (s Scenario) drawFault(rng *rand.Rand) Fault {
+	kind := s.drawKind(rng)
+	at := firstFaultAt + time.Duration(rng.Float64()*float64(s.FaultPhase*2/3))
+	duration := minFaultDuration + time.Duration(rng.Float64()*float64(s.FaultPhase/3))
+	percent := minFaultPercent + rng.IntN(faultPercentSpread)
+	return Fault{
+		Kind:       kind,
+		At:         at.Round(time.Millisecond),
+		Duration:   duration.Round(time.Millisecond),
+		Fraction:   float64(percent) / 100,
+		TargetSeed: rng.Uint64() >> 32,
 	}
-	return out.String() + ")\n"
 }
 
-// ParseScript reads a replay file.
-func ParseScript(name string, text []byte) (s Script, err error) {
-	nodes, err := sexp.Parse(name, text)
-	if err != nil {
-		return s, err
-	}
-	if len(nodes) != 1 || nodes[0].Head() != "replay" {
-		return s, fmt.Errorf("%s:1: one form (replay ...) is due", name)
+// drawKind draws a kind of fault by the scenario's weights.
+func (s Scenario) drawKind(rng *rand.Rand) FaultKind {
+	total := 0.0
+	for _, kind := range FaultKinds() {
+		total += s.FaultWeights[kind]
 	}
-	seed := func(to *uint64) func(n *sexp.Node) error {
-		return func(n *sexp.Node) error {
-			x := 0
-			err := n.Int(&x, 0, 1<<62)
-			*to = uint64(x)
-			return err
+	x := rng.Float64() * total
+	for _, kind := range FaultKinds() {
+		x -= s.FaultWeights[kind]
+		if x < 0 {
+			return kind
 		}
 	}
-	keys := []sexp.Key{{Name: "seed", Required: true, Read: seed(&s.Seed)}}
-	for k, kind := range kinds {
-		keys = append(keys, sexp.Key{Name: kind, Repeated: true, Read: func(n *sexp.Node) error {
-			f := Fault{Kind: FaultKind(k)}
-			err := sexp.Read(n, n.Args(),
-				sexp.Key{Name: "at", Required: true, Read: func(n *sexp.Node) error { return n.Duration(&f.At, 0, time.Hour) }},
-				sexp.Key{Name: "for", Required: true, Read: func(n *sexp.Node) error { return n.Duration(&f.Duration, 0, time.Hour) }},
-				sexp.Key{Name: "part", Required: true, Read: func(n *sexp.Node) error { return n.Float(&f.Fraction, 0, 1) }},
-				sexp.Key{Name: "whom", Required: true, Read: seed(&f.TargetSeed)})
-			s.Faults = append(s.Faults, f)
-			return err
-		}})
-	}
-	return s, sexp.Read(nodes[0], nodes[0].Args(), keys...)
+	return Crash
 }
--- a/internal/faultsim/search.go
+++ b/internal/faultsim/search.go
@@ -1,96 +1,145 @@
 package faultsim
 
 import (
+	"slices"
 	"sync"
-	"sync/atomic"
+	"time"
 )
 
-// Found is a seed that broke a rule.
+// Failure is a script that breaks a rule.
 type Failure struct {
 	Script    Script
 	Violation *Violation
 }
 
-// Seeds plays seeds from first to last on so many cores, and gives the lowest that broke a rule; nil where none did.
-// Where goOn is set all are played and all breaks come back, by seed. Progress is called with how many are done, one
-// call at a time.
-func SearchSeeds(s Scenario, first, last uint64, cores int, goOn bool, progress func(done int)) (all []Failure, played int) {
-	var next, done atomic.Uint64
-	next.Store(first)
-	var stop atomic.Uint64
-	stop.Store(last)
-	found := map[uint64]Failure{}
-	var mu sync.Mutex
+// SearchSeeds plays the seeds from first to last on some goroutines, and returns the lowest that breaks a rule; none
+// where all rules are kept. With playAll it plays all of them, and returns all failures by seed. The result does not
+// depend on the number of goroutines. Progress is called with how many seeds were played, one call at a time.
+func SearchSeeds(s Scenario, first, last uint64, goroutines int, playAll bool, progress func(played int)) (failures []Failure, played int) {
+	search := &seedSearch{scenario: s, next: first, last: last, playAll: playAll, progress: progress}
 	var workers sync.WaitGroup
-	for range cores {
-		workers.Go(func() {
-			for {
-				seed := next.Add(1) - 1
-				if seed > stop.Load() {
-					return
-				}
-				script := GenerateScript(s, seed)
-				broken, _ := Run(s, script, nil)
-				mu.Lock()
-				progress(int(done.Add(1)))
-				if broken == nil {
-					mu.Unlock()
-					continue
-				}
-				found[seed] = Failure{script, broken}
-				if !goOn && seed < stop.Load() {
-					stop.Store(seed) // lower ones that are under way end first: the lowest is found whatever the cores
-				}
-				mu.Unlock()
-			}
-		})
+	for range goroutines {
+		workers.Go(search.work)
 	}
 	workers.Wait()
-	for seed := first; seed <= last && len(all) < len(found); seed++ {
-		if f, broke := found[seed]; broke {
-			if all = append(all, f); !goOn {
-				break
-			}
+	slices.SortFunc(search.failures, func(a, b Failure) int {
+		if a.Script.Seed < b.Script.Seed {
+			return -1
 		}
+		return 1
+	})
+	if !playAll && len(search.failures) > 1 {
+		search.failures = search.failures[:1]
 	}
-	return all, int(done.Load())
+	return search.failures, search.played
 }
 
-// Shrink drops faults one by one, then shortens them, as long as the same rule breaks. It plays so many scripts at
-// most.
-func Shrink(s Scenario, f Failure, most int) (Failure, int) {
-	played := 0
-	breaks := func(script Script) *Violation {
-		if played >= most {
-			return nil
-		}
-		played++
-		if b, _ := Run(s, script, nil); b != nil && b.Rule == f.Violation.Rule {
-			return b
+// seedSearch hands out seeds to its workers.
+type seedSearch struct {
+	scenario Scenario
+	playAll  bool
+	progress func(played int)
+
+	mu       sync.Mutex // guards what follows
+	next     uint64
+	last     uint64
+	played   int
+	failures []Failure
+}
+
+func (s *seedSearch) work() {
+	for {
+		seed, more := s.take()
+		if !more {
+			return
 		}
-		return nil
+		script := GenerateScript(s.scenario, seed)
+		violation, _ := Run(s.scenario, script, nil)
+		s.finish(Failure{script, violation})
 	}
-	for again := true; again; {
-		again = false
-		for i := range f.Script.Faults {
-			less := Script{Seed: f.Script.Seed}
-			less.Faults = append(append(less.Faults, f.Script.Faults[:i]...), f.Script.Faults[i+1:]...)
-			if b := breaks(less); b != nil {
-				f, again = Failure{less, b}, true
-				break
-			}
+}
+
+// take gives the next seed; false where none is left.
+func (s *seedSearch) take() (seed uint64, more bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	seed = s.next
+	s.next++
+	return seed, seed <= s.last
+}
+
+// finish takes the result of a seed. After a failure no later seed is begun; lower ones that are being played go on, so
+// that the lowest failure is found.
+func (s *seedSearch) finish(result Failure) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.played++
+	s.progress(s.played)
+	if result.Violation == nil {
+		return
+	}
+	s.failures = append(s.failures, result)
+	if !s.playAll {
+		s.last = min(s.last, result.Script.Seed)
+	}
+}
+
+// minShrunkDuration is the duration that Shrink does not halve further.
+const minShrunkDuration = time.Second
+
+// Shrink reduces a script that breaks a rule, as long as the same rule breaks: it drops faults one by one, then halves
+// their durations. It plays at most maxRuns scripts, and returns the smallest failure and how many it played.
+func Shrink(s Scenario, f Failure, maxRuns int) (Failure, int) {
+	shrinker := &shrinker{scenario: s, smallest: f, maxRuns: maxRuns}
+	for shrinker.dropFault() {
+	}
+	for i := range shrinker.smallest.Script.Faults {
+		shrinker.shortenFault(i)
+	}
+	return shrinker.smallest, shrinker.played
+}
+
+type shrinker struct {
+	scenario Scenario
+	smallest Failure
+	maxRuns  int
+	played   int
+}
+
+// try plays a smaller script and takes it over where it breaks the same rule. It reports whether it does.
+func (s *shrinker) try(script Script) bool {
+	if s.played >= s.maxRuns {
+		return false
+	}
+	s.played++
+	violation, _ := Run(s.scenario, script, nil)
+	if violation == nil || violation.Rule != s.smallest.Violation.Rule {
+		return false
+	}
+	s.smallest = Failure{script, violation}
+	return true
+}
+
+// dropFault drops the first fault without which the rule still breaks. It reports whether there is one.
+func (s *shrinker) dropFault() bool {
+	script := s.smallest.Script
+	for i := range script.Faults {
+		fewer := slices.Delete(slices.Clone(script.Faults), i, i+1)
+		if s.try(Script{Seed: script.Seed, Faults: fewer}) {
+			return true
 		}
 	}
-	for i := range f.Script.Faults {
-		for f.Script.Faults[i].Duration > 1e9 {
-			shorter := Script{Seed: f.Script.Seed, Faults: append([]Fault{}, f.Script.Faults...)}
-			shorter.Faults[i].Duration /= 2
-			b := breaks(shorter)
-			if b == nil {
-				break
-			}
-			f = Failure{shorter, b}
+	return false
+}
+
+// shortenFault halves a fault's duration while the rule still breaks.
+func (s *shrinker) shortenFault(i int) {
+	for s.smallest.Script.Faults[i].Duration > minShrunkDuration {
+		script := s.smallest.Script
+		shorter := slices.Clone(script.Faults)
+		shorter[i].Duration /= 2
+		if !s.try(Script{Seed: script.Seed, Faults: shorter}) {
+			return
 		}
 	}
-	return f, played
 }
--- a/internal/faultsim/search_test.go
+++ b/internal/faultsim/search_test.go
@@ -69,7 +69,7 @@
 
 func TestScenariosAreReadWithDefaults(t *testing.T) {
 	s, err := ParseScenario("f", []byte("(scenario (servers 9) (reports-late (least 1s) (most 2s)) (weights (crash 0)))"))
-	if err != nil || s.Servers != 9 || s.ReportDelay[1] != 2*time.Second || s.FaultWeights[Crash] != 0 || s.FaultWeights[SlowServers] != 1 || s.Proxies != DefaultScenario().Proxies {
+	if err != nil || s.Servers != 9 || s.ReportDelay.Max != 2*time.Second || s.FaultWeights[Crash] != 0 || s.FaultWeights[SlowServers] != 1 || s.Proxies != DefaultScenario().Proxies {
 		t.Errorf("%+v %v", s, err)
 	}
 	if _, err := ParseScenario("f", []byte("(scenario\n (transit (least 2s) (most 1s)))")); err == nil || err.Error() != "f:2: transit: most is under least" {
@@ -80,7 +80,7 @@
 func TestShrinkKeepsWhatBreaks(t *testing.T) {
 	s := DefaultScenario()
 	s.QueueCapacity = 40 // far too few for what the module is told: it is told so too, and then has no room to bind
-	s.FaultCount = [2]int{4, 4}
+	s.FaultCount = CountRange{4, 4}
 	for seed := uint64(1); seed < 40; seed++ {
 		script := GenerateScript(s, seed)
 		b, _ := Run(s, script, nil)
--- /dev/null
+++ b/internal/faultsim/traffic.go
@@ -0,0 +1,155 @@
+package faultsim
+
+import (
+	"time"
+
+	"tamarindshore/balancer"
+)
+
+const (
+	reportInterval = time.Second
+	minReportRate  = 0.05            // requests a second of one zone; servers that get fewer are not reported
+	maxLatency     = 3 * time.Second // of a server, however overloaded
+	latencyJitter  = 0.2             // of the latency, half of it to each side
+	minHeadroom    = 0.05            // of a server's capacity: latency stops growing there
+	inFlightHidden = -1
+)
+
+// classFractions are the parts of the traffic that the scenario's traffic classes make up, by ClassID.
+var classFractions = []float64{0.8, 0.2}
+
+// updateTraffic works out the requests that each server gets, from the tables that the proxies hold.
+func (s *Simulation) updateTraffic() {
+	for _, server := range s.servers {
+		clear(server.rateByZone)
+	}
+	for _, p := range s.proxies {
+		totalWeight := 0.0
+		for _, server := range s.servers {
+			if !p.withdrawn[server.id] {
+				totalWeight += p.weights[server.id]
+			}
+		}
+		for _, server := range s.servers {
+			if weight := p.weights[server.id]; weight > 0 && !p.withdrawn[server.id] {
+				server.rateByZone[p.zone] += s.scenario.RequestRate * weight / totalWeight
+			}
+		}
+	}
+}
+
+// capacity is how many requests a second a server serves; it grows from cold to warm.
+func (s *Simulation) capacity(server *server) float64 {
+	sinceStart := (s.now - server.startedAt).Seconds()
+	warmth := min(1, max(0, sinceStart/s.scenario.WarmUpDuration.Seconds()))
+	cold := s.scenario.ColdCapacity
+	return s.scenario.ServerCapacity * (cold + (1-cold)*warmth) / server.slowdown
+}
+
+// sendReports sends the reports of one second, and ends the operator's pin where its time is over.
+func (s *Simulation) sendReports() {
+	s.scheduleAfter(reportInterval, s.sendReports)
+	ended, _ := s.manager.chain.ExpireHold(s.manager.clock, fleetView{s.manager.balancer})
+	if ended && s.now >= s.manager.stalledUntil {
+		s.applyPin()
+	}
+	for _, server := range s.servers {
+		s.reportServer(server)
+	}
+	for _, p := range s.proxies {
+		if p.connected {
+			s.reportUsage(p)
+		}
+	}
+}
+
+// reportServer sends a load report on a server from each zone with traffic to it.
+func (s *Simulation) reportServer(server *server) {
+	utilization := 0.0
+	for _, rate := range server.rateByZone {
+		utilization += rate / s.capacity(server)
+	}
+	for zone, rate := range server.rateByZone {
+		if rate < minReportRate {
+			continue
+		}
+		report := s.loadReport(server, zone, rate, utilization)
+		if report.Attempts > 0 {
+			s.deliverLate(func(now time.Duration) balancer.Commands {
+				return s.manager.balancer.HandleLoadReport(now, report)
+			})
+		}
+	}
+}
+
+// loadReport draws what the proxies of a zone met at a server within a second.
+func (s *Simulation) loadReport(server *server, zone int, rate, utilization float64) balancer.LoadReport {
+	report := balancer.LoadReport{
+		Server:   server.id,
+		Zone:     zoneID(zone),
+		Attempts: int(rate + s.rng.Float64()),
+		Interval: reportInterval,
+		InFlight: inFlightHidden,
+	}
+	failureFraction := s.failureFraction(server, zone, utilization)
+	for range report.Attempts {
+		if s.rng.Float64() < failureFraction {
+			report.Failed++
+		}
+	}
+	if report.Failed < report.Attempts {
+		report.Latency = s.latency(server, utilization)
+	}
+	return report
+}
+
+// failureFraction is the part of a zone's requests to a server that fail.
+func (s *Simulation) failureFraction(server *server, zone int, utilization float64) float64 {
+	partitioned := s.faults.partitionedZones
+	crossesPartition := zone != server.zone && partitioned[zone]+partitioned[server.zone] > 0
+	if !server.running || server.unresponsive || crossesPartition {
+		return 1
+	}
+	overload := 1 - 1/max(utilization, 1e-9)
+	return max(server.errorFraction, overload)
+}
+
+// latency draws how long a server's answers take.
+func (s *Simulation) latency(server *server, utilization float64) time.Duration {
+	service := float64(s.scenario.ServiceTime) * server.slowdown
+	jitter := 1 - latencyJitter/2 + latencyJitter*s.rng.Float64()
+	return min(maxLatency, time.Duration(service/max(minHeadroom, 1-utilization)*jitter))
+}
+
+// reportUsage sends a proxy's usage reports of a second, one for each traffic class.
+func (s *Simulation) reportUsage(p *proxy) {
+	for class, fraction := range classFractions {
+		usage := balancer.UsageReport{
+			Proxy:    p.id,
+			Class:    balancer.ClassID(class),
+			Requests: int(s.scenario.RequestRate*fraction + s.rng.Float64()),
+			Interval: reportInterval,
+		}
+		s.deliverLate(func(now time.Duration) balancer.Commands {
+			return s.manager.balancer.HandleUsageReport(now, usage)
+		})
+	}
+}
+
+// deliverLate delivers a report after the scenario's delay, twice while reports are duplicated, and not at all where
+// reports are lost by then.
+func (s *Simulation) deliverLate(report func(now time.Duration) balancer.Commands) {
+	copies := 1
+	if s.faults.duplicateReports > 0 {
+		copies = 2
+	}
+	incarnation := s.manager.incarnation
+	arrive := func() {
+		if s.manager.incarnation == incarnation && s.faults.reportsLost == 0 {
+			s.deliver(report)
+		}
+	}
+	for range copies {
+		s.scheduleAfter(s.scenario.ReportDelay.draw(s.rng), arrive)
+	}
+}
