--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -17,7 +17,8 @@
 func TestLevelsByRateAdmitTheSameShare(t *testing.T) {
 	wantNear(t, "rate", evenRate([]float64{2, 8, 10}, 0.6), 5)
 	m := newTestManager(2)
-	m.admissionUnit, m.admission.limit = AdmitRate, 50
+	m.admissionUnit = AdmitRate
+	m.admission.limit = 50
 	wantNear(t, "a proxy", m.levelChanges(0, m.demandByClass())[1].level.Amount, 15)
 	wantNear(t, "open", m.levelChanges(0, m.demandByClass())[0].level.Amount, unlimitedRate)
 }
@@ -41,26 +42,32 @@
 	}
 	m.checkTimes = []sample{{at: m.now, value: 0.005}, {at: m.now, value: 0.004}, {at: m.now, value: 0.006}}
 	m.admission.baselineLoad = 0.1
-	if m.updateAdmissionLimit(); !math.IsInf(m.admission.limit, 1) {
+	m.updateAdmissionLimit()
+	if !math.IsInf(m.admission.limit, 1) {
 		t.Errorf("limit %.0f over idle servers", m.admission.limit)
 	}
 	m.checkTimes = []sample{{at: m.now, value: 0.9}, {at: m.now, value: math.Inf(1)}, {at: m.now, value: 0.8}}
-	if m.updateAdmissionLimit(); math.IsInf(m.admission.limit, 1) {
+	m.updateAdmissionLimit()
+	if math.IsInf(m.admission.limit, 1) {
 		t.Error("all admitted at full servers")
 	}
 }
 
 func TestTheLimitIsNotMovedByFailuresOfTheFirstSeconds(t *testing.T) {
 	m := newTestManager(2)
-	m.healthChecks, m.now, m.admission.baselineLoad = false, 4*time.Second, 0.1
+	m.healthChecks = false
+	m.now = 4 * time.Second
+	m.admission.baselineLoad = 0.1
 	for _, s := range m.servers {
 		m.report(s.id, 20, 8, 450*time.Millisecond)
 	}
-	if m.updateAdmissionLimit(); !math.IsInf(m.admission.limit, 1) {
+	m.updateAdmissionLimit()
+	if !math.IsInf(m.admission.limit, 1) {
 		t.Errorf("limit %.0f by the failures of a first second", m.admission.limit)
 	}
 	m.admission.deliveries = make([]float64, minDeliveries)
-	if m.updateAdmissionLimit(); math.IsInf(m.admission.limit, 1) {
+	m.updateAdmissionLimit()
+	if math.IsInf(m.admission.limit, 1) {
 		t.Error("all admitted though late answers and failures go on")
 	}
 }
@@ -68,12 +75,17 @@
 // A limit set by the first few proxies reported on after a start would reject nearly all requests that come then.
 func TestTheLimitWaitsUntilMostProxiesAreReportedOn(t *testing.T) {
 	m := newTestManager(2)
-	m.healthChecks, m.now, m.admission.baselineLoad, m.proxies[0].announcedRate, m.proxies[1].announcedRate = false, 4*time.Second, 0.1, 10, 90
+	m.healthChecks = false
+	m.now = 4 * time.Second
+	m.admission.baselineLoad = 0.1
+	m.proxies[0].announcedRate = 10
+	m.proxies[1].announcedRate = 90
 	m.proxies[1].usage = [][]sample{{}, {}}
 	for _, s := range m.servers {
 		m.report(s.id, 2, 0, 1500*time.Millisecond)
 	}
-	if m.updateAdmissionLimit(); !math.IsInf(m.admission.limit, 1) {
+	m.updateAdmissionLimit()
+	if !math.IsInf(m.admission.limit, 1) {
 		t.Errorf("limit %.0f though a tenth is reported", m.admission.limit)
 	}
 }
@@ -81,9 +93,16 @@
 // A limit for half of the proxies must not stay when another manager's proxies connect.
 func TestTheLimitFollowsTheProxiesReportedOn(t *testing.T) {
 	m := newTestManager(2)
-	m.now, m.admission.baselineLoad, m.proxies[0].announcedRate, m.proxies[1].announcedRate, m.admission.limit, m.admission.capacity = 4*time.Second, 0.1, 10, 30, 40, 10*m.usableWeight()
-	m.proxies[0].usage[0][0].value, m.proxies[1].usage[0][0].value = 300, 300
-	if m.updateAdmissionLimit(); m.admission.limit < 160 {
+	m.now = 4 * time.Second
+	m.admission.baselineLoad = 0.1
+	m.proxies[0].announcedRate = 10
+	m.proxies[1].announcedRate = 30
+	m.admission.limit = 40
+	m.admission.capacity = 10 * m.usableWeight()
+	m.proxies[0].usage[0][0].value = 300
+	m.proxies[1].usage[0][0].value = 300
+	m.updateAdmissionLimit()
+	if m.admission.limit < 160 {
 		t.Errorf("limit %.0f for four times the proxies", m.admission.limit)
 	}
 }
@@ -92,23 +111,31 @@
 // serve.
 func TestTheLimitFollowsTheUsableWeight(t *testing.T) {
 	m := newTestManager(5)
-	m.healthChecks, m.now, m.admission.deliveries, m.proxies[0].announcedRate, m.proxies[1].announcedRate = false, 4*time.Second, make([]float64, minDeliveries), 40, 40
+	m.healthChecks = false
+	m.now = 4 * time.Second
+	m.admission.deliveries = make([]float64, minDeliveries)
+	m.proxies[0].announcedRate = 40
+	m.proxies[1].announcedRate = 40
 	for _, s := range m.servers {
 		m.report(s.id, 8, 0, 300*time.Millisecond)
 	}
-	if m.updateAdmissionLimit(); !math.IsInf(m.admission.limit, 1) {
+	m.updateAdmissionLimit()
+	if !math.IsInf(m.admission.limit, 1) {
 		t.Errorf("limit %.0f with all servers", m.admission.limit)
 	}
 	for _, s := range m.servers[:6] {
 		s.state = Draining
 	}
-	if m.updateAdmissionLimit(); m.admission.limit > 1.1*surgeOfSaturation*4*8 {
+	m.updateAdmissionLimit()
+	if m.admission.limit > 1.1*surgeOfSaturation*4*8 {
 		t.Errorf("limit %.0f for four servers of ten, which delivered 8 each", m.admission.limit)
 	}
 	for _, s := range m.servers[:6] {
-		s.state, s.reports = Ready, nil
+		s.state = Ready
+		s.reports = nil
 	}
-	if m.updateAdmissionLimit(); m.admission.limit < 2*surgeOfSaturation*4*8 {
+	m.updateAdmissionLimit()
+	if m.admission.limit < 2*surgeOfSaturation*4*8 {
 		t.Errorf("limit %.0f once all are back", m.admission.limit)
 	}
 }
@@ -116,23 +143,31 @@
 // The limit must not stay while a part of the servers fails.
 func TestTheLimitFollowsTheServersHealth(t *testing.T) {
 	m := newTestManager(4)
-	m.healthChecks, m.now, m.proxies[0].announcedRate, m.proxies[1].announcedRate = false, 4*time.Second, 40, 40
-	m.admission.limit, m.admission.capacity = 60, 80*8
+	m.healthChecks = false
+	m.now = 4 * time.Second
+	m.proxies[0].announcedRate = 40
+	m.proxies[1].announcedRate = 40
+	m.admission.limit = 60
+	m.admission.capacity = 80 * 8
 	for _, s := range m.servers[:4] {
 		s.health = 0.2
 	}
-	if m.updateAdmissionLimit(); m.admission.limit > 60*0.7 {
+	m.updateAdmissionLimit()
+	if m.admission.limit > 60*0.7 {
 		t.Errorf("limit %.0f though half of the servers do a fifth", m.admission.limit)
 	}
 }
 
 func TestTheLimitStaysOpenWhereRequestsTakeLongByThemselves(t *testing.T) {
 	m := newTestManager(2)
-	m.healthChecks, m.now, m.admission.baselineLoad = false, 10*time.Second, 0.3
+	m.healthChecks = false
+	m.now = 10 * time.Second
+	m.admission.baselineLoad = 0.3
 	for _, s := range m.servers {
 		m.report(s.id, 20, 0, 800*time.Millisecond)
 	}
-	if m.updateAdmissionLimit(); !math.IsInf(m.admission.limit, 1) {
+	m.updateAdmissionLimit()
+	if !math.IsInf(m.admission.limit, 1) {
 		t.Errorf("limit %.0f at less than twice the calmest pressure", m.admission.limit)
 	}
 }
@@ -143,7 +178,8 @@
 	for _, s := range m.servers {
 		m.report(s.id, 20, 9, 100*time.Millisecond)
 	}
-	if m.updateAdmissionLimit(); !math.IsInf(m.admission.limit, 1) {
+	m.updateAdmissionLimit()
+	if !math.IsInf(m.admission.limit, 1) {
 		t.Errorf("limit %.0f", m.admission.limit)
 	}
 }
@@ -151,7 +187,8 @@
 // A rate that is not a number would put a table's changes behind all others.
 func TestLevelsHaveARateWhereNothingIsOffered(t *testing.T) {
 	m := newTestManager(2)
-	m.now, m.admission.limit = time.Minute, 0
+	m.now = time.Minute
+	m.admission.limit = 0
 	for _, l := range append(m.levelChanges(0, m.demandByClass()), m.levelChanges(1, []float64{0, 0})...) {
 		if math.IsNaN(l.rate) {
 			t.Errorf("%+v", l)
@@ -187,9 +224,11 @@
 	}
 	for usual, want := range map[RetryPolicy][]RetryPolicy{NoRetry: {0, 0, 0, 0}, RetryIfNotExecuted: {1, 1, 1, 1}, 2: {2, 2, 1, 1}, 3: {3, 3, 1, 1}} {
 		site := testSettings
-		site.Classes, site.DefaultRetryPolicy = groups, usual
+		site.Classes = groups
+		site.DefaultRetryPolicy = usual
 		m := New(1, site)
-		m.distributedRates, m.tables[0].published["a0"] = []float64{40, 40}, 1
+		m.distributedRates = []float64{40, 40}
+		m.tables[0].published["a0"] = 1
 		for g, way := range want {
 			got := usual
 			for _, l := range m.levelChanges(0, []float64{1, 1, 1, 1}) {
--- a/balancer/assignment_test.go
+++ b/balancer/assignment_test.go
@@ -19,11 +19,13 @@
 
 func TestAProxyIsNotAssignedToWarmingServersAlone(t *testing.T) {
 	m := newTestManager(3)
-	m.proxies, m.servers[0].warmingUp = m.proxies[:1], true
+	m.proxies = m.proxies[:1]
+	m.servers[0].warmingUp = true
 	for _, s := range m.servers {
 		s.zone = 1 - s.zone
 	}
-	m.servers[1].ejected, m.servers[2].ejected = true, true
+	m.servers[1].ejected = true
+	m.servers[2].ejected = true
 	m.tables[1].published = map[ServerID]float64{"a0": 100}
 	if o := m.HandleProxyConnected(time.Millisecond, 9, "b", 40); len(o.Assign) > 0 {
 		t.Error("assigned before the second is over")
@@ -43,8 +45,11 @@
 // the servers that drain.
 func TestProxiesOfALostManagerAreAssignedWhileServersDrain(t *testing.T) {
 	m := newTestManager(4)
-	m.nextTick, m.servers[1].warmingUp, m.servers[1].warmUpFrom = 2*time.Second, true, 0
-	m.tables[0].published["a1"], m.warmingShare = 10, 0.1
+	m.nextTick = 2 * time.Second
+	m.servers[1].warmingUp = true
+	m.servers[1].warmUpFrom = 0
+	m.tables[0].published["a1"] = 10
+	m.warmingShare = 0.1
 	drained := Endpoint{Server: "a0", Zone: "a", Weight: 1, State: Draining}
 	if o := m.HandleEndpointList(time.Second, false, []Endpoint{drained}); len(o.Withdraw) != 1 {
 		t.Fatalf("withdrawn %v", o.Withdraw)
@@ -59,7 +64,9 @@
 
 func TestAProxyWaitsForTheNextTickWhileServersWarmUpAndNoneDrains(t *testing.T) {
 	m := newTestManager(4)
-	m.nextTick, m.servers[1].warmingUp, m.warmingShare = 2*time.Second, true, 0.9
+	m.nextTick = 2 * time.Second
+	m.servers[1].warmingUp = true
+	m.warmingShare = 0.9
 	if o := m.HandleProxyConnected(time.Second, 10, "a", 5); len(o.Assign) != 0 {
 		t.Errorf("assigned to a table that was distributed without its requests: %v", o.Assign)
 	}
@@ -70,7 +77,8 @@
 
 func TestAProxyWaitsForATableColderThanTheFleetAlsoWhileServersDrain(t *testing.T) {
 	m := newTestManager(4)
-	m.servers[1].warmingUp, m.warmingShare = true, 0.1
+	m.servers[1].warmingUp = true
+	m.warmingShare = 0.1
 	m.HandleEndpointList(time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
 	if o := m.HandleProxyConnected(time.Second+time.Millisecond, 10, "a", 5); len(o.Assign) != 0 {
 		t.Errorf("assigned to a table with a third of warming servers: %v", o.Assign)
@@ -82,10 +90,12 @@
 
 func TestTheFirstProxyConnectedIsAssignedFirst(t *testing.T) {
 	m := newTestManager(2)
-	m.sendableSoon[urgentPriority], m.queueLimits[urgentPriority] = 0, 0
+	m.sendableSoon[urgentPriority] = 0
+	m.queueLimits[urgentPriority] = 0
 	m.HandleProxyConnected(time.Second, 9, "a", 5)
 	m.HandleProxyConnected(time.Second+time.Millisecond, 8, "a", 5)
-	m.sendableSoon[urgentPriority], m.queueLimits[urgentPriority] = 8, 8
+	m.sendableSoon[urgentPriority] = 8
+	m.queueLimits[urgentPriority] = 8
 	if o := m.HandleTimer(time.Second + 2*time.Millisecond); len(o.Assign) != 1 || o.Assign[0].Proxy != 9 {
 		t.Errorf("assigned %v", o.Assign)
 	}
@@ -116,7 +126,9 @@
 
 func TestAssignmentsBeforeDrainsHaveTheRoomOfDrains(t *testing.T) {
 	m := managerWithUnassigned(1)
-	m.drainGraceCommands, m.sendableSoon[urgentPriority], m.queueLimits[urgentPriority] = 1000, 0, 0
+	m.drainGraceCommands = 1000
+	m.sendableSoon[urgentPriority] = 0
+	m.queueLimits[urgentPriority] = 0
 	if o := m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}}); len(o.Assign) != 1 {
 		t.Errorf("assigned %v", o.Assign)
 	}
@@ -124,7 +136,9 @@
 
 func TestTablesLoseLeavingServersBeforeProxiesAreAssigned(t *testing.T) {
 	m := managerWithUnassigned(1)
-	m.drainGraceCommands, m.sendableSoon[normalPriority], m.queueLimits[normalPriority] = 1000, 0, 0
+	m.drainGraceCommands = 1000
+	m.sendableSoon[normalPriority] = 0
+	m.queueLimits[normalPriority] = 0
 	m.tables[0].published["a1"] = 20 // the warming server's part is as it should be
 	o := m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
 	if len(o.Assign) != 1 || m.tables[0].published["a0"] > 0 {
@@ -138,9 +152,11 @@
 	m := newTestManager(2)
 	m.now = 500 * time.Millisecond
 	before, _ := m.traffic()
-	m.partitionsPerZone, m.tables[1].published = 2, m.tables[0].published
+	m.partitionsPerZone = 2
+	m.tables[1].published = m.tables[0].published
 	m.tables = append(m.tables, m.tables...)
-	m.proxies[0].partition, m.proxies[1].partition = 1, 2
+	m.proxies[0].partition = 1
+	m.proxies[1].partition = 2
 	m.proxies[1].messageTimes = []time.Duration{1, 2}
 	for p := range ProxyID(2) {
 		m.HandleProxyConnected(m.now, p, m.zones[p], 1)
@@ -153,11 +169,15 @@
 // Thousands may wait after a restart; no input goes through them while no table that they wait for fits.
 func TestUnassignedProxiesAreGoneThroughOnlyWhereSomeTableFits(t *testing.T) {
 	m := newTestManager(2)
-	m.proxies[0].assigned, m.sendableSoon[urgentPriority], m.queueLimits[urgentPriority] = false, 7, 7
+	m.proxies[0].assigned = false
+	m.sendableSoon[urgentPriority] = 7
+	m.queueLimits[urgentPriority] = 7
 	if some := m.assignableWithin(m.available(urgentPriority)); some != nil || m.nextAssignment() != nil {
 		t.Error("gone through for a table of 3 commands and 5 of the message")
 	}
-	if m.sendableSoon[urgentPriority], m.queueLimits[urgentPriority] = 8, 8; m.nextAssignment() != m.proxies[0] {
+	m.sendableSoon[urgentPriority] = 8
+	m.queueLimits[urgentPriority] = 8
+	if m.nextAssignment() != m.proxies[0] {
 		t.Error("not assigned though its table fits")
 	}
 	m.setWithdrawn(m.servers[1], true)
--- a/balancer/distribution_test.go
+++ b/balancer/distribution_test.go
@@ -20,7 +20,8 @@
 
 func TestDistributeSpillsToTheNearestOpenZone(t *testing.T) {
 	parts := append(append(equalParts(0, 1, 10), equalParts(1, 4, 10)...), equalParts(2, 4, 10)...)
-	volumes, nearest := []float64{18, 36, 36}, [][]int{{1, 2}, {0, 2}, {0, 1}}
+	volumes := []float64{18, 36, 36}
+	nearest := [][]int{{1, 2}, {0, 2}, {0, 1}}
 	got := distributed(volumes, parts, nearest, noPairClosed)
 	wantNear(t, "nearest", got[0][1]*4, 6)
 	got = distributed(volumes, parts, nearest, func(a, b int) bool { return a == 0 && b == 1 })
@@ -39,7 +40,9 @@
 
 func TestANewlyConnectedProxyCountsForItsAnnouncedRate(t *testing.T) {
 	m := newTestManager(2)
-	m.proxies[0].announcedRate, m.proxies[0].usage[0], m.servers[0].warmingUp = 60, []sample{{0, 2, 1}}, true
+	m.proxies[0].announcedRate = 60
+	m.proxies[0].usage[0] = []sample{{0, 2, 1}}
+	m.servers[0].warmingUp = true
 	wantNear(t, "just joined", m.demandByPartition()[0], 60)
 	m.now = 4 * time.Second
 	m.proxies[0].connectedAt = -10 * time.Second
@@ -48,7 +51,8 @@
 
 func TestDemandFollowsListedWeightBeforeUsage(t *testing.T) {
 	m := newTestManager(2)
-	m.usageReported, m.servers[0].weight = false, 3
+	m.usageReported = false
+	m.servers[0].weight = 3
 	wantNear(t, "zone", m.demandByPartition()[0], 4)
 }
 
--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -16,12 +16,14 @@
 
 func TestAWithdrawalNeedsMessagesOfItsHoldersOnly(t *testing.T) {
 	m := newTestManager(2)
-	m.now, m.servers[0].state = 10*time.Second, Draining
+	m.now = 10 * time.Second
+	m.servers[0].state = Draining
 	for range 19 {
 		m.proxies[1].messageTimes = append(m.proxies[1].messageTimes, 9*time.Second)
 	}
 	m.drainPending = true
-	if m.withdraw(); !slices.Equal(m.commands.Withdraw, []ServerID{"a0"}) {
+	m.withdraw()
+	if !slices.Equal(m.commands.Withdraw, []ServerID{"a0"}) {
 		t.Errorf("withdrawn %v", m.commands.Withdraw)
 	}
 	m.servers[2].state = Draining
@@ -32,9 +34,11 @@
 
 func TestARestoreWaitsForItsFirstWeight(t *testing.T) {
 	m := newTestManager(2)
-	m.servers[0].withdrawn, m.servers[0].state = true, Removed
+	m.servers[0].withdrawn = true
+	m.servers[0].state = Removed
 	delete(m.tables[0].published, "a0")
-	m.now, m.slowStartPause = 4*time.Second, 0
+	m.now = 4 * time.Second
+	m.slowStartPause = 0
 	for _, s := range m.servers[1:] {
 		m.report(s.id, 10, 0, 200*time.Millisecond)
 	}
@@ -51,7 +55,8 @@
 
 func TestARestoreDoesNotWaitForOtherProxiesOrTables(t *testing.T) {
 	m := newTestManager(2)
-	m.now, m.redistribution = 10*time.Second, changesUnpublished
+	m.now = 10 * time.Second
+	m.redistribution = changesUnpublished
 	m.servers[0].withdrawn = true
 	for range 18 {
 		m.proxies[1].messageTimes = append(m.proxies[1].messageTimes, 9*time.Second)
@@ -59,7 +64,8 @@
 	if m.nextRestore() != m.servers[0] {
 		t.Error("held up")
 	}
-	if m.servers[0].decreasePending = true; m.nextRestore() != nil {
+	m.servers[0].decreasePending = true
+	if m.nextRestore() != nil {
 		t.Error("restored at its old weight")
 	}
 }
@@ -67,9 +73,12 @@
 // Drains without room are looked at once a tick; the last assignment makes room for them.
 func TestDrainsGoOnceTheLastProxyIsAssigned(t *testing.T) {
 	m := managerWithUnassigned(1)
-	m.drainGraceCommands, m.queueLimits[urgentPriority], m.queueLimits[drainPriority] = 1000, 0, 0
+	m.drainGraceCommands = 1000
+	m.queueLimits[urgentPriority] = 0
+	m.queueLimits[drainPriority] = 0
 	m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
-	m.drainPending, m.queueLimits[drainPriority] = false, 1000
+	m.drainPending = false
+	m.queueLimits[drainPriority] = 1000
 	if o := m.HandleTimer(2*time.Second + time.Millisecond); len(o.Assign) != 1 {
 		t.Fatalf("assigned %v", o.Assign)
 	}
@@ -89,10 +98,13 @@
 
 func TestServersAreWithdrawnInTheOrderInWhichTheListNamedThem(t *testing.T) {
 	m := newTestManager(4)
-	m.sendableSoon[drainPriority], m.queueLimits[drainPriority] = 0, 0
+	m.sendableSoon[drainPriority] = 0
+	m.queueLimits[drainPriority] = 0
 	m.HandleEndpointList(time.Second, false, []Endpoint{{Server: "a3", Zone: "a", Weight: 1, State: Draining}})
 	m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
-	m.sendableSoon[drainPriority], m.queueLimits[drainPriority], m.drainPending = 6, 6, true
+	m.sendableSoon[drainPriority] = 6
+	m.queueLimits[drainPriority] = 6
+	m.drainPending = true
 	if o := m.HandleTimer(3 * time.Second); !slices.Equal(o.Withdraw, []ServerID{"a3"}) {
 		t.Errorf("withdrawn %v", o.Withdraw)
 	}
@@ -108,7 +120,9 @@
 // A server that does not answer must not be restored again and again.
 func TestAnEjectedServerIsNotRestored(t *testing.T) {
 	m := newTestManager(2)
-	m.servers[0].withdrawn, m.servers[0].ejected, m.serverSetsValid = true, true, false
+	m.servers[0].withdrawn = true
+	m.servers[0].ejected = true
+	m.serverSetsValid = false
 	if m.nextRestore() != nil {
 		t.Error("it is let back in")
 	}
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -27,7 +27,8 @@
 
 func TestTheEndpointListIsPolledAgainASecondAfterAnError(t *testing.T) {
 	m := newTestManager(2)
-	m.pollsEndpoints, m.subscribed = true, true
+	m.pollsEndpoints = true
+	m.subscribed = true
 	if o := m.HandleEndpointListError(time.Second); o.Subscribe {
 		t.Error("asked at once")
 	}
@@ -46,7 +47,9 @@
 
 func TestAServerListedAgainStartsNoWarmUp(t *testing.T) {
 	m := newTestManager(2)
-	m.removedMayServe, m.servers[0].state, m.servers[0].listedStart = true, Removed, -time.Hour
+	m.removedMayServe = true
+	m.servers[0].state = Removed
+	m.servers[0].listedStart = -time.Hour
 	m.HandleEndpointList(time.Second, true, []Endpoint{{Server: "a0", Zone: "b", Weight: 9}})
 	if s := m.servers[0]; s.state != Ready || s.warmingUp || s.zone != 0 || s.weight != 1 {
 		t.Errorf("%+v", *s)
@@ -70,12 +73,14 @@
 	if i < 0 || moves[i].Weight != 0 {
 		t.Fatalf("its weight stays: %v", moves)
 	}
-	if m.tick(); !m.KnowsServer("a0") {
+	m.tick()
+	if !m.KnowsServer("a0") {
 		t.Error("forgotten while a table names it")
 	}
 	delete(m.tables[0].published, "a0")
 	m.placementValid = false
-	if m.tick(); m.KnowsServer("a0") || !m.KnowsServer("a1") {
+	m.tick()
+	if m.KnowsServer("a0") || !m.KnowsServer("a1") {
 		t.Error("kept, or others forgotten")
 	}
 }
@@ -84,7 +89,8 @@
 	m := newTestManager(2)
 	m.setListedState(m.server("a0"), Removed)
 	m.setListedState(m.server("a0"), Ready)
-	if m.now += 2 * removedRetention; m.forgettable(m.server("a0")) {
+	m.now += 2 * removedRetention
+	if m.forgettable(m.server("a0")) {
 		t.Error("past though it is listed")
 	}
 }
--- a/balancer/flow_control_test.go
+++ b/balancer/flow_control_test.go
@@ -40,19 +40,23 @@
 // Resent commands that are not counted would overrun the queue once the relay is back.
 func TestResentCommandsCountAgainstTheQueue(t *testing.T) {
 	m := newTestManager(2)
-	m.sendableSoon[urgentPriority], m.queueLimits[urgentPriority] = 15, 15
+	m.sendableSoon[urgentPriority] = 15
+	m.queueLimits[urgentPriority] = 15
 	o := Commands{Weights: []EndpointWeight{{0, "a0", 1}, {0, "a1", 2}, {1, "b0", 1}, {1, "b1", 1}}, Assign: []TableAssignment{{Proxy: 0}, {Proxy: 9}}}
 	n, mark := m.Resend(time.Second, 0, false, o)
 	if n != 4 || mark != 1 || m.queuedCommands() != 4+2*5 {
 		t.Errorf("%d commands under barrier %d, %v commands wait", n, mark, m.queuedCommands())
 	}
-	if n, mark = m.Resend(time.Second+1, mark, true, o); n != 0 || mark != 0 {
+	n, mark = m.Resend(time.Second+1, mark, true, o)
+	if n != 0 || mark != 0 {
 		t.Errorf("%d commands under barrier %d beside those that may have been carried out", n, mark)
 	}
 	m = newTestManager(2)
-	m.sendableSoon[urgentPriority], m.queueLimits[urgentPriority] = 15, 15
+	m.sendableSoon[urgentPriority] = 15
+	m.queueLimits[urgentPriority] = 15
 	m.Resend(time.Second, 0, false, o)
-	if n, mark = m.Resend(time.Second+2, 1, false, o); n != 4 || mark != 2 || len(m.channel.pending) != 1 {
+	n, mark = m.Resend(time.Second+2, 1, false, o)
+	if n != 4 || mark != 2 || len(m.channel.pending) != 1 {
 		t.Errorf("%d commands under barrier %d in place of those that were not carried out: %v", n, mark, m.channel.pending)
 	}
 }
@@ -61,18 +65,22 @@
 func TestUnsentCommandsCountInFull(t *testing.T) {
 	m := newTestManager(2)
 	m.reserve(m.proxies, 100)
-	if m.now = time.Minute; m.queuedCommands() != 2*105 {
+	m.now = time.Minute
+	if m.queuedCommands() != 2*105 {
 		t.Errorf("%v commands wait while the relay is out of reach", m.queuedCommands())
 	}
 	m.HandleCommandsSent(m.now, 1)
-	if m.now += time.Second; m.queuedCommands() != 2*105-m.slowestRate {
+	m.now += time.Second
+	if m.queuedCommands() != 2*105-m.slowestRate {
 		t.Errorf("%v commands wait a second after they entered", m.queuedCommands())
 	}
 	m.reserve(m.proxies[:1], 10)
-	if m.now += 200 * time.Millisecond; m.queuedCommands() != 2*105-1.2*m.slowestRate+15 {
+	m.now += 200 * time.Millisecond
+	if m.queuedCommands() != 2*105-1.2*m.slowestRate+15 {
 		t.Errorf("%v commands wait with others behind them", m.queuedCommands())
 	}
-	if m.now += time.Hour; m.queuedCommands() != 15 {
+	m.now += time.Hour
+	if m.queuedCommands() != 15 {
 		t.Errorf("%v commands wait once the first have left", m.queuedCommands())
 	}
 }
@@ -90,7 +98,9 @@
 	if m.fits(p, 1200, normalPriority) {
 		t.Error("1200 commands fit behind 990, of 1000 a second")
 	}
-	if m.channel.pending, m.channel.totalsValid = nil, false; !m.fits(p, 1200, normalPriority) || m.fits(p, 30000, normalPriority) {
+	m.channel.pending = nil
+	m.channel.totalsValid = false
+	if !m.fits(p, 1200, normalPriority) || m.fits(p, 30000, normalPriority) {
 		t.Error("what never fits beside others goes when nothing waits, up to half the queue")
 	}
 }
@@ -98,7 +108,8 @@
 // Commands must not wait for the room that they hold themselves.
 func TestWaitingCommandsAreNotReservedTwice(t *testing.T) {
 	m := newTestManager(2)
-	m.sendableSoon[urgentPriority], m.queueLimits[urgentPriority] = 15, 15
+	m.sendableSoon[urgentPriority] = 15
+	m.queueLimits[urgentPriority] = 15
 	o := Commands{Weights: []EndpointWeight{{0, "a0", 1}, {1, "b0", 1}}}
 	m.reserve(m.proxies, 1) // decided while an earlier part waited
 	if n, _ := m.Resend(time.Second, 0, false, o); n != 2 || m.queuedCommands() != 2*6 {
@@ -111,7 +122,8 @@
 	m := newTestManager(2)
 	m.reserve(m.proxies[:1], 1)
 	m.reserve(m.proxies[1:], 200)
-	if m.acknowledge(0, 1); m.queuedCommands() != 205 {
+	m.acknowledge(0, 1)
+	if m.queuedCommands() != 205 {
 		t.Errorf("%v commands wait behind the one that was answered", m.queuedCommands())
 	}
 }
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -13,13 +13,16 @@
 	if len(o.Withdraw) != 0 || !slices.Equal(o.HealthCheck, []ServerID{"a0"}) || !m.mayServe(m.servers[0]) {
 		t.Errorf("withdrawn %v, checked %v", o.Withdraw, o.HealthCheck)
 	}
-	if m.HandleHealthCheck(time.Second, "a0", HealthCheckPassed, time.Millisecond, -1); m.servers[0].ejected {
+	m.HandleHealthCheck(time.Second, "a0", HealthCheckPassed, time.Millisecond, -1)
+	if m.servers[0].ejected {
 		t.Error("out though it answers")
 	}
-	if m.HandleHealthCheck(time.Second, "a0", HealthCheckTimedOut, time.Millisecond, -1); !m.servers[0].ejected {
+	m.HandleHealthCheck(time.Second, "a0", HealthCheckTimedOut, time.Millisecond, -1)
+	if !m.servers[0].ejected {
 		t.Error("not out though the list and a health check agree")
 	}
-	if m.HandleHealthCheck(3*time.Second, "a0", HealthCheckPassed, time.Millisecond, -1); m.servers[0].ejected || !m.servers[0].warmingUp {
+	m.HandleHealthCheck(3*time.Second, "a0", HealthCheckPassed, time.Millisecond, -1)
+	if m.servers[0].ejected || !m.servers[0].warmingUp {
 		t.Error("one that may be a fresh process does not warm-up")
 	}
 }
@@ -31,10 +34,12 @@
 	if !slices.Equal(o.HealthCheck, []ServerID{"ghost"}) || !m.server("ghost").ejected {
 		t.Errorf("checked %v", o.HealthCheck)
 	}
-	if m.HandleHealthCheck(time.Second, "ghost", HealthCheckRejected, time.Millisecond, -1); !m.server("ghost").ejected {
+	m.HandleHealthCheck(time.Second, "ghost", HealthCheckRejected, time.Millisecond, -1)
+	if !m.server("ghost").ejected {
 		t.Error("in without an answer")
 	}
-	if m.HandleHealthCheck(time.Second, "ghost", HealthCheckPassed, time.Millisecond, -1); m.server("ghost").ejected {
+	m.HandleHealthCheck(time.Second, "ghost", HealthCheckPassed, time.Millisecond, -1)
+	if m.server("ghost").ejected {
 		t.Error("out though it answers")
 	}
 }
@@ -73,13 +78,16 @@
 	if !slices.Equal(m.commands.HealthCheck, []ServerID{"a0"}) || m.servers[0].ejected {
 		t.Errorf("checked %v, out %v", m.commands.HealthCheck, m.servers[0].ejected)
 	}
-	if m.HandleHealthCheck(m.now, "a0", HealthCheckPassed, time.Millisecond, -1); m.servers[0].ejected {
+	m.HandleHealthCheck(m.now, "a0", HealthCheckPassed, time.Millisecond, -1)
+	if m.servers[0].ejected {
 		t.Error("out though it answered")
 	}
-	if m.HandleHealthCheck(m.now, "a0", HealthCheckTimedOut, time.Second, -1); !m.servers[0].ejected {
+	m.HandleHealthCheck(m.now, "a0", HealthCheckTimedOut, time.Second, -1)
+	if !m.servers[0].ejected {
 		t.Error("not out though silent to a health check")
 	}
-	if m.HandleHealthCheck(m.now, "a0", HealthCheckPassed, time.Millisecond, -1); m.servers[0].ejected || m.servers[0].health > 0.2 {
+	m.HandleHealthCheck(m.now, "a0", HealthCheckPassed, time.Millisecond, -1)
+	if m.servers[0].ejected || m.servers[0].health > 0.2 {
 		t.Errorf("back with health %.2f", m.servers[0].health)
 	}
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -20,7 +20,9 @@
 // newTestManager holds per zone n ready servers a0.., b0.. and a proxy, assigned to its zone's table.
 func newTestManager(n int) *Manager {
 	m := New(1, testSettings)
-	m.nextTick, m.timerAt, m.slowStartPause = time.Hour, time.Hour, 0
+	m.nextTick = time.Hour
+	m.timerAt = time.Hour
+	m.slowStartPause = 0
 	for z, name := range m.zones {
 		for i := range n {
 			id := ServerID(fmt.Sprint(name, i))
@@ -32,15 +34,24 @@
 		m.proxies = append(m.proxies, &proxy{id: ProxyID(z), zone: z, partition: z, assigned: true, usage: flows})
 	}
 	m.partitioned = true
-	m.usageReported, m.distributedRates = true, []float64{40, 40}
+	m.usageReported = true
+	m.distributedRates = []float64{40, 40}
 	return m
 }
 
 // report gives a server one report of late attempts, in a second that just ended.
-func (m *Manager) report(id ServerID, tries, failed int, latency time.Duration) {
+func (m *Manager) report(id ServerID, attempts, failed int, latency time.Duration) {
 	s := m.server(id)
-	s.reports = append(s.reports, LoadReport{Server: id, Zone: m.zones[s.zone], Attempts: tries, Failed: failed, Latency: latency, Interval: time.Second, InFlight: -1})
-	s.reportedAt, s.lastSeen = append(s.reportedAt, m.now), m.now
+	s.reports = append(s.reports, receivedReport{at: m.now, LoadReport: LoadReport{
+		Server:   id,
+		Zone:     m.zones[s.zone],
+		Attempts: attempts,
+		Failed:   failed,
+		Latency:  latency,
+		Interval: time.Second,
+		InFlight: inFlightUnknown,
+	}})
+	s.lastSeen = m.now
 }
 
 func wantNear(t *testing.T, what string, got, want float64) {
@@ -52,7 +63,8 @@
 
 // distributed is what a distribution gives, by partition and part.
 func distributed(volumes []float64, parts []distributionPart, nearest [][]int, closed func(a, b int) bool) [][]float64 {
-	s, all := distribute(volumes, parts, func(z int) []int { return nearest[z] }, closed), make([][]float64, len(volumes))
+	s := distribute(volumes, parts, func(z int) []int { return nearest[z] }, closed)
+	all := make([][]float64, len(volumes))
 	for z := range volumes {
 		for i := range parts {
 			all[z] = append(all[z], s.at(z, i))
@@ -73,7 +85,9 @@
 // managerWithUnassigned holds four servers a zone, one of which warms up, and so many proxies of zone a that connected meanwhile.
 func managerWithUnassigned(proxies int) *Manager {
 	m := newTestManager(4)
-	m.nextTick, m.servers[1].warmingUp, m.servers[1].warmUpFrom = time.Hour, true, 0
+	m.nextTick = time.Hour
+	m.servers[1].warmingUp = true
+	m.servers[1].warmUpFrom = 0
 	for i := range proxies {
 		m.HandleProxyConnected(time.Second+time.Duration(i)*time.Millisecond, ProxyID(10+i), "a", 5)
 	}
@@ -93,6 +107,7 @@
 // newZoneLocalManager has a second class that stays in its zone.
 func newZoneLocalManager(n int) *Manager {
 	m := newTestManager(n)
-	m.zoneLocal, m.crossZone = 2, 1
+	m.zoneLocal = 2
+	m.crossZone = 1
 	return m
 }
--- a/balancer/inputs.go
+++ b/balancer/inputs.go
@@ -70,7 +70,6 @@
 	s.health = 1
 	s.inFlight = inFlightUnknown
 	s.reports = nil
-	s.reportedAt = nil
 	s.lastSeen = m.now
 	s.ejected = s.ejected && m.healthChecks
 	m.publication.urgent = m.publication.urgent || !s.withdrawn
@@ -153,8 +152,7 @@
 	s.recordInFlight(now, report.InFlight)
 	m.inFlightReported = m.inFlightReported || report.InFlight >= 0
 	m.lastReportAt = now
-	s.reports = lastN(append(s.reports, report), maxSamples)
-	s.reportedAt = lastN(append(s.reportedAt, now), maxSamples)
+	s.reports = lastN(append(s.reports, receivedReport{report, now}), maxSamples)
 	if report.Failed < report.Attempts {
 		s.lastSeen = now
 	}
--- a/balancer/partitioning_test.go
+++ b/balancer/partitioning_test.go
@@ -8,7 +8,10 @@
 
 func TestZonesArePartitionedWhereConnectionsWouldClose(t *testing.T) {
 	m := newTestManager(12)
-	m.partitioned, m.idleTimeout, m.proxyCount, m.managerCount = false, 10*time.Second, 60, 2
+	m.partitioned = false
+	m.idleTimeout = 10 * time.Second
+	m.proxyCount = 60
+	m.managerCount = 2
 	for i := range 10 {
 		m.proxies = append(m.proxies, &proxy{id: ProxyID(2 + i), zone: i % 2, announcedRate: 3})
 	}
@@ -33,9 +36,14 @@
 
 func TestZonesAreNotPartitionedWhereConnectionsStayOpen(t *testing.T) {
 	m := newTestManager(12)
-	m.partitioned, m.idleTimeout, m.proxyCount, m.managerCount = false, 100*time.Second, 60, 2
-	m.proxies[0].announcedRate, m.proxies[1].announcedRate = 3, 3
-	if m.partitionZones(); m.partitionsPerZone != 1 {
+	m.partitioned = false
+	m.idleTimeout = 100 * time.Second
+	m.proxyCount = 60
+	m.managerCount = 2
+	m.proxies[0].announcedRate = 3
+	m.proxies[1].announcedRate = 3
+	m.partitionZones()
+	if m.partitionsPerZone != 1 {
 		t.Errorf("%d partitions", m.partitionsPerZone)
 	}
 }
@@ -44,7 +52,9 @@
 func TestPartitionsCountTheServersThatMayServe(t *testing.T) {
 	blocks := func(state ServerState) int {
 		m := newTestManager(12)
-		m.partitioned, m.proxyCount, m.idleTimeout = false, 100, 10*time.Second
+		m.partitioned = false
+		m.proxyCount = 100
+		m.idleTimeout = 10 * time.Second
 		for _, p := range m.proxies {
 			p.announcedRate = 6
 		}
--- a/balancer/pinning_test.go
+++ b/balancer/pinning_test.go
@@ -16,7 +16,9 @@
 	if s := m.tables[0].published; s["a0"] != 10 || s["a1"] != 20.5 || s["a2"] != 30 {
 		t.Errorf("%v", s)
 	}
-	m.servers[1].health, m.proxies[0].usage[0][0].value, m.nextTick = 0.1, 90, 2*time.Second
+	m.servers[1].health = 0.1
+	m.proxies[0].usage[0][0].value = 90
+	m.nextTick = 2 * time.Second
 	if o := m.HandleTimer(2 * time.Second); o.Count() > 0 {
 		t.Errorf("changed while held: %+v", o)
 	}
@@ -31,7 +33,8 @@
 		t.Errorf("a drain waits: %+v", o)
 	}
 	m.HandleEndpointList(3*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1}})
-	if m.nextTick = 4 * time.Second; len(m.HandleTimer(4*time.Second).Restore) > 0 {
+	m.nextTick = 4 * time.Second
+	if len(m.HandleTimer(4*time.Second).Restore) > 0 {
 		t.Error("one that drained meanwhile gets requests back")
 	}
 	o = m.HandleEndpointList(5*time.Second, false, []Endpoint{{Server: "a1", Zone: "a", Weight: 1, Started: 5 * time.Second, RecentlyStarted: true}})
@@ -62,10 +65,15 @@
 	m.now = time.Second
 	m.pinAt(20, 20, 20, 20)
 	for _, s := range m.servers[:4] {
-		s.state, s.withdrawn = Removed, true
+		s.state = Removed
+		s.withdrawn = true
 	}
-	m.servers[0].state, m.servers[0].withdrawn, m.servers[0].warmingUp, m.servers[0].warmUpFrom = Ready, false, true, m.now
-	m.placementValid, m.serverSetsValid = false, false
+	m.servers[0].state = Ready
+	m.servers[0].withdrawn = false
+	m.servers[0].warmingUp = true
+	m.servers[0].warmUpFrom = m.now
+	m.placementValid = false
+	m.serverSetsValid = false
 	m.redistribute()
 	if x := m.tables[0].target["a0"]; x > 0.2 || len(m.tables[0].target) < 2 {
 		t.Errorf("a warming server is to take %.2f of its zone: %v", x, m.tables[0].target)
--- a/balancer/publishing.go
+++ b/balancer/publishing.go
@@ -100,7 +100,11 @@
 // levels table by table, where most requests move first. The rest is worked out anew with the next tick.
 func (m *Manager) publish() {
 	m.publication.begin()
-	round := m.collectChanges()
+	round := &publishRound{
+		proxies: make([][]*proxy, len(m.tables)),
+		moved:   make([]float64, len(m.tables)),
+	}
+	m.collectChanges(round)
 	round.sortChanges()
 	for _, s := range m.servers {
 		s.decreasePending = false
@@ -131,11 +135,8 @@
 	rateLimit  bool       // because a proxy may get no further message
 }
 
-func (m *Manager) collectChanges() *publishRound {
-	round := &publishRound{
-		proxies: make([][]*proxy, len(m.tables)),
-		moved:   make([]float64, len(m.tables)),
-	}
+// collectChanges works out the changes of all tables.
+func (m *Manager) collectChanges(round *publishRound) {
 	demand := m.demandByClass()
 	for i := range m.tables {
 		id := TableID(i)
@@ -146,7 +147,6 @@
 		}
 		round.changes = append(round.changes, changes...)
 	}
-	return round
 }
 
 // sortChanges puts those that keep a rule first, then the tables in which most requests move, in each the changes that
--- a/balancer/publishing_test.go
+++ b/balancer/publishing_test.go
@@ -32,7 +32,8 @@
 
 func TestWhatMovesMostIsPublishedWhenNotAllFits(t *testing.T) {
 	m := newTestManager(12)
-	m.sendableSoon[normalPriority], m.queueLimits[normalPriority] = 7, 7
+	m.sendableSoon[normalPriority] = 7
+	m.queueLimits[normalPriority] = 7
 	for _, s := range m.servers[:3] {
 		m.tables[0].target[s.id] *= 0.8
 	}
@@ -50,10 +51,12 @@
 func TestAWarmingServersWeightWaitsForThoseBesideIt(t *testing.T) {
 	m := newTestManager(3)
 	m.servers[0].warmingUp = true
-	m.servers[1].withdrawn, m.servers[2].withdrawn = true, true
+	m.servers[1].withdrawn = true
+	m.servers[2].withdrawn = true
 	m.tables[0].published = map[ServerID]float64{"a1": 100, "a2": 100, "b0": 1}
 	m.tables[0].target = map[ServerID]float64{"a0": 0.1, "b0": 0.45, "b1": 0.45}
-	m.now, m.sendableSoon[normalPriority] = time.Second, 7
+	m.now = time.Second
+	m.sendableSoon[normalPriority] = 7
 	m.publish()
 	for _, l := range m.commands.Weights {
 		if l.Server == "a0" {
@@ -71,12 +74,14 @@
 	m := newTestManager(12)
 	m.admission.limit = 70
 	for z := range m.tables {
-		m.tables[z].publishedLevels[1], m.tables[z].publishedLevels[2] = AdmissionLevel{TableID(z), 1, 0.9, NoRetry}, AdmissionLevel{TableID(z), 2, 1, NoRetry}
+		m.tables[z].publishedLevels[1] = AdmissionLevel{TableID(z), 1, 0.9, NoRetry}
+		m.tables[z].publishedLevels[2] = AdmissionLevel{TableID(z), 2, 1, NoRetry}
 	}
 	for _, s := range m.servers[12:15] {
 		m.tables[1].target[s.id] *= 1.5
 	}
-	m.sendableSoon[normalPriority], m.queueLimits[normalPriority] = 10, 10 // for one message of up to five commands
+	m.sendableSoon[normalPriority] = 10
+	m.queueLimits[normalPriority] = 10 // for one message of up to five commands
 	m.publish()
 	if len(m.commands.Weights) != 3 || m.commands.Weights[0].Table != 1 || len(m.commands.AdmissionLevels) != 1 || m.commands.AdmissionLevels[0].Table != 1 {
 		t.Errorf("weights %v, levels %v", m.commands.Weights, m.commands.AdmissionLevels)
@@ -88,7 +93,9 @@
 	m := newTestManager(2)
 	clear(m.tables[0].published)
 	m.tables[1].target = map[ServerID]float64{"b0": 0.9, "b1": 0.1}
-	m.now, m.publication.urgent, m.sendableSoon[normalPriority] = time.Second, true, 0
+	m.now = time.Second
+	m.publication.urgent = true
+	m.sendableSoon[normalPriority] = 0
 	m.publish()
 	for _, l := range m.commands.Weights {
 		if l.Table != 0 {
@@ -103,14 +110,18 @@
 // A table must not lose its last endpoint while the replacement waits for room.
 func TestALastEndpointIsRemovedAfterItsReplacement(t *testing.T) {
 	m := newTestManager(2)
-	m.tables[0].published, m.tables[0].target = map[ServerID]float64{"a0": 100}, map[ServerID]float64{"a1": 1}
-	m.sendableSoon[normalPriority], m.queueLimits[normalPriority] = 6, 6
+	m.tables[0].published = map[ServerID]float64{"a0": 100}
+	m.tables[0].target = map[ServerID]float64{"a1": 1}
+	m.sendableSoon[normalPriority] = 6
+	m.queueLimits[normalPriority] = 6
 	m.now = time.Second
 	m.publish()
 	if l := m.commands.Weights; len(l) != 1 || l[0] != (EndpointWeight{0, "a1", 100}) {
 		t.Errorf("with room for one: %v", l)
 	}
-	m.commands, m.sendableSoon[normalPriority], m.queueLimits[normalPriority] = Commands{}, 100, 100
+	m.commands = Commands{}
+	m.sendableSoon[normalPriority] = 100
+	m.queueLimits[normalPriority] = 100
 	m.publish()
 	if l := m.commands.Weights; len(l) != 1 || l[0] != (EndpointWeight{0, "a0", 0}) {
 		t.Errorf("then: %v", l)
@@ -120,21 +131,29 @@
 // A large fleet sends thousands of inputs a second; a publication without room is not tried again with each of them.
 func TestABlockedPublicationWaitsUntilItsSmallestChangeFits(t *testing.T) {
 	m := newTestManager(2)
-	m.now, m.sendableSoon[drainPriority], m.queueLimits[drainPriority], m.publication.urgent = time.Second, 3, 3, true
+	m.now = time.Second
+	m.sendableSoon[drainPriority] = 3
+	m.queueLimits[drainPriority] = 3
+	m.publication.urgent = true
 	m.tables[0].target = map[ServerID]float64{"a0": 0.9, "a1": 0.1}
 	clear(m.tables[0].published)
 	m.publish()
 	if len(m.commands.Weights) > 0 || !m.publication.due {
 		t.Fatalf("weights %v", m.commands.Weights)
 	}
-	if m.now += time.Millisecond; m.publishReady() {
+	m.now += time.Millisecond
+	if m.publishReady() {
 		t.Error("published anew without room")
 	}
-	if m.sendableSoon[drainPriority], m.queueLimits[drainPriority] = 6, 6; !m.publishReady() {
+	m.sendableSoon[drainPriority] = 6
+	m.queueLimits[drainPriority] = 6
+	if !m.publishReady() {
 		t.Error("waits though its least fits")
 	}
-	m.sendableSoon[drainPriority], m.queueLimits[drainPriority] = 3, 3
-	if m.tick(); !m.publishReady() {
+	m.sendableSoon[drainPriority] = 3
+	m.queueLimits[drainPriority] = 3
+	m.tick()
+	if !m.publishReady() {
 		t.Error("not looked at with the next second")
 	}
 }
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -7,7 +7,8 @@
 
 func TestAStartingServerGetsLessThanItsColdCapacity(t *testing.T) {
 	m := newTestManager(3)
-	m.servers[0].warmingUp, m.redistribution = true, warmUpAdvanced
+	m.servers[0].warmingUp = true
+	m.redistribution = warmUpAdvanced
 	m.redistribute()
 	if x := m.tables[0].target["a0"] / m.tables[0].target["a1"]; x <= 0 || x >= testSettings.ColdCapacity {
 		t.Errorf("a warming server gets %.2f of its peer's weight", x)
@@ -19,7 +20,8 @@
 	for _, s := range m.servers[1:] {
 		s.ejected = s.zone == 0
 	}
-	m.servers[0].warmingUp, m.now = true, testSettings.WarmUpDuration-time.Second
+	m.servers[0].warmingUp = true
+	m.now = testSettings.WarmUpDuration - time.Second
 	m.redistribute()
 	sum := 0.0
 	for z := range m.tables {
@@ -35,7 +37,8 @@
 	for _, s := range m.servers {
 		m.report(s.id, 20, 15, time.Second)
 	}
-	m.servers[0].warmingUp, m.now = true, 3*time.Second
+	m.servers[0].warmingUp = true
+	m.now = 3 * time.Second
 	m.updateSlowStart()
 	m.redistribute()
 	if m.slowStartPause != 1 || m.tables[0].target["a0"] != 0 {
@@ -45,12 +48,15 @@
 
 func TestSlowStartPausesUntilPeersAreReportedOn(t *testing.T) {
 	m := newTestManager(3)
-	m.servers[0].warmingUp, m.servers[0].withdrawn, m.slowStartPause = true, true, pauseUnreported
+	m.servers[0].warmingUp = true
+	m.servers[0].withdrawn = true
+	m.slowStartPause = pauseUnreported
 	m.updateSlowStart()
 	if m.slowStartPause != pauseUnreported || m.nextRestore() != nil {
 		t.Error("a warming server comes back though no peer is reported")
 	}
-	if m.servers[0].warmUpFrom = -m.warmUpDuration * 3 / 4; m.nextRestore() == nil {
+	m.servers[0].warmUpFrom = -m.warmUpDuration * 3 / 4
+	if m.nextRestore() == nil {
 		t.Error("a server that is nearly warm waits for reports")
 	}
 }
@@ -58,7 +64,9 @@
 // A limit that already rejects requests must not also lower the part of warming servers, which would stay idle.
 func TestAnAdmissionLimitDoesNotLowerAWarmingServersPart(t *testing.T) {
 	m := newTestManager(4)
-	m.now, m.servers[0].warmingUp, m.servers[0].warmUpFrom = 4*time.Second, true, -4*time.Second
+	m.now = 4 * time.Second
+	m.servers[0].warmingUp = true
+	m.servers[0].warmUpFrom = -4 * time.Second
 	m.redistribute()
 	open := m.tables[0].target["a0"]
 	m.admission.limit = 20
@@ -70,7 +78,9 @@
 func TestWarmingServersDoNotGetTheRequestsOfThoseThatDrain(t *testing.T) {
 	m := newTestManager(4)
 	t0, cold := m.tables[0], m.servers[0]
-	cold.warmingUp, cold.warmUpFrom, cold.listedStart = true, 0, 0
+	cold.warmingUp = true
+	cold.warmUpFrom = 0
+	cold.listedStart = 0
 	t0.target = map[ServerID]float64{"a0": 0.04, "a1": 0.32, "a2": 0.32, "a3": 0.32}
 	t0.published = map[ServerID]float64{"a0": 12.5, "a1": 100, "a2": 100, "a3": 100}
 	m.listReceived = true
@@ -92,7 +102,8 @@
 		m := newTestManager(4)
 		m.now = time.Second
 		for _, s := range m.servers[:6] {
-			s.warmingUp, s.warmUpFrom = true, m.now-since
+			s.warmingUp = true
+			s.warmUpFrom = m.now - since
 		}
 		m.redistribute()
 		gets, climbed := 0.0, m.warmUpProgress(m.servers[0])
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -33,10 +33,9 @@
 	withdrawn       bool
 	decreasePending bool // some table still names it with more than it should get
 
-	reports      []LoadReport
-	reportedAt   []time.Duration
-	expectedRate float64 // attempts per second that should come by the published tables
-	inFlight     float64 // requests; inFlightUnknown before it told any
+	reports      []receivedReport // the last ones, the newest last
+	expectedRate float64          // attempts per second that should come by the published tables
+	inFlight     float64          // requests; inFlightUnknown before it told any
 	inFlightAt   time.Duration
 	health       float64 // from minHealth to 1
 
@@ -57,6 +56,12 @@
 	}
 }
 
+// receivedReport is a load report and when it came.
+type receivedReport struct {
+	LoadReport
+	at time.Duration
+}
+
 // proxy is what is known of one proxy.
 type proxy struct {
 	id            ProxyID
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -58,7 +58,7 @@
 func (m *Manager) serverStatistics(s *server) serverStatistics {
 	var stats serverStatistics
 	succeeded := 0.0
-	for i := len(s.reports) - 1; i >= 0 && stats.attempts < fullAttempts && m.now-s.reportedAt[i] <= maxSampleAge; i-- {
+	for i := len(s.reports) - 1; i >= 0 && stats.attempts < fullAttempts && m.now-s.reports[i].at <= maxSampleAge; i-- {
 		report := s.reports[i]
 		stats.attempts += float64(report.Attempts)
 		stats.failed += float64(report.Failed)
@@ -107,8 +107,8 @@
 	for _, zone := range m.zones {
 		attempts := 0.0
 		seconds := 0.0
-		for i, report := range s.reports {
-			if report.Zone == zone && m.now-s.reportedAt[i] <= maxSampleAge {
+		for _, report := range s.reports {
+			if report.Zone == zone && m.now-report.at <= maxSampleAge {
 				attempts += float64(report.Attempts)
 				seconds += report.Interval.Seconds()
 			}
@@ -131,9 +131,9 @@
 
 // latestReport is the newest one of a zone's proxies, nil without any that counts.
 func (m *Manager) latestReport(s *server, zone ZoneID) *LoadReport {
-	for i := len(s.reports) - 1; i >= 0 && m.now-s.reportedAt[i] <= maxSampleAge; i-- {
+	for i := len(s.reports) - 1; i >= 0 && m.now-s.reports[i].at <= maxSampleAge; i-- {
 		if s.reports[i].Zone == zone {
-			return &s.reports[i]
+			return &s.reports[i].LoadReport
 		}
 	}
 	return nil
@@ -170,7 +170,7 @@
 	failed := 0.0
 	succeeded := 0.0
 	for _, s := range m.servers {
-		for i := len(s.reports) - 1; i >= 0 && m.now-s.reportedAt[i] <= freshReportAge; i-- {
+		for i := len(s.reports) - 1; i >= 0 && m.now-s.reports[i].at <= freshReportAge; i-- {
 			report := s.reports[i]
 			attempts += float64(report.Attempts)
 			failed += float64(report.Failed)
--- a/balancer/zone_local_test.go
+++ b/balancer/zone_local_test.go
@@ -15,7 +15,9 @@
 	m.HandleEndpointList(0, true, []Endpoint{{Server: "a0", Zone: "a", Weight: 1}, {Server: "b0", Zone: "b", Weight: 9}, {Server: "b1", Zone: "b", Weight: 9}})
 	var all Commands
 	take := func(o Commands) {
-		all.Weights, all.AdmissionLevels, all.Assign = append(all.Weights, o.Weights...), append(all.AdmissionLevels, o.AdmissionLevels...), append(all.Assign, o.Assign...)
+		all.Weights = append(all.Weights, o.Weights...)
+		all.AdmissionLevels = append(all.AdmissionLevels, o.AdmissionLevels...)
+		all.Assign = append(all.Assign, o.Assign...)
 	}
 	take(m.HandleProxyConnected(time.Second, 1, "a", 50))
 	take(m.HandleProxyConnected(time.Second, 2, "b", 5))
@@ -60,7 +62,8 @@
 	for _, id := range []ServerID{"a0", "a1", "a2", "a3"} {
 		m.server(id).ejected = true
 	}
-	m.redistribution, m.publication.due = serverEjected, true
+	m.redistribution = serverEjected
+	m.publication.due = true
 	m.redistribute()
 	if part := m.zoneLocalShare(m.tables[0]); part < minWeightShare/2 || part > 2*minWeightShare {
 		t.Errorf("a lost zone's part of its table: %v", part)
@@ -75,7 +78,8 @@
 	if !lowered {
 		t.Error("all that keeps to a lost zone is admitted")
 	}
-	if m.redistribute(); m.zoneLocalShare(m.tables[1]) < 0.3 {
+	m.redistribute()
+	if m.zoneLocalShare(m.tables[1]) < 0.3 {
 		t.Errorf("the other zone keeps %v", m.zoneLocalShare(m.tables[1]))
 	}
 }
@@ -109,21 +113,26 @@
 	if m.isLastZoneLocal(m.tables[0], m.server("a0")) {
 		t.Error("a1 stands too")
 	}
-	if m.server("a1").withdrawn = true; !m.isLastZoneLocal(m.tables[0], m.server("a0")) || m.isLastZoneLocal(m.tables[0], m.server("b0")) {
+	m.server("a1").withdrawn = true
+	if !m.isLastZoneLocal(m.tables[0], m.server("a0")) || m.isLastZoneLocal(m.tables[0], m.server("b0")) {
 		t.Error("a0 is the last of zone a, b0 is not of it")
 	}
 	m = newZoneLocalManager(2)
 	one := m.tables[0]
 	clear(one.target)
 	delete(one.published, "a1")
-	one.published["b0"], one.target["b0"] = 100, 1
+	one.published["b0"] = 100
+	one.target["b0"] = 1
 	m.publication.due = true
-	if m.publish(); one.published["a0"] == 0 {
+	m.publish()
+	if one.published["a0"] == 0 {
 		t.Error("the last endpoint of zone a went, and none of its own is published")
 	}
 	m = newZoneLocalManager(2)
-	m.server("a0").ejected, m.server("a1").ejected = true, true
-	m.tables[0].published["a0"], m.tables[0].target["a0"] = 1e-3, 0.5
+	m.server("a0").ejected = true
+	m.server("a1").ejected = true
+	m.tables[0].published["a0"] = 1e-3
+	m.tables[0].target["a0"] = 0.5
 	for _, mv := range m.weightChanges(0) {
 		if mv.Server == "a0" {
 			t.Errorf("raised: %+v", mv)
--- a/balancer/zone_outage_test.go
+++ b/balancer/zone_outage_test.go
@@ -29,7 +29,8 @@
 // Under overload all servers of a zone may answer health checks late.
 func TestAZoneWhoseChecksOnlyTimeOutLosesNoServer(t *testing.T) {
 	m := newTestManager(4)
-	m.now, m.suspectedZone = 10*time.Second, 0
+	m.now = 10 * time.Second
+	m.suspectedZone = 0
 	m.checkSuspectedZone()
 	for i, a := range []HealthCheckResult{HealthCheckTimedOut, HealthCheckTimedOut, HealthCheckTimedOut, HealthCheckUnreachable} {
 		m.servers[i].lastSeen = m.now
@@ -45,12 +46,14 @@
 	m := newTestManager(2)
 	p := &m.zonePairs[0][1]
 	for i := range 12 {
-		p.failureRates, p.latencies = append(p.failureRates, 0), append(p.latencies, 0.1)
+		p.failureRates = append(p.failureRates, 0)
+		p.latencies = append(p.latencies, 0.1)
 		if i >= 9 {
 			p.latencies[i] = 0.25
 		}
 	}
-	if m.updateZonePairs(); !p.closed || m.redistribution != zonePairChanged {
+	m.updateZonePairs()
+	if !p.closed || m.redistribution != zonePairChanged {
 		t.Error("open at twice the norm")
 	}
 }
