--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,8 @@
-// Package config is the one place where a real manager's start is read, checked and given
-// defaults: the environment and the JSON file that it names. An error begins with the key that
-// is at fault. It must never hold a decision, and nothing reads the environment after it.
+// Package config reads, checks and completes what a manager is started with: the environment, the JSON file that it
+// names, and the operator's settings. Nothing reads the environment after it. It decides nothing.
+//
+// An error names the key that is at fault, and the line where the file has it. Nothing here is shared between
+// goroutines.
 package config
 
 import (
@@ -10,217 +12,240 @@
 	"net"
 	"os"
 	"strconv"
-	"time"
 
 	"tamarindshore/balancer"
 	"tamarindshore/internal/platformsettings"
-	"tamarindshore/internal/sharding"
 )
 
-// Start is all that a manager is told at its start.
+// Config is all that a manager is told at its start.
 type Config struct {
-	Name, Listen, Discovery, Relay                                                     string
-	Seed                                                                               uint64
-	Limits                                                                             Limits
-	Balancer                                                                           balancer.Settings
-	ClassNames                                                                         []string        // names of the traffic groups in their order
-	ServersReportLoad                                                                  bool            // servers tell their load when probed
-	CachedEndpointList                                                                 json.RawMessage // the list as last held, in discovery's form
-	LogLevel, LogFormat, StatusAddress, AdminSocket, StorePath, TablesAddress, KeyFile string          // by the operator's settings
-	Spill                                                                              int             // servers of other zones in a subset; 0: all servers are used
-	coresConfigured                                                                    bool
-}
+	Name      string
+	Listen    string // address for collectors and proxies
+	Discovery string // address
+	Relay     string // address
+	Seed      uint64
+	Limits    Limits
+
+	Balancer           balancer.Settings
+	ClassNames         []string        // of the traffic classes, in their order
+	ServersReportLoad  bool            // in the answer to a health check
+	CachedEndpointList json.RawMessage // as last held, in discovery's form
+
+	// By the operator's settings.
 
-// Limits are the sizes, counts and times of the network code.
-type Limits struct {
-	Cores    int
-	Shards   int // cores that take in beside the one that decides; up to 1: none
-	Sharding sharding.Settings
-	Memory   int64 // bytes
-	Sockets  int
-
-	MaxQueuedInputs          int // that wait for the owner of the module
-	MaxInputBatch            int // of them, taken at one time
-	MaxQueuedCalls           int // orders that wait for the relay unmerged
-	MaxCallBytes             int // of orders in a call
-	MaxQueuedHealthChecks    int // servers that may all be asked at once: a lost fleet is probed whole
-	MaxOpenHealthChecks      int
-	MaxUnidentifiedConns     int // connections that have not said whose they are
-	MaxCollectorConns        int // collectors
-	MaxLineFields            int // of a line
-	MaxUnidentifiedLineBytes int
-	MaxCollectorLineBytes    int
-	MaxWatchEventBytes       int
-	MaxEndpointListBytes     int // a whole list in one line
-	MaxResponseBytes         int // bytes of an answer of relay or server
-	MaxQueuedLogLines        int // lines of the log
-	ReadChunkBytes           int // bytes read at one time where several cores take in
-	MaxQueuedChunks          int // of them that wait of one connection
-
-	ReadInterval time.Duration // between reads of what collectors and the relay tell; 0: each is made at once
-
-	MaxEmptyMessages     int     // messages one after another that report nothing
-	MaxRequestsPerSecond float64 // a second in a report, and held by a server
-
-	IdentifyTimeout, CollectorIdleTimeout           time.Duration // from the start of a connection until it reports; then
-	LastSeenPrecision                               time.Duration // how exactly it is known when a connection last spoke
-	MaxReportInterval                               time.Duration // of a report
-	ProxyWatchIdleTimeout, EndpointWatchIdleTimeout time.Duration // past their signs of life
-	StreamOpenTimeout                               time.Duration // until a stream begins
-	ProxySnapshotTimeout                            time.Duration // a sign of life later than that ends what stands at the opening
-	ConnectTimeout, WriteTimeout                    time.Duration
-	RelayTimeout, HealthCheckTimeout                time.Duration
-	ProcessStallGrace                               time.Duration // for what came while this process stood still
-	MaxReadyDelay                                   time.Duration // after its start a manager is ready also without the relay
-	ListenTimeout                                   time.Duration // for an address that is still in use
-	ReloadRetries                                   int           // of a faulty file, after a signal,
-	ReloadRetryInterval                             time.Duration // and the time between them
-	MaxWatchGap                                     time.Duration // until what a stream could not tell is asked for again
-	MinBackoff, MaxBackoff                          time.Duration // waits before a new try, by chance between them
-	LogInterval                                     time.Duration // of lines of one kind
-	LogFlushTimeout                                 time.Duration // for the last lines
+	LogLevel      string
+	LogFormat     string
+	StatusAddress string // empty: no status listener
+	AdminSocket   string // path; empty: none
+	StorePath     string // empty: none
+	TablesAddress string // empty: tables are not served
+	KeyFile       string // keys that sign versions
+	Spill         int    // servers of other zones in a subset; 0: all servers are used
+
+	coresConfigured bool // the file states limits.cores
 }
 
-// A whole list comes in one line. Its bound follows the memory, so that no size of a fleet is refused that the memory
-// carries: 24,000 servers take some 4 MB.
+// Variables of the environment.
 const (
-	minListLine  = 1 << 20
-	listLinePart = 32 // of the memory
+	variableConfig    = "PROXY_CONFIG" // path of the file
+	variableName      = "PROXY_NAME"
+	variableListen    = "PROXY_LISTEN"
+	variableDiscovery = "PROXY_DISCOVERY"
 )
 
-// LongestList is the bound on a whole list, in bytes, of a manager with so much memory.
-func MaxEndpointListBytes(memoryMB float64) int {
-	return max(minListLine, int(memoryMB*(1<<20))/listLinePart)
-}
+const missing = "is missing"
 
-func limits(cores, memoryMB float64, sockets int) Limits {
-	return Limits{
-		Cores: max(1, int(cores+0.5)), Memory: int64(memoryMB * (1 << 20)), Sockets: sockets,
-		MaxQueuedInputs: 4096, MaxInputBatch: 512, MaxQueuedCalls: 8, MaxCallBytes: 60000, MaxQueuedHealthChecks: 4096,
-		MaxOpenHealthChecks: min(64, sockets/8), MaxUnidentifiedConns: min(256, sockets/4), MaxCollectorConns: min(32, sockets/16),
-		MaxLineFields: 64, MaxUnidentifiedLineBytes: 4 << 10, MaxCollectorLineBytes: min(1<<20, int(memoryMB*(1<<20))/512), MaxWatchEventBytes: 64 << 10,
-		MaxEndpointListBytes: MaxEndpointListBytes(memoryMB), MaxResponseBytes: 64 << 10,
-		MaxEmptyMessages: 64, MaxRequestsPerSecond: 10000, IdentifyTimeout: 1500 * time.Millisecond, CollectorIdleTimeout: 20 * time.Second, LastSeenPrecision: 50 * time.Millisecond, MaxReportInterval: time.Minute,
-		ProxyWatchIdleTimeout: 1500 * time.Millisecond, EndpointWatchIdleTimeout: 2600 * time.Millisecond, ProxySnapshotTimeout: 300 * time.Millisecond,
-		StreamOpenTimeout: 700 * time.Millisecond,
-		ConnectTimeout:    300 * time.Millisecond, WriteTimeout: 300 * time.Millisecond,
-		RelayTimeout: 60 * time.Millisecond, HealthCheckTimeout: 600 * time.Millisecond, ProcessStallGrace: 20 * time.Millisecond,
-		MaxReadyDelay: 5 * time.Second, ListenTimeout: 2 * time.Second, ReloadRetries: 5, ReloadRetryInterval: 200 * time.Millisecond,
-		MaxWatchGap: time.Second, MinBackoff: 50 * time.Millisecond, MaxBackoff: 200 * time.Millisecond, LogInterval: time.Second,
-		MaxQueuedLogLines: 1024, ReadChunkBytes: 16 << 10, MaxQueuedChunks: 4, LogFlushTimeout: 200 * time.Millisecond,
-	}
-}
-
-// Read takes the environment (through get) and the file that PROXY_CONFIG names.
+// Read takes the environment (through get) and the file that PROXY_CONFIG names. An error about a key is a
+// *platformsettings.KeyError.
 func Read(get func(string) string) (Config, error) { return read(get, false) }
 
 // Reread takes the file again: where it names discovery's address, that wins over the environment, which was
 // told at the start.
 func Reread(get func(string) string) (Config, error) { return read(get, true) }
 
-func read(get func(string) string, again bool) (Config, error) {
-	path := get("PROXY_CONFIG")
+func read(get func(string) string, reload bool) (Config, error) {
+	path := get(variableConfig)
 	if path == "" {
-		return Config{}, errors.New("PROXY_CONFIG: is missing")
+		return Config{}, &platformsettings.KeyError{Key: variableConfig, Problem: missing}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, fmt.Errorf("PROXY_CONFIG: %v", err)
+		return Config{}, fmt.Errorf("%s: %w", variableConfig, err)
 	}
-	s, err := parse(get, text, again)
+	config, err := parse(get, text, reload)
 	if err != nil {
-		return Config{}, located(text, err)
+		return Config{}, locate(text, err)
 	}
-	return s, nil
+	return config, nil
 }
 
-// parse checks what is told; the environment wins over the file, but for discovery's address in a file that is
-// taken again.
-func parse(get func(string) string, text []byte, again bool) (s Config, err error) {
-	var in struct {
-		Name, Listen, Discovery, Seed string
-		Limits                        struct {
-			Cores    *float64
-			MemoryMB *float64 `json:"memory_mb"`
-			Sockets  *int
+// wireConfig is the file as the platform writes it.
+type wireConfig struct {
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`
+	Discovery string          `json:"discovery"`
+	Seed      string          `json:"seed"` // hex
+	Limits    wireLimits      `json:"limits"`
+	Store     wireStore       `json:"store"`
+	Known     json.RawMessage `json:"known"`
+	Settings  json.RawMessage `json:"settings"`
+}
+
+type wireLimits struct {
+	Cores    *float64 `json:"cores"`
+	MemoryMB *float64 `json:"memory_mb"`
+	Sockets  *int     `json:"sockets"`
+}
+
+type wireStore struct {
+	Address string `json:"address"`
+}
+
+// wireReport is the part of the settings that says how servers tell their load.
+type wireReport struct {
+	Report struct {
+		How string `json:"how"`
+	} `json:"report"`
+}
+
+// reportSilent is the value of report.how where servers do not tell their load.
+const reportSilent = "silent"
+
+// parse checks what is told. The environment wins over the file, but for discovery's address in a file that is taken
+// again.
+func parse(get func(string) string, text []byte, reload bool) (Config, error) {
+	var wire wireConfig
+	if err := json.Unmarshal(text, &wire); err != nil {
+		var fault *platformsettings.KeyError
+		if err = platformsettings.WithKey(err); errors.As(err, &fault) {
+			return Config{}, err
 		}
-		Store           struct{ Address string }
-		Known, Settings json.RawMessage
+		return Config{}, fmt.Errorf("%s: %w", variableConfig, err)
 	}
-	if err := json.Unmarshal(text, &in); err != nil {
-		if faulty := platformsettings.WithKey(err); faulty != err {
-			return s, faulty
-		}
-		return s, fmt.Errorf("PROXY_CONFIG: %w", err)
-	}
-	for _, one := range []struct {
-		key, variable, told string
-		to                  *string
-		address             bool
-	}{
-		{"name", "PROXY_NAME", in.Name, &s.Name, false},
-		{"listen", "PROXY_LISTEN", in.Listen, &s.Listen, true},
-		{"discovery", "PROXY_DISCOVERY", in.Discovery, &s.Discovery, true},
-		{"store.address", "", in.Store.Address, &s.Relay, true},
+	var config Config
+	if err := config.setAddresses(get, wire, reload); err != nil {
+		return Config{}, err
+	}
+	if err := config.setMachine(wire); err != nil {
+		return Config{}, err
+	}
+	if err := config.setSite(wire); err != nil {
+		return Config{}, err
+	}
+	return config, nil
+}
+
+// textSetting is a text that the file states and, for some, the environment.
+type textSetting struct {
+	key       string // in the file
+	variable  string // in the environment; empty: none
+	value     string // in the file
+	fileWins  bool
+	isAddress bool
+	to        *string
+}
+
+// setAddresses sets the manager's name and the addresses, and the seed.
+func (c *Config) setAddresses(get func(string) string, wire wireConfig, reload bool) (err error) {
+	for _, setting := range []textSetting{
+		{key: "name", variable: variableName, value: wire.Name, to: &c.Name},
+		{key: "listen", variable: variableListen, value: wire.Listen, isAddress: true, to: &c.Listen},
+		{key: "discovery", variable: variableDiscovery, value: wire.Discovery, fileWins: reload, isAddress: true, to: &c.Discovery},
+		{key: "store.address", value: wire.Store.Address, isAddress: true, to: &c.Relay},
 	} {
-		key := one.key
-		*one.to = one.told
-		keep := again && one.to == &s.Discovery && one.told != ""
-		if v := get(one.variable); !keep && one.variable != "" && v != "" {
-			key, *one.to = one.variable, v
-		}
-		if *one.to == "" {
-			return s, fmt.Errorf("%s: is missing", key)
+		if *setting.to, err = setting.resolve(get); err != nil {
+			return err
 		}
-		if one.address {
-			if err := address(*one.to); err != nil {
-				return s, fmt.Errorf("%s: %q is no address: %v", key, *one.to, err)
-			}
+	}
+	if c.Seed, err = strconv.ParseUint(wire.Seed, 16, 64); err != nil {
+		return keyError("seed", "%q is not up to 16 hex digits", wire.Seed)
+	}
+	return nil
+}
+
+// resolve gives the value that counts.
+func (s textSetting) resolve(get func(string) string) (string, error) {
+	key, value := s.key, s.value
+	if s.variable != "" && (!s.fileWins || s.value == "") {
+		if stated := get(s.variable); stated != "" {
+			key, value = s.variable, stated
 		}
 	}
-	if s.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
-		return s, fmt.Errorf("seed: %q is not up to 16 hex digits", in.Seed)
+	if value == "" {
+		return "", keyError(key, missing)
 	}
-	cores, memory, sockets := 1.0, 192.0, 1024
-	if v := in.Limits.Cores; v != nil {
-		cores, s.coresConfigured = *v, true
+	if !s.isAddress {
+		return value, nil
 	}
-	if v := in.Limits.MemoryMB; v != nil {
-		memory = *v
+	if err := checkAddress(value); err != nil {
+		return "", keyError(key, "%q is no address: %v", value, err)
 	}
-	if v := in.Limits.Sockets; v != nil {
-		sockets = *v
+	return value, nil
+}
+
+// setMachine sets the limits by what the platform lets the process use.
+func (c *Config) setMachine(wire wireConfig) error {
+	m := machine{cores: 1, memoryMB: 192, sockets: 1024}
+	if cores := wire.Limits.Cores; cores != nil {
+		m.cores = *cores
+		c.coresConfigured = true
+	}
+	if memory := wire.Limits.MemoryMB; memory != nil {
+		m.memoryMB = *memory
+	}
+	if sockets := wire.Limits.Sockets; sockets != nil {
+		m.sockets = *sockets
 	}
 	switch {
-	case cores < 0.01 || cores > 4096:
-		return s, fmt.Errorf("limits.cores: %v is not from 0.01 to 4096", cores)
-	case memory < 32 || memory > 1<<30:
-		return s, fmt.Errorf("limits.memory_mb: %v is not from 32 up", memory)
-	case sockets < 64 || sockets > 1<<24:
-		return s, fmt.Errorf("limits.sockets: %v is not from 64 up", sockets)
+	case m.cores < 0.01 || m.cores > 4096:
+		return keyError("limits.cores", "%v is not from 0.01 to 4096", m.cores)
+	case m.memoryMB < 32 || m.memoryMB > 1<<30:
+		return keyError("limits.memory_mb", "%v is not from 32 up", m.memoryMB)
+	case m.sockets < 64 || m.sockets > 1<<24:
+		return keyError("limits.sockets", "%v is not from 64 up", m.sockets)
 	}
-	s.Limits = limits(cores, memory, sockets)
-	if s.CachedEndpointList = in.Known; len(in.Known) == 0 {
-		return s, errors.New("known: is missing")
+	c.Limits = limitsFor(m)
+	return nil
+}
+
+// setSite sets the list as last held and the site's settings.
+func (c *Config) setSite(wire wireConfig) error {
+	const settingsKey = "settings"
+	if len(wire.Known) == 0 {
+		return keyError("known", missing)
 	}
-	if len(in.Settings) == 0 {
-		return s, errors.New("settings: is missing")
+	if len(wire.Settings) == 0 {
+		return keyError(settingsKey, missing)
 	}
-	if s.Balancer, s.ClassNames, err = platformsettings.Parse(in.Settings); err != nil {
-		return s, fmt.Errorf("settings.%v", err)
+	c.CachedEndpointList = wire.Known
+	settings, err := platformsettings.Parse(wire.Settings)
+	var fault *platformsettings.KeyError
+	switch {
+	case errors.As(err, &fault):
+		return fault.Within(settingsKey)
+	case err != nil:
+		return keyError(settingsKey, "%v", err)
 	}
-	if len(s.Balancer.Zones) == 0 {
-		return s, errors.New("settings.zones: is missing")
+	if len(settings.Balancer.Zones) == 0 {
+		return keyError("settings.zones", missing)
 	}
-	var report struct{ Report struct{ How string } }
-	if err := json.Unmarshal(in.Settings, &report); err != nil {
-		return s, fmt.Errorf("settings.report: %v", err)
+	c.Balancer = settings.Balancer
+	c.ClassNames = settings.ClassNames
+	var wanted wireReport
+	if err := json.Unmarshal(wire.Settings, &wanted); err != nil {
+		return keyError("settings.report", "%v", err)
 	}
-	s.ServersReportLoad = report.Report.How != "" && report.Report.How != "silent"
-	return s, nil
+	how := wanted.Report.How
+	c.ServersReportLoad = how != "" && how != reportSilent
+	return nil
+}
+
+func keyError(key, format string, values ...any) error {
+	return &platformsettings.KeyError{Key: key, Problem: fmt.Sprintf(format, values...)}
 }
 
-func address(text string) error {
+// checkAddress looks that a text is host:port.
+func checkAddress(text string) error {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil {
 		return err
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,10 +1,14 @@
 package config
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
+
+	"tamarindshore/internal/platformsettings"
 )
 
 const told = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
@@ -15,16 +19,16 @@
 
 func none(string) string { return "" }
 
-func TestParseFillsTermsAndLimits(t *testing.T) {
+func TestParseFillsSettingsAndLimits(t *testing.T) {
 	s, err := parse(none, []byte(told), false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Name != "n3" || s.Relay != "127.0.0.3:6400" || s.Seed != 0x8c1f30d27a5be964 || !s.ServersReportLoad {
-		t.Errorf("start %+v", s)
+		t.Errorf("%+v", s)
 	}
 	if s.Balancer.QueueCapacity != 8600 || len(s.ClassNames) != 1 || s.ClassNames[0] != "lookup" {
-		t.Errorf("terms %+v", s.Balancer)
+		t.Errorf("settings %+v", s.Balancer)
 	}
 	l := s.Limits
 	if l.Memory != 192<<20 || l.Cores != 1 || l.MaxUnidentifiedConns+l.MaxCollectorConns+l.MaxOpenHealthChecks >= l.Sockets/2 {
@@ -34,7 +38,7 @@
 
 // Guards against network code that outgrows the smallest machine.
 func TestLimitsScaleWithTheMachine(t *testing.T) {
-	l := limits(0.2, 32, 256)
+	l := limitsFor(machine{cores: 0.2, memoryMB: 32, sockets: 256})
 	if open := l.MaxUnidentifiedConns + l.MaxCollectorConns + l.MaxOpenHealthChecks + 8; open > 128 {
 		t.Errorf("%d descriptors of 256", open)
 	}
@@ -90,13 +94,19 @@
 		{`"aimUs":2000000`, `"aimUs":0`, "settings.classes[0]: "},
 		{`"zones":["a"],`, ``, "settings.zones: is missing"},
 		{`"how":"piggyback"`, `"how":1`, "settings.report: "},
+		{`"settings":{"zones"`, `"settings":[],"other":{"zones"`, "settings: json: cannot unmarshal array"},
 		{`{"name"`, `"name"`, "PROXY_CONFIG: "},
 	} {
 		text := strings.Replace(told, c.was, c.is, 1)
 		if text == told {
 			t.Fatalf("%s is not in the text", c.was)
 		}
-		if _, err := parse(none, []byte(text), false); err == nil || !strings.HasPrefix(err.Error(), c.want) {
+		_, err := parse(none, []byte(text), false)
+		var fault *platformsettings.KeyError
+		if syntax := strings.HasPrefix(c.want, "PROXY_CONFIG"); !syntax && !errors.As(err, &fault) {
+			t.Errorf("%s: %v names no key", c.is, err)
+		}
+		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%s: %v, not %q", c.is, err, c.want)
 		} else if strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: more than one line: %v", c.is, err)
@@ -108,14 +118,17 @@
 	if _, err := Read(none); err == nil || err.Error() != "PROXY_CONFIG: is missing" {
 		t.Error(err)
 	}
-	if _, err := Read(func(string) string { return "/nowhere/config.json" }); err == nil {
-		t.Error("a file that is not there was read")
+	for _, read := range []func(func(string) string) (Config, error){Read, Reread} {
+		if _, err := read(func(string) string { return "/nowhere/config.json" }); !errors.Is(err, fs.ErrNotExist) ||
+			!strings.HasPrefix(err.Error(), "PROXY_CONFIG: ") {
+			t.Errorf("a file that is not there: %v", err)
+		}
 	}
 }
 
 // Guards against a fleet of which only the first few hundred servers are probed when all are lost at once.
 func TestTheSmallestMachineHasRoomForAThousandServers(t *testing.T) {
-	l := limits(0.01, 32, 64)
+	l := limitsFor(machine{cores: 0.01, memoryMB: 32, sockets: 64})
 	if l.MaxQueuedHealthChecks < 1024 || l.MaxQueuedInputs < 1024 || l.MaxEndpointListBytes < 1024*200 {
 		t.Errorf("%+v", l)
 	}
@@ -141,15 +154,19 @@
 		if err == nil || err.Error() != want {
 			t.Errorf("%s: %v, not %s", was[1], err, want)
 		}
+		var located *LocatedError
+		if errors.As(err, &located) != strings.Contains(want, "(line ") {
+			t.Errorf("%s: %v names no line", was[1], err)
+		}
 	}
 }
 
 // A list of 24,000 servers, at 200 bytes each, fits a manager with 256 MB; a small one keeps 1 MiB.
 func TestTheBoundOfAWholeListFollowsTheMemory(t *testing.T) {
-	if most := limits(1, 256, 1024).MaxEndpointListBytes; most < 24000*200 {
+	if most := limitsFor(machine{cores: 1, memoryMB: 256, sockets: 1024}).MaxEndpointListBytes; most < 24000*200 {
 		t.Errorf("%d bytes with 256 MB", most)
 	}
-	if most := limits(1, 16, 1024).MaxEndpointListBytes; most != minListLine {
+	if most := limitsFor(machine{cores: 1, memoryMB: 16, sockets: 1024}).MaxEndpointListBytes; most != minEndpointListBytes {
 		t.Errorf("%d bytes with 16 MB", most)
 	}
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -1,11 +1,15 @@
 package config
 
 import (
+	"errors"
+	"io/fs"
+	"path/filepath"
+	"strings"
 	"testing"
+	"time"
 
-	"strings"
 	"tamarindshore/internal/logging"
-	"time"
+	"tamarindshore/internal/sexp"
 )
 
 func TestOperatorsSettingsAreTakenWholeWithDefaults(t *testing.T) {
@@ -38,16 +42,32 @@
 		"(tamarindshore\n (subset (spill many)))":             "f:2: spill: many is no whole number from 1 to 1048576",
 		"(tamarindshore\n (subset (spill 1) (spill 2)))":      "f:2: spill: stands twice",
 		"(tamarindshore\n (subset (managers 5)))":             "f:2: managers: is no key here; known are spill",
-		"(other)":                         "f:1: one form (tamarindshore ...) is due",
-		"(tamarindshore) (tamarindshore)": "f:1: one form (tamarindshore ...) is due",
+		"(tamarindshore\n (admin (socket \"a/b\")))":          `f:2: socket: "a/b" is no path from the root`,
+		"(tamarindshore\n (store (path x)))":                  `f:2: path: "x" is no path from the root`,
+		"(tamarindshore\n (tables (keys x)))":                 `f:2: keys: "x" is no path from the root`,
+		"(tamarindshore\n (tables (listen a:1)))":             "f:2: tables: keys: is missing: versions are signed",
+		"(tamarindshore\n (tables (listen a)))":               "f:2: listen: a is no host:port",
+		"(tamarindshore\n (log (form xml)))":                  "f:2: form: xml is none of text, json",
+		"(tamarindshore\n (cores 4)":                          "f:2: a bracket is not closed",
+		"":                                                    "f:1: one form (tamarindshore ...) is due",
+		"(other)":                                             "f:1: one form (tamarindshore ...) is due",
+		"(tamarindshore) (tamarindshore)":                     "f:1: one form (tamarindshore ...) is due",
 	} {
-		if _, err := ParseOperatorSettings("f", []byte(text)); err == nil || err.Error() != want {
+		_, err := ParseOperatorSettings("f", []byte(text))
+		var place *sexp.Error
+		if !errors.As(err, &place) || place.File != "f" || err.Error() != want {
 			t.Errorf("%q: %v, not %s", text, err, want)
 		}
 	}
 }
 
-// withSettings is a start joined to the operator's settings.
+func TestTheOperatorsFileMustBeThere(t *testing.T) {
+	if _, err := ReadOperatorSettings(filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
+		t.Error(err)
+	}
+}
+
+// withSettings is a configuration joined to the operator's settings.
 func withSettings(t *testing.T, settings string) Config {
 	t.Helper()
 	operator, err := ParseOperatorSettings("f", []byte(settings))
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -1,6 +1,6 @@
-// Package sexp reads S-expressions: the form of the operator's settings, scenarios and scripts. It owns the grammar,
-// where each word stood, and the typed reading of values; an error names file, line and word. It must never know what
-// a key means.
+// Package sexp reads S-expressions: the form of the operator's settings, scenarios and scripts. It has the grammar, the
+// place of each word and the typed reading of values; what a key means is the caller's. An error about a text is an
+// *Error, which names file, line and word.
 package sexp
 
 import (
@@ -52,25 +52,40 @@
 	if err == nil {
 		return f.Nodes, nil
 	}
-	var at participle.Error
-	if errors.As(err, &at) {
-		what := at.Message()
-		if strings.Contains(what, "<EOF>") && strings.Contains(what, `")"`) {
-			what = "a bracket is not closed"
-		} else if strings.Contains(what, `invalid input text "\"`) {
-			what = "a quote is not closed"
-		}
-		return nil, fmt.Errorf("%s:%d: %s", name, at.Position().Line, what)
+	var fault participle.Error
+	if errors.As(err, &fault) {
+		return nil, &Error{File: name, Line: fault.Position().Line, Problem: syntaxProblem(fault.Message())}
 	}
-	return nil, fmt.Errorf("%s: %v", name, err)
+	return nil, fmt.Errorf("%s: %w", name, err)
+}
+
+// syntaxProblem says in words what the parser's commonest messages mean.
+func syntaxProblem(message string) string {
+	switch {
+	case strings.Contains(message, "<EOF>") && strings.Contains(message, `")"`):
+		return "a bracket is not closed"
+	case strings.Contains(message, `invalid input text "\"`):
+		return "a quote is not closed"
+	}
+	return message
+}
+
+// Error says what is wrong at a place in a file.
+type Error struct {
+	File    string
+	Line    int    // from 1
+	Problem string // the key, what was found and what was expected
 }
 
-// Fail is an error at a node.
+// Error gives FILE:LINE: and the problem.
+func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Problem) }
+
+// Errorf is an *Error at a node.
 func (n *Node) Errorf(format string, values ...any) error {
-	return fmt.Errorf("%s:%d: %s", n.Pos.Filename, n.Pos.Line, fmt.Sprintf(format, values...))
+	return &Error{File: n.Pos.Filename, Line: n.Pos.Line, Problem: fmt.Sprintf(format, values...)}
 }
 
-// text is a node as it may be shown.
+// display is a node as an error shows it.
 func (n *Node) display() string {
 	switch {
 	case n.Word != nil:
@@ -101,7 +116,7 @@
 type Key struct {
 	Name     string
 	Read     func(n *Node) error
-	Required bool // it has to be there
+	Required bool
 	Repeated bool // it may be there more than once
 }
 
@@ -110,39 +125,43 @@
 func Read(in *Node, lists []*Node, keys ...Key) error {
 	seen := map[string]bool{}
 	for _, n := range lists {
-		name, found := n.Head(), false
-		if name == "" {
-			return n.Errorf("%s stands where (key value ...) is due", n.display())
+		key, err := findKey(n, keys)
+		if err != nil {
+			return err
 		}
-		for _, k := range keys {
-			if k.Name != name {
-				continue
-			}
-			if found = true; seen[name] && !k.Repeated {
-				return n.Errorf("%s: stands twice", name)
-			}
-			seen[name] = true
-			if err := k.Read(n); err != nil {
-				return err
-			}
+		if seen[key.Name] && !key.Repeated {
+			return n.Errorf("%s: stands twice", key.Name)
 		}
-		if !found {
-			var names []string
-			for _, k := range keys {
-				names = append(names, k.Name)
-			}
-			return n.Errorf("%s: is no key here; known are %s", name, strings.Join(names, ", "))
+		seen[key.Name] = true
+		if err := key.Read(n); err != nil {
+			return err
 		}
 	}
-	for _, k := range keys {
-		if k.Required && !seen[k.Name] {
-			return in.Errorf("%s: is missing", k.Name)
+	for _, key := range keys {
+		if key.Required && !seen[key.Name] {
+			return in.Errorf("%s: is missing", key.Name)
 		}
 	}
 	return nil
 }
 
-// one is the single value of a list.
+// findKey is the key that a list begins with.
+func findKey(n *Node, keys []Key) (Key, error) {
+	name := n.Head()
+	if name == "" {
+		return Key{}, n.Errorf("%s stands where (key value ...) is due", n.display())
+	}
+	var known []string
+	for _, key := range keys {
+		if key.Name == name {
+			return key, nil
+		}
+		known = append(known, key.Name)
+	}
+	return Key{}, n.Errorf("%s: is no key here; known are %s", name, strings.Join(known, ", "))
+}
+
+// singleValue is the one value of a list.
 func (n *Node) singleValue() (*Node, error) {
 	if a := n.Args(); len(a) == 1 && a[0].List == nil {
 		return a[0], nil
@@ -150,6 +169,7 @@
 	return nil, n.Errorf("%s: one value is due", n.Head())
 }
 
+// value is a string or a word without its quotes.
 func (n *Node) value() string {
 	if n.String != nil {
 		return *n.String
@@ -181,7 +201,7 @@
 	return v.Errorf("%s: %s is none of %s", n.Head(), v.display(), strings.Join(words, ", "))
 }
 
-// Whole reads a whole number within bounds.
+// Int reads a whole number within bounds.
 func (n *Node) Int(to *int, least, most int) error {
 	v, err := n.singleValue()
 	if err != nil {
@@ -195,15 +215,15 @@
 	return nil
 }
 
-// Number reads a number within bounds; 12% is 0.12.
+// Float reads a number within bounds; 12% is 0.12.
 func (n *Node) Float(to *float64, least, most float64) error {
 	v, err := n.singleValue()
 	if err != nil {
 		return err
 	}
-	text, by := strings.CutSuffix(v.value(), "%")
+	text, isPercent := strings.CutSuffix(v.value(), "%")
 	x, err := strconv.ParseFloat(text, 64)
-	if by {
+	if isPercent {
 		x /= 100
 	}
 	if err != nil || math.IsNaN(x) || x < least || x > most {
@@ -213,7 +233,7 @@
 	return nil
 }
 
-// Span reads a time such as 250ms, 13s or 1m30s within bounds.
+// Duration reads a time such as 250ms, 13s or 1m30s within bounds.
 func (n *Node) Duration(to *time.Duration, least, most time.Duration) error {
 	v, err := n.singleValue()
 	if err != nil {
@@ -227,7 +247,7 @@
 	return nil
 }
 
-// Address reads host:port.
+// HostPort reads host:port.
 func (n *Node) HostPort(to *string) error {
 	v, err := n.singleValue()
 	if err != nil {
--- a/internal/simprotocol/errors.go
+++ b/internal/simprotocol/errors.go
@@ -22,8 +22,10 @@
 	Err  error
 }
 
+// Error gives the line and what is wrong there.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %v", e.Line, e.Err) }
 
+// Unwrap gives the cause.
 func (e *LineError) Unwrap() error { return e.Err }
 
 // FieldError says which value of a message is wrong.
@@ -33,4 +35,5 @@
 	Problem string // what was expected
 }
 
+// Error gives the field, its value and what was expected.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %q %s", e.Field, e.Value, e.Problem) }
--- a/internal/simprotocol/serve.go
+++ b/internal/simprotocol/serve.go
@@ -171,14 +171,14 @@
 	if err != nil {
 		return err
 	}
-	settings, classNames, err := platformsettings.Parse([]byte(settingsText))
+	settings, err := platformsettings.Parse([]byte(settingsText))
 	if err != nil {
 		return fmt.Errorf("%s: %w", fieldSettings, err)
 	}
-	one := &instance{startedAt: clock, classNames: classNames}
+	one := &instance{startedAt: clock, classNames: settings.ClassNames}
 	h.instances[id] = one
 	h.run(id, func() balancer.Commands {
-		one.manager = h.newManager(seed, settings)
+		one.manager = h.newManager(seed, settings.Balancer)
 		return balancer.Commands{}
 	})
 	return nil
