--- a/internal/subset/balance_test.go
+++ b/internal/subset/balance_test.go
@@ -1,125 +1,150 @@
 package subset
 
 import (
-	"cmp"
 	"fmt"
 	"maps"
-	"runtime"
 	"slices"
 	"testing"
-	"time"
 
-	"tamarindshore/balancer"
-)
+	"pgregory.net/rapid"
 
-// The size that is planned for.
-const (
-	planManagers = 5600
-	planZones    = 88
-	planServers  = 24000
-	planSpill    = 100
+	"tamarindshore/balancer"
 )
 
-// planServerID spreads the plan's servers over its zones in turn.
-func planServerID(n int) balancer.ServerID { return balancer.ServerID(fmt.Sprintf("s-%05x", n)) }
-
-// spread counts the plan's spill memberships, by server and by manager: each manager's home is one zone. All managers
-// share one ring of servers in order, of which each takes what its limit covers.
-func spread(name func(manager int) string) (perServer map[balancer.ServerID]int, perManager, zonesCovered []int) {
-	const copies = 2 // the ring twice over, so that a manager's part of it is never cut
-	places := make([]*record, planServers, copies*planServers)
-	for n := range places {
-		one := serverOf(n%planZones, n)
-		one.Server = planServerID(n)
-		places[n] = &record{server: one, distance: position(string(one.Server))}
-	}
-	slices.SortFunc(places, (*record).compare)
-	places = append(places, places...)
-	perServer = make(map[balancer.ServerID]int, planServers)
-	for m := range planManagers {
-		origin, home := managerPosition(name(m)), zoneName(m%planZones)
-		at, _ := slices.BinarySearchFunc(places[:planServers], origin, func(r *record, origin uint64) int {
-			return cmp.Compare(r.distance, origin)
-		})
-		near := ring{}
-		for _, r := range places[at : at+3*planSpill] {
-			near.records = append(near.records, &record{server: r.server, distance: r.distance - origin})
+// Spill servers are spread over servers and zones: names with a number leave no server out.
+func TestSubsetsAreBalanced(t *testing.T) {
+	const managers, zones, each, spill = 2000, 8, 100, 40
+	servers := fleetOf(zones, each)
+	subsets, sizes := map[balancer.ServerID]int{}, []int{}
+	for m := range managers {
+		r := newSimulation(fmt.Sprint("n", m), spill).joinZoneWithoutServers()
+		r.list(true, servers...)
+		members := r.members()
+		sizes = append(sizes, len(members))
+		inZone := map[balancer.ZoneID]int{}
+		for id := range members {
+			subsets[id]++
+			inZone[r.subset.records[id].server.Zone]++
 		}
-		foreign := func(r *record) bool { return r.server.Zone != home }
-		limit := near.limitFor(planSpill, planServers-planServers/planZones, foreign)
-		size, zones := 0, map[balancer.ZoneID]bool{}
-		for _, r := range near.records[:near.covered(limit)] {
-			if foreign(r) {
-				perServer[r.server.Server]++
-				zones[r.server.Zone] = true
-				size++
+		for zone, n := range inZone {
+			if n > spill/2 {
+				t.Errorf("manager %d has %d of its %d spill servers in %s", m, n, len(members), zone)
 			}
 		}
-		perManager, zonesCovered = append(perManager, size), append(zonesCovered, len(zones))
 	}
-	return perServer, perManager, zonesCovered
+	expected := managers * spill / (zones * each)
+	for _, s := range servers {
+		if n := subsets[s.Server]; n < expected*4/5 || n > expected*6/5 {
+			t.Errorf("%s is in %d subsets, not about %d", s.Server, n, expected)
+		}
+	}
+	if least, most := slices.Min(sizes), slices.Max(sizes); float64(least) < minSizeRatio*spill || float64(most) > maxSizeRatio*spill {
+		t.Errorf("subsets of %d to %d servers", least, most)
+	}
 }
 
-// planList is the whole list at the plan's size, with strings of its own.
-func planList() (servers []Server) {
-	for n := range planServers {
-		one := serverOf(n%planZones, n/planZones)
-		one.Server = planServerID(n)
-		servers = append(servers, one)
-	}
-	return servers
+// One server more or less moves its own share: over many managers, about as many memberships as a server has.
+func TestOneServerMovesOnlyItsShare(t *testing.T) {
+	const managers, spill = 60, 20
+	rapid.Check(t, func(t *rapid.T) {
+		zones := rapid.IntRange(4, 10).Draw(t, "zones")
+		servers := fleetOf(zones, rapid.IntRange(30, 80).Draw(t, "each"))
+		one := rapid.IntRange(0, len(servers)-1).Draw(t, "server")
+		share := float64(managers) * spill / float64(len(servers))
+		moved := 0.0
+		for m := range managers {
+			with, without := newSimulation(fmt.Sprint("n", m), spill).joinZoneWithoutServers(), newSimulation(fmt.Sprint("n", m), spill).joinZoneWithoutServers()
+			with.list(true, servers...)
+			without.list(true, slices.Delete(slices.Clone(servers), one, one+1)...)
+			a, b := with.members(), without.members()
+			for id := range a {
+				if !b[id] {
+					moved++
+				}
+			}
+			for id := range b {
+				if !a[id] {
+					moved++
+				}
+			}
+		}
+		// its own memberships go, and about as many move elsewhere, so that each subset keeps its size
+		if most := 3*share + 12; moved > most {
+			t.Fatalf("%.0f memberships moved, %.0f at most: a server's share is %.1f", moved, most, share)
+		}
+	})
 }
 
-// heap is what is in use after a collection.
-func heap() uint64 {
-	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+// Six in ten servers are replaced, one after another: the others stay, and the subset keeps its size.
+func TestReplacedServersMoveOnlyTheirShare(t *testing.T) {
+	servers := fleetOf(20, 100)
+	r := steadyState(servers, 100)
+	before := r.members()
+	for i, old := range servers {
+		if i%10 < 6 {
+			fresh := serverOf(i/100, 1000+i)
+			r.list(false, withState(balancer.Removed, old)[0], fresh)
+		}
+		if i%40 == 0 {
+			r.seconds(1)
+		}
+	}
+	r.seconds(300)
+	gone := difference(before, r.members())
+	kept := 0
+	for _, id := range gone {
+		if r.subset.records[id] != nil {
+			kept++ // it is listed still
+		}
+	}
+	if kept > 8 {
+		t.Errorf("%d of %d members that were not replaced left", kept, len(before))
+	}
+	if n := len(r.members()); n < 150 || n > 260 {
+		t.Errorf("%d members, %d before", n, len(before))
+	}
+	if len(r.subset.records) != len(servers) {
+		t.Errorf("%d records of %d servers: those that were replaced are forgotten", len(r.subset.records), len(servers))
+	}
 }
 
-// The entries outside the subset are kept in a few megabytes: a manager may use 256.
-func TestMemoryAtThePlansSize(t *testing.T) {
-	const most = 12 << 20
-	before := heap()
-	s := New(Settings{ManagerName: "n1", Spill: planSpill, WarmUpDuration: 16 * time.Second})
-	s.HandleEndpointList(0, true, planList())
-	s.HandleProxyConnected(0, zoneName(0))
-	used := heap() - before
-	t.Logf("%.1f MB for %d listed servers, %d of them members", float64(used)/(1<<20), planServers, s.Counts().Members)
-	if used > most {
-		t.Errorf("%d bytes, %d at most", used, most)
+// More or fewer managers move nothing, since their number is no input; more zones move a share.
+func TestZonesThatComeAndGoMoveOnlyTheirShare(t *testing.T) {
+	servers := fleetOf(21, 100)
+	r := steadyState(servers[:2000], 100)
+	before := r.members()
+	r.list(false, servers[2000:]...) // the 21st zone
+	r.seconds(60)
+	if n := len(difference(before, r.members())); n > 12 {
+		t.Errorf("%d of %d members left for one zone in 21", n, len(before))
+	}
+	r.list(false, withState(balancer.Removed, servers[2000:]...)...)
+	r.seconds(200)
+	if after := r.members(); !maps.Equal(before, after) {
+		t.Errorf("%d members were %d once the zone had come and gone", len(after), len(before))
 	}
-	runtime.KeepAlive(s)
 }
 
-// At the plan's size, names with a running number put each server into as many subsets as any other; other names
-// leave none out either.
-func TestBalanceAtThePlansSize(t *testing.T) {
-	for _, style := range []struct {
-		what        string
-		name        func(m int) string
-		least, most int
-	}{
-		{"numbered through", func(m int) string { return fmt.Sprint("n", m) }, 19, 27},
-		{"numbered by zone", func(m int) string { return fmt.Sprintf("z%02d-%d", m%planZones, m/planZones) }, 5, 50},
-		{"no numbers", func(m int) string { return fmt.Sprintf("n%04x-manager", m*2654435761%65521) }, 5, 50},
-	} {
-		perServer, managers, zones := spread(style.name)
-		servers := slices.Sorted(maps.Values(perServer))
-		if len(servers) != planServers {
-			t.Errorf("%s: %d of %d servers are in a subset", style.what, len(servers), planServers)
-		}
-		slices.Sort(managers)
-		slices.Sort(zones)
-		t.Logf("%s: a server is in %d to %d subsets (1st and 99th percentile %d and %d), a subset has %d to %d spill servers of %d to %d zones",
-			style.what, servers[0], servers[len(servers)-1], servers[len(servers)/100], servers[len(servers)*99/100],
-			managers[0], managers[len(managers)-1], zones[0], zones[len(zones)-1])
-		if servers[0] < style.least || servers[len(servers)-1] > style.most {
-			t.Errorf("%s: a server is in %d to %d subsets, not in %d to %d", style.what, servers[0], servers[len(servers)-1], style.least, style.most)
+// A thousand managers open at once on the same list: nothing they hold depends on one another, or on the order.
+func TestThousandManagersStartAtOnce(t *testing.T) {
+	const managers, zones, each, spill = 1000, 20, 60, 60
+	servers := fleetOf(zones, each)
+	subsets := map[balancer.ServerID]int{}
+	for m := range managers {
+		r := newSimulation(fmt.Sprint("n", m), spill)
+		r.list(true, servers...)
+		r.join(zoneName(m % zones))
+		r.seconds(5)
+		for id := range r.members() {
+			subsets[id]++
 		}
-		if managers[0] < leastSize*planSpill || managers[len(managers)-1] > mostSize*planSpill {
-			t.Errorf("%s: subsets of %d to %d spill servers", style.what, managers[0], managers[len(managers)-1])
+		if width := r.subset.Counts().Width; width != 1 {
+			t.Fatalf("manager %d opens %.1f times as wide", m, width)
 		}
 	}
+	counts := slices.Sorted(maps.Values(subsets))
+	// each is in the subsets of its zone's 50 managers, and in some 50 others
+	if least, most := counts[0], counts[len(counts)-1]; len(counts) != len(servers) || least < 90 || most > 112 {
+		t.Errorf("%d servers are in %d to %d subsets", len(counts), least, most)
+	}
 }
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -36,10 +36,11 @@
 
 // ring holds the listed servers in the order of their distance from the manager.
 type ring struct {
-	origin  uint64
+	origin  uint64 // the manager's position
 	records []*record
 }
 
+// newRing makes an empty ring of a manager.
 func newRing(manager string) ring { return ring{origin: managerPosition(manager)} }
 
 // distance is how far a server lies behind the manager, once round.
@@ -50,6 +51,7 @@
 	return cmp.Or(cmp.Compare(r.distance, other.distance), cmp.Compare(r.server.Server, other.server.Server))
 }
 
+// insert adds a record in its place, once.
 func (r *ring) insert(one *record) {
 	if one.onRing {
 		return
@@ -59,6 +61,7 @@
 	one.onRing = true
 }
 
+// remove takes a record off.
 func (r *ring) remove(one *record) {
 	if at, found := slices.BinarySearchFunc(r.records, one, (*record).compare); found {
 		r.records = slices.Delete(r.records, at, at+1)
@@ -78,12 +81,13 @@
 
 // between are the records that one of two limits covers and the other does not.
 func (r *ring) between(a, b limit) []*record {
-	from, to := r.covered(a), r.covered(b)
+	from := r.coveredCount(a)
+	to := r.coveredCount(b)
 	return r.records[min(from, to):max(from, to)]
 }
 
 // covered is how many records a limit covers.
-func (r *ring) covered(l limit) int {
+func (r *ring) coveredCount(l limit) int {
 	at, _ := slices.BinarySearchFunc(r.records, l, func(one *record, l limit) int {
 		if l.covers(one.distance) {
 			return -1
@@ -96,30 +100,32 @@
 // limit is the distance up to which servers are selected.
 type limit struct {
 	all   bool
-	below uint64
+	below uint64 // without all: distances under it
 }
 
 // The sizes of subsets, against the number that is wanted: servers lie unevenly on the ring.
 const (
-	leastSize = 0.8
-	mostSize  = 1.25
+	minSizeRatio = 0.8
+	maxSizeRatio = 1.25
 )
 
 // limitFor is the limit that selects about as many foreign servers as wanted, of all that there are. It is a fixed part
 // of the ring, so that each server is in about as many subsets as any other, but where that selects far fewer or more.
-func (r *ring) limitFor(wanted float64, servers int, foreign func(*record) bool) limit {
+func (r *ring) limitFor(wanted float64, servers int, isForeign func(*record) bool) limit {
 	fraction := wanted / max(1, float64(servers))
 	if fraction >= 1 {
 		return limit{all: true}
 	}
 	below := uint64(fraction * math.MaxUint64)
-	least, most := int(math.Ceil(leastSize*wanted)), int(mostSize*wanted)
+	least := int(math.Ceil(minSizeRatio * wanted))
+	most := int(maxSizeRatio * wanted)
 	passed := 0
 	for _, one := range r.records {
-		if !foreign(one) {
+		if !isForeign(one) {
 			continue
 		}
-		if passed++; passed > most && one.distance < below {
+		passed++
+		if passed > most && one.distance < below {
 			return limit{below: one.distance}
 		}
 		if one.distance >= below {
@@ -132,4 +138,5 @@
 	return limit{below: below}
 }
 
+// covers tells whether a server at a distance is selected.
 func (l limit) covers(distance uint64) bool { return l.all || distance < l.below }
