--- a/internal/fleetmodel/subset_test.go
+++ b/internal/fleetmodel/subset_test.go
@@ -23,7 +23,7 @@
 	return &subsetted{Manager: balancer.New(seed, terms), subset: subset.New(settings), zones: map[balancer.ProxyID]balancer.ZoneID{}}
 }
 
-func (d *subsetted) Listed(now time.Duration, whole bool, entries []balancer.Endpoint) balancer.Commands {
+func (d *subsetted) HandleEndpointList(now time.Duration, whole bool, entries []balancer.Endpoint) balancer.Commands {
 	var servers []subset.Server
 	for _, e := range entries {
 		servers = append(servers, subset.Server{Endpoint: e})
@@ -31,7 +31,7 @@
 	return d.handOn(now, d.subset.HandleEndpointList(now, whole, servers))
 }
 
-func (d *subsetted) Joined(now time.Duration, id balancer.ProxyID, zone balancer.ZoneID, rate float64) balancer.Commands {
+func (d *subsetted) HandleProxyConnected(now time.Duration, id balancer.ProxyID, zone balancer.ZoneID, rate float64) balancer.Commands {
 	var first balancer.Commands
 	if _, known := d.zones[id]; !known {
 		d.zones[id] = zone
@@ -40,7 +40,7 @@
 	return join(first, d.Manager.HandleProxyConnected(now, id, zone, rate))
 }
 
-func (d *subsetted) Left(now time.Duration, id balancer.ProxyID) balancer.Commands {
+func (d *subsetted) HandleProxyDisconnected(now time.Duration, id balancer.ProxyID) balancer.Commands {
 	if zone, known := d.zones[id]; known {
 		delete(d.zones, id)
 		d.subset.HandleProxyDisconnected(now, zone)
@@ -48,7 +48,7 @@
 	return d.Manager.HandleProxyDisconnected(now, id)
 }
 
-func (d *subsetted) Woke(now time.Duration) balancer.Commands {
+func (d *subsetted) HandleTimer(now time.Duration) balancer.Commands {
 	first := d.Manager.HandleTimer(now)
 	if now < d.lookAt {
 		return first
