--- /dev/null
+++ b/internal/fleetmodel/commands.go
@@ -0,0 +1,124 @@
+package fleetmodel
+
+import (
+	"time"
+
+	"tamarindshore/balancer"
+)
+
+const (
+	minAckDelay     = 100 * time.Millisecond // from a command to a proxy's acknowledgement
+	ackDelaySpread  = 200 * time.Millisecond
+	minHealthCheck  = 2 * time.Millisecond
+	healthSpread    = 10 * time.Millisecond
+	maxAcks         = 4 // of one barrier: more of them tell the manager nothing new
+	unknownLoad     = -1
+	firstClassAlone = 1 // mask of classes
+)
+
+// deliver gives the manager one input, and carries out its commands.
+func (f *Fleet) deliver(input input) {
+	began := time.Now()
+	commands := input(f.now)
+	f.ManagerTime += time.Since(began)
+	f.InputCount++
+	f.OnCommands(f.now, commands)
+	f.apply(commands)
+	if commands.Barrier > 0 {
+		f.acknowledge(commands)
+	}
+	for _, id := range commands.HealthCheck {
+		f.checkHealth(id)
+	}
+	if commands.NextTimer > 0 {
+		f.setTimer(commands.NextTimer)
+	}
+}
+
+// apply changes the tables and assignments as the relay does.
+func (f *Fleet) apply(commands balancer.Commands) {
+	for _, id := range commands.Withdraw {
+		f.serverByID[id].withdrawn = true
+	}
+	for _, w := range commands.Weights {
+		f.setWeight(w)
+	}
+	for _, level := range commands.AdmissionLevels {
+		if f.admission[level.Table] == nil {
+			f.admission[level.Table] = map[uint]float64{}
+		}
+		f.admission[level.Table][level.Classes] = level.Amount
+	}
+	for _, id := range commands.Restore {
+		f.serverByID[id].withdrawn = false
+	}
+	for _, a := range commands.Assign {
+		p := f.proxies[a.Proxy]
+		p.assigned = true
+		p.table = a.Table
+	}
+}
+
+// setWeight changes a server's weight in a table; 0 removes it.
+func (f *Fleet) setWeight(w balancer.EndpointWeight) {
+	table := f.weights[w.Table]
+	if table == nil {
+		table = map[balancer.ServerID]float64{}
+		f.weights[w.Table] = table
+	}
+	if w.Weight == 0 {
+		delete(table, w.Server)
+		return
+	}
+	table[w.Server] = w.Weight
+}
+
+// acknowledge lets proxies that a barrier went to acknowledge it.
+func (f *Fleet) acknowledge(commands balancer.Commands) {
+	f.Manager.HandleCommandsSent(f.now, commands.Barrier)
+	for _, id := range f.recipients(commands) {
+		f.scheduleAfter(minAckDelay+f.drawDuration(ackDelaySpread), func(now time.Duration) balancer.Commands {
+			return f.Manager.HandleBarrierAck(now, id, commands.Barrier)
+		})
+	}
+}
+
+// recipients are some of the proxies that commands went to, up to maxAcks.
+func (f *Fleet) recipients(commands balancer.Commands) []balancer.ProxyID {
+	var recipients []balancer.ProxyID
+	for _, a := range commands.Assign {
+		recipients = append(recipients, a.Proxy)
+		if len(recipients) == maxAcks {
+			return recipients
+		}
+	}
+	if len(commands.Weights) == 0 {
+		return recipients
+	}
+	table := commands.Weights[0].Table
+	for i, p := range f.proxies {
+		if len(recipients) == maxAcks {
+			break
+		}
+		if p.assigned && !p.away && p.table == table {
+			recipients = append(recipients, balancer.ProxyID(i))
+		}
+	}
+	return recipients
+}
+
+// checkHealth lets a server answer a health check; one that is removed does not.
+func (f *Fleet) checkHealth(id balancer.ServerID) {
+	result := balancer.HealthCheckPassed
+	took := minHealthCheck + f.drawDuration(healthSpread)
+	if f.serverByID[id].state == balancer.Removed {
+		result = balancer.HealthCheckTimedOut
+	}
+	f.scheduleAfter(took, func(now time.Duration) balancer.Commands {
+		return f.Manager.HandleHealthCheck(now, id, result, took, unknownLoad)
+	})
+}
+
+func (f *Fleet) drawDuration(limit time.Duration) time.Duration {
+	return time.Duration(f.rng.Float64() * float64(limit))
+}
--- a/internal/fleetmodel/divided_test.go
+++ b/internal/fleetmodel/divided_test.go
@@ -23,7 +23,7 @@
 	t := s.Settings()
 	t.Managers, t.QueueCapacity, t.CommandsPerSecond = n, t.QueueCapacity/float64(n), t.CommandsPerSecond/float64(n)
 	for z := range s.Zones {
-		d.zones[zone(z)] = z
+		d.zones[zoneID(z)] = z
 	}
 	for i := range n {
 		d.lanes = append(d.lanes, balancer.New(uint64(i), t))
--- a/internal/fleetmodel/subset_test.go
+++ b/internal/fleetmodel/subset_test.go
@@ -144,7 +144,7 @@
 func (f *Fleet) returnZone(zone int) {
 	for _, s := range f.servers {
 		if s.zone == zone {
-			f.list(s, balancer.Ready)
+			f.setState(s, balancer.Ready)
 		}
 	}
 }
--- /dev/null
+++ b/internal/fleetmodel/traffic.go
@@ -0,0 +1,173 @@
+package fleetmodel
+
+import (
+	"slices"
+	"time"
+
+	"tamarindshore/balancer"
+)
+
+const (
+	reportInterval = time.Second
+	serviceTime    = 120 * time.Millisecond // of a request at an idle server
+	slowFactor     = 5                      // of servers that run slower
+	maxLatency     = 3 * time.Second
+	minHeadroom    = 0.05 // of a server's capacity: latency stops growing there
+)
+
+// updateTraffic works out what each server gets from each zone, by the proxies' tables, where each proxy gets so many
+// requests a second.
+func (f *Fleet) updateTraffic(requestRate float64) {
+	for _, s := range f.servers {
+		clear(s.rateByZone)
+	}
+	for _, p := range f.proxies {
+		if p.assigned && !p.away {
+			f.sendRequests(p, requestRate)
+		}
+	}
+}
+
+// sendRequests spreads a proxy's requests over the servers of its table.
+func (f *Fleet) sendRequests(p *proxy, requestRate float64) {
+	table := f.weights[p.table]
+	servers := sortedServers(table)
+	totalWeight := 0.0
+	for _, id := range servers {
+		if !f.serverByID[id].withdrawn {
+			totalWeight += table[id]
+		}
+	}
+	admitted := f.admittedFraction(p.table)
+	f.Tally.Offered += requestRate
+	for _, id := range servers {
+		s := f.serverByID[id]
+		if s.withdrawn {
+			continue
+		}
+		rate := requestRate * admitted * table[id] / max(totalWeight, 1e-9)
+		s.rateByZone[p.zone] += rate
+		if s.zone != p.zone {
+			f.Tally.CrossZone += rate
+		}
+	}
+	f.Tally.Shed += requestRate * (1 - admitted)
+}
+
+// admittedFraction is the part of the requests that a table's admission limit lets through. Limits that are rates are
+// not applied.
+func (f *Fleet) admittedFraction(table balancer.TableID) float64 {
+	limit := f.admission[table][firstClassAlone]
+	if limit > 0 && !f.Scenario.AdmitByRate {
+		return min(1, limit)
+	}
+	return 1
+}
+
+func sortedServers(weights map[balancer.ServerID]float64) []balancer.ServerID {
+	servers := make([]balancer.ServerID, 0, len(weights))
+	for id := range weights {
+		servers = append(servers, id)
+	}
+	slices.Sort(servers)
+	return servers
+}
+
+// serve is what a server does with its requests: how long its answers take, and the part that fails.
+func (f *Fleet) serve(s *server) (latency time.Duration, failedFraction float64) {
+	if s.state == balancer.Removed {
+		return 0, 1
+	}
+	rate := 0.0
+	for _, x := range s.rateByZone {
+		rate += x
+	}
+	utilization := rate / f.capacity(s)
+	base := serviceTime
+	if s.slow {
+		base *= slowFactor
+	}
+	latency = min(time.Duration(float64(base)/max(minHeadroom, 1-utilization)), maxLatency)
+	return latency, max(0, 1-1/max(utilization, 1e-9))
+}
+
+// capacity is how many requests a second a server serves; it grows from cold to warm.
+func (f *Fleet) capacity(s *server) float64 {
+	capacity := f.Scenario.ServerCapacity
+	if sinceStart := f.now - s.startedAt; sinceStart < warmUpDuration {
+		capacity *= coldCapacity + (1-coldCapacity)*sinceStart.Seconds()/warmUpDuration.Seconds()
+	}
+	if s.slow {
+		capacity /= slowFactor
+	}
+	return capacity
+}
+
+// reportSpread spreads the reports of a second evenly over it.
+type reportSpread struct {
+	fleet *Fleet
+	start time.Duration
+	step  time.Duration
+	slot  int
+}
+
+// next plays until the next report is due. A report that is not sent takes its time as well.
+func (r *reportSpread) next() {
+	r.slot++
+	r.fleet.playUntil(r.start + time.Duration(r.slot)*r.step)
+}
+
+// reportLoad sends the load reports on a server, one from each zone with traffic to it.
+func (f *Fleet) reportLoad(s *server, spread *reportSpread) {
+	latency, failedFraction := f.serve(s)
+	for zone, rate := range s.rateByZone {
+		f.Tally.Failed += rate * failedFraction
+		spread.next()
+		if rate <= 0 {
+			continue
+		}
+		report := f.loadReport(s, zone, rate, latency, failedFraction)
+		f.deliver(func(now time.Duration) balancer.Commands { return f.Manager.HandleLoadReport(now, report) })
+	}
+}
+
+// loadReport draws what the proxies of a zone met at a server within a second.
+func (f *Fleet) loadReport(s *server, zone int, rate float64, latency time.Duration, failedFraction float64) balancer.LoadReport {
+	attempts := f.drawCount(rate)
+	failed := f.drawCount(float64(attempts) * failedFraction)
+	report := balancer.LoadReport{
+		Server:   s.id,
+		Zone:     zoneID(zone),
+		Attempts: attempts,
+		Failed:   min(failed, attempts),
+		Interval: reportInterval,
+		InFlight: unknownLoad,
+	}
+	if report.Failed < report.Attempts {
+		jitter := 0.9 + 0.2*f.rng.Float64()
+		report.Latency = time.Duration(float64(latency) * jitter)
+	}
+	return report
+}
+
+// reportUsage sends a proxy's usage reports, one for each traffic class, unless the proxy is away.
+func (f *Fleet) reportUsage(index int, requestRate float64, spread *reportSpread) {
+	for class, fraction := range classFractions {
+		spread.next()
+		if f.proxies[index].away {
+			continue
+		}
+		f.deliver(func(now time.Duration) balancer.Commands {
+			usage := balancer.UsageReport{
+				Proxy:    balancer.ProxyID(index),
+				Class:    balancer.ClassID(class),
+				Requests: f.drawCount(requestRate * fraction),
+				Interval: reportInterval,
+			}
+			return f.Manager.HandleUsageReport(now, usage)
+		})
+	}
+}
+
+// drawCount draws a whole number with a mean.
+func (f *Fleet) drawCount(mean float64) int { return int(mean + f.rng.Float64()) }
