--- /dev/null
+++ b/internal/store/file.go
@@ -0,0 +1,72 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"runtime/debug"
+
+	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
+)
+
+// openDB opens the file itself. What the library finds wrong with it is reported as damage, also where it panics.
+func openDB(path string, readOnly bool, limits Limits, openFile OpenFile) (db *bbolt.DB, err error) {
+	defer recoverDamage(&err)()
+	db, err = bbolt.Open(path, 0o600, &bbolt.Options{
+		Timeout:        limits.LockTimeout,
+		ReadOnly:       readOnly,
+		OpenFile:       openFile,
+		FreelistType:   bbolt.FreelistMapType,
+		NoFreelistSync: true,
+	})
+	switch {
+	case errors.Is(err, bbolterrors.ErrTimeout):
+		return nil, ErrLocked
+	case errors.Is(err, bbolterrors.ErrInvalid),
+		errors.Is(err, bbolterrors.ErrChecksum),
+		errors.Is(err, bbolterrors.ErrVersionMismatch):
+		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
+	}
+	return db, err
+}
+
+// recoverDamage turns a panic or a memory fault of the library over a damaged file into an error. The library trusts
+// the page numbers in the file: a flipped bit leads it outside the mapped memory, which would end the process. The
+// caller defers what is returned.
+func recoverDamage(err *error) func() {
+	previous := debug.SetPanicOnFault(true)
+	return func() {
+		debug.SetPanicOnFault(previous)
+		if cause := recover(); cause != nil {
+			*err = fmt.Errorf("%w: %v", ErrDamaged, cause)
+		}
+	}
+}
+
+// compactTxBytes is the size of one transaction while a file is compacted.
+const compactTxBytes = 1 << 20
+
+// Compact rewrites a store without the pages that it no longer uses, and replaces the file by a rename. No process may
+// have it open for writing.
+func Compact(path string, limits Limits) error {
+	source, err := openDB(path, true, limits, nil)
+	if err != nil {
+		return err
+	}
+	defer source.Close()
+	compacted := path + ".compact"
+	os.Remove(compacted) // of a process that ended meanwhile
+	target, err := bbolt.Open(compacted, 0o600, &bbolt.Options{Timeout: limits.LockTimeout})
+	if err != nil {
+		return err
+	}
+	err = errors.Join(bbolt.Compact(target, source, compactTxBytes), target.Close())
+	if err == nil {
+		err = os.Rename(compacted, path)
+	}
+	if err != nil {
+		os.Remove(compacted)
+	}
+	return err
+}
--- /dev/null
+++ b/internal/store/load.go
@@ -0,0 +1,94 @@
+package store
+
+import (
+	"encoding/binary"
+	"fmt"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"tamarindshore/client/tables"
+)
+
+// load reads and verifies all of the store: the digest of each value, and that each version leads to its state.
+func (s *Store) load() (contents Contents, err error) {
+	defer recoverDamage(&err)()
+	contents = Contents{State: tables.EmptyState(), Drains: map[string]time.Time{}}
+	err = s.db.View(func(tx *bbolt.Tx) error {
+		if tx.Bucket(metaBucket) == nil {
+			return nil // a new file
+		}
+		return contents.load(tx)
+	})
+	s.head = versionsHead{state: contents.State, count: len(contents.Versions)}
+	if s.head.count > 0 {
+		s.head.last = contents.Versions[s.head.count-1].ID
+	}
+	return contents, err
+}
+
+func (c *Contents) load(tx *bbolt.Tx) error {
+	for _, step := range []func(*bbolt.Tx) error{c.loadMeta, c.loadVersions, c.loadDrains, c.loadCommands} {
+		if err := step(tx); err != nil {
+			return err
+		}
+	}
+	list, err := loadList(tx)
+	c.ServerList = list
+	return err
+}
+
+// loadMeta checks the format and reads the epoch.
+func (c *Contents) loadMeta(tx *bbolt.Tx) error {
+	meta := tx.Bucket(metaBucket)
+	format := meta.Get(formatKey)
+	if len(format) != encodedNumberLen {
+		return fmt.Errorf("%w: the number of its format has %d bytes, expected %d", ErrDamaged, len(format), encodedNumberLen)
+	}
+	if found := binary.BigEndian.Uint64(format); found > FormatVersion {
+		return fmt.Errorf("%w: format %d, this release reads up to %d", ErrNewer, found, FormatVersion)
+	}
+	if epoch := meta.Get(epochKey); len(epoch) == encodedNumberLen {
+		c.Epoch = binary.BigEndian.Uint64(epoch)
+	}
+	return nil
+}
+
+// loadVersions reads the versions and follows them to the last state.
+func (c *Contents) loadVersions(tx *bbolt.Tx) error {
+	return tx.Bucket(versionsBucket).ForEach(func(key, value []byte) error {
+		var version Version
+		if err := unseal(value, &version); err != nil {
+			return fmt.Errorf("version at %x: %w", key, err)
+		}
+		state, err := apply(c.State, &version)
+		if err != nil {
+			return fmt.Errorf("%w: %w", ErrDamaged, err)
+		}
+		c.State = state
+		c.Versions = append(c.Versions, version)
+		return nil
+	})
+}
+
+func (c *Contents) loadDrains(tx *bbolt.Tx) error {
+	return tx.Bucket(drainsBucket).ForEach(func(key, value []byte) error {
+		var since time.Time
+		if err := unseal(value, &since); err != nil {
+			return fmt.Errorf("drain of %q: %w", key, err)
+		}
+		c.Drains[string(key)] = since
+		return nil
+	})
+}
+
+func (c *Contents) loadCommands(tx *bbolt.Tx) error {
+	return tx.Bucket(commandsBucket).ForEach(func(key, value []byte) error {
+		var command CompletedCommand
+		if err := unseal(value, &command); err != nil {
+			return fmt.Errorf("command %q: %w", key, err)
+		}
+		c.CompletedCommands = append(c.CompletedCommands, command)
+		return nil
+	})
+}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,26 +1,21 @@
-// Package store keeps what must survive a crash: versions of the tables, drains in force, keys of commands done and the
-// server list as last held, in one bbolt file. It owns the file, its form and its bounds; it decides nothing. What Save acknowledged is there after
-// a crash at any point; a mix of two states never is.
+// Package store persists what must survive a crash in one bbolt file: the versions of the tables, the drains in force,
+// the completed commands and the last known server list. It owns the file, its format and its limits, and makes no
+// load balancing decision. A change that Save acknowledged is there after a crash at any point, and a change is never
+// there in part.
 package store
 
 import (
-	"encoding/binary"
-	"encoding/json"
 	"errors"
-	"fmt"
 	"os"
 	"path/filepath"
-	"runtime/debug"
 	"time"
 
-	"github.com/zeebo/blake3"
 	"go.etcd.io/bbolt"
-	bbolterrors "go.etcd.io/bbolt/errors"
 
 	"tamarindshore/client/tables"
 )
 
-// Form is the newest form of the file that this release reads.
+// FormatVersion is the newest format of the file that this release reads, and the one that it writes.
 const FormatVersion = 1
 
 // Errors that callers tell apart. Each is wrapped with what was found.
@@ -30,50 +25,55 @@
 	ErrDamaged = errors.New("the store is damaged")
 )
 
-// Limits bound the file.
+// Limits bound the file and the time to open it.
 type Limits struct {
-	MaxVersions       int           // kept
-	CompactAboveBytes int64         // of the file, past which it is compacted at the next opening
-	LockTimeout       time.Duration // to wait for another process
+	MaxVersions       int           // that are retained; up to an eighth more wait for the next cleanup
+	CompactAboveBytes int64         // size of the file above which Open compacts it
+	LockTimeout       time.Duration // to wait for another process to close the file
 }
 
-// Usual are the bounds of a manager.
+// DefaultLimits are the limits of a manager.
 func DefaultLimits() Limits {
-	return Limits{MaxVersions: 1000, CompactAboveBytes: 64 << 20, LockTimeout: 200 * time.Millisecond}
+	return Limits{
+		MaxVersions:       1000,
+		CompactAboveBytes: 64 << 20,
+		LockTimeout:       200 * time.Millisecond,
+	}
 }
 
-// Version is one version as it is kept: how to come to it from the one before, or whole.
+// Version is one version of the tables as it is stored: the operations that lead to it from the version before it, or
+// from the empty state.
 type Version struct {
 	ID         tables.ID     `json:"id"`
-	Digest     tables.Digest `json:"digest"`
-	Parent     tables.Digest `json:"parent"`
+	Digest     tables.Digest `json:"digest"` // of the state that it leads to
+	Parent     tables.Digest `json:"parent"` // of the state before it
 	CreatedAt  time.Time     `json:"at"`
 	Cause      string        `json:"cause"`
-	Layout     string        `json:"layout"`
-	CommandKey string        `json:"key,omitempty"`
-	Snapshot   bool          `json:"whole"`
+	Layout     string        `json:"layout"`        // how the tables were numbered
+	CommandKey string        `json:"key,omitempty"` // of the operator's command that led to it
+	Snapshot   bool          `json:"whole"`         // Ops lead from the empty state
 	Ops        []tables.Op   `json:"ops"`
 }
 
-// Done is a command that was carried out.
+// CompletedCommand is an operator's command that was carried out.
 type CompletedCommand struct {
-	Key         string    `json:"key"`
+	Key         string    `json:"key"` // idempotency key
 	Command     string    `json:"what"`
 	CompletedAt time.Time `json:"at"`
-	Head        tables.ID `json:"head"`
+	Head        tables.ID `json:"head"` // the newest version at that time
 }
 
-// Change is what is saved at one time, whole or not at all.
+// Change is saved as one transaction.
 type Change struct {
-	Versions          []Version
-	Drains            map[string]time.Time // servers that drain or are gone, since when; all of them, nil: as before
-	CompletedCommands []CompletedCommand
-	ServerList        *ListChange // nil: as before
+	Versions          []Version            // in the order in which they follow each other
+	Drains            map[string]time.Time // all servers that are draining or gone, since when; nil: unchanged
+	CompletedCommands []CompletedCommand   // added to those stored
+	ServerList        *ListChange          // nil: unchanged
 }
 
-// Kept is what a store holds.
+// Contents are all that a store holds.
 type Contents struct {
-	Epoch             uint64 // the last that wrote
+	Epoch             uint64 // of the last process that opened the store for writing
 	Versions          []Version
 	State             *tables.State // of the last version
 	Drains            map[string]time.Time
@@ -81,313 +81,87 @@
 	ServerList        ServerList
 }
 
-var (
-	meta     = []byte("meta")
-	versions = []byte("versions")
-	drains   = []byte("drains")
-	done     = []byte("done")
-)
-
-// Store is an open file.
+// Store is an open file. It is not safe for use by several goroutines.
 type Store struct {
 	db     *bbolt.DB
 	limits Limits
-	state  *tables.State
 	epoch  uint64
-	last   tables.ID
-	count  int
+	head   versionsHead
 }
 
-// Open opens a file or makes one, checks all of it, and begins a new epoch: one more than the last, and at least what
-// is given. open may stand in for os.OpenFile.
-func Open(path string, epoch uint64, l Limits, open func(string, int, os.FileMode) (*os.File, error)) (*Store, Contents, error) {
+// versionsHead is where the stored versions end.
+type versionsHead struct {
+	state *tables.State // of the last version
+	last  tables.ID     // of the last version; zero: there is none
+	count int           // of stored versions
+}
+
+// OpenFile opens a file as os.OpenFile does.
+type OpenFile func(name string, flag int, mode os.FileMode) (*os.File, error)
+
+// Open opens the store at a path for writing, or makes one, verifies all of it and returns what it holds. It begins a
+// new epoch: one after the last, and at least the one given. openFile replaces os.OpenFile unless it is nil.
+//
+// Errors wrap ErrLocked, ErrNewer, ErrDamaged, or are those of the file system.
+func Open(path string, epoch uint64, limits Limits, openFile OpenFile) (*Store, Contents, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, Contents{}, err
 	}
-	if info, err := os.Stat(path); err == nil && info.Size() > l.CompactAboveBytes {
-		if err := Compact(path, l); err != nil {
+	info, err := os.Stat(path)
+	if err == nil && info.Size() > limits.CompactAboveBytes {
+		if err := Compact(path, limits); err != nil {
 			return nil, Contents{}, err
 		}
 	}
-	db, err := raise(path, false, l, open)
+	db, err := openDB(path, false, limits, openFile)
 	if err != nil {
 		return nil, Contents{}, err
 	}
-	s := &Store{db: db, limits: l}
-	kept, err := s.load()
+	s := &Store{db: db, limits: limits}
+	contents, err := s.load()
 	if err == nil {
-		s.epoch = max(epoch, kept.Epoch+1)
-		err = db.Update(func(tx *bbolt.Tx) error {
-			for _, name := range [][]byte{meta, versions, drains, done, list} {
-				if _, err := tx.CreateBucketIfNotExists(name); err != nil {
-					return err
-				}
-			}
-			b := tx.Bucket(meta)
-			if err := b.Put([]byte("form"), number(FormatVersion)); err != nil {
-				return err
-			}
-			return b.Put([]byte("epoch"), number(s.epoch))
-		})
+		err = s.beginEpoch(max(epoch, contents.Epoch+1))
 	}
 	if err != nil {
 		db.Close()
-		return nil, kept, err
-	}
-	return s, kept, nil
-}
-
-// guard turns what the library does over a damaged file into an error: it trusts the numbers of pages in it, and a
-// flipped bit leads it out of the file, which would end the process.
-func guard(err *error) func() {
-	was := debug.SetPanicOnFault(true)
-	return func() {
-		debug.SetPanicOnFault(was)
-		if cause := recover(); cause != nil {
-			*err = fmt.Errorf("%w: %v", ErrDamaged, cause)
-		}
-	}
-}
-
-// raise opens the file itself. What the library finds wrong with it is damage, also where it panics over it.
-func raise(path string, readOnly bool, l Limits, open func(string, int, os.FileMode) (*os.File, error)) (db *bbolt.DB, err error) {
-	defer guard(&err)()
-	db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: l.LockTimeout, ReadOnly: readOnly, OpenFile: open, FreelistType: bbolt.FreelistMapType, NoFreelistSync: true})
-	switch {
-	case errors.Is(err, bbolterrors.ErrTimeout):
-		return nil, ErrLocked
-	case errors.Is(err, bbolterrors.ErrInvalid), errors.Is(err, bbolterrors.ErrChecksum), errors.Is(err, bbolterrors.ErrVersionMismatch):
-		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
-	}
-	return db, err
-}
-
-// Epoch is that of this opening.
-func (s *Store) Epoch() uint64 { return s.epoch }
-
-// Close ends it.
-func (s *Store) Close() error { return s.db.Close() }
-
-func number(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
-
-func place(id tables.ID) []byte { return append(number(id.Epoch), number(id.Number)...) }
-
-// digestSize is how many bytes of a value's digest are kept.
-const digestSize = 16
-
-// sealed is a value with its digest before it: bit rot within a page is found too.
-func sealed(v any) ([]byte, error) {
-	text, err := json.Marshal(v)
-	if err != nil {
-		return nil, err
+		return nil, contents, err
 	}
-	sum := blake3.Sum256(text)
-	return append(sum[:digestSize:digestSize], text...), nil
+	return s, contents, nil
 }
 
-func unseal(b []byte, v any) error {
-	if len(b) < digestSize {
-		return fmt.Errorf("%w: a value is cut off", ErrDamaged)
-	}
-	if sum := blake3.Sum256(b[digestSize:]); [digestSize]byte(sum[:digestSize]) != [digestSize]byte(b[:digestSize]) {
-		return fmt.Errorf("%w: a value does not fit its digest", ErrDamaged)
-	}
-	if err := json.Unmarshal(b[digestSize:], v); err != nil { // another bucket's, by a flipped number
-		return fmt.Errorf("%w: %v", ErrDamaged, err)
-	}
-	return nil
-}
-
-// Save keeps a change; once it returns nil, that survives a crash.
-func (s *Store) Save(c Change) (err error) {
-	defer guard(&err)()
-	state, last, count := s.state, s.last, s.count
-	err = s.db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(versions)
-		for _, v := range c.Versions {
-			if v.Snapshot {
-				state = tables.EmptyState()
-			}
-			next, err := state.Apply(v.Ops)
-			if err != nil {
+// beginEpoch makes the buckets that are missing, and stores the format and the epoch of this process.
+func (s *Store) beginEpoch(epoch uint64) error {
+	s.epoch = epoch
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		for _, name := range [][]byte{metaBucket, versionsBucket, drainsBucket, commandsBucket, serversBucket} {
+			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
-			if next.Digest() != v.Digest {
-				return fmt.Errorf("version %v leads to %v, not to %v", v.ID, next.Digest(), v.Digest)
-			}
-			if err := putSealed(b, place(v.ID), v); err != nil {
-				return err
-			}
-			state, last, count = next, v.ID, count+1
-		}
-		if count > s.limits.MaxVersions+s.limits.MaxVersions/8 { // by eighths, so that it is not done with each
-			n, err := s.retain(b)
-			if err != nil {
-				return err
-			}
-			count = n
-		}
-		if c.Drains != nil {
-			if err := tx.DeleteBucket(drains); err != nil {
-				return err
-			}
-			b, err := tx.CreateBucket(drains)
-			if err != nil {
-				return err
-			}
-			for server, since := range c.Drains {
-				if err := putSealed(b, []byte(server), since); err != nil {
-					return err
-				}
-			}
 		}
-		for _, d := range c.CompletedCommands {
-			if err := putSealed(tx.Bucket(done), []byte(d.Key), d); err != nil {
-				return err
-			}
-		}
-		if c.ServerList != nil {
-			return saveList(tx, *c.ServerList)
+		meta := tx.Bucket(metaBucket)
+		if err := meta.Put(formatKey, encodeNumber(FormatVersion)); err != nil {
+			return err
 		}
-		return nil
+		return meta.Put(epochKey, encodeNumber(epoch))
 	})
-	if err == nil {
-		s.state, s.last, s.count = state, last, count
-	}
-	return err
 }
 
-func putSealed(b *bbolt.Bucket, key []byte, v any) error {
-	value, err := sealed(v)
-	if err != nil {
-		return err
-	}
-	return b.Put(key, value)
-}
-
-// retain drops the oldest versions beyond what is kept; the first that stays is made whole.
-func (s *Store) retain(b *bbolt.Bucket) (left int, err error) {
-	var all [][]byte
-	b.ForEach(func(k, _ []byte) error {
-		all = append(all, append([]byte{}, k...))
-		return nil
-	})
-	drop := len(all) - s.limits.MaxVersions
-	state := tables.EmptyState()
-	for i, k := range all[:drop+1] {
-		var v Version
-		if err := unseal(b.Get(k), &v); err != nil {
-			return 0, err
-		}
-		if v.Snapshot {
-			state = tables.EmptyState()
-		}
-		if state, err = state.Apply(v.Ops); err != nil {
-			return 0, err
-		}
-		if i == drop {
-			v.Snapshot, v.Ops = true, tables.Diff(tables.EmptyState(), state)
-			return len(all) - drop, putSealed(b, k, v)
-		}
-		if err := b.Delete(k); err != nil {
-			return 0, err
-		}
-	}
-	return len(all), nil
-}
+// Epoch returns the epoch of this process.
+func (s *Store) Epoch() uint64 { return s.epoch }
 
-// load reads and checks all: each value's digest, each version's way to its state.
-func (s *Store) load() (kept Contents, err error) {
-	defer guard(&err)()
-	kept = Contents{State: tables.EmptyState(), Drains: map[string]time.Time{}}
-	err = s.db.View(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(meta)
-		if b == nil {
-			return nil // fresh
-		}
-		if form := b.Get([]byte("form")); len(form) != 8 {
-			return fmt.Errorf("%w: its form is not told", ErrDamaged)
-		} else if n := binary.BigEndian.Uint64(form); n > FormatVersion {
-			return fmt.Errorf("%w: form %d, and this one reads up to %d", ErrNewer, n, FormatVersion)
-		}
-		if e := b.Get([]byte("epoch")); len(e) == 8 {
-			kept.Epoch = binary.BigEndian.Uint64(e)
-		}
-		if err := tx.Bucket(versions).ForEach(func(k, value []byte) error {
-			var v Version
-			if err := unseal(value, &v); err != nil {
-				return fmt.Errorf("version at %x: %w", k, err)
-			}
-			from := kept.State
-			if v.Snapshot {
-				from = tables.EmptyState()
-			}
-			next, err := from.Apply(v.Ops)
-			if err != nil || next.Digest() != v.Digest {
-				return fmt.Errorf("%w: version %v does not lead to its state", ErrDamaged, v.ID)
-			}
-			kept.State, kept.Versions = next, append(kept.Versions, v)
-			return nil
-		}); err != nil {
-			return err
-		}
-		if err := tx.Bucket(drains).ForEach(func(k, value []byte) error {
-			var since time.Time
-			err := unseal(value, &since)
-			kept.Drains[string(k)] = since
-			return err
-		}); err != nil {
-			return err
-		}
-		if err := tx.Bucket(done).ForEach(func(_, value []byte) error {
-			var d CompletedCommand
-			err := unseal(value, &d)
-			kept.CompletedCommands = append(kept.CompletedCommands, d)
-			return err
-		}); err != nil {
-			return err
-		}
-		kept.ServerList, err = loadList(tx)
-		return err
-	})
-	s.state, s.count = kept.State, len(kept.Versions)
-	if n := len(kept.Versions); n > 0 {
-		s.last = kept.Versions[n-1].ID
-	}
-	return kept, err
-}
+// Close closes the file.
+func (s *Store) Close() error { return s.db.Close() }
 
-// Look reads a store without writing to it, and checks all of it.
-func Check(path string, l Limits) (Contents, error) {
+// Check reads a store without writing to it, verifies all of it and returns what it holds. Errors are those of Open.
+func Check(path string, limits Limits) (Contents, error) {
 	if _, err := os.Stat(path); err != nil {
 		return Contents{}, err
 	}
-	db, err := raise(path, true, l, nil)
+	db, err := openDB(path, true, limits, nil)
 	if err != nil {
 		return Contents{}, err
 	}
 	defer db.Close()
-	return (&Store{db: db, limits: l}).load()
-}
-
-// Compact writes a store anew without what it no longer uses, and puts it in the place of the old one at once.
-func Compact(path string, l Limits) error {
-	db, err := raise(path, true, l, nil)
-	if err != nil {
-		return err
-	}
-	defer db.Close()
-	beside := path + ".compact"
-	os.Remove(beside)
-	to, err := bbolt.Open(beside, 0o600, &bbolt.Options{Timeout: l.LockTimeout})
-	if err != nil {
-		return err
-	}
-	if err = errors.Join(bbolt.Compact(to, db, 1<<20), to.Close()); err == nil {
-		err = os.Rename(beside, path)
-	}
-	if err != nil {
-		os.Remove(beside)
-	}
-	return err
+	s := &Store{db: db, limits: limits}
+	return s.load()
 }
