--- a/docs_test.go
+++ b/docs_test.go
@@ -35,6 +35,7 @@
 	functionForm = regexp.MustCompile(`^([A-Za-z_]+\.)?([A-Za-z_]+)\(\)$`)
 	testForm     = regexp.MustCompile(`^((Test|Benchmark|Fuzz)[A-Za-z0-9_]+)(\.\.\.)?$`)
 	flagForm     = regexp.MustCompile(`--[a-z][a-z-]*`)
+	suffixForm   = regexp.MustCompile(`^(_[a-z]+)+$`)
 	helpCommand  = regexp.MustCompile(`^  ([a-z]+( [a-z]+)?)  `)
 )
 
@@ -44,12 +45,28 @@
 	functions map[string]bool     // "Name", "package.Name" and "Receiver.Name"
 	tests     []string            // names of tests and benchmarks
 	literals  map[string]bool     // string literals of the program
+	suffixes  map[string]bool     // literals that are appended to others, as to the name of a stream
 	files     map[string]bool     // base names
 }
 
+// Headings under which a page names counters and log events in a column of a table, without event= before them.
+const (
+	countersHeading = "## Counters"
+	namesHeading    = "## Old and new names"
+)
+
 // page checks the text of a page and returns one line for each fault.
 func (c *docCheck) page(path, text string) (faults []string) {
+	heading := ""
 	for number, line := range strings.Split(text, "\n") {
+		if strings.HasPrefix(line, "## ") {
+			heading = line
+		}
+		for _, name := range logNames(heading, line) {
+			if !c.isLogName(name) {
+				faults = append(faults, fmt.Sprintf("%s:%d: no counter or log event %s", path, number+1, name))
+			}
+		}
 		for _, code := range codeOf(line) {
 			for _, fault := range c.code(filepath.Dir(path), code) {
 				faults = append(faults, fmt.Sprintf("%s:%d: %s", path, number+1, fault))
@@ -59,6 +76,39 @@
 	return faults
 }
 
+// isLogName tells whether the program has the name of a counter or log event, in one literal or as the sum of two.
+func (c *docCheck) isLogName(name string) bool {
+	if c.literals[name] {
+		return true
+	}
+	for suffix := range c.suffixes {
+		if stem, found := strings.CutSuffix(name, suffix); found && c.literals[stem] {
+			return true
+		}
+	}
+	return false
+}
+
+// logNames gives the counters of a row in the table of counters, and the new name of a row in a table of names.
+func logNames(heading, line string) (names []string) {
+	columns := strings.Split(line, "|")
+	if len(columns) < 4 {
+		return nil
+	}
+	switch heading {
+	case countersHeading:
+		for _, span := range codeSpan.FindAllStringSubmatch(columns[1], -1) {
+			names = append(names, span[1])
+		}
+	case namesHeading:
+		for _, span := range codeSpan.FindAllStringSubmatch(columns[2], -1) {
+			first, _, _ := strings.Cut(strings.TrimPrefix(span[1], "event="), " ")
+			names = append(names, first)
+		}
+	}
+	return names
+}
+
 // codeOf gives a line's code: all of an indented block, or the spans in it.
 func codeOf(line string) (code []string) {
 	if strings.HasPrefix(line, "    ") {
@@ -73,7 +123,7 @@
 // code checks one piece of code of a page in a directory.
 func (c *docCheck) code(dir, code string) (faults []string) {
 	for _, event := range eventForm.FindAllStringSubmatch(code, -1) {
-		if !c.literals[event[1]] {
+		if !c.isLogName(event[1]) {
 			faults = append(faults, "no log event "+event[1])
 		}
 	}
@@ -212,7 +262,7 @@
 // newDocCheck reads the repository's Go files and the program's help.
 func newDocCheck(t *testing.T) *docCheck {
 	t.Helper()
-	c := &docCheck{commands: map[string][]string{}, functions: map[string]bool{}, literals: map[string]bool{}, files: map[string]bool{}}
+	c := &docCheck{commands: map[string][]string{}, functions: map[string]bool{}, literals: map[string]bool{}, suffixes: map[string]bool{}, files: map[string]bool{}}
 	set := token.NewFileSet()
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
 		switch {
@@ -262,15 +312,27 @@
 		return
 	}
 	ast.Inspect(file, func(node ast.Node) bool {
-		if literal, ok := node.(*ast.BasicLit); ok && literal.Kind == token.STRING {
-			if text, err := strconv.Unquote(literal.Value); err == nil {
-				c.literals[text] = true
+		switch node := node.(type) {
+		case *ast.BasicLit:
+			c.literals[literalText(node)] = true
+		case *ast.BinaryExpr:
+			if right, ok := node.Y.(*ast.BasicLit); ok && node.Op == token.ADD && suffixForm.MatchString(literalText(right)) {
+				c.suffixes[literalText(right)] = true
 			}
 		}
 		return true
 	})
 }
 
+// literalText is the text of a string literal, empty for another one.
+func literalText(literal *ast.BasicLit) string {
+	text, err := strconv.Unquote(literal.Value)
+	if literal.Kind != token.STRING || err != nil {
+		return ""
+	}
+	return text
+}
+
 // addCommands adds the program's commands and flags, as its help prints them.
 func (c *docCheck) addCommands(t *testing.T) {
 	t.Helper()
@@ -356,6 +418,10 @@
 		"`--sing`, `--seeds 3`":                                                      "no flag --sing",
 		"`event=start`":                                                              "",
 		"`event=sing why=none`":                                                      "no log event sing",
+		"## Counters\n| `pings` | |":                                                 "",
+		"## Counters\n| `sings` | |":                                                 "no counter or log event sings",
+		"## Old and new names\n| `sing` | `event=start name` |":                      "",
+		"## Old and new names\n| `sing` | `event=sing name` |":                       "no counter or log event sing; docs/x.md:2: no log event sing",
 		"`docCheck.page()`, `newDocCheck()`":                                         "",
 		"`docCheck.sing()`":                                                          "no function docCheck.sing()",
 		"`sing()`":                                                                   "no function sing()",
@@ -367,7 +433,7 @@
 	} {
 		got := check.page("docs/x.md", text)
 		if want != "" {
-			want = "docs/x.md:1: " + want
+			want = fmt.Sprintf("docs/x.md:%d: %s", strings.Count(text, "\n")+1, want)
 		}
 		if strings.Join(got, "; ") != want {
 			t.Errorf("%s: %q, want %q", text, got, want)
