--- /dev/null
+++ b/internal/node/wire_names_test.go
@@ -0,0 +1,177 @@
+package node
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"tamarindshore/balancer"
+	"tamarindshore/client/follow"
+	"tamarindshore/internal/logging"
+)
+
+// These tests pin the names on the wire, as the protocol's pages and the operators' tools know them, against renames of
+// Go identifiers.
+
+func TestAdminRequestKeepsItsNamesOnTheWire(t *testing.T) {
+	request := AdminRequest{Command: "rollback", Version: "7.1", OtherVersion: "7.2", Key: "k", Duration: 3}
+	assertJSON(t, request, `{"do":"rollback","version":"7.1","other":"7.2","key":"k","for_ns":3}`)
+	assertJSON(t, AdminRequest{Command: "log"}, `{"do":"log"}`)
+}
+
+func TestAdminResponseKeepsItsNamesOnTheWire(t *testing.T) {
+	assertJSON(t, AdminResponse{Lines: []string{"a"}, Error: "b"}, `{"lines":["a"],"error":"b"}`)
+	assertJSON(t, AdminResponse{}, `{}`)
+}
+
+func TestStatusKeepsItsNamesOnTheWire(t *testing.T) {
+	status := Status{
+		Name:           "n1",
+		UptimeSeconds:  1.5,
+		Ready:          true,
+		Shards:         []ShardStatus{{Cores: 0.5, Connections: 2, BusySeconds: 0.25}},
+		SamplesWaiting: 3,
+		List:           ListStatus{Version: 41, AgeSeconds: 2.5, Confirmed: true},
+		Counters:       map[string]int64{"pings": 4},
+	}
+	assertJSON(t, status, `{"name":"n1","uptime_s":1.5,"ready":true,"lanes":[{"cores":0.5,"connections":2,"busy_s":0.25}],`+
+		`"samples_waiting":3,"list":{"version":41,"age_s":2.5,"confirmed":true},"counters":{"pings":4}}`)
+}
+
+func assertJSON(t *testing.T, value any, want string) {
+	t.Helper()
+	text, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(text) != want {
+		t.Errorf("encoded as\n%s\nnot\n%s", text, want)
+	}
+}
+
+func TestEndpointListKeepsItsNamesOnTheWire(t *testing.T) {
+	weight := 1.5
+	one := instance{InstanceID: "s-1", HostPort: "10.0.0.1:80", Zone: "a", Lifecycle: "up", Weight: &weight, StartedAtMs: 1_002_500}
+	assertJSON(t, one, `{"instanceId":"s-1","hostPort":"10.0.0.1:80","zone":"a","lifecycle":"up","weight":1.5,"startedAtMs":1002500}`)
+	text := `{"generation":43,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"10.0.0.1:80","zone":"a",` +
+		`"lifecycle":"up","weight":1.5,"startedAtMs":1002500}]}`
+	list, unknown, err := testDecoder().list([]byte(text))
+	want := balancer.Endpoint{Server: "s-1", Zone: "a", Weight: 1.5, Started: 2500 * time.Millisecond, RecentlyStarted: true}
+	if err != nil || unknown != 0 || list.generation != 43 || !list.snapshot || !slices.Equal(list.entries, []balancer.Endpoint{want}) {
+		t.Errorf("%+v, %d unknown, %v", list, unknown, err)
+	}
+	if list.addresses["s-1"] != "10.0.0.1:80" {
+		t.Errorf("addresses %v", list.addresses)
+	}
+}
+
+func TestCollectorLinesKeepTheirNamesOnTheWire(t *testing.T) {
+	for text, want := range map[string]any{
+		"collector site=b": collectorName{"b"},
+		"heard site=a target=s-1 count=4 fail=1 mean=41.5 over=1000 util=inflight:7": serverReport{balancer.LoadReport{
+			Server: "s-1", Zone: "a", Attempts: 4, Failed: 1, Latency: 41500 * time.Microsecond, Interval: time.Second, InFlight: 7}},
+		"heard site=a target=s-1 count=4 fail=1 mean=41.5 over=1000 util=outstanding:6": serverReport{balancer.LoadReport{
+			Server: "s-1", Zone: "a", Attempts: 4, Failed: 1, Latency: 41500 * time.Microsecond, Interval: time.Second, InFlight: 6}},
+		"usage id=17 lane=book count=19 fail=2 over=500": usageReport{balancer.UsageReport{
+			Proxy: 17, Class: 1, Requests: 19, Dropped: 2, Interval: 500 * time.Millisecond}},
+	} {
+		kind, got, err := testDecoder().line(text)
+		if wantKind, _, _ := strings.Cut(text, " "); err != nil || kind != wantKind || got != want {
+			t.Errorf("%q: %s %+v, %v; want %+v", text, kind, got, err, want)
+		}
+	}
+	if kind, got, err := testDecoder().line("ping"); kind != "ping" || got != nil || err != nil {
+		t.Errorf("ping: %q %+v %v", kind, got, err)
+	}
+}
+
+func TestRelayEventsKeepTheirNamesOnTheWire(t *testing.T) {
+	for _, event := range []struct {
+		kind, data string
+		want       any
+	}{
+		{"joined", "id=17&site=b&rps=21.5&new=1", proxyJoined{17, "b", 21.5}},
+		{"left", "id=17", proxyLeft{17}},
+		{"applied", "id=17&seq=905&ms=310.4", markApplied{17, 905}},
+	} {
+		got, err := testDecoder().event(event.kind, event.data)
+		if err != nil || got != event.want {
+			t.Errorf("%s %s: %+v, %v", event.kind, event.data, got, err)
+		}
+	}
+}
+
+func TestPathsKeepTheirNamesOnTheWire(t *testing.T) {
+	got := []string{alivePath, loadPath, newsPath, watchPath, callPath}
+	want := []string{"/alive", "/metrics/load", "/v3/kv/stream", "/discovery/hosts?watch=1&after=", "/v3/kv/"}
+	if !slices.Equal(got, want) {
+		t.Errorf("%q", got)
+	}
+}
+
+// A call as the relay reads it is also pinned, with its path and form fields, by the fake relay of relay_test.go.
+func TestRelayCommandsKeepTheirNamesOnTheWire(t *testing.T) {
+	all := balancer.Commands{
+		Withdraw:        []balancer.ServerID{"s-1"},
+		Weights:         []balancer.EndpointWeight{{Table: 4, Server: "s-2", Weight: 1.5}},
+		AdmissionLevels: []balancer.AdmissionLevel{{Table: 4, Classes: 3, Amount: 0.9, Retry: balancer.RetryIfNotExecuted}},
+		Restore:         []balancer.ServerID{"s-2"},
+		Assign:          []balancer.TableAssignment{{Proxy: 17, Table: 4, Classes: 2}},
+		Barrier:         905,
+	}
+	want := "withdraw,s-1;share,4,s-2,1.5;admit,4,lookup+book,0.9,1;restore,s-2;bind,17,4,book;mark,905,0"
+	if got := strings.Join(encode(all, []string{"lookup", "book", "write"}, 60000), ";"); got != want {
+		t.Errorf("%s", got)
+	}
+}
+
+func TestRelayAnswersKeepTheirNamesOnTheWire(t *testing.T) {
+	if n, err := answer([]byte(`<?xml version="1.0"?><Response><items><item><taken>3</taken></item></items></Response>`), 3); n != 3 || err != nil {
+		t.Errorf("%d %v", n, err)
+	}
+	for word, want := range map[string]error{"BUSY": errBusy, "SYNTAX": errSyntax} {
+		body := fmt.Sprintf("<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>", word)
+		if _, err := answer([]byte(body), 3); err != want {
+			t.Errorf("%s: %v", word, err)
+		}
+	}
+}
+
+// The frames' contents are pinned in client/follow and client/tables; these are the kinds that the feed sends and reads.
+func TestFeedFramesKeepTheirKindsOnTheWire(t *testing.T) {
+	var got bytes.Buffer
+	for _, kind := range []byte{follow.FrameNonce, follow.FrameHello, follow.FrameDelta, follow.FrameAck, follow.FrameRejection, follow.FrameSnapshotRequest} {
+		got.WriteByte(kind)
+	}
+	if want := "NHDARW"; got.String() != want {
+		t.Errorf("kinds %q, not %q", got.String(), want)
+	}
+}
+
+// Tools of the operators and of this repository read these counters by name; the others are listed in docs/on-call.md.
+func TestCountersThatToolsReadKeepTheirNames(t *testing.T) {
+	var text bytes.Buffer
+	m := newMetrics(0, logging.New(logging.NewFormatWriter(logging.JSON, &text), "info"))
+	for c := range counterCount {
+		m.add(c, int64(c)+1)
+	}
+	m.logCounters("counters")
+	var line map[string]any
+	if err := json.Unmarshal(text.Bytes(), &line); err != nil {
+		t.Fatal(err)
+	}
+	for name, c := range map[string]counter{
+		"reports_in": reportsIn, "usages_in": usagesIn, "samples_folded": samplesFolded, "probes_sent": probesSent,
+	} {
+		if line[name] != float64(c)+1 {
+			t.Errorf("%s is %v, not %d", name, line[name], c+1)
+		}
+	}
+	if line["event"] != "counters" {
+		t.Errorf("event %v", line["event"])
+	}
+}
