--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -22,27 +22,27 @@
 	"tamarindshore/internal/versions"
 )
 
-func TestAWayBackTakesEffectOnceAlsoAfterARestart(t *testing.T) {
-	v := raise(t, fakes.DefaultSite(6, 12))
-	l := newLatest()
+func TestARollbackTakesEffectOnceAlsoAfterARestart(t *testing.T) {
+	v := startDeployment(t, fakes.DefaultSite(6, 12))
+	l := newReplicaVersions()
 	for i := range 8 {
-		tail(t, v.feed, i, l.of(i))
+		startReplica(t, v.feed, i, l.recorder(i))
 	}
-	v.bound(t)
+	v.assignAllProxies(t)
 	time.Sleep(1200 * time.Millisecond)
-	good := v.versions(t)[0]
+	good := v.versionIDs(t)[0]
 	before := v.show(t, good)
 	drained := v.Servers[0]
 	v.Discovery.Publish(drained.Entry("draining"))
-	soon(t, "drained", func() bool { return v.Relay.RequestRate(drained.ID) == 0 })
-	told, err := v.ask(t, AdminRequest{Command: "rollback", Version: good, Key: "k1", Duration: time.Minute})
+	eventually(t, "drained", func() bool { return v.Relay.RequestRate(drained.ID) == 0 })
+	told, err := v.admin(t, AdminRequest{Command: "rollback", Version: good, Key: "k1", Duration: time.Minute})
 	if err != nil || !strings.Contains(told, "done under key") {
 		t.Fatal(told, err)
 	}
-	soon(t, "gone back", func() bool {
-		return strings.Contains(strings.Join(v.versionLines(t), "\n"), `by "k1"`) || v.show(t, v.versions(t)[0]) != before
+	eventually(t, "gone back", func() bool {
+		return strings.Contains(strings.Join(v.versionLog(t), "\n"), `by "k1"`) || v.show(t, v.versionIDs(t)[0]) != before
 	})
-	now := v.show(t, v.versions(t)[0])
+	now := v.show(t, v.versionIDs(t)[0])
 	for _, line := range strings.Split(before, "\n") {
 		if !strings.Contains(line, drained.ID) && strings.HasPrefix(line, "table") && !strings.Contains(line, "groups") && !strings.Contains(now, line) {
 			t.Errorf("%q is not back in\n%s", line, now)
@@ -51,31 +51,31 @@
 	if v.Relay.RequestRate(drained.ID) != 0 || !strings.Contains(now, "withdrawn "+drained.ID) {
 		t.Error("a server that drained since gets flows back")
 	}
-	newest := v.versions(t)[0]
-	soon(t, "all holders run it", func() bool { return l.all(8, newest) })
-	if again, err := v.ask(t, AdminRequest{Command: "rollback", Version: good, Key: "k1"}); err != nil || !strings.HasPrefix(again, "done before") {
+	newest := v.versionIDs(t)[0]
+	eventually(t, "all holders run it", func() bool { return l.allRun(8, newest) })
+	if again, err := v.admin(t, AdminRequest{Command: "rollback", Version: good, Key: "k1"}); err != nil || !strings.HasPrefix(again, "done before") {
 		t.Error(again, err)
 	}
-	if text, err := v.ask(t, AdminRequest{Command: "verify"}); err != nil || !strings.Contains(text, "hold") {
+	if text, err := v.admin(t, AdminRequest{Command: "verify"}); err != nil || !strings.Contains(text, "hold") {
 		t.Error(text, err)
 	}
 	v.Manager.Stop(false)
 	if err := v.StartManager(); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := v.ask(t, AdminRequest{Command: "rollback", Version: good, Key: "k1"}); err != nil || !strings.HasPrefix(again, "done before") {
+	if again, err := v.admin(t, AdminRequest{Command: "rollback", Version: good, Key: "k1"}); err != nil || !strings.HasPrefix(again, "done before") {
 		t.Errorf("after a restart: %q %v", again, err)
 	}
-	if !slices.Contains(v.versions(t), good) {
+	if !slices.Contains(v.versionIDs(t), good) {
 		t.Error("the versions of before the restart are gone")
 	}
-	soon(t, "holders follow the new epoch", func() bool {
-		all := v.versions(t)
-		return len(all) > 0 && !strings.HasPrefix(all[0], strings.Split(good, ".")[0]+".") && l.all(8, all[0])
+	eventually(t, "holders follow the new epoch", func() bool {
+		all := v.versionIDs(t)
+		return len(all) > 0 && !strings.HasPrefix(all[0], strings.Split(good, ".")[0]+".") && l.allRun(8, all[0])
 	})
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for i, of := range l.n {
+	for i, of := range l.applied {
 		for id, n := range of {
 			if n > 1 {
 				t.Errorf("holder %d: %v took effect %d times", i, id, n)
@@ -84,15 +84,15 @@
 	}
 }
 
-func TestCorruptDeltasLeaveEachHolderOnItsLastGoodVersion(t *testing.T) {
-	v := raise(t, fakes.DefaultSite(9, 12))
+func TestCorruptDeltasLeaveEachReplicaOnItsLastGoodVersion(t *testing.T) {
+	v := startDeployment(t, fakes.DefaultSite(9, 12))
 	var spoil atomic.Bool
 	spoil.Store(true)
-	way, l := between(t, v.feed, &spoil), newLatest()
+	way, l := startCorruptingProxy(t, v.feed, &spoil), newReplicaVersions()
 	for i := range 30 {
-		tail(t, way, i, l.of(i))
+		startReplica(t, way, i, l.recorder(i))
 	}
-	v.bound(t)
+	v.assignAllProxies(t)
 	for round := range 12 {
 		s := v.Servers[round%len(v.Servers)]
 		v.Discovery.Publish(s.Entry("draining"))
@@ -101,7 +101,7 @@
 		time.Sleep(60 * time.Millisecond)
 	}
 	good := map[string]bool{}
-	for _, line := range v.versionLines(t) {
+	for _, line := range v.versionLog(t) {
 		good[strings.Fields(line)[0]] = true
 	}
 	l.mu.Lock()
@@ -112,22 +112,22 @@
 	}
 	l.mu.Unlock()
 	spoil.Store(false)
-	soon(t, "all run the newest", func() bool { return l.all(30, v.versions(t)[0]) })
-	if n := v.now.metrics.counts[versionsRefused].Load(); n == 0 {
+	eventually(t, "all run the newest", func() bool { return l.allRun(30, v.versionIDs(t)[0]) })
+	if n := v.manager.metrics.counts[versionsRejected].Load(); n == 0 {
 		t.Error("no delta was refused")
 	}
 }
 
-func TestWhoCantProveAKeyGetsNothing(t *testing.T) {
-	v := raise(t, fakes.DefaultSite(3, 3))
+func TestAnUnauthenticatedReplicaReceivesNothing(t *testing.T) {
+	v := startDeployment(t, fakes.DefaultSite(3, 3))
 	for what, say := range map[string]func(c net.Conn, nonce []byte){
 		"silent":  func(net.Conn, []byte) {},
 		"rubbish": func(c net.Conn, _ []byte) { io.WriteString(c, "GET / HTTP/1.1\r\n\r\n") },
 		"other key": func(c net.Conn, nonce []byte) {
-			follow.WriteFrame(c, follow.FrameHello, follow.EncodeHello(nonce, keyOf(t, bytes.Repeat([]byte{6}, 32)), "x", tables.VersionRef{}))
+			follow.WriteFrame(c, follow.FrameHello, follow.EncodeHello(nonce, newTestKey(t, bytes.Repeat([]byte{6}, 32)), "x", tables.VersionRef{}))
 		},
 		"replay": func(c net.Conn, _ []byte) {
-			follow.WriteFrame(c, follow.FrameHello, follow.EncodeHello(make([]byte, 16), keyOf(t, testKey), "x", tables.VersionRef{}))
+			follow.WriteFrame(c, follow.FrameHello, follow.EncodeHello(make([]byte, 16), newTestKey(t, testKey), "x", tables.VersionRef{}))
 		},
 	} {
 		c, err := net.Dial("tcp", v.feed)
@@ -150,7 +150,7 @@
 }
 
 // A store that fails costs no decision; once it is back, what it missed is saved as a whole.
-func TestAStoreThatFailsIsToldOnceAndCaughtUp(t *testing.T) {
+func TestAFailingStoreIsLoggedOnceAndCaughtUp(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "v.db")
 	s, kept, err := store.Open(path, 1, store.DefaultLimits(), nil)
 	if err != nil {
@@ -161,8 +161,8 @@
 	va := &storeWriter{store: s, metrics: b, filled: make(chan struct{}, 1), saved: kept.State.Digest()}
 	c := versions.New(versions.DefaultSettings(1))
 	propose := func(w float64) {
-		r := c.Propose(0, balancer.Commands{Weights: []balancer.EndpointWeight{{Table: 0, Server: balancer.ServerID(fmt.Sprint("s", w)), Weight: w}}}, "x", anyone{})
-		va.version(r.Version)
+		r := c.Propose(0, balancer.Commands{Weights: []balancer.EndpointWeight{{Table: 0, Server: balancer.ServerID(fmt.Sprint("s", w)), Weight: w}}}, "x", allServersReady{})
+		va.saveVersion(r.Version)
 	}
 	propose(1)
 	if !va.save() {
@@ -190,30 +190,30 @@
 	}
 }
 
-type anyone struct{}
+type allServersReady struct{}
 
-func (anyone) ServerStatus(balancer.ServerID) versions.ServerStatus {
+func (allServersReady) ServerStatus(balancer.ServerID) versions.ServerStatus {
 	return versions.ServerStatus{Known: true, Available: true, WarmFraction: 1}
 }
-func (anyone) RequestRate(balancer.TableID) float64 { return 1 }
-func (anyone) ReadyServers() (int, int)             { return 1, 1 }
+func (allServersReady) RequestRate(balancer.TableID) float64 { return 1 }
+func (allServersReady) ReadyServers() (int, int)             { return 1, 1 }
 
 // BenchmarkRollback is from a command of staff's to the holder that runs it last, of a thousand.
 func BenchmarkRollback(b *testing.B) {
-	v, l := raise(b, fakes.DefaultSite(30, 60)), newLatest()
+	v, l := startDeployment(b, fakes.DefaultSite(30, 60)), newReplicaVersions()
 	const n = 1000
 	for i := range n {
-		tail(b, v.feed, i, l.of(i))
+		startReplica(b, v.feed, i, l.recorder(i))
 	}
-	v.bound(b)
+	v.assignAllProxies(b)
 	wait := func(id func() string) {
-		for late := time.Now().Add(20 * time.Second); !l.all(n, id()); time.Sleep(time.Millisecond) {
+		for late := time.Now().Add(20 * time.Second); !l.allRun(n, id()); time.Sleep(time.Millisecond) {
 			if time.Now().After(late) {
 				b.Fatal("not all run the newest within 20 s")
 			}
 		}
 	}
-	newest := func() string { return v.versions(b)[0] }
+	newest := func() string { return v.versionIDs(b)[0] }
 	wait(newest)
 	time.Sleep(time.Second)
 	good := newest()
@@ -235,7 +235,7 @@
 	for i := 0; b.Loop(); i++ {
 		report()
 		was, began := newest(), time.Now()
-		if _, err := v.ask(b, AdminRequest{Command: "rollback", Version: good, Key: fmt.Sprint("k", i)}); err != nil {
+		if _, err := v.admin(b, AdminRequest{Command: "rollback", Version: good, Key: fmt.Sprint("k", i)}); err != nil {
 			b.Fatal(err)
 		}
 		now := newest()
@@ -244,7 +244,7 @@
 		}
 		wait(func() string { return now })
 		took = append(took, time.Since(began))
-		v.ask(b, AdminRequest{Command: "resume", Key: fmt.Sprint("r", i)})
+		v.admin(b, AdminRequest{Command: "resume", Key: fmt.Sprint("r", i)})
 	}
 	slices.Sort(took)
 	b.ReportMetric(float64(took[len(took)/2])/1e6, "p50-ms")
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -38,7 +38,7 @@
 			select {
 			case <-up.redialCtx.Done():
 				return
-			case <-n.router.listen:
+			case <-n.router.listRequested:
 			}
 		}
 		asked = false
@@ -51,7 +51,7 @@
 		}
 		r.metrics.add(watchBreaks, 1)
 		r.metrics.logLimited("watch", "error=%q", err)
-		enqueue(listFailed{}, r.inputs, up.ctx.Done())
+		enqueue(endpointListFailed{}, r.inputs, up.ctx.Done())
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	opening := !w.pastFirst
 	w.pastFirst = true
-	list, unknown, err := w.receiver.decoder.list(line)
+	list, unknown, err := w.receiver.decoder.parseList(line)
 	if err != nil {
 		return w.dropList(err)
 	}
@@ -125,7 +125,7 @@
 // dropList counts a list that could not be read. It is asked for again by another watch; where it was malformed there
 // too, what follows is taken meanwhile.
 func (w *watchReader) dropList(err error) error {
-	w.receiver.metrics.add(spoilt, 1)
+	w.receiver.metrics.add(malformedMessages, 1)
 	w.receiver.metrics.logLimited("spoilt_list", "from", w.up.address, "error", err)
 	if w.up.noteDecodeError() {
 		return err
@@ -135,8 +135,8 @@
 }
 
 // dropOldList counts a list that is older than the one held.
-func (w *watchReader) dropOldList(list serverList, opening bool) error {
-	w.receiver.metrics.add(listsOld, 1)
+func (w *watchReader) dropOldList(list endpointList, opening bool) error {
+	w.receiver.metrics.add(staleEndpointLists, 1)
 	w.receiver.metrics.logLimited("old_list", "version", list.generation, "held", w.state.heldVersion())
 	if opening && list.snapshot {
 		return errors.New("an older list than the one held")
@@ -148,11 +148,11 @@
 }
 
 // takeList hands a list on. The version held moves only where nothing before it is missing.
-func (w *watchReader) takeList(list serverList) error {
+func (w *watchReader) takeList(list endpointList) error {
 	w.staleSince = time.Time{}
 	list.complete = list.snapshot || w.gapSince.IsZero()
 	if list.snapshot || len(list.entries) > 0 { // else nothing has changed
-		w.receiver.metrics.add(listsIn, 1)
+		w.receiver.metrics.add(endpointLists, 1)
 		if !enqueue(list, w.receiver.inputs, w.up.ctx.Done()) {
 			return errStopped // it is not held: guards against a change that the next watch takes for an old one
 		}
--- a/internal/node/watch_state.go
+++ b/internal/node/watch_state.go
@@ -72,7 +72,7 @@
 
 // accepts tells whether a list is new. An older one never replaces a newer by accident: a whole list with a lower
 // version is taken only where two watches in a row open with one, as after discovery began anew.
-func (s *watchState) accepts(list serverList, opening bool) bool {
+func (s *watchState) accepts(list endpointList, opening bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sameVersionChange := list.generation == s.version && !list.snapshot && len(list.entries) > 0
@@ -90,7 +90,7 @@
 }
 
 // advance moves the version held to that of a list that was handed on.
-func (s *watchState) advance(list serverList, now time.Time) {
+func (s *watchState) advance(list endpointList, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.confirmedAt = now
--- a/internal/node/wire_names_test.go
+++ b/internal/node/wire_names_test.go
@@ -59,7 +59,7 @@
 	assertJSON(t, one, `{"instanceId":"s-1","hostPort":"10.0.0.1:80","zone":"a","lifecycle":"up","weight":1.5,"startedAtMs":1002500}`)
 	text := `{"generation":43,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"10.0.0.1:80","zone":"a",` +
 		`"lifecycle":"up","weight":1.5,"startedAtMs":1002500}]}`
-	list, unknown, err := testDecoder().list([]byte(text))
+	list, unknown, err := testDecoder().parseList([]byte(text))
 	want := balancer.Endpoint{Server: "s-1", Zone: "a", Weight: 1.5, Started: 2500 * time.Millisecond, RecentlyStarted: true}
 	if err != nil || unknown != 0 || list.generation != 43 || !list.snapshot || !slices.Equal(list.entries, []balancer.Endpoint{want}) {
 		t.Errorf("%+v, %d unknown, %v", list, unknown, err)
@@ -72,19 +72,19 @@
 func TestCollectorLinesKeepTheirNamesOnTheWire(t *testing.T) {
 	for text, want := range map[string]any{
 		"collector site=b": collectorName{"b"},
-		"heard site=a target=s-1 count=4 fail=1 mean=41.5 over=1000 util=inflight:7": serverReport{balancer.LoadReport{
+		"heard site=a target=s-1 count=4 fail=1 mean=41.5 over=1000 util=inflight:7": loadReport{balancer.LoadReport{
 			Server: "s-1", Zone: "a", Attempts: 4, Failed: 1, Latency: 41500 * time.Microsecond, Interval: time.Second, InFlight: 7}},
-		"heard site=a target=s-1 count=4 fail=1 mean=41.5 over=1000 util=outstanding:6": serverReport{balancer.LoadReport{
+		"heard site=a target=s-1 count=4 fail=1 mean=41.5 over=1000 util=outstanding:6": loadReport{balancer.LoadReport{
 			Server: "s-1", Zone: "a", Attempts: 4, Failed: 1, Latency: 41500 * time.Microsecond, Interval: time.Second, InFlight: 6}},
 		"usage id=17 lane=book count=19 fail=2 over=500": usageReport{balancer.UsageReport{
 			Proxy: 17, Class: 1, Requests: 19, Dropped: 2, Interval: 500 * time.Millisecond}},
 	} {
-		kind, got, err := testDecoder().line(text)
+		kind, got, err := testDecoder().parseLine(text)
 		if wantKind, _, _ := strings.Cut(text, " "); err != nil || kind != wantKind || got != want {
 			t.Errorf("%q: %s %+v, %v; want %+v", text, kind, got, err, want)
 		}
 	}
-	if kind, got, err := testDecoder().line("ping"); kind != "ping" || got != nil || err != nil {
+	if kind, got, err := testDecoder().parseLine("ping"); kind != "ping" || got != nil || err != nil {
 		t.Errorf("ping: %q %+v %v", kind, got, err)
 	}
 }
@@ -94,11 +94,11 @@
 		kind, data string
 		want       any
 	}{
-		{"joined", "id=17&site=b&rps=21.5&new=1", proxyJoined{17, "b", 21.5}},
-		{"left", "id=17", proxyLeft{17}},
-		{"applied", "id=17&seq=905&ms=310.4", markApplied{17, 905}},
+		{"joined", "id=17&site=b&rps=21.5&new=1", proxyConnected{17, "b", 21.5}},
+		{"left", "id=17", proxyDisconnected{17}},
+		{"applied", "id=17&seq=905&ms=310.4", barrierAck{17, 905}},
 	} {
-		got, err := testDecoder().event(event.kind, event.data)
+		got, err := testDecoder().parseEvent(event.kind, event.data)
 		if err != nil || got != event.want {
 			t.Errorf("%s %s: %+v, %v", event.kind, event.data, got, err)
 		}
@@ -106,7 +106,7 @@
 }
 
 func TestPathsKeepTheirNamesOnTheWire(t *testing.T) {
-	got := []string{alivePath, loadPath, newsPath, watchPath, callPath}
+	got := []string{alivePath, loadPath, proxyEventsPath, watchPath, callPath}
 	want := []string{"/alive", "/metrics/load", "/v3/kv/stream", "/discovery/hosts?watch=1&after=", "/v3/kv/"}
 	if !slices.Equal(got, want) {
 		t.Errorf("%q", got)
@@ -124,18 +124,18 @@
 		Barrier:         905,
 	}
 	want := "withdraw,s-1;share,4,s-2,1.5;admit,4,lookup+book,0.9,1;restore,s-2;bind,17,4,book;mark,905,0"
-	if got := strings.Join(encode(all, []string{"lookup", "book", "write"}, 60000), ";"); got != want {
+	if got := strings.Join(encodeCommands(all, []string{"lookup", "book", "write"}, 60000), ";"); got != want {
 		t.Errorf("%s", got)
 	}
 }
 
 func TestRelayAnswersKeepTheirNamesOnTheWire(t *testing.T) {
-	if n, err := answer([]byte(`<?xml version="1.0"?><Response><items><item><taken>3</taken></item></items></Response>`), 3); n != 3 || err != nil {
+	if n, err := parseAnswer([]byte(`<?xml version="1.0"?><Response><items><item><taken>3</taken></item></items></Response>`), 3); n != 3 || err != nil {
 		t.Errorf("%d %v", n, err)
 	}
 	for word, want := range map[string]error{"BUSY": errBusy, "SYNTAX": errSyntax} {
 		body := fmt.Sprintf("<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>", word)
-		if _, err := answer([]byte(body), 3); err != want {
+		if _, err := parseAnswer([]byte(body), 3); err != want {
 			t.Errorf("%s: %v", word, err)
 		}
 	}
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	for name, c := range map[string]counter{
-		"reports_in": reportsIn, "usages_in": usagesIn, "samples_folded": samplesFolded, "probes_sent": probesSent,
+		"reports_in": reportsIn, "usages_in": usagesIn, "samples_folded": samplesMerged, "probes_sent": healthChecksSent,
 	} {
 		if line[name] != float64(c)+1 {
 			t.Errorf("%s is %v, not %d", name, line[name], c+1)
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -14,29 +14,29 @@
 
 // worker decodes the lines of a lane's connections; a lane whose worker is lost gets another.
 type worker struct {
-	lane      sharding.ShardID
+	shard     sharding.ShardID
 	busySince atomic.Int64 // of the piece in hand, nanoseconds since the hub's start; 0: none
-	current   atomic.Pointer[laneConn]
+	current   atomic.Pointer[shardConn]
 	filled    chan struct{}
 	replaced  chan struct{} // closed once another worker has the lane
 	mu        sync.Mutex
-	queue     []*laneConn
+	queue     []*shardConn
 }
 
 func newWorker(lane sharding.ShardID) *worker {
-	return &worker{lane: lane, filled: make(chan struct{}, 1), replaced: make(chan struct{})}
+	return &worker{shard: lane, filled: make(chan struct{}, 1), replaced: make(chan struct{})}
 }
 
 // enqueue puts a connection behind those that wait for the worker.
-func (w *worker) enqueue(conn *laneConn) {
+func (w *worker) enqueue(conn *shardConn) {
 	w.mu.Lock()
 	w.queue = append(w.queue, conn)
 	w.mu.Unlock()
-	signal(w.filled)
+	notify(w.filled)
 }
 
 // next takes the connection that has waited longest; nil without one.
-func (w *worker) next() *laneConn {
+func (w *worker) next() *shardConn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.queue) == 0 {
@@ -57,7 +57,7 @@
 }
 
 // runWorker works for a lane until the worker is replaced. A panic ends it; the keeper hears of it.
-func (h *hub) runWorker(w *worker) {
+func (h *decoderPool) runWorker(w *worker) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			h.handlePanic(w, cause)
@@ -78,9 +78,9 @@
 	}
 }
 
-func (h *hub) handlePanic(w *worker, cause any) {
+func (h *decoderPool) handlePanic(w *worker, cause any) {
 	conn := w.current.Load()
-	h.receiver.metrics.logEvent("lane_fault", "lane", int(w.lane), "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
+	h.receiver.metrics.logEvent("lane_fault", "lane", int(w.shard), "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	select {
@@ -89,22 +89,26 @@
 	default:
 	}
 	conn.isolate()
-	h.apply(func(now time.Duration) sharding.Actions { return h.keeper.HandleWorkerFailed(now, w.lane, conn.id) })
+	h.apply(func(now time.Duration) sharding.Actions { return h.assigner.HandleWorkerFailed(now, w.shard, conn.id) })
 }
 
 // serveNext does the next thing that is due for a connection: it holds it, delivers one piece, or closes it.
-func (h *hub) serveNext(w *worker, conn *laneConn) {
+func (h *decoderPool) serveNext(w *worker, conn *shardConn) {
 	w.current.Store(conn)
-	task, ok := conn.nextTask(w.lane)
+	task, ok := conn.nextTask(w.shard)
 	if !ok {
 		return
 	}
-	if task.hold {
-		h.notifyKeeper(func(now time.Duration) sharding.Actions { return h.keeper.HandleConnDrained(now, conn.id, task.epoch) })
+	if task.release {
+		h.notifyAssigner(func(now time.Duration) sharding.Actions {
+			return h.assigner.HandleConnDrained(now, conn.id, task.epoch)
+		})
 		return
 	}
-	if !task.taken {
-		h.notifyKeeper(func(now time.Duration) sharding.Actions { return h.keeper.HandleConnAcquired(now, conn.id, task.epoch) })
+	if !task.acquired {
+		h.notifyAssigner(func(now time.Duration) sharding.Actions {
+			return h.assigner.HandleConnAcquired(now, conn.id, task.epoch)
+		})
 	}
 	if task.last {
 		h.closeConn(conn, task.partial)
@@ -117,7 +121,7 @@
 	batch := h.decodePiece(task)
 	wake := h.deliver(w, conn, batch)
 	w.busySince.Store(0)
-	conn.work.Add(int64(h.now() - began))
+	conn.workNanos.Add(int64(h.now() - began))
 	if wake {
 		h.wake(conn)
 	}
@@ -132,7 +136,7 @@
 
 // decodePiece decodes the lines of a piece. Where a worker failed over the connection, a line that makes the decoder
 // panic is left out alone.
-func (h *hub) decodePiece(task laneTask) decodedPiece {
+func (h *decoderPool) decodePiece(task shardTask) decodedPiece {
 	piece := decodedPiece{epoch: task.epoch}
 	piece.partial, _ = cutLines(task.partial, task.piece, func(line []byte) error {
 		text := string(line)
@@ -147,10 +151,10 @@
 }
 
 // decodeIsolated decodes a line; false where the decoder panics.
-func (h *hub) decodeIsolated(text string) (line decodedLine, ok bool) {
+func (h *decoderPool) decodeIsolated(text string) (line decodedLine, ok bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			h.receiver.metrics.add(linesFatal, 1)
+			h.receiver.metrics.add(decoderPanics, 1)
 			h.receiver.metrics.logLimited("line_fatal", "line", excerpt(text), "cause", fmt.Sprint(cause))
 		}
 	}()
@@ -159,7 +163,7 @@
 
 // deliver hands on what a piece was decoded to, once and whole. It waits while there is no room. It tells whether more
 // is to be done for the connection.
-func (h *hub) deliver(w *worker, conn *laneConn, piece decodedPiece) (wake bool) {
+func (h *decoderPool) deliver(w *worker, conn *shardConn, piece decodedPiece) (wake bool) {
 	for {
 		outcome := h.commit(conn, piece)
 		if outcome.stale {
@@ -182,17 +186,17 @@
 }
 
 // finish answers what was committed and ends the connection where that is due.
-func (h *hub) finish(conn *laneConn, outcome commitOutcome) {
+func (h *decoderPool) finish(conn *shardConn, outcome commitOutcome) {
 	end := outcome.end
 	if outcome.pings > 0 { // also before a close, as where one core decodes
-		if err := h.receiver.sendPongs(conn.conn, outcome.pings); end == nil {
+		if err := h.receiver.sendPongs(conn.collector, outcome.pings); end == nil {
 			end = err
 		}
 	}
 	if end != nil {
 		conn.abort(end)
 	}
-	signal(conn.pieceDone)
+	notify(conn.pieceDone)
 }
 
 // commitOutcome is what became of a decoded piece.
@@ -204,20 +208,20 @@
 }
 
 // commit is the one place where what a connection sent takes effect: under its lock, by the owner in force.
-func (h *hub) commit(conn *laneConn, piece decodedPiece) commitOutcome {
+func (h *decoderPool) commit(conn *shardConn, piece decodedPiece) commitOutcome {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if conn.owner.Epoch != piece.epoch || len(conn.pieces) == 0 {
 		return commitOutcome{stale: true}
 	}
-	if full := h.post.full(); full != nil {
+	if full := h.samples.full(); full != nil {
 		return commitOutcome{full: full}
 	}
 	batch := sampleBatch{samples: make([]any, 0, len(piece.lines))}
-	outcome := h.handleLines(conn.conn, piece, &batch)
+	outcome := h.handleLines(conn.collector, piece, &batch)
 	batch.count(h.receiver.metrics)
 	if len(batch.samples) > 0 {
-		h.post.push(batch.samples)
+		h.samples.push(batch.samples)
 	}
 	conn.pieces = conn.pieces[1:]
 	conn.partial = piece.partial
@@ -225,7 +229,7 @@
 }
 
 // handleLines takes the lines of a piece in order, up to the first that ends the connection.
-func (h *hub) handleLines(conn *collectorConn, piece decodedPiece, batch *sampleBatch) (outcome commitOutcome) {
+func (h *decoderPool) handleLines(conn *collectorConn, piece decodedPiece, batch *sampleBatch) (outcome commitOutcome) {
 	now := time.Now()
 	for _, line := range piece.lines {
 		if len(line.text) > h.receiver.maxLineLength(conn) {
@@ -257,7 +261,7 @@
 
 func (b *sampleBatch) add(input any) {
 	switch sample := input.(type) {
-	case serverReport:
+	case loadReport:
 		b.reports++
 		if sample.InFlight >= 0 {
 			b.loads++
@@ -276,14 +280,14 @@
 }
 
 // closeConn ends a connection of which all is delivered.
-func (h *hub) closeConn(conn *laneConn, partial []byte) {
+func (h *decoderPool) closeConn(conn *shardConn, partial []byte) {
 	err := conn.err
 	if err == io.EOF && len(partial) > 0 {
 		err = io.ErrUnexpectedEOF
 	}
-	h.receiver.closeConn(conn.conn, err)
+	h.receiver.closeConn(conn.collector, err)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	delete(h.conns, conn.id)
-	h.apply(func(now time.Duration) sharding.Actions { return h.keeper.HandleConnClosed(now, conn.id) })
+	h.apply(func(now time.Duration) sharding.Actions { return h.assigner.HandleConnClosed(now, conn.id) })
 }
