--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -21,7 +21,7 @@
 	"tamarindshore/internal/versions"
 )
 
-// Ask is one command of staff.
+// AdminRequest is one command of staff.
 type AdminRequest struct {
 	Command      string        `json:"do"` // log, show, diff, verify, rollback, hold or resume
 	Version      string        `json:"version,omitempty"`
@@ -30,7 +30,7 @@
 	Duration     time.Duration `json:"for_ns,omitempty"`
 }
 
-// Told is what came of it.
+// AdminResponse is what came of it.
 type AdminResponse struct {
 	Lines []string `json:"lines,omitempty"`
 	Error string   `json:"error,omitempty"`
@@ -38,7 +38,7 @@
 
 const maxAdminRequest = 4 << 10
 
-// admin listens at a socket until the manager ends. One that is left of a manager that ended is removed.
+// startAdmin listens at a socket until the manager ends. One that is left of a manager that ended is removed.
 func (n *Node) startAdmin(path string) error {
 	if c, err := net.Dial("unix", path); err == nil {
 		c.Close()
@@ -88,7 +88,7 @@
 	json.NewEncoder(c).Encode(told)
 }
 
-// owner runs something as the module's owner and waits for it. What came of it is handed over, not shared: guards
+// callRouter runs something as the module's owner and waits for it. What came of it is handed over, not shared: guards
 // against a command that is still at work when the end no longer waits for it.
 func (n *Node) callRouter(do func(r *router) ([]string, error)) (lines []string, err error) {
 	done := make(chan struct{})
@@ -114,7 +114,7 @@
 	return n.callRouter(func(r *router) ([]string, error) { return r.executeAdmin(a, id, other) })
 }
 
-// versionID reads EPOCH.NUMBER; empty is none.
+// parseVersionID reads EPOCH.NUMBER; empty is none.
 func parseVersionID(text string) (id tables.ID, err error) {
 	if text == "" {
 		return id, nil
@@ -193,7 +193,7 @@
 	return fmt.Sprintf(" by %q", key)
 }
 
-// shown is a state for people.
+// formatState is a state for people.
 func formatState(s *tables.State) (lines []string) {
 	for _, id := range s.TableIDs() {
 		for _, o := range tables.Diff(tables.EmptyState(), s) {
--- a/internal/node/backlog.go
+++ b/internal/node/backlog.go
@@ -57,7 +57,7 @@
 	return all
 }
 
-// encode writes orders in the relay's words, as many as fit, and behind them the mark that shows when their messages
+// encodeCommands writes orders in the relay's words, as many as fit, and behind them the mark that shows when their messages
 // have left; escaped is how long they are in a form.
 func encodeCommands(o balancer.Commands, groups []string, most int) (text []string) {
 	escaped := 0
@@ -103,7 +103,7 @@
 	return text
 }
 
-// groupNames names the traffic groups of a mask.
+// classNames names the traffic groups of a mask.
 func classNames(mask uint, groups []string) string {
 	var names []string
 	for g, name := range groups {
--- a/internal/node/decode_fuzz_test.go
+++ b/internal/node/decode_fuzz_test.go
@@ -119,7 +119,7 @@
 	f.Fuzz(func(t *testing.T, body string) { checkAnswer(t, body) })
 }
 
-// noise is a text with some bytes changed, dropped, doubled or cut off, the same for the same chance.
+// mutate is a text with some bytes changed, dropped, doubled or cut off, the same for the same chance.
 func mutate(chance *rand.Rand, text string) string {
 	b := []byte(text)
 	for range 1 + chance.IntN(4) {
--- a/internal/node/decoder.go
+++ b/internal/node/decoder.go
@@ -77,7 +77,7 @@
 	err   error
 }
 
-// line decodes a line that came to the manager's address: a kind and words of the form name=value.
+// parseLine decodes a line that came to the manager's address: a kind and words of the form name=value.
 func (d *decoder) parseLine(text string) (kind string, input any, err error) {
 	kind, rest, _ := strings.Cut(strings.TrimSpace(text), " ")
 	if kind != "ping" && kind != "collector" && kind != "heard" && kind != "usage" {
@@ -125,7 +125,7 @@
 	return report
 }
 
-// usage takes a collector's report of a proxy's usage.
+// parseUsageReport takes a collector's report of a proxy's usage.
 func (d *decoder) parseUsageReport(f *fields) balancer.UsageReport {
 	usage := balancer.UsageReport{Proxy: balancer.ProxyID(f.integer("id", d.maxProxyID))}
 	usage.Requests, usage.Dropped, usage.Interval = f.reportCounts(d)
@@ -133,7 +133,7 @@
 	return usage
 }
 
-// event decodes an event of the relay's news; an event of another kind is an unknown name.
+// parseEvent decodes an event of the relay's news; an event of another kind is an unknown name.
 func (d *decoder) parseEvent(kind, data string) (input any, err error) {
 	if kind != "joined" && kind != "left" && kind != "applied" {
 		return nil, errUnknownName
@@ -168,7 +168,7 @@
 	StartedAtMs int64    `json:"startedAtMs"`
 }
 
-// list decodes the whole list or changes of it. Entries of unknown zones are left out and counted.
+// parseList decodes the whole list or changes of it. Entries of unknown zones are left out and counted.
 func (d *decoder) parseList(text []byte) (list endpointList, unknown int, err error) {
 	var message struct {
 		Generation *int64
@@ -184,7 +184,7 @@
 	return d.checkList(*message.Generation, message.Reset, message.Instances)
 }
 
-// listOf checks the servers of a list. Entries of unknown zones are left out and counted.
+// checkList checks the servers of a list. Entries of unknown zones are left out and counted.
 func (d *decoder) checkList(generation int64, snapshot bool, instances []instance) (list endpointList, unknown int, err error) {
 	list = endpointList{generation: generation, snapshot: snapshot, addresses: map[balancer.ServerID]string{}, instances: instances}
 	for i, server := range instances {
--- a/internal/node/decoder_pool.go
+++ b/internal/node/decoder_pool.go
@@ -8,7 +8,7 @@
 	"tamarindshore/internal/sharding"
 )
 
-// hub decodes the connections of collectors on several cores: each connection's bytes are read by a goroutine of its
+// decoderPool decodes the connections of collectors on several cores: each connection's bytes are read by a goroutine of its
 // own, its lines are decoded by the worker of the lane that owns it, and the samples wait in one queue for the router.
 // Package lanes decides who owns what. The hub owns the workers, the pieces that were read and not yet delivered, and
 // the keeper's clock; it must never deliver a piece twice, out of order, or under an epoch that is over, nor delay the
@@ -51,7 +51,7 @@
 
 func (h *decoderPool) now() time.Duration { return time.Since(h.startedAt) }
 
-// notifyKeeper gives the keeper one input and carries out what it decides.
+// notifyAssigner gives the keeper one input and carries out what it decides.
 func (h *decoderPool) notifyAssigner(input func(now time.Duration) sharding.Actions) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -171,7 +171,7 @@
 	h.wake(conn)
 }
 
-// runKeeper is the keeper's clock: it checks the workers, and once in a window tells the work that each connection
+// runAssignerClock is the keeper's clock: it checks the workers, and once in a window tells the work that each connection
 // took.
 func (h *decoderPool) runAssignerClock() {
 	ticker := time.NewTicker(h.settings.CheckInterval)
--- a/internal/node/decoder_pool_test.go
+++ b/internal/node/decoder_pool_test.go
@@ -15,7 +15,7 @@
 	"tamarindshore/internal/sharding"
 )
 
-// quick are terms under which a test need not wait for long.
+// quickSettings are terms under which a test need not wait for long.
 func quickSettings(n int) sharding.Settings {
 	t := sharding.DefaultSettings(n)
 	t.CheckInterval, t.StallTimeout, t.DrainTimeout, t.RebalanceInterval = 5*time.Millisecond, 40*time.Millisecond, 50*time.Millisecond, time.Hour
@@ -23,7 +23,7 @@
 	return t
 }
 
-// hubbed is a receiver of several cores that accepts; what it decodes waits in the sample queue.
+// startDecoderPool is a receiver of several cores that accepts; what it decodes waits in the sample queue.
 func startDecoderPool(t *testing.T, l config.Limits, terms sharding.Settings) (*decoderPool, string) {
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +41,7 @@
 	return in.decoderPool, at.Addr().String()
 }
 
-// move makes the keeper spread work as if lane 0's connections, or else another's, took all their time.
+// rebalanceFrom makes the keeper spread work as if lane 0's connections, or else another's, took all their time.
 func (h *decoderPool) rebalanceFrom(heavy sharding.ShardID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -54,7 +54,7 @@
 	h.apply(func(now time.Duration) sharding.Actions { return h.assigner.HandleLoad(now, cores) })
 }
 
-// gather takes samples from the post until so many flows have come, by proxy in their order.
+// collectRequests takes samples from the post until so many flows have come, by proxy in their order.
 func collectRequests(t *testing.T, p *sampleQueue, flows int) map[balancer.ProxyID][]int {
 	t.Helper()
 	got, n, late := map[balancer.ProxyID][]int{}, 0, time.After(5*time.Second)
@@ -73,7 +73,7 @@
 	return got
 }
 
-// say sends a connection's numbered samples, cut anywhere.
+// dialAndSendSamples sends a connection's numbered samples, cut anywhere.
 func dialAndSendSamples(t *testing.T, address string, proxy, n int) {
 	if c, err := net.Dial("tcp", address); err != nil {
 		t.Error(err)
--- a/internal/node/deployment_test.go
+++ b/internal/node/deployment_test.go
@@ -34,7 +34,7 @@
 	return k
 }
 
-// versioned is a rig whose manager has an admin socket, a store and a listener for holders.
+// managerDeployment is a rig whose manager has an admin socket, a store and a listener for holders.
 type managerDeployment struct {
 	*fakes.Deployment
 	socket, feed string
@@ -113,7 +113,7 @@
 	return strings.Join(told.Lines, "\n"), nil
 }
 
-// versions are those kept, newest first.
+// versionIDs are those kept, newest first.
 func (v *managerDeployment) versionIDs(t testing.TB) (all []string) {
 	t.Helper()
 	text, err := v.admin(t, AdminRequest{Command: "log"})
@@ -152,7 +152,7 @@
 	}
 }
 
-// tail follows the feed with a holder.
+// startReplica follows the feed with a holder.
 func startReplica(t testing.TB, address string, n int, changed func(tables.VersionRef)) *tables.Replica {
 	h := tables.NewReplica(tables.Keys{newTestKey(t, testKey)}, tables.RetrySettings{InitialInterval: 50 * time.Millisecond, MaxInterval: time.Second}, uint64(n))
 	f := &follow.Follower{Name: fmt.Sprint("h", n), Keys: tables.Keys{newTestKey(t, testKey)}, Replica: h, MaxBackoff: 200 * time.Millisecond,
@@ -171,7 +171,7 @@
 	return h
 }
 
-// latest keeps what each of some holders runs.
+// replicaVersions keeps what each of some holders runs.
 type replicaVersions struct {
 	mu      sync.Mutex
 	held    map[int]tables.VersionRef
@@ -194,7 +194,7 @@
 	}
 }
 
-// all tells whether so many run a version.
+// allRun tells whether so many run a version.
 func (l *replicaVersions) allRun(n int, id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -214,7 +214,7 @@
 	return strings.Split(text, "\n")
 }
 
-// between passes bytes on to the feed's holders and spoils some of them.
+// startCorruptingProxy passes bytes on to the feed's holders and spoils some of them.
 func startCorruptingProxy(t *testing.T, address string, spoil *atomic.Bool) string {
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/feed.go
+++ b/internal/node/feed.go
@@ -127,7 +127,7 @@
 	return at, nil
 }
 
-// reply is a frame of a holder's.
+// replicaFrame is a frame of a holder's.
 type replicaFrame struct {
 	kind byte
 	body []byte
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -10,13 +10,13 @@
 	"tamarindshore/balancer"
 )
 
-// probeTarget is a server whose health is to be asked for, and where it listens.
+// healthCheckTarget is a server whose health is to be asked for, and where it listens.
 type healthCheckTarget struct {
 	server  balancer.ServerID
 	address string
 }
 
-// runProbes carries out ordered probes one after another until the manager ends; several run side by side, so that
+// runHealthChecks carries out ordered probes one after another until the manager ends; several run side by side, so that
 // none waits for another's answer.
 func (r *receiver) runHealthChecks(targets <-chan healthCheckTarget, path string) {
 	for {
@@ -31,7 +31,7 @@
 	}
 }
 
-// probeAndReport probes one server and hands on the outcome; false once the manager ends.
+// checkAndReport probes one server and hands on the outcome; false once the manager ends.
 func (r *receiver) checkAndReport(target healthCheckTarget, path string) bool {
 	r.metrics.add(healthChecksSent, 1)
 	result, asked := r.checkOnce(target, path)
@@ -48,7 +48,7 @@
 	return r.enqueue(result)
 }
 
-// probeOnce asks one server whether it is alive, and for its load where servers tell it; false where it could not ask.
+// checkOnce asks one server whether it is alive, and for its load where servers tell it; false where it could not ask.
 func (r *receiver) checkOnce(target healthCheckTarget, path string) (result healthCheckResult, asked bool) {
 	result = healthCheckResult{server: target.server, address: target.address, outcome: balancer.HealthCheckTimedOut, inFlight: -1}
 	began := time.Now()
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -49,7 +49,7 @@
 	In, Out  int64 // bytes
 }
 
-// Result is what a hollow manager did in one step.
+// StepResult is what a hollow manager did in one step.
 type StepResult struct {
 	RelayCalls   []balancer.Commands // in the order in which the relay gets them
 	HealthChecks []balancer.ServerID // that the manager asks for
@@ -58,7 +58,7 @@
 // relayRetry is how long orders wait that the module's limits hold back: the mean of the relay stage's backoff.
 const relayRetry = 125 * time.Millisecond
 
-// Hollow is a manager without a process. It isn't safe for concurrent use.
+// HollowManager is a manager without a process. It isn't safe for concurrent use.
 type HollowManager struct {
 	node            *Node
 	traffic         [messageKinds]Traffic
@@ -70,7 +70,7 @@
 	Observe func(before bool)
 }
 
-// NewHollow makes a hollow manager from a daemon's start. Times in lists are counted from epoch.
+// NewHollowManager makes a hollow manager from a daemon's start. Times in lists are counted from epoch.
 func NewHollowManager(start config.Config, epoch time.Time) (*HollowManager, error) {
 	start.StorePath, start.TablesAddress, start.AdminSocket, start.StatusAddress = "", "", "", ""
 	node, err := New(start, io.Discard)
@@ -93,7 +93,7 @@
 	h.node.logWriter.Shutdown(time.Second)
 }
 
-// Next is the time at which the manager wants to be stepped without a message; 0: not before one comes.
+// NextWake is the time at which the manager wants to be stepped without a message; 0: not before one comes.
 func (h *HollowManager) NextWake() time.Duration {
 	wake := h.node.router.nextTimer
 	if h.retryAt > 0 && (wake == 0 || h.retryAt < wake) {
@@ -191,7 +191,7 @@
 	callAnswer  = answerHeader + `<?xml version="1.0"?><Response><items><item><taken>100</taken></item></items></Response>`
 )
 
-// ProbeTraffic is what one probe of an address and its answer are on the wire.
+// HealthCheckTraffic is what one probe of an address and its answer are on the wire.
 func HealthCheckTraffic(address string) Traffic {
 	return Traffic{Messages: 1, In: int64(len(probeAnswer)), Out: int64(len(probeRequest) + len(address))}
 }
@@ -218,7 +218,7 @@
 	}
 }
 
-// settle sends orders until nothing of them is missing; false where the rest has to wait.
+// sendAll sends orders until nothing of them is missing; false where the rest has to wait.
 func (h *HollowManager) sendAll(now, rest balancer.Commands) bool {
 	for {
 		sent := h.call(now)
--- a/internal/node/interleaving_relay_test.go
+++ b/internal/node/interleaving_relay_test.go
@@ -14,7 +14,7 @@
 	"tamarindshore/internal/config"
 )
 
-// answering is a relay that answers each call and then does with the connection what the test asks; it is told once
+// startAnsweringRelay is a relay that answers each call and then does with the connection what the test asks; it is told once
 // that is done. Calls' orders come out of the channel.
 func startAnsweringRelay(t *testing.T, l config.Limits, then func(c net.Conn)) (r *relayClient, calls chan string, do, done chan struct{}) {
 	calls, do, done = make(chan string, 8), make(chan struct{}), make(chan struct{})
--- a/internal/node/line_fields.go
+++ b/internal/node/line_fields.go
@@ -102,7 +102,7 @@
 	return time.Duration(f.number(name) * float64(time.Millisecond))
 }
 
-// reportSpan is the span of a report, with the count of what it saw and how many of those it could not serve, which
+// reportCounts is the span of a report, with the count of what it saw and how many of those it could not serve, which
 // may have come in the span before. Guards against figures that no span makes possible, which would stand for
 // seconds in what is worked out of samples.
 func (f *fields) reportCounts(d *decoder) (count, failed int, span time.Duration) {
--- a/internal/node/moves_test.go
+++ b/internal/node/moves_test.go
@@ -15,16 +15,16 @@
 	"tamarindshore/internal/sharding"
 )
 
-// ours is a manager in this process whose lanes a test can move.
+// inProcessManager is a manager in this process whose lanes a test can move.
 type inProcessManager struct {
 	*Node
 	reload chan os.Signal
 	cancel context.CancelFunc
 	done   chan struct{}
-	err    error // of Run; read once ended is closed
+	err    error // of Run; read once done is closed
 }
 
-// begun runs a manager in this process.
+// startInProcess runs a manager in this process.
 func startInProcess(n *Node, reread func() (config.Config, error)) *inProcessManager {
 	ctx, end := context.WithCancel(context.Background())
 	d := &inProcessManager{Node: n, reload: make(chan os.Signal, 8), cancel: end, done: make(chan struct{})}
@@ -35,7 +35,7 @@
 	return d
 }
 
-// beginManager starts a manager with the configuration that read gives, and reads it anew for a reload.
+// startFromConfig starts a manager with the configuration that read gives, and reads it anew for a reload.
 func startFromConfig(read func() (config.Config, error)) (*inProcessManager, error) {
 	start, err := read()
 	if err != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// moving is a rig whose manager's connections move between four cores all the time, until the test ends.
+// deployWithMovingShards is a rig whose manager's connections move between four cores all the time, until the test ends.
 func deployWithMovingShards(t *testing.T, site fakes.Site) (*fakes.Deployment, *inProcessManager) {
 	t.Helper()
 	var d *inProcessManager
@@ -99,7 +99,7 @@
 	return r, d
 }
 
-// speakers report for all proxies and servers until the test ends, some of them malformedMessages.
+// startReporters report for all proxies and servers until the test ends, some of them malformed.
 func startReporters(t *testing.T, r *fakes.Deployment, n int) {
 	for i := range n {
 		c, err := net.Dial("tcp", r.ManagerAddress)
@@ -189,7 +189,7 @@
 		t.Error("no answer was lost")
 	}
 	if n := d.metrics.counts[malformedMessages].Load() + d.metrics.counts[unknownNames].Load(); n == 0 {
-		t.Error("nothing malformedMessages was counted")
+		t.Error("nothing malformed was counted")
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -78,7 +78,7 @@
 	return n, nil
 }
 
-// minHolders is how many holders of tables a manager serves at least.
+// minReplicas is how many holders of tables a manager serves at least.
 const minReplicas = 16
 
 func newRouter(start config.Config, born time.Time, m *metrics) *router {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// beginWithStoredList takes the list that the store kept in place of the one told at the start, where it is the later
+// useStoredList takes the list that the store kept in place of the one told at the start, where it is the later
 // one.
 func (n *Node) useStoredList(kept store.ServerList) {
 	if versions.StoredListIsNewer(n.initialList.generation, kept.Generation, len(kept.Entries)) {
@@ -132,7 +132,7 @@
 	}
 }
 
-// recovered are the versions and commands of a store, as the chain takes them.
+// recoverVersions are the versions and commands of a store, as the chain takes them.
 func recoverVersions(kept store.Contents) (old []*versions.Version, done []versions.CompletedCommand) {
 	state := tables.EmptyState()
 	for _, v := range kept.Versions {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -23,7 +23,7 @@
 		Balancer: testSettings, ClassNames: []string{"lookup"}, CachedEndpointList: json.RawMessage(`{"generation":41,"instances":[]}`)}
 }
 
-// occupied has something listen at an address until the test ends.
+// occupyAddress has something listen at an address until the test ends.
 func occupyAddress(t *testing.T, address string) net.Listener {
 	t.Helper()
 	at, err := net.Listen("tcp", address)
--- a/internal/node/proxy_events.go
+++ b/internal/node/proxy_events.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// newsPath is where the relay streams its news, as an event stream.
+// proxyEventsPath is where the relay streams its news, as an event stream.
 const proxyEventsPath = "/v3/kv/stream"
 
 // eventNameLetters are what the name of an event may be made of.
 const eventNameLetters = "abcdefghijklmnopqrstuvwxyz_"
 
-// newsReader reads the relay's news once, to its end. The opening, which tells all proxies that are joined, is over at
+// proxyEventReader reads the relay's news once, to its end. The opening, which tells all proxies that are joined, is over at
 // the first heartbeat that comes a while after its first line.
 type proxyEventReader struct {
 	receiver         *receiver
@@ -25,12 +25,12 @@
 	event, data      string // the event under way
 }
 
-// runNews keeps the relay's news open at an upstream.
+// runProxyEvents keeps the relay's news open at an upstream.
 func (r *receiver) runProxyEvents(up *upstream) {
 	r.runStream(up, "news", proxyStreamBreaks, func() (bool, error) { return r.readProxyEvents(up) })
 }
 
-// readNews reads the relay's news once, to its end.
+// readProxyEvents reads the relay's news once, to its end.
 func (r *receiver) readProxyEvents(up *upstream) (opened bool, err error) {
 	reader := proxyEventReader{receiver: r, up: up}
 	wanted := streamRequest{address: up.address, path: proxyEventsPath, idleTimeout: r.limits.ProxyWatchIdleTimeout, maxLength: r.limits.MaxWatchEventBytes,
--- a/internal/node/receiver_test.go
+++ b/internal/node/receiver_test.go
@@ -21,7 +21,7 @@
 
 func testUpstream(t testing.TB, address string) *upstream { return newUpstream(t.Context(), address) }
 
-// listening is a receiver that accepts; what it hands on comes out of the channel.
+// startReceiver is a receiver that accepts; what it hands on comes out of the channel.
 func startReceiver(t *testing.T, l config.Limits, ready bool) (*receiver, string, chan any) {
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +46,7 @@
 	return c
 }
 
-// ended reads to the end of a connection that the manager closes.
+// readToEnd reads to the end of a connection that the manager closes.
 func readToEnd(c net.Conn) string {
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	text, err := io.ReadAll(c)
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -35,7 +35,7 @@
 	return &relayClient{limits: limits, address: address, classes: groups, backlog: backlog, receiver: r, metrics: r.metrics}
 }
 
-// moveTo names the address of all calls after the one in progress.
+// setAddress names the address of all calls after the one in progress.
 func (r *relayClient) setAddress(address string) { r.nextAddress.Store(&address) }
 
 // run delivers what comes to the backlog until the manager ends.
@@ -94,7 +94,7 @@
 	}
 }
 
-// outcome is what became of a call; the log shows it.
+// callOutcome is what became of a call; the log shows it.
 type callOutcome string
 
 const (
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -15,7 +15,7 @@
 	"tamarindshore/internal/config"
 )
 
-// server answers each connection on loopback with serve, one after another.
+// startServer answers each connection on loopback with serve, one after another.
 func startServer(t *testing.T, serve func(c net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,7 +38,7 @@
 	return l.Addr().String()
 }
 
-// testRelay calls a stand-in that answers each call with the next of bodies; "" breaks the
+// startTestRelay calls a stand-in that answers each call with the next of bodies; "" breaks the
 // connection after the call's last byte, "-" before it. The calls' orders come out of the channel.
 func startTestRelay(t *testing.T, l config.Limits, bodies ...string) (*relayClient, <-chan string) {
 	calls, next := make(chan string, 64), make(chan string, 64)
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -104,10 +104,10 @@
 	}
 }
 
-// tick moves the clock; no two times are the same.
+// advanceClock moves the clock; no two times are the same.
 func (r *router) advanceClock() { r.now = max(r.now+1, time.Since(r.startedAt)) }
 
-// take handles one input.
+// handle handles one input.
 func (r *router) handle(in any) {
 	switch in := in.(type) {
 	case loadReport:
@@ -144,7 +144,7 @@
 	}
 }
 
-// handleNewsComplete takes who was known before and was not told any more for gone: they left in the gap.
+// handleProxySnapshotComplete takes who was known before and was not told any more for gone: they left in the gap.
 func (r *router) handleProxySnapshotComplete() {
 	for _, proxy := range slices.Sorted(maps.Keys(r.unconfirmed)) {
 		r.handleProxyDisconnected(proxyDisconnected{proxy})
@@ -152,7 +152,7 @@
 	clear(r.unconfirmed)
 }
 
-// handleProxyJoined has a proxy bound. One that is told again after a gap may have left and come back: the module binds
+// handleProxyConnected has a proxy bound. One that is told again after a gap may have left and come back: the module binds
 // it again.
 func (r *router) handleProxyConnected(in proxyConnected) {
 	delete(r.unconfirmed, in.proxy)
@@ -179,7 +179,7 @@
 	r.apply(r.manager.HandleBarrierAck(r.now, in.proxy, in.barrier))
 }
 
-// handleProbeResult hands on what a probe found. Guards against an answer of what was at the server's address before.
+// handleHealthCheckResult hands on what a probe found. Guards against an answer of what was at the server's address before.
 func (r *router) handleHealthCheckResult(in healthCheckResult) {
 	if r.addresses[in.server] != in.address {
 		r.metrics.add(healthChecksDropped, 1)
@@ -264,7 +264,7 @@
 	}
 }
 
-// carry hands what was decided at one time to the relay stage, as far as it may go out as a version.
+// flush hands what was decided at one time to the relay stage, as far as it may go out as a version.
 func (r *router) flush() {
 	if len(r.decisions) == 0 {
 		return
@@ -279,7 +279,7 @@
 	}
 }
 
-// present leaves out the binding of who has left meanwhile: the relay would stop a call at it.
+// dropDisconnected leaves out the binding of who has left meanwhile: the relay would stop a call at it.
 func (r *router) dropDisconnected(o balancer.Commands) balancer.Commands {
 	o.Assign = slices.DeleteFunc(o.Assign, func(b balancer.TableAssignment) bool { return !r.proxies[b.Proxy] })
 	return o
@@ -309,12 +309,12 @@
 	return res.Commands
 }
 
-// cause says in a few words what a version changes.
+// describeCommands says in a few words what a version changes.
 func describeCommands(o balancer.Commands) string {
 	return fmt.Sprintf("%d withdrawn, %d lines, %d levels, %d let back in", len(o.Withdraw), len(o.Weights), len(o.AdmissionLevels), len(o.Restore))
 }
 
-// lookAtHold lets a hold end that is over.
+// checkHold lets a hold end that is over.
 func (r *router) checkHold() {
 	if r.chain == nil || r.now < r.nextHoldCheck {
 		return
@@ -329,7 +329,7 @@
 	}
 }
 
-// pin hands the module what the chain holds the tables at, or that it lets them go.
+// applyPin hands the module what the chain holds the tables at, or that it lets them go.
 func (r *router) applyPin() {
 	r.advanceClock()
 	pin, held := r.chain.Pinned()
--- a/internal/node/router_test.go
+++ b/internal/node/router_test.go
@@ -46,7 +46,7 @@
 	return r
 }
 
-// ordered is all that waits for the relay.
+// pendingCommands is all that waits for the relay.
 func (r *router) pendingCommands() balancer.Commands {
 	r.flush()
 	return commands.Merge(append([]balancer.Commands{{}}, r.backlog.takeAll()...)...)
--- a/internal/node/shard_conn.go
+++ b/internal/node/shard_conn.go
@@ -8,7 +8,7 @@
 	"tamarindshore/internal/sharding"
 )
 
-// laneConn is one connection on its way through a lane. All that must go along when it moves stands here; nothing of it
+// shardConn is one connection on its way through a lane. All that must go along when it moves stands here; nothing of it
 // is in a worker.
 type shardConn struct {
 	id        sharding.ConnID
@@ -29,7 +29,7 @@
 	isolateLines     bool // a worker failed over it: each line is decoded by itself
 }
 
-// laneTask is what is due next for a connection, by an owner.
+// shardTask is what is due next for a connection, by an owner.
 type shardTask struct {
 	epoch        sharding.Epoch
 	acquired     bool // the owner had taken it over before
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Lane is one lane as staff see it.
+// ShardStatus is one lane as staff see it.
 type ShardStatus struct {
 	Cores       float64 `json:"cores"`
 	Connections int     `json:"connections"`
@@ -60,7 +60,7 @@
 	return s
 }
 
-// status listens at an address until the manager ends.
+// startStatus listens at an address until the manager ends.
 func (n *Node) startStatus(address string) error {
 	at, err := net.Listen("tcp", address)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// silent drops what the HTTP library says of single connections.
+// discardLogger drops what the HTTP library says of single connections.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
--- a/internal/node/store_writer.go
+++ b/internal/node/store_writer.go
@@ -28,7 +28,7 @@
 	failing bool
 }
 
-// unsaved is what waits for the store.
+// unsavedChanges is what waits for the store.
 type unsavedChanges struct {
 	versions []*versions.Version
 	commands []versions.CompletedCommand
@@ -37,7 +37,7 @@
 
 func (u unsavedChanges) empty() bool { return len(u.versions)+len(u.commands)+len(u.lists) == 0 }
 
-// before joins what waits to what came after it. Of too many versions only the newest is kept; it is saved whole. Too
+// followedBy joins what waits to what came after it. Of too many versions only the newest is kept; it is saved whole. Too
 // many changes of the list become one, which holds a server once. Guards against a disk that hangs, behind which they
 // would gather without end.
 func (u unsavedChanges) followedBy(later unsavedChanges) unsavedChanges {
@@ -76,7 +76,7 @@
 	return v
 }
 
-// add has something saved soon.
+// enqueue has something saved soon.
 func (v *storeWriter) enqueue(one unsavedChanges) {
 	v.mu.Lock()
 	v.waiting = v.waiting.followedBy(one)
@@ -104,7 +104,7 @@
 	v.enqueue(unsavedChanges{lists: []store.ListChange{change}})
 }
 
-// folded are changes of the list as one, which holds a server once. It takes as long as there are servers in it, so it is
+// mergeLists are changes of the list as one, which holds a server once. It takes as long as there are servers in it, so it is
 // done where the store is written, and not where a change comes in unless very many wait.
 func mergeLists(changes []store.ListChange) []store.ListChange {
 	if len(changes) < 2 {
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -12,7 +12,7 @@
 	"tamarindshore/internal/subset"
 )
 
-// subsetLookEvery is the time between two looks at which servers are in service.
+// subsetUpdateInterval is the time between two looks at which servers are in service.
 const subsetUpdateInterval = time.Second
 
 // subsetFilter is the router's subset and what it takes to feed it.
@@ -28,7 +28,7 @@
 	return &subsetFilter{subset: subset.New(settings), zones: map[balancer.ProxyID]balancer.ZoneID{}, restored: map[balancer.ServerID]bool{}}
 }
 
-// listed takes a list as it was decoded.
+// update takes a list as it was decoded.
 func (s *subsetFilter) update(now time.Duration, in endpointList) subset.Update {
 	servers := make([]subset.Server, len(in.entries))
 	for i, e := range in.entries {
@@ -37,7 +37,7 @@
 	return s.subset.HandleEndpointList(now, in.snapshot, servers)
 }
 
-// joinSubset counts a proxy for its zone. One that is told again, as after a gap in the news, counts once.
+// addProxyToSubset counts a proxy for its zone. One that is told again, as after a gap in the news, counts once.
 func (r *router) addProxyToSubset(in proxyConnected) {
 	if r.subsetFilter == nil {
 		return
@@ -59,7 +59,7 @@
 	}
 }
 
-// lookAtSubset widens or narrows the subset by what is in service, once a second.
+// updateSubset widens or narrows the subset by what is in service, once a second.
 func (r *router) updateSubset() {
 	if r.subsetFilter == nil || r.now < r.subsetFilter.nextUpdate {
 		return
@@ -69,7 +69,7 @@
 	r.forgetAddresses()
 }
 
-// handOn tells the module what changed in the subset.
+// applySubsetUpdate tells the module what changed in the subset.
 func (r *router) applySubsetUpdate(u subset.Update) {
 	for _, n := range u.LogRecords {
 		r.metrics.logEvent("subset", "note", n)
@@ -91,7 +91,7 @@
 	}
 }
 
-// lift ends the withdrawals of servers that left the subset and that no table names any more. The module has forgotten
+// liftWithdrawals ends the withdrawals of servers that left the subset and that no table names any more. The module has forgotten
 // them, so it would never let them back in.
 func (r *router) liftWithdrawals(servers []balancer.ServerID) {
 	clear(r.subsetFilter.restored)
@@ -107,7 +107,7 @@
 	}
 }
 
-// notNeeded is the counter of reports about a server that the module does not know.
+// unknownServerCounter is the counter of reports about a server that the module does not know.
 func (r *router) unknownServerCounter(id balancer.ServerID) counter {
 	if r.subsetFilter != nil && r.subsetFilter.subset.Tracks(id) {
 		return outsideSubset
--- a/internal/node/subset_test.go
+++ b/internal/node/subset_test.go
@@ -14,7 +14,7 @@
 	"tamarindshore/internal/versions"
 )
 
-// subsetRig is a router with a subset, a relay that takes all orders at once, and servers that answer or don't. Its clock
+// subsetHarness is a router with a subset, a relay that takes all orders at once, and servers that answer or don't. Its clock
 // moves by the second.
 type subsetHarness struct {
 	t       *testing.T
@@ -63,7 +63,7 @@
 	return balancer.ServerID(fmt.Sprintf("s-%02d-%04d", zone, number))
 }
 
-// fill lists servers that started long ago.
+// addServers lists servers that started long ago.
 func (g *subsetHarness) addServers(zones, each int) {
 	for z := range zones {
 		for n := range each {
@@ -84,7 +84,7 @@
 	return ids
 }
 
-// set changes the list without telling.
+// setState changes the list without telling.
 func (g *subsetHarness) setState(state balancer.ServerState, ids ...balancer.ServerID) []balancer.Endpoint {
 	var changes []balancer.Endpoint
 	for _, id := range ids {
@@ -109,7 +109,7 @@
 	return changes
 }
 
-// tell brings changes of the list, or the whole of it, as the watch does: what is older than the list held is refused.
+// sendListIfNewer brings changes of the list, or the whole of it, as the watch does: what is older than the list held is refused.
 func (g *subsetHarness) sendListIfNewer(version int64, whole bool, changes ...balancer.Endpoint) (taken bool) {
 	in := endpointList{generation: version, snapshot: whole, entries: changes, addresses: map[balancer.ServerID]string{}}
 	for _, e := range changes {
@@ -123,7 +123,7 @@
 	return true
 }
 
-// change tells changes of the list as they happen.
+// sendChanges tells changes of the list as they happen.
 func (g *subsetHarness) sendChanges(changes []balancer.Endpoint) {
 	g.version++
 	if !g.sendListIfNewer(g.version, false, changes...) {
@@ -131,7 +131,7 @@
 	}
 }
 
-// whole tells the whole list.
+// sendSnapshot tells the whole list.
 func (g *subsetHarness) sendSnapshot() {
 	g.version++
 	if !g.sendListIfNewer(g.version, true, g.entries()...) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// raise opens the rig: the list, then some proxies of zone 0.
+// start opens the rig: the list, then some proxies of zone 0.
 func (g *subsetHarness) start(proxies int) {
 	g.sendSnapshot()
 	for p := range proxies {
@@ -148,7 +148,7 @@
 	g.advance(20, func() {})
 }
 
-// seconds plays some, with a look at the end of each.
+// advance plays some, with a look at the end of each.
 func (g *subsetHarness) advance(n int, look func()) {
 	for range n {
 		g.advanceSecond()
@@ -173,7 +173,7 @@
 	}
 }
 
-// report tells of each server that a table names: flows that are answered, or all fail.
+// sendReports tells of each server that a table names: flows that are answered, or all fail.
 func (g *subsetHarness) sendReports() {
 	r := g.router
 	for _, id := range slices.Sorted(maps.Keys(r.addresses)) {
@@ -191,7 +191,7 @@
 	}
 }
 
-// named tells whether a table would send flows to a server.
+// hasTraffic tells whether a table would send flows to a server.
 func (g *subsetHarness) hasTraffic(id balancer.ServerID) bool {
 	state := g.router.chain.State()
 	if state.IsWithdrawn(string(id)) {
@@ -205,7 +205,7 @@
 	return false
 }
 
-// relay takes what was ordered, and all proxies answer.
+// acceptCommands takes what was ordered, and all proxies answer.
 func (g *subsetHarness) acceptCommands() {
 	r := g.router
 	for _, o := range r.backlog.takeAll() {
@@ -221,7 +221,7 @@
 	}
 }
 
-// answer ends all ordered probes.
+// answerHealthChecks ends all ordered probes.
 func (g *subsetHarness) answerHealthChecks() {
 	for len(g.router.healthChecks) > 0 {
 		p := <-g.router.healthChecks
@@ -233,7 +233,7 @@
 	}
 }
 
-// usable counts the lines that a proxy's table would pick, and those of them that lead to a server in service.
+// endpointsOf counts the lines that a proxy's table would pick, and those of them that lead to a server in service.
 func (g *subsetHarness) endpointsOf(p balancer.ProxyID) (lines, sound int) {
 	state := g.router.chain.State()
 	for id, weight := range state.Table(uint32(g.tables[p])).Weights {
@@ -279,7 +279,7 @@
 	return ids
 }
 
-// some are the members of a zone or, below 0, of all zones but the first.
+// membersIn are the members of a zone or, below 0, of all zones but the first.
 func (g *subsetHarness) membersIn(zone int) (ids []balancer.ServerID) {
 	for _, id := range g.members() {
 		if at := g.list[id].Zone; at == testZone(max(zone, 0)) == (zone >= 0) {
@@ -420,7 +420,7 @@
 	return all
 }
 
-// ready is a zone's first server that the list calls ready.
+// firstReady is a zone's first server that the list calls ready.
 func (g *subsetHarness) firstReady(zone int) balancer.ServerID {
 	for _, id := range g.zone(zone) {
 		if g.list[id].State == balancer.Ready {
@@ -440,7 +440,7 @@
 	return n
 }
 
-// still are those of some servers that the list holds in a state.
+// inState are those of some servers that the list holds in a state.
 func (g *subsetHarness) inState(state balancer.ServerState, ids []balancer.ServerID) (some []balancer.ServerID) {
 	for _, id := range ids {
 		if e, there := g.list[id]; there && e.State == state {
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -16,7 +16,7 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[{"instanceId":%q,"zone":"a","lifecycle":"up"}]}`+"\n", version, whole, id)
 }
 
-// watched is what a watch from version 41 hands on.
+// readWatchText is what a watch from version 41 hands on.
 func readWatchText(t *testing.T, l config.Limits, held *watchState, text string) (ids []balancer.ServerID, err error) {
 	address, _ := startStreamServer(t, text)
 	in, inputs := testReceiver(make(chan struct{}), l), make(chan any, 64)
