--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -1,9 +1,5 @@
 package node
 
-// Admin answers staff's commands on a socket in the file system, off unless the operator's settings name it. It turns
-// a line of JSON into one call by the module's owner and its result into a line; it must never decide what becomes of
-// a command, nor answer anyone but who may open the socket.
-
 import (
 	"bufio"
 	"encoding/json"
@@ -12,219 +8,165 @@
 	"io"
 	"net"
 	"os"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
 
 	"tamarindshore/client/tables"
-	"tamarindshore/internal/versions"
 )
 
-// AdminRequest is one command of staff.
+// This file answers operators' commands on a Unix socket, which the operator's settings name; without them there is
+// none. A line of JSON becomes one call in the router's goroutine, and its result a line of JSON. It must never decide
+// what becomes of a command, nor answer anyone but who may open the socket.
+
+// AdminCommand says what an AdminRequest asks for.
+type AdminCommand string
+
+// The commands of the admin socket.
+const (
+	AdminLog      AdminCommand = "log"      // list the versions of the tables, newest first
+	AdminShow     AdminCommand = "show"     // print a version
+	AdminDiff     AdminCommand = "diff"     // print the changes from a version to another one
+	AdminVerify   AdminCommand = "verify"   // check the chain of versions
+	AdminRollback AdminCommand = "rollback" // go back to a version and hold the tables there
+	AdminHold     AdminCommand = "hold"     // hold the tables as they are
+	AdminResume   AdminCommand = "resume"   // end a rollback or a hold
+)
+
+// changesTables tells whether a command may change the tables; such commands are logged.
+func (c AdminCommand) changesTables() bool {
+	return c == AdminRollback || c == AdminHold || c == AdminResume
+}
+
+// AdminRequest is one command of an operator, as it is encoded on the admin socket.
 type AdminRequest struct {
-	Command      string        `json:"do"` // log, show, diff, verify, rollback, hold or resume
-	Version      string        `json:"version,omitempty"`
-	OtherVersion string        `json:"other,omitempty"`
-	Key          string        `json:"key,omitempty"`
-	Duration     time.Duration `json:"for_ns,omitempty"`
+	Command      AdminCommand  `json:"do"`
+	Version      string        `json:"version,omitempty"` // EPOCH.NUMBER
+	OtherVersion string        `json:"other,omitempty"`   // of AdminDiff
+	Key          string        `json:"key,omitempty"`     // idempotency key: a command takes effect once under it
+	Duration     time.Duration `json:"for_ns,omitempty"`  // of AdminRollback and AdminHold; 0: the default
 }
 
-// AdminResponse is what came of it.
+// AdminResponse is the result of an AdminRequest, as it is encoded on the admin socket.
 type AdminResponse struct {
 	Lines []string `json:"lines,omitempty"`
-	Error string   `json:"error,omitempty"`
+	Error string   `json:"error,omitempty"` // empty: the command succeeded
 }
 
-const maxAdminRequest = 4 << 10
+const (
+	maxAdminRequest = 4 << 10 // bytes
+	adminTimeout    = 5 * time.Second
+)
+
+var (
+	errAddressInUse   = errors.New("another process listens there")
+	errInvalidVersion = errors.New("EPOCH.NUMBER is due")
+)
 
-// startAdmin listens at a socket until the manager ends. One that is left of a manager that ended is removed.
+// startAdmin serves the admin socket until the manager ends. The socket file of a manager that has ended is replaced.
 func (n *Node) startAdmin(path string) error {
-	if c, err := net.Dial("unix", path); err == nil {
-		c.Close()
-		return fmt.Errorf("%s: another process listens there", path)
+	if conn, err := net.Dial("unix", path); err == nil {
+		conn.Close()
+		return fmt.Errorf("%s: %w", path, errAddressInUse)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
-		os.Remove(path)
+		os.Remove(path) // where this fails, listening does too and says why
 	}
-	at, err := net.Listen("unix", path)
+	listener, err := net.Listen("unix", path)
 	if err != nil {
 		return err
 	}
 	if err := os.Chmod(path, 0o600); err != nil {
-		at.Close()
+		listener.Close()
 		return err
 	}
-	n.operatorListeners = append(n.operatorListeners, at)
-	go func() {
-		for {
-			c, err := at.Accept()
-			if err != nil {
-				return
-			}
-			n.serveAdminConn(c) // one at a time: commands take effect one after another
-		}
-	}()
+	n.operatorListeners = append(n.operatorListeners, listener)
+	go n.serveAdmin(listener)
 	return nil
 }
 
-func (n *Node) serveAdminConn(c net.Conn) {
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	line, err := bufio.NewReader(io.LimitReader(c, maxAdminRequest)).ReadBytes('\n')
+// serveAdmin serves one connection after another until the listener is closed: commands take effect in order.
+func (n *Node) serveAdmin(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		n.serveAdminConn(conn)
+	}
+}
+
+// serveAdminConn answers the one request of a connection.
+func (n *Node) serveAdminConn(conn net.Conn) {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(adminTimeout))
+	line, err := bufio.NewReader(io.LimitReader(conn, maxAdminRequest)).ReadBytes('\n')
 	if err != nil {
 		return
 	}
-	var a AdminRequest
-	var told AdminResponse
-	if err := json.Unmarshal(line, &a); err != nil {
-		told.Error = "unreadable: " + err.Error()
-	} else if told.Lines, err = n.executeAdmin(a); err != nil {
-		told.Error = err.Error()
+	var request AdminRequest
+	var response AdminResponse
+	if err := json.Unmarshal(line, &request); err != nil {
+		response.Error = "unreadable: " + err.Error()
+	} else if response.Lines, err = n.executeAdmin(request); err != nil {
+		response.Error = err.Error()
+	}
+	if request.Command.changesTables() {
+		n.metrics.logEvent("admin_command", "do", string(request.Command), "version", request.Version, "key", request.Key,
+			"lines", strings.Join(response.Lines, "; "), "error", response.Error)
 	}
-	if a.Command == "rollback" || a.Command == "hold" || a.Command == "resume" {
-		n.metrics.logEvent("command", "do", a.Command, "version", a.Version, "key", a.Key, "lines", strings.Join(told.Lines, "; "), "error", told.Error)
+	json.NewEncoder(conn).Encode(response) // the operator's tool reports an answer that is lost
+}
+
+// executeAdmin parses a request and executes it in the router's goroutine.
+func (n *Node) executeAdmin(request AdminRequest) ([]string, error) {
+	version, versionErr := parseVersionID(request.Version)
+	other, otherErr := parseVersionID(request.OtherVersion)
+	if err := errors.Join(versionErr, otherErr); err != nil {
+		return nil, err
 	}
-	json.NewEncoder(c).Encode(told)
+	call := adminCall{AdminRequest: request, version: version, other: other}
+	return n.callRouter(func(r *router) ([]string, error) { return r.executeAdmin(call) })
 }
 
-// callRouter runs something as the module's owner and waits for it. What came of it is handed over, not shared: guards
-// against a command that is still at work when the end no longer waits for it.
-func (n *Node) callRouter(do func(r *router) ([]string, error)) (lines []string, err error) {
-	done := make(chan struct{})
-	var told []string
-	var failed error
-	if !enqueue(routerCall(func(r *router) { told, failed = do(r); close(done) }), n.router.inputs, n.lifetime.Done()) {
+// callRouter runs a function in the router's goroutine and waits for its result, or for the manager's end. The result is
+// handed over by a channel: the function may still be running when the manager ends.
+func (n *Node) callRouter(do func(r *router) ([]string, error)) ([]string, error) {
+	type result struct {
+		lines []string
+		err   error
+	}
+	results := make(chan result, 1)
+	call := routerCall(func(r *router) {
+		lines, err := do(r)
+		results <- result{lines, err}
+	})
+	if !enqueue(call, n.router.inputs, n.lifetime.Done()) {
 		return nil, errStopped
 	}
 	select {
-	case <-done:
-		return told, failed
+	case got := <-results:
+		return got.lines, got.err
 	case <-n.lifetime.Done():
 		return nil, errStopped
 	}
 }
 
-func (n *Node) executeAdmin(a AdminRequest) ([]string, error) {
-	id, err := parseVersionID(a.Version)
-	other, bad := parseVersionID(a.OtherVersion)
-	if err = errors.Join(err, bad); err != nil {
-		return nil, err
-	}
-	return n.callRouter(func(r *router) ([]string, error) { return r.executeAdmin(a, id, other) })
-}
-
-// parseVersionID reads EPOCH.NUMBER; empty is none.
+// parseVersionID reads EPOCH.NUMBER; an empty text is the zero ID.
 func parseVersionID(text string) (id tables.ID, err error) {
 	if text == "" {
-		return id, nil
+		return tables.ID{}, nil
 	}
+	invalid := fmt.Errorf("%q is no version: %w", text, errInvalidVersion)
 	epoch, number, ok := strings.Cut(text, ".")
-	if id.Epoch, err = strconv.ParseUint(epoch, 10, 64); err == nil && ok {
-		if id.Number, err = strconv.ParseUint(number, 10, 64); err == nil {
-			return id, nil
-		}
-	}
-	return id, fmt.Errorf("%q is no version: EPOCH.NUMBER is due", text)
-}
-
-func (r *router) executeAdmin(a AdminRequest, id, other tables.ID) (lines []string, err error) {
-	c, see := r.chain, r.fleet()
-	did := func(d versions.CompletedCommand, fresh bool, err error) ([]string, error) {
-		if err != nil {
-			return nil, err
-		}
-		if !fresh {
-			return []string{fmt.Sprintf("done before, at %s: %s", d.CompletedAt.Format(time.RFC3339), d.Command)}, nil
-		}
-		r.applyPin()
-		r.recordCompleted(d)
-		return []string{fmt.Sprintf("%s: done under key %q, from version %v on", d.Command, d.Key, d.Head)}, nil
-	}
-	switch a.Command {
-	case "log":
-		if h, held := c.CurrentHold(see); held {
-			lines = append(lines, fmt.Sprintf("held by key %q until %s, %.2f of its weight is left", h.Key, h.Until.Format(time.RFC3339), h.RemainingFraction))
-		}
-		bases := c.PossibleBases()
-		for _, v := range slices.Backward(c.Versions()) {
-			may := ""
-			if len(bases) > 1 && slices.Contains(bases, v.ID) {
-				may = " may stand"
-			}
-			lines = append(lines, fmt.Sprintf("%v %v %s %s%s%s", v.ID, v.Digest, v.CreatedAt.Format(time.RFC3339Nano), v.Cause, keySuffix(v.CommandKey), may))
-		}
-	case "show":
-		v, err := c.FindVersion(id)
-		if err != nil {
-			return nil, err
-		}
-		lines = formatState(v.State)
-	case "diff":
-		v, err := c.FindVersion(id)
-		if err != nil {
-			return nil, err
-		}
-		w, err := c.FindVersion(other)
-		if err != nil {
-			return nil, err
-		}
-		for _, o := range tables.Diff(v.State, w.State) {
-			lines = append(lines, formatOp(o))
-		}
-	case "verify":
-		return c.Verify()
-	case "rollback":
-		return did(c.RollBack(r.now, id, a.Key, a.Duration, see))
-	case "hold":
-		return did(c.Hold(r.now, a.Key, a.Duration, see))
-	case "resume":
-		return did(c.Resume(r.now, a.Key))
-	default:
-		return nil, fmt.Errorf("%q is no command", a.Command)
-	}
-	return lines, nil
-}
-
-func keySuffix(key string) string {
-	if key == "" {
-		return ""
-	}
-	return fmt.Sprintf(" by %q", key)
-}
-
-// formatState is a state for people.
-func formatState(s *tables.State) (lines []string) {
-	for _, id := range s.TableIDs() {
-		for _, o := range tables.Diff(tables.EmptyState(), s) {
-			if o.Table == id && (o.Kind == tables.SetWeight || o.Kind == tables.SetAdmissionLevel) {
-				lines = append(lines, formatOp(o))
-			}
-		}
+	if !ok {
+		return tables.ID{}, invalid
 	}
-	for _, w := range s.WithdrawnServers() {
-		lines = append(lines, "withdrawn "+w)
+	if id.Epoch, err = strconv.ParseUint(epoch, 10, 64); err != nil {
+		return tables.ID{}, invalid
 	}
-	return lines
-}
-
-func formatOp(o tables.Op) string {
-	switch o.Kind {
-	case tables.SetWeight:
-		return fmt.Sprintf("table %d %s %g", o.Table, o.Server, o.Weight)
-	case tables.SetAdmissionLevel:
-		return fmt.Sprintf("table %d groups %b let in %g tries %d", o.Table, o.Classes, o.AdmissionLevel.Amount, o.AdmissionLevel.Retry)
-	case tables.Withdraw:
-		return "withdraw " + o.Server
-	case tables.Restore:
-		return "let back in " + o.Server
-	}
-	return fmt.Sprintf("table %d empty", o.Table)
-}
-
-// done keeps a command that was carried out.
-func (r *router) recordCompleted(d versions.CompletedCommand) {
-	if r.storeWriter != nil {
-		r.storeWriter.saveCompleted(d)
+	if id.Number, err = strconv.ParseUint(number, 10, 64); err != nil {
+		return tables.ID{}, invalid
 	}
+	return id, nil
 }
--- /dev/null
+++ b/internal/node/admin_commands.go
@@ -0,0 +1,138 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"tamarindshore/client/tables"
+	"tamarindshore/internal/versions"
+)
+
+// This file executes operators' commands in the router's goroutine and formats their results as text.
+
+var errUnknownAdminCommand = errors.New("log, show, diff, verify, rollback, hold or resume is due")
+
+// adminCall is an AdminRequest with its versions parsed.
+type adminCall struct {
+	AdminRequest
+	version tables.ID
+	other   tables.ID
+}
+
+// executeAdmin executes one command of an operator and gives the lines to print.
+func (r *router) executeAdmin(call adminCall) ([]string, error) {
+	switch call.Command {
+	case AdminLog:
+		return r.versionLog(), nil
+	case AdminShow:
+		return r.showVersion(call.version)
+	case AdminDiff:
+		return r.diffVersions(call.version, call.other)
+	case AdminVerify:
+		return r.chain.Verify()
+	case AdminRollback:
+		return r.finishAdmin(r.chain.RollBack(r.now, call.version, call.Key, call.Duration, r.fleet()))
+	case AdminHold:
+		return r.finishAdmin(r.chain.Hold(r.now, call.Key, call.Duration, r.fleet()))
+	case AdminResume:
+		return r.finishAdmin(r.chain.Resume(r.now, call.Key))
+	}
+	return nil, fmt.Errorf("%q is no command: %w", call.Command, errUnknownAdminCommand)
+}
+
+// versionLog lists the hold in force, if there is one, and the versions, newest first.
+func (r *router) versionLog() (lines []string) {
+	if hold, held := r.chain.CurrentHold(r.fleet()); held {
+		lines = append(lines, fmt.Sprintf("held by key %q until %s, %.2f of its weight is left", hold.Key, hold.Until.Format(time.RFC3339), hold.RemainingFraction))
+	}
+	bases := r.chain.PossibleBases()
+	for _, version := range slices.Backward(r.chain.Versions()) {
+		suffix := ""
+		if len(bases) > 1 && slices.Contains(bases, version.ID) {
+			suffix = " may stand"
+		}
+		created := version.CreatedAt.Format(time.RFC3339Nano)
+		lines = append(lines, fmt.Sprintf("%v %v %s %s%s%s", version.ID, version.Digest, created, version.Cause, keySuffix(version.CommandKey), suffix))
+	}
+	return lines
+}
+
+func (r *router) showVersion(id tables.ID) ([]string, error) {
+	version, err := r.chain.FindVersion(id)
+	if err != nil {
+		return nil, err
+	}
+	return formatState(version.State), nil
+}
+
+func (r *router) diffVersions(id, other tables.ID) (lines []string, err error) {
+	from, err := r.chain.FindVersion(id)
+	if err != nil {
+		return nil, err
+	}
+	to, err := r.chain.FindVersion(other)
+	if err != nil {
+		return nil, err
+	}
+	for _, op := range tables.Diff(from.State, to.State) {
+		lines = append(lines, formatOp(op))
+	}
+	return lines, nil
+}
+
+// finishAdmin puts a command that the chain has carried out into force and has it saved. One that was completed before
+// under the same key has no further effect.
+func (r *router) finishAdmin(completed versions.CompletedCommand, fresh bool, err error) ([]string, error) {
+	if err != nil {
+		return nil, err
+	}
+	if !fresh {
+		return []string{fmt.Sprintf("done before, at %s: %s", completed.CompletedAt.Format(time.RFC3339), completed.Command)}, nil
+	}
+	r.applyPin()
+	if r.storeWriter != nil {
+		r.storeWriter.saveCompleted(completed)
+	}
+	return []string{fmt.Sprintf("%s: done under key %q, from version %v on", completed.Command, completed.Key, completed.Head)}, nil
+}
+
+// keySuffix names the key of the command that made a version, if one did.
+func keySuffix(key string) string {
+	if key == "" {
+		return ""
+	}
+	return fmt.Sprintf(" by %q", key)
+}
+
+// formatState gives the lines that show a state: each table's weights and admission levels, then the withdrawn servers.
+func formatState(state *tables.State) (lines []string) {
+	ops := tables.Diff(tables.EmptyState(), state)
+	for _, id := range state.TableIDs() {
+		for _, op := range ops {
+			if op.Table == id && (op.Kind == tables.SetWeight || op.Kind == tables.SetAdmissionLevel) {
+				lines = append(lines, formatOp(op))
+			}
+		}
+	}
+	for _, server := range state.WithdrawnServers() {
+		lines = append(lines, "withdrawn "+server)
+	}
+	return lines
+}
+
+// formatOp gives the line that shows one change of a state.
+func formatOp(op tables.Op) string {
+	switch op.Kind {
+	case tables.SetWeight:
+		return fmt.Sprintf("table %d %s %g", op.Table, op.Server, op.Weight)
+	case tables.SetAdmissionLevel:
+		return fmt.Sprintf("table %d groups %b let in %g tries %d", op.Table, op.Classes, op.AdmissionLevel.Amount, op.AdmissionLevel.Retry)
+	case tables.Withdraw:
+		return "withdraw " + op.Server
+	case tables.Restore:
+		return "let back in " + op.Server
+	}
+	return fmt.Sprintf("table %d empty", op.Table)
+}
--- a/internal/node/collector_conn.go
+++ b/internal/node/collector_conn.go
@@ -103,7 +103,7 @@
 		r.metrics.add(unidentifiedTimeouts, 1)
 	case errors.Is(err, errUnreadable), errors.Is(err, errLineTooLong):
 		r.metrics.add(unreadableLines, 1)
-		r.metrics.logLimited("line", "from", conn.RemoteAddr().String(), "error", err)
+		r.metrics.logLimited("unreadable_line", "from", conn.RemoteAddr().String(), "error", err)
 	}
 	conn.Close()
 	r.mu.Lock()
@@ -148,7 +148,7 @@
 	} else {
 		r.metrics.add(malformedMessages, 1)
 	}
-	r.metrics.logLimited("spoilt", "from", conn.RemoteAddr().String(), "line", excerpt(line.text), "error", line.err)
+	r.metrics.logLimited("malformed_message", "from", conn.RemoteAddr().String(), "line", excerpt(line.text), "error", line.err)
 	conn.idleMessages++
 	if !conn.named {
 		return errors.Join(errUnreadable, line.err)
--- a/internal/node/decoder_pool.go
+++ b/internal/node/decoder_pool.go
@@ -79,7 +79,7 @@
 		}
 	}
 	for _, note := range acts.LogRecords {
-		h.receiver.metrics.logEvent("lane", "note", note)
+		h.receiver.metrics.logEvent("shard", "note", note)
 	}
 }
 
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -37,7 +37,7 @@
 	result, asked := r.checkOnce(target, path)
 	if !asked {
 		r.metrics.add(healthChecksDropped, 1)
-		r.metrics.logLimited("probe", "server", string(target.server), "error", "no descriptor or port is left")
+		r.metrics.logLimited("health_check_not_sent", "server", string(target.server), "error", "no descriptor or port is left")
 		return true
 	}
 	if result.outcome == balancer.HealthCheckPassed {
@@ -65,7 +65,7 @@
 	request.SetRequestURI("http://" + target.address + path)
 	request.SetConnectionClose()
 	client := newClient(r.limits, target.address, conn, false)
-	err = recoverPanic(r.metrics, "probe", func() error { return client.Do(request, response) })
+	err = recoverPanic(r.metrics, "health_check", func() error { return client.Do(request, response) })
 	switch status := response.StatusCode(); {
 	case err != nil && conn.readErr == nil:
 		result.outcome = balancer.HealthCheckInvalid // something answers there, but not as a server does
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -252,8 +252,8 @@
 	if commands.IsEmpty(o) {
 		return 0
 	}
-	text := encodeCommands(o, h.node.start.ClassNames, h.node.start.Limits.MaxCallBytes)
-	h.count(RelayCallMessage, len(callAnswer), callSize(h.node.start.Relay, strings.Join(text, ";")))
+	text := encodeCommands(o, h.node.config.ClassNames, h.node.config.Limits.MaxCallBytes)
+	h.count(RelayCallMessage, len(callAnswer), callSize(h.node.config.Relay, strings.Join(text, ";")))
 	sent = len(text)
 	if o.Barrier > 0 {
 		sent--
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -252,7 +252,7 @@
 	}
 	stream, _ := startStreamServer(t, "event: left\ndata: id=17\n\n")
 	w := testUpstream(t, stream)
-	in.runStream(w, "news", proxyStreamBreaks, func() (bool, error) {
+	in.runStream(w, "proxy_stream", proxyStreamBreaks, func() (bool, error) {
 		defer w.cancel()
 		return in.readProxyEvents(w)
 	})
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -38,7 +38,7 @@
 			case <-r.stop:
 				return
 			case <-time.After(r.limits.ProcessStallGrace):
-				r.metrics.logLimited("accept", "error", err)
+				r.metrics.logLimited("accept_failed", "error", err)
 				continue
 			}
 		}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -128,7 +128,7 @@
 	b := newMetrics(0, logging.New(logging.NewFormatWriter(logging.Text, &text), "info"))
 	b.add(reloadsFailed, 3)
 	b.logCounters("counters")
-	if line := strings.TrimSpace(text.String()); strings.Count(line, "=") != int(counterCount)+1 || !strings.Contains(line, " reloads_faulty=3 ") {
+	if line := strings.TrimSpace(text.String()); strings.Count(line, "=") != int(counterCount)+1 || !strings.Contains(line, " reloads_failed=3 ") {
 		t.Error(line)
 	}
 }
--- a/internal/node/proxy_events.go
+++ b/internal/node/proxy_events.go
@@ -27,7 +27,7 @@
 
 // runProxyEvents keeps the relay's news open at an upstream.
 func (r *receiver) runProxyEvents(up *upstream) {
-	r.runStream(up, "news", proxyStreamBreaks, func() (bool, error) { return r.readProxyEvents(up) })
+	r.runStream(up, "proxy_stream", proxyStreamBreaks, func() (bool, error) { return r.readProxyEvents(up) })
 }
 
 // readProxyEvents reads the relay's news once, to its end.
@@ -129,7 +129,7 @@
 	if _, isAck := event.(barrierAck); isAck {
 		return nil // alone: a later mark settles it; a join or a leave that is lost would stay lost
 	}
-	metrics.logLimited("spoilt_news", "from", n.up.address, "error", err)
+	metrics.logLimited("malformed_proxy_event", "from", n.up.address, "error", err)
 	n.eventSkipped = true
 	if n.up.noteDecodeError() {
 		return err
--- a/internal/node/receiver.go
+++ b/internal/node/receiver.go
@@ -60,7 +60,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			m.add(readerPanics, 1)
-			m.logLimited("reader_failed", "reader", reader, "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
+			m.logLimited("reader_panic", "reader", reader, "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
 			err = errors.Join(errUnreadable, fmt.Errorf("the reader failed: %v", cause))
 		}
 	}()
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -69,7 +69,7 @@
 			return true
 		}
 		if end != callDone {
-			r.metrics.logLimited("relay", "outcome", string(end), "orders", rest.Count())
+			r.metrics.logLimited("call_not_completed", "outcome", string(end), "commands", rest.Count())
 		}
 		if sent == 0 && (end != callOutcomeUnknown || tries > 0) && !r.receiver.waitBackoff(r.receiver.stop) {
 			return false
@@ -128,7 +128,7 @@
 		taken = 0
 	case err != nil:
 		r.metrics.add(callsUnknown, 1)
-		r.metrics.logLimited("call", "error", err)
+		r.metrics.logLimited("call_failed", "error", err)
 		return 0, callOutcomeUnknown
 	}
 	return r.countAnswer(batch, text, taken), callDone
@@ -139,7 +139,7 @@
 	r.metrics.add(callsAnswered, 1)
 	r.metrics.add(commandsSent, int64(min(taken, len(text))))
 	if taken < len(text) {
-		r.metrics.logLimited("refused", "order", text[taken])
+		r.metrics.logLimited("command_rejected", "command", text[taken])
 		r.metrics.add(commandsRejected, 1)
 		// guards against a queue that is full of what no mark will show to have left
 		r.receiver.enqueue(callCompleted{barrier: batch.Barrier, complete: false})
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -14,34 +14,35 @@
 // the module learnt, nor apply half of a file.
 func (n *Node) reload(r *receiver, next config.Config, err error) bool {
 	if err == nil {
-		err = n.checkKnown(next)
+		err = n.checkEndpointList(next)
 	}
 	if err != nil {
 		n.metrics.add(reloadsFailed, 1)
-		n.metrics.logEvent("reload_faulty", "error", err)
+		n.metrics.logEvent("reload_failed", "error", err)
 		return false
 	}
 	n.reloadKeys()
 	n.metrics.add(reloads, 1)
-	ignored := ignoredChanges(n.start, next)
-	n.metrics.logEvent("reload", "discovery", next.Discovery, "relay", next.Relay, "left_out", strings.Join(ignored, ","))
-	if next.Relay != n.start.Relay {
+	ignored := ignoredChanges(n.config, next)
+	n.metrics.logEvent("reload", "discovery", next.Discovery, "relay", next.Relay, "ignored", strings.Join(ignored, ","))
+	if next.Relay != n.config.Relay {
 		n.relay.setAddress(next.Relay)
 		n.proxyEvents = n.proxyEvents.successor(n.lifetime, next.Relay)
 		go r.runProxyEvents(n.proxyEvents)
 	}
-	if next.Discovery != n.start.Discovery {
+	if next.Discovery != n.config.Discovery {
 		n.endpointWatch = n.endpointWatch.successor(n.lifetime, next.Discovery)
 		go n.runWatch(r, n.endpointWatch, true)
 	}
-	n.start.Relay, n.start.Discovery = next.Relay, next.Discovery
+	n.config.Relay = next.Relay
+	n.config.Discovery = next.Discovery
 	return true
 }
 
 // checkKnown checks the list that a configuration gives.
-func (n *Node) checkKnown(next config.Config) error {
+func (n *Node) checkEndpointList(next config.Config) error {
 	if _, _, err := n.decoder.parseList(next.CachedEndpointList); err != nil {
-		return fmt.Errorf("known: %v", err)
+		return fmt.Errorf("known: %w", err)
 	}
 	return nil
 }
@@ -51,9 +52,9 @@
 	if n.router.feed == nil {
 		return
 	}
-	keys, err := readKeys(n.start.KeyFile)
+	keys, err := readKeys(n.config.KeyFile)
 	if err != nil {
-		n.metrics.logEvent("keys_faulty", "error", err)
+		n.metrics.logEvent("keys_reload_failed", "error", err)
 		return
 	}
 	n.router.feed.keys.Store(&keys)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -89,7 +89,7 @@
 // Guards against dialling an old address again.
 func TestAReplacedUpstreamIsNotReopened(t *testing.T) {
 	n, w := 0, testUpstream(t, "")
-	testReceiver(nil, testLimits).runStream(w, "news", proxyStreamBreaks, func() (bool, error) {
+	testReceiver(nil, testLimits).runStream(w, "proxy_stream", proxyStreamBreaks, func() (bool, error) {
 		n++
 		w.successor(w.ctx, "")
 		return true, errors.New("broken")
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -37,7 +37,7 @@
 }
 
 func (n *Node) currentStatus() Status {
-	s := Status{Name: n.start.Name, UptimeSeconds: roundedSeconds(time.Since(n.startedAt)), Counters: map[string]int64{}}
+	s := Status{Name: n.config.Name, UptimeSeconds: roundedSeconds(time.Since(n.startedAt)), Counters: map[string]int64{}}
 	for c, name := range counterNames {
 		s.Counters[name] = n.metrics.counts[c].Load()
 	}
--- a/internal/node/store_writer.go
+++ b/internal/node/store_writer.go
@@ -176,7 +176,7 @@
 		return false
 	}
 	if v.failing {
-		v.metrics.logEvent("store_again", "versions", len(change.Versions), "commands", len(change.CompletedCommands))
+		v.metrics.logEvent("store_recovered", "versions", len(change.Versions), "commands", len(change.CompletedCommands))
 	}
 	v.failing = false
 	v.saved = saved
@@ -190,7 +190,7 @@
 func (v *storeWriter) noteFailure(err error) {
 	v.metrics.add(storeWriteFailures, 1)
 	if !v.failing {
-		v.metrics.logger.Error().Str("event", "store_failed").Err(err).Send()
+		v.metrics.logger.Error().Str("event", "store_write_failed").Err(err).Send()
 	}
 	v.failing = true
 }
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -20,7 +20,7 @@
 		}
 		lasted := time.Since(began)
 		r.metrics.add(breaks, 1)
-		r.metrics.logLimited(name, "lasted", roundedSeconds(lasted), "opened", opened, "error", err)
+		r.metrics.logLimited(name+"_closed", "lasted", roundedSeconds(lasted), "opened", opened, "error", err)
 		if opened && lasted > r.limits.MaxBackoff {
 			tries = 0
 		}
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -40,7 +40,7 @@
 	l := testLimits
 	l.MinBackoff, l.MaxBackoff = time.Hour, time.Hour
 	n, w := 0, testUpstream(t, "")
-	testReceiver(nil, l).runStream(w, "news", proxyStreamBreaks, func() (bool, error) {
+	testReceiver(nil, l).runStream(w, "proxy_stream", proxyStreamBreaks, func() (bool, error) {
 		if n++; n == 2 {
 			w.cancel()
 		}
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -175,13 +175,13 @@
 			t.Fatal("saved to a store that is closed")
 		}
 	}
-	if n := strings.Count(log.String(), "store_failed"); n != 1 || len(va.waiting.versions) > maxWaitingVersions {
+	if n := strings.Count(log.String(), "store_write_failed"); n != 1 || len(va.waiting.versions) > maxWaitingVersions {
 		t.Errorf("told %d times, %d wait", n, len(va.waiting.versions))
 	}
 	if va.store, _, err = store.Open(path, 1, store.DefaultLimits(), nil); err != nil {
 		t.Fatal(err)
 	}
-	if !va.save() || !strings.Contains(log.String(), "store_again") {
+	if !va.save() || !strings.Contains(log.String(), "store_recovered") {
 		t.Error("not caught up")
 	}
 	va.store.Close()
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -28,7 +28,7 @@
 // failure told for each watch that ends. An upstream that replaces another is asked for already.
 func (n *Node) runWatch(r *receiver, up *upstream, asked bool) {
 	read := func() (bool, error) { return r.readWatch(up, n.watchState) }
-	if !n.start.Balancer.PollsEndpoints {
+	if !n.config.Balancer.PollsEndpoints {
 		r.runStream(up, "watch", watchBreaks, read)
 		return
 	}
@@ -50,7 +50,7 @@
 			return
 		}
 		r.metrics.add(watchBreaks, 1)
-		r.metrics.logLimited("watch", "error=%q", err)
+		r.metrics.logLimited("watch_closed", "error", err)
 		enqueue(endpointListFailed{}, r.inputs, up.ctx.Done())
 	}
 }
@@ -69,7 +69,7 @@
 func (r *receiver) logListAge(state *watchState) {
 	held := state.held(time.Now())
 	if held.age > r.limits.EndpointWatchIdleTimeout {
-		r.metrics.logLimited("list_age", "version", held.version, "age", roundedSeconds(held.age), "confirmed", held.confirmed)
+		r.metrics.logLimited("endpoint_list_age", "version", held.version, "age", roundedSeconds(held.age), "confirmed", held.confirmed)
 	}
 }
 
@@ -126,7 +126,7 @@
 // too, what follows is taken meanwhile.
 func (w *watchReader) dropList(err error) error {
 	w.receiver.metrics.add(malformedMessages, 1)
-	w.receiver.metrics.logLimited("spoilt_list", "from", w.up.address, "error", err)
+	w.receiver.metrics.logLimited("malformed_endpoint_list", "from", w.up.address, "error", err)
 	if w.up.noteDecodeError() {
 		return err
 	}
@@ -137,7 +137,7 @@
 // dropOldList counts a list that is older than the one held.
 func (w *watchReader) dropOldList(list endpointList, opening bool) error {
 	w.receiver.metrics.add(staleEndpointLists, 1)
-	w.receiver.metrics.logLimited("old_list", "version", list.generation, "held", w.state.heldVersion())
+	w.receiver.metrics.logLimited("stale_endpoint_list", "version", list.generation, "held", w.state.heldVersion())
 	if opening && list.snapshot {
 		return errors.New("an older list than the one held")
 	}
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -80,7 +80,7 @@
 
 func (h *decoderPool) handlePanic(w *worker, cause any) {
 	conn := w.current.Load()
-	h.receiver.metrics.logEvent("lane_fault", "lane", int(w.shard), "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
+	h.receiver.metrics.logEvent("shard_worker_panic", "shard", int(w.shard), "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	select {
@@ -155,7 +155,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			h.receiver.metrics.add(decoderPanics, 1)
-			h.receiver.metrics.logLimited("line_fatal", "line", excerpt(text), "cause", fmt.Sprint(cause))
+			h.receiver.metrics.logLimited("decoder_panic", "line", excerpt(text), "cause", fmt.Sprint(cause))
 		}
 	}()
 	return h.decode(text), true
