--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -150,8 +150,8 @@
 // apply carries out what the balancer decided: it logs, requests health checks and the endpoint list, keeps the next
 // timer, and collects the commands until they are flushed.
 func (r *router) apply(o balancer.Commands) {
-	for _, n := range o.LogRecords {
-		r.metrics.logger.Info().Str("event", "note").Str("stage", "route").Float64("at", roundedSeconds(r.now)).Str("note", n).Send()
+	for _, record := range o.LogRecords {
+		r.logRecord(record)
 	}
 	for _, s := range o.HealthCheck {
 		select {
@@ -171,6 +171,15 @@
 	}
 }
 
+// logRecord logs one record of the balancer, with the seconds since the manager's start.
+func (r *router) logRecord(record balancer.LogRecord) {
+	line := r.metrics.logger.Info().Str("event", string(record.Event)).Str("stage", "route").Float64("at", roundedSeconds(r.now))
+	for _, field := range record.Fields {
+		line.Str(field.Name, field.Value)
+	}
+	line.Send()
+}
+
 // flush hands what was decided at one time to the relay stage, as far as it may go out as a version.
 func (r *router) flush() {
 	if len(r.decisions) == 0 {
