--- /dev/null
+++ b/internal/node/health_check.go
@@ -0,0 +1,82 @@
+package node
+
+import (
+	"context"
+	"strings"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"tamarindshore/balancer"
+)
+
+// healthCheckTarget is a server whose health is to be asked for, and where it listens.
+type healthCheckTarget struct {
+	server  balancer.ServerID
+	address string
+}
+
+// runHealthChecks carries out ordered probes one after another until the manager ends; several run side by side, so that
+// none waits for another's answer.
+func (r *receiver) runHealthChecks(targets <-chan healthCheckTarget, path string) {
+	for {
+		select {
+		case <-r.stop:
+			return
+		case target := <-targets:
+			if !r.checkAndReport(target, path) {
+				return
+			}
+		}
+	}
+}
+
+// checkAndReport probes one server and hands on the outcome; false once the manager ends.
+func (r *receiver) checkAndReport(target healthCheckTarget, path string) bool {
+	r.metrics.add(healthChecksSent, 1)
+	result, asked := r.checkOnce(target, path)
+	if !asked {
+		r.metrics.add(healthChecksDropped, 1)
+		r.metrics.logLimited("health_check_not_sent", "server", string(target.server), "error", "no descriptor or port is left")
+		return true
+	}
+	if result.outcome == balancer.HealthCheckPassed {
+		r.metrics.add(healthChecksPassed, 1)
+	} else {
+		r.metrics.add(healthChecksFailed, 1)
+	}
+	return r.enqueue(result)
+}
+
+// checkOnce asks one server whether it is alive, and for its load where servers tell it; false where it could not ask.
+func (r *receiver) checkOnce(target healthCheckTarget, path string) (result healthCheckResult, asked bool) {
+	result = healthCheckResult{server: target.server, address: target.address, outcome: balancer.HealthCheckTimedOut, inFlight: -1}
+	began := time.Now()
+	defer func() { result.latency = time.Since(began) }()
+	conn, err := dial(context.Background(), r.limits, target.address, r.limits.HealthCheckTimeout)
+	if err != nil {
+		result.outcome = balancer.HealthCheckUnreachable
+		return result, !isLocalFailure(err)
+	}
+	defer conn.Close()
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.SetRequestURI("http://" + target.address + path)
+	request.SetConnectionClose()
+	client := newClient(r.limits, target.address, conn, false)
+	err = recoverPanic(r.metrics, "health_check", func() error { return client.Do(request, response) })
+	switch status := response.StatusCode(); {
+	case err != nil && conn.readErr == nil:
+		result.outcome = balancer.HealthCheckInvalid // something answers there, but not as a server does
+	case err != nil: // silent
+	case status == fasthttp.StatusOK:
+		result.outcome = balancer.HealthCheckPassed
+		result.inFlight, _ = parseLoad(strings.TrimPrefix(string(response.Body()), "TEXT "), ",", "=", r.decoder.maxRequests)
+	case status == fasthttp.StatusServiceUnavailable:
+		result.outcome = balancer.HealthCheckRejected
+	default:
+		result.outcome = balancer.HealthCheckInvalid
+	}
+	return result, true
+}
--- /dev/null
+++ b/internal/node/proxy_events.go
@@ -0,0 +1,138 @@
+package node
+
+import (
+	"fmt"
+	"strings"
+	"time"
+)
+
+// proxyEventsPath is where the relay streams its news, as an event stream.
+const proxyEventsPath = "/v3/kv/stream"
+
+// eventNameLetters are what the name of an event may be made of.
+const eventNameLetters = "abcdefghijklmnopqrstuvwxyz_"
+
+// proxyEventReader reads the relay's news once, to its end. The opening, which tells all proxies that are joined, is over at
+// the first heartbeat that comes a while after its first line.
+type proxyEventReader struct {
+	receiver         *receiver
+	up               *upstream
+	opened           bool
+	started          bool      // the stream has begun to replace the one before it
+	startedAt        time.Time // since when
+	snapshotComplete bool
+	eventSkipped     bool   // a join or a leave could not be read
+	event, data      string // the event under way
+}
+
+// runProxyEvents keeps the relay's news open at an upstream.
+func (r *receiver) runProxyEvents(up *upstream) {
+	r.runStream(up, "proxy_stream", proxyStreamBreaks, func() (bool, error) { return r.readProxyEvents(up) })
+}
+
+// readProxyEvents reads the relay's news once, to its end.
+func (r *receiver) readProxyEvents(up *upstream) (opened bool, err error) {
+	reader := proxyEventReader{receiver: r, up: up}
+	wanted := streamRequest{address: up.address, path: proxyEventsPath, idleTimeout: r.limits.ProxyWatchIdleTimeout, maxLength: r.limits.MaxWatchEventBytes,
+		readInterval: r.limits.ReadInterval}
+	err = stream(up.ctx, r.limits, wanted, reader.open, reader.readLine)
+	return reader.opened, err
+}
+
+// open notes that the relay accepted the stream.
+func (n *proxyEventReader) open() error {
+	n.opened = true
+	n.receiver.metrics.add(proxyStreamOpens, 1)
+	if n.up.previous == nil {
+		n.begin()
+	}
+	return nil
+}
+
+// begin takes over from the previous upstream, once.
+func (n *proxyEventReader) begin() {
+	n.up.takeOver()
+	n.started = true
+	n.startedAt = time.Now()
+	n.enqueue(proxyEventsOpened{})
+}
+
+func (n *proxyEventReader) enqueue(in input) bool {
+	return enqueue(in, n.receiver.inputs, n.up.ctx.Done())
+}
+
+// readLine takes one line of the event stream; an error ends it.
+func (n *proxyEventReader) readLine(line []byte) error {
+	if !n.started { // guards against giving up the previous upstream for one that brings nothing
+		n.begin()
+	}
+	text := string(line)
+	name, value, _ := strings.Cut(text, ":")
+	value = strings.TrimPrefix(value, " ")
+	switch {
+	case text == "":
+		return n.endEvent()
+	case name == "":
+		n.heartbeat()
+	case name == "event" && strings.Trim(value, eventNameLetters) == "":
+		n.event = value
+	case name == "data":
+		n.data += value
+		if len(n.data) > n.receiver.limits.MaxWatchEventBytes {
+			return errLineTooLong
+		}
+	case name != "id" && name != "retry":
+		return fmt.Errorf("%.40q is no line of an event stream", text)
+	}
+	return nil
+}
+
+// heartbeat takes a comment of the event stream, which the relay sends as a sign of life.
+func (n *proxyEventReader) heartbeat() {
+	if n.snapshotComplete || time.Since(n.startedAt) < n.receiver.limits.ProxySnapshotTimeout {
+		return
+	}
+	n.snapshotComplete = true
+	if n.eventSkipped {
+		return // guards against taking for left who was told in what could not be read
+	}
+	n.up.clearDecodeError()
+	n.enqueue(proxySnapshotComplete{})
+}
+
+// endEvent decodes the event that an empty line ends and hands it on.
+func (n *proxyEventReader) endEvent() error {
+	if n.event == "" && n.data == "" {
+		return nil
+	}
+	event, err := n.receiver.decoder.parseEvent(n.event, n.data)
+	n.event = ""
+	n.data = ""
+	if err != nil {
+		return n.dropEvent(event, err)
+	}
+	n.receiver.metrics.add(event.counter(), 1)
+	if !n.enqueue(event) {
+		return errStopped
+	}
+	return nil
+}
+
+// dropEvent counts an event that could not be read; an error ends the stream, so that its next opening tells it again.
+func (n *proxyEventReader) dropEvent(event proxyEvent, err error) error {
+	metrics := n.receiver.metrics
+	if err == errUnknownName {
+		metrics.add(unknownNames, 1)
+		return nil
+	}
+	metrics.add(malformedMessages, 1)
+	if _, isAck := event.(barrierAck); isAck {
+		return nil // alone: a later mark settles it; a join or a leave that is lost would stay lost
+	}
+	metrics.logLimited("malformed_proxy_event", "from", n.up.address, "error", err)
+	n.eventSkipped = true
+	if n.up.noteDecodeError() {
+		return err
+	}
+	return nil
+}
