--- a/internal/fleetmodel/subset_test.go
+++ b/internal/fleetmodel/subset_test.go
@@ -9,18 +9,19 @@
 	"tamarindshore/internal/subset"
 )
 
-// subsetted is a decider that hands the decision module a subset, as the real manager does.
+// subsetted hands the decision module a subset of the endpoint list, as the real manager does. It overrides some of the
+// embedded manager's methods: whoever renames those renames them here.
 type subsetted struct {
 	*balancer.Manager
-	subset *subset.Subset
-	zones  map[balancer.ProxyID]balancer.ZoneID
-	lookAt time.Duration
+	subset   *subset.Subset
+	zones    map[balancer.ProxyID]balancer.ZoneID
+	nextTick time.Duration
 }
 
 func newSubsetted(s Scenario, seed uint64, spill int) *subsetted {
-	terms := s.Settings()
-	settings := subset.Settings{ManagerName: fmt.Sprint("n", seed), Spill: spill, WarmUpDuration: terms.WarmUpDuration}
-	return &subsetted{Manager: balancer.New(seed, terms), subset: subset.New(settings), zones: map[balancer.ProxyID]balancer.ZoneID{}}
+	settings := s.Settings()
+	subsetSettings := subset.Settings{ManagerName: fmt.Sprint("n", seed), Spill: spill, WarmUpDuration: settings.WarmUpDuration}
+	return &subsetted{Manager: balancer.New(seed, settings), subset: subset.New(subsetSettings), zones: map[balancer.ProxyID]balancer.ZoneID{}}
 }
 
 func (d *subsetted) HandleEndpointList(now time.Duration, whole bool, entries []balancer.Endpoint) balancer.Commands {
@@ -28,16 +29,16 @@
 	for _, e := range entries {
 		servers = append(servers, subset.Server{Endpoint: e})
 	}
-	return d.handOn(now, d.subset.HandleEndpointList(now, whole, servers))
+	return d.update(now, d.subset.HandleEndpointList(now, whole, servers))
 }
 
 func (d *subsetted) HandleProxyConnected(now time.Duration, id balancer.ProxyID, zone balancer.ZoneID, rate float64) balancer.Commands {
 	var first balancer.Commands
 	if _, known := d.zones[id]; !known {
 		d.zones[id] = zone
-		first = d.handOn(now, d.subset.HandleProxyConnected(now, zone))
+		first = d.update(now, d.subset.HandleProxyConnected(now, zone))
 	}
-	return join(first, d.Manager.HandleProxyConnected(now, id, zone, rate))
+	return joinCommands(first, d.Manager.HandleProxyConnected(now, id, zone, rate))
 }
 
 func (d *subsetted) HandleProxyDisconnected(now time.Duration, id balancer.ProxyID) balancer.Commands {
@@ -50,14 +51,14 @@
 
 func (d *subsetted) HandleTimer(now time.Duration) balancer.Commands {
 	first := d.Manager.HandleTimer(now)
-	if now < d.lookAt {
+	if now < d.nextTick {
 		return first
 	}
-	d.lookAt = now + time.Second
-	return join(first, d.handOn(now, d.subset.HandleTick(now, d.Manager)))
+	d.nextTick = now + time.Second
+	return joinCommands(first, d.update(now, d.subset.HandleTick(now, d.Manager)))
 }
 
-func (d *subsetted) handOn(now time.Duration, u subset.Update) (o balancer.Commands) {
+func (d *subsetted) update(now time.Duration, u subset.Update) (o balancer.Commands) {
 	if u.IsEmpty() {
 		return o
 	}
@@ -72,8 +73,8 @@
 	return o
 }
 
-// join puts the orders of one input behind those of another of the same time.
-func join(a, b balancer.Commands) balancer.Commands {
+// joinCommands puts the commands of one input behind those of another of the same time.
+func joinCommands(a, b balancer.Commands) balancer.Commands {
 	a.Withdraw = append(a.Withdraw, b.Withdraw...)
 	a.Weights = append(a.Weights, b.Weights...)
 	a.AdmissionLevels = append(a.AdmissionLevels, b.AdmissionLevels...)
@@ -93,7 +94,7 @@
 	lostAt, backAt = 15, 30 // seconds, of a home zone
 )
 
-// day is a shape, how many zones have proxies, and whether a home zone is lost for a while.
+// day is a scenario, how many zones have proxies, and whether a home zone is lost for a while.
 type day struct {
 	Scenario
 	homes int
@@ -149,8 +150,8 @@
 	}
 }
 
-// quality is what became of the flows that were asked.
-type quality struct{ dropped, blocked, inZone float64 }
+// quality is what became of the requests, as parts of those offered; inZone of those admitted.
+type quality struct{ failed, shed, inZone float64 }
 
 func (d day) quality(seeds, spill int) (mean quality) {
 	var sum Tally
@@ -172,8 +173,8 @@
 			b.Run(fmt.Sprintf("%s/%d", d.Name, spill), func(b *testing.B) {
 				for b.Loop() {
 					q := d.quality(qualitySeeds, spill)
-					b.ReportMetric(100*q.dropped, "%dropped")
-					b.ReportMetric(100*q.blocked, "%blocked")
+					b.ReportMetric(100*q.failed, "%dropped")
+					b.ReportMetric(100*q.shed, "%blocked")
 					b.ReportMetric(100*q.inZone, "%in-zone")
 				}
 			})
@@ -191,7 +192,7 @@
 			more = 0.10
 		}
 		whole, some := d.quality(seeds, 0), d.quality(seeds, spill)
-		if some.dropped+some.blocked > whole.dropped+whole.blocked+more || some.inZone < whole.inZone {
+		if some.failed+some.shed > whole.failed+whole.shed+more || some.inZone < whole.inZone {
 			t.Errorf("%s: %+v with the whole list, %+v with a subset", d.Name, whole, some)
 		}
 	}
