--- a/internal/loadtest/plan.go
+++ b/internal/loadtest/plan.go
@@ -1,68 +1,40 @@
-// Package loadtest loads a manager on loopback, through stand-ins, and measures it: an open loop in which each message has
-// a time when it is due, so that a stall is seen and not left out. plan.go decides rates and what is due, free of I/O;
-// feed.go speaks for the collectors; run.go joins both to a rig; report.go shows figures. It must never be imported by
-// the daemon, nor change what the manager decides.
+// Package loadtest puts a manager under load on loopback, between stand-ins of the systems around it, and measures it.
+// The load is an open loop: each message has a time at which it is due, so that a stall of the manager is seen and not
+// left out. schedule.go decides rates and what is due, free of I/O; generator.go sends for the collectors; observer.go
+// measures what the relay is commanded; run.go joins them; report.go shows results. The package must never be imported
+// by the daemon, nor change what the manager decides.
 package loadtest
 
 import "time"
 
-// Schedule says how many messages of an even flow are due.
-type Schedule struct {
-	Rate float64 // messages a second
-	sent int
+// Plan says what a run does, and bounds it.
+type Plan struct {
+	Cores             []int // one manager after another, with so many cores each
+	Servers           int
+	Proxies           int
+	CollectorsPerZone int           // connections that report
+	Rate              float64       // messages a second; 0: the highest is searched for, and 80% of it is held
+	HoldDuration      time.Duration // for which a rate is held
+	StepDuration      time.Duration // of the search
+	InitialRate       float64       // messages a second at which the search begins
+	Seed              uint64        // settles all that is drawn
+	MemoryMB          float64       // told to the manager
+	MaxSockets        int           // told to the manager
+	FaultFraction     float64       // of the relay's calls, which go wrong
 }
 
-// Due is how many are due at a time since the start and were not taken, and when the last of them was.
-func (s *Schedule) Due(now time.Duration) (n int, last time.Duration) {
-	n = int(s.Rate*now.Seconds()) - s.sent
-	if n <= 0 {
-		return 0, 0
+// DefaultPlan is a plan that ends within about half a minute for each number of cores.
+func DefaultPlan() Plan {
+	return Plan{
+		Cores:             []int{1},
+		Servers:           60,
+		Proxies:           600,
+		CollectorsPerZone: 4,
+		HoldDuration:      8 * time.Second,
+		StepDuration:      1500 * time.Millisecond,
+		InitialRate:       20_000,
+		Seed:              1,
+		MemoryMB:          512,
+		MaxSockets:        4096,
 	}
-	s.sent += n
-	return n, time.Duration(float64(s.sent) / s.Rate * float64(time.Second))
-}
-
-// Terms of a ramp.
-const (
-	growth      = 1.6                    // of the rate, from step to step, until one is too much
-	halvings    = 3                      // of what is between the last that was not and the first that was
-	lateMost    = 200 * time.Millisecond // 99th percentile from a message's time to its place in the manager
-	acceptLeast = 0.97                   // of what was due
-)
-
-// Ramp finds the highest rate that a manager takes: it grows until a step is too much, then halves what is between.
-type Ramp struct {
-	rate, good, bad float64
-	halved          int
-}
-
-// NewRamp begins with a rate.
-func NewRamp(rate float64) *Ramp { return &Ramp{rate: rate} }
-
-// Rate is that of the next step.
-func (r *Ramp) Rate() float64 { return r.rate }
-
-// Top is the highest rate that was not too much; 0 where none was.
-func (r *Ramp) Top() float64 { return r.good }
-
-// Step takes what a step came to: the part of what was due that was accepted, and how late that was. It tells whether
-// another is due.
-func (r *Ramp) Step(accepted float64, late time.Duration) bool {
-	if accepted >= acceptLeast && late <= lateMost {
-		r.good = max(r.good, r.rate)
-	} else if r.bad == 0 || r.rate < r.bad {
-		r.bad = r.rate
-	}
-	switch {
-	case r.bad == 0:
-		r.rate *= growth
-		return true
-	case r.halved == halvings || r.bad < 1:
-		return false
-	}
-	if r.good > 0 {
-		r.halved++
-	}
-	r.rate = (r.good + r.bad) / 2
-	return true
 }
--- a/internal/loadtest/run_test.go
+++ b/internal/loadtest/run_test.go
@@ -15,23 +15,29 @@
 	"tamarindshore/internal/node"
 )
 
-// inside is a manager in this process, so that the race detector sees it.
-type inside struct {
+// inProcessManager is a manager in this process, so that the race detector sees it.
+type inProcessManager struct {
 	reload chan os.Signal
-	end    context.CancelFunc
-	ended  chan struct{}
-	err    error
+	cancel context.CancelFunc
+	done   chan struct{}
+	err    error // once done is closed
 }
 
-func (d *inside) Done() <-chan struct{}    { return d.ended }
-func (d *inside) Signal(s os.Signal) error { d.reload <- s; return nil }
-func (d *inside) Stop(bool) error {
-	d.end()
-	<-d.ended
-	return d.err
+func (m *inProcessManager) Done() <-chan struct{} { return m.done }
+
+func (m *inProcessManager) Signal(s os.Signal) error {
+	m.reload <- s
+	return nil
+}
+
+func (m *inProcessManager) Stop(bool) error {
+	m.cancel()
+	<-m.done
+	return m.err
 }
 
-func begin(log io.Writer) fakes.StartFunc {
+// startInProcess starts managers that write their logs to a writer.
+func startInProcess(log io.Writer) fakes.StartFunc {
 	return func(start, settings string) (fakes.Manager, error) {
 		o, err := config.ReadOperatorSettings(settings)
 		if err != nil {
@@ -52,23 +58,28 @@
 		if err != nil {
 			return nil, err
 		}
-		ctx, end := context.WithCancel(context.Background())
-		d := &inside{reload: make(chan os.Signal, 8), end: end, ended: make(chan struct{})}
+		ctx, cancel := context.WithCancel(context.Background())
+		m := &inProcessManager{reload: make(chan os.Signal, 8), cancel: cancel, done: make(chan struct{})}
 		go func() {
-			defer close(d.ended)
-			d.err = n.Run(ctx, node.Signals{Reload: d.reload}, read)
+			defer close(m.done)
+			m.err = n.Run(ctx, node.Signals{Reload: m.reload}, read)
 		}()
-		return d, nil
+		return m, nil
 	}
 }
 
-func small(cores int) Plan {
+func smallPlan(cores int) Plan {
 	p := DefaultPlan()
-	p.Cores, p.Servers, p.Proxies, p.CollectorsPerZone, p.Rate, p.HoldDuration = []int{cores}, 12, 60, 2, 5000, 2*time.Second
+	p.Cores = []int{cores}
+	p.Servers = 12
+	p.Proxies = 60
+	p.CollectorsPerZone = 2
+	p.Rate = 5000
+	p.HoldDuration = 2 * time.Second
 	return p
 }
 
-func kept(t *testing.T, r Result) {
+func checkResult(t *testing.T, r Result) {
 	t.Helper()
 	for _, rule := range r.Rules {
 		if !rule.OK() {
@@ -85,199 +96,230 @@
 
 func TestLoadIsTakenInWithTheRulesKept(t *testing.T) {
 	for _, cores := range []int{1, 4} {
-		all, err := Run(small(cores), begin(io.Discard), io.Discard)
+		results, err := Run(smallPlan(cores), startInProcess(io.Discard), io.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept(t, all[0])
+		checkResult(t, results[0])
 	}
 }
 
 // The relay's answers are lost, come late or can't be read while servers drain, proxies join and connections move.
 func TestLostAnswersRepeatNoEffectOnSeveralCores(t *testing.T) {
-	p := small(4)
+	p := smallPlan(4)
 	p.FaultFraction = 0.3
-	all, err := Run(p, begin(io.Discard), io.Discard)
+	results, err := Run(p, startInProcess(io.Discard), io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := all[0]
-	kept(t, r)
+	r := results[0]
+	checkResult(t, r)
 	if twice := r.Rules[1]; twice.Checks == 0 || len(r.Relay.Faults) < 3 {
 		t.Errorf("nothing was repeated: %+v, faults %v", twice, r.Relay.Faults)
 	}
 }
 
-// rig is a small deployment with a manager of several cores, all proxies bound.
-func rig(t *testing.T, site fakes.Site, log io.Writer) (*fakes.Deployment, *watch) {
+// startDeployment starts a deployment with a manager of several cores, and waits until all proxies are assigned.
+func startDeployment(t *testing.T, site fakes.Site, log io.Writer) *fakes.Deployment {
 	t.Helper()
-	r, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: 3, MemoryMB: 512, MaxDescriptors: 1024, Seed: 1}, begin(log))
+	d, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: 3, MemoryMB: 512, MaxDescriptors: 1024, Seed: 1}, startInProcess(log))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(r.Close)
-	w := newWatch(r)
-	w.join(site.Proxies)
-	if err := w.allBound(site.Proxies, 30*time.Second); err != nil {
+	t.Cleanup(d.Close)
+	connectAll(d.Relay, site.Proxies)
+	if err := awaitAssigned(d.Relay, site.Proxies, 30*time.Second); err != nil {
 		t.Fatal(err)
 	}
-	return r, w
+	return d
+}
+
+// startLoad puts a deployment under load until the test ends.
+func startLoad(t *testing.T, d *fakes.Deployment, collectorsPerZone int, rate int64) *loadGenerator {
+	t.Helper()
+	g := newLoadGenerator(d.ManagerAddress, d.Site, collectorsPerZone)
+	t.Cleanup(g.stop)
+	g.rate.Store(rate)
+	return g
 }
 
-// The relay calls the watch under its lock, so the watch must not ask the relay under its own.
-func TestTheRelayIsNotAskedUnderTheWatchsLock(t *testing.T) {
+// The relay calls the observer under its lock, so the observer must not ask the relay under its own.
+func TestTheRelayIsNotAskedUnderTheObserversLock(t *testing.T) {
 	relay, err := fakes.NewRelay("127.0.0.1:0", fakes.DefaultSite(1, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer relay.Close()
-	w := newWatch(&fakes.Deployment{Relay: relay})
+	o := newObserver(relay)
 	asked := false
-	w.isPulled = func(string) bool {
+	o.isWithdrawn = func(string) bool {
 		asked = true
-		if !w.mu.TryLock() {
+		if !o.mu.TryLock() {
 			t.Error("asked under the lock")
 			return false
 		}
-		w.mu.Unlock()
+		o.mu.Unlock()
 		return false
 	}
-	w.expectDrain("s-1")
-	if _, due := w.drained["s-1"]; !asked || !due {
+	o.expectWithdrawal("s-1")
+	if _, due := o.drainedAt["s-1"]; !asked || !due {
 		t.Errorf("asked: %v, noted: %v", asked, due)
 	}
 }
 
-func within(t *testing.T, span time.Duration, what string, is func() bool) {
+// await waits until a condition holds, and fails the test after a timeout.
+func await(t *testing.T, timeout time.Duration, what string, holds func() bool) {
 	t.Helper()
-	for late := time.Now().Add(span); time.Now().Before(late); time.Sleep(10 * time.Millisecond) {
-		if is() {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		if holds() {
 			return
 		}
 	}
-	t.Errorf("%s: not within %v", what, span)
+	t.Errorf("%s: not within %v", what, timeout)
 }
 
-func rulesKept(t *testing.T, r *fakes.Deployment) {
+// awaitAccepted waits until the manager has accepted so many messages.
+func awaitAccepted(t *testing.T, d *fakes.Deployment, messages int64) {
 	t.Helper()
-	r.Relay.CheckState()
-	for _, rule := range r.Relay.Rules.Results() {
+	await(t, 10*time.Second, "messages accepted", func() bool {
+		counters, err := d.Counters()
+		return err == nil && acceptedMessages(counters) >= messages
+	})
+}
+
+func checkRules(t *testing.T, d *fakes.Deployment) {
+	t.Helper()
+	d.Relay.CheckState()
+	for _, rule := range d.Relay.Rules.Results() {
 		if !rule.OK() {
 			t.Errorf("%+v", rule)
 		}
 	}
 }
 
+func totalRequestRate(relay *fakes.Relay, servers []*fakes.Server) float64 {
+	total := 0.0
+	for _, s := range servers {
+		total += relay.RequestRate(s.ID)
+	}
+	return total
+}
+
 func TestAListThatReplacesAllServersLeavesNoProxyWithout(t *testing.T) {
-	site := fakes.DefaultSite(12, 40)
-	r, _ := rig(t, site, io.Discard)
-	f := newFeed(r.ManagerAddress, site, 2)
-	defer f.end()
-	f.rate.Store(3000)
-	time.Sleep(time.Second)
-	more := site
-	more.Servers = 24
-	fresh, err := fakes.NewServers(more)
+	const oldServers, rate = 12, 3000
+	site := fakes.DefaultSite(oldServers, 40)
+	d := startDeployment(t, site, io.Discard)
+	startLoad(t, d, 2, rate)
+	awaitAccepted(t, d, rate) // of one second
+	larger := site
+	larger.Servers = 2 * oldServers
+	fresh, err := fakes.NewServers(larger)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var entries []fakes.Endpoint
-	for i, s := range fresh {
-		defer s.Close()
-		if i >= 12 {
-			entries = append(entries, s.Entry("up"))
-		}
+	for _, s := range fresh {
+		t.Cleanup(s.Close)
 	}
-	r.Relay.RegisterServers(entries...)
-	for _, s := range r.Servers {
-		entries = append(entries, s.Entry("removed"))
+	fresh = fresh[oldServers:]
+	var endpoints []fakes.Endpoint
+	for _, s := range fresh {
+		endpoints = append(endpoints, s.Entry("up"))
 	}
-	r.Discovery.Publish(entries...)
-	within(t, 5*time.Second, "all old servers withdrawn, new ones in the tables", func() bool {
-		flows := 0.0
-		for _, s := range fresh[12:] {
-			flows += r.Relay.RequestRate(s.ID)
-		}
-		old := 0.0
-		for _, s := range r.Servers {
-			old += r.Relay.RequestRate(s.ID)
-		}
-		return old == 0 && flows > 0.9*site.RequestRate*float64(site.Proxies)
+	d.Relay.RegisterServers(endpoints...)
+	for _, s := range d.Servers {
+		endpoints = append(endpoints, s.Entry("removed"))
+	}
+	d.Discovery.Publish(endpoints...)
+	offered := site.RequestRate * float64(site.Proxies)
+	await(t, 5*time.Second, "all old servers withdrawn, new ones in the tables", func() bool {
+		return totalRequestRate(d.Relay, d.Servers) == 0 && totalRequestRate(d.Relay, fresh) > 0.9*offered
 	})
-	rulesKept(t, r)
+	checkRules(t, d)
 }
 
 func TestAllProxiesLeaveAndJoinAtOnce(t *testing.T) {
 	site := fakes.DefaultSite(12, 300)
-	r, w := rig(t, site, io.Discard)
+	d := startDeployment(t, site, io.Discard)
 	ids := make([]int, site.Proxies)
 	for i := range ids {
 		ids[i] = i
 	}
 	for range 5 {
-		r.Relay.DisconnectProxies(ids...)
-		r.Relay.ConnectProxies(ids...)
+		d.Relay.DisconnectProxies(ids...)
+		d.Relay.ConnectProxies(ids...)
 	}
-	if err := w.allBound(site.Proxies, 20*time.Second); err != nil {
+	if err := awaitAssigned(d.Relay, site.Proxies, 20*time.Second); err != nil {
 		t.Error(err)
 	}
-	rulesKept(t, r)
+	checkRules(t, d)
 }
 
 func TestAServerThatDrainsAndRestartsWhileConnectionsMove(t *testing.T) {
+	const restartDuration = 100 * time.Millisecond
 	site := fakes.DefaultSite(12, 60)
-	r, w := rig(t, site, io.Discard)
-	f := newFeed(r.ManagerAddress, site, 3)
-	defer f.end()
-	f.rate.Store(20_000)
-	w.all.Go(w.look)
-	for _, s := range r.Servers[:3] {
-		r.Discovery.Publish(s.Entry("draining"))
-		within(t, 2*time.Second, "withdrawn", func() bool { return r.Relay.RequestRate(s.ID) == 0 })
+	d := startDeployment(t, site, io.Discard)
+	startLoad(t, d, 3, 20_000)
+	checks := startChecks(d)
+	restarted := d.Servers[:3]
+	for _, s := range restarted {
+		d.Discovery.Publish(s.Entry("draining"))
+		await(t, 2*time.Second, "withdrawn", func() bool { return d.Relay.RequestRate(s.ID) == 0 })
 		s.SetBehaviour(fakes.Down)
-		r.Discovery.Publish(s.Entry("removed"))
-		time.Sleep(100 * time.Millisecond)
+		d.Discovery.Publish(s.Entry("removed"))
+		time.Sleep(restartDuration)
 		if err := s.SetBehaviour(fakes.Healthy); err != nil {
 			t.Fatal(err)
 		}
-		r.Discovery.Publish(s.Entry("up"))
+		d.Discovery.Publish(s.Entry("up"))
 	}
-	within(t, 8*time.Second, "fresh servers get a small part", func() bool {
-		for _, s := range r.Servers[:3] {
-			if x := r.Relay.RequestRate(s.ID); x <= 0 || x > site.ServerCapacity {
+	await(t, 8*time.Second, "fresh servers get a small part", func() bool {
+		for _, s := range restarted {
+			if rate := d.Relay.RequestRate(s.ID); rate <= 0 || rate > site.ServerCapacity {
 				return false
 			}
 		}
 		return true
 	})
-	close(w.stop)
-	w.all.Wait()
-	rulesKept(t, r)
+	checks.stop()
+	checkRules(t, d)
 }
 
 func TestReloadAndEndUnderLoad(t *testing.T) {
 	site := fakes.DefaultSite(12, 60)
-	var log lines
-	r, _ := rig(t, site, &log)
-	f := newFeed(r.ManagerAddress, site, 3)
-	f.rate.Store(20_000)
-	for range 5 {
-		r.Manager.Signal(syscall.SIGHUP)
-		time.Sleep(100 * time.Millisecond)
+	var log reloadCounter
+	d := startDeployment(t, site, &log)
+	g := startLoad(t, d, 3, 20_000)
+	for reload := range int64(5) {
+		if err := d.Manager.Signal(syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+		await(t, 5*time.Second, "a reload in the log", func() bool { return log.reloads.Load() == reload+1 })
 	}
-	if err := r.Manager.Stop(false); err != nil {
+	if err := d.Manager.Stop(false); err != nil {
 		t.Error(err)
 	}
-	f.end()
-	rulesKept(t, r)
+	g.stop()
+	checkRules(t, d)
 	if n := log.reloads.Load(); n != 5 {
 		t.Errorf("%d reloads in the log", n)
 	}
 }
 
-type lines struct{ reloads atomic.Int64 }
+// reloadCounter is a log that counts reloads.
+type reloadCounter struct{ reloads atomic.Int64 }
 
-func (l *lines) Write(text []byte) (int, error) {
-	l.reloads.Add(int64(strings.Count(string(text), "event=reload ")))
+func (c *reloadCounter) Write(text []byte) (int, error) {
+	c.reloads.Add(int64(strings.Count(string(text), "event=reload ")))
 	return len(text), nil
 }
+
+// With four servers the index of the one that returns was negative once, in the first rounds.
+func TestServersDrainInTurnHoweverFewThereAre(t *testing.T) {
+	for _, servers := range []int{1, 4} {
+		d := startDeployment(t, fakes.DefaultSite(servers, 4), io.Discard)
+		c, _ := newChurn(d, newObserver(d.Relay))
+		for n := range 3 * drainsInProgress {
+			c.drainNext(n)
+		}
+	}
+}
--- a/internal/loadtest/plan_test.go
+++ b/internal/loadtest/schedule_test.go
@@ -27,7 +27,7 @@
 				t.Fatal("no end")
 			}
 		}
-		if got := r.Top(); math.Abs(got-top) > 0.13*top {
+		if got := r.MaxRate(); math.Abs(got-top) > 0.13*top {
 			t.Errorf("%.0f for %.0f", got, top)
 		}
 	}
@@ -36,7 +36,7 @@
 func TestRampTakesALateStepForTooMuch(t *testing.T) {
 	r := NewRamp(1000)
 	r.Step(1, time.Second)
-	if r.Top() != 0 || r.Rate() >= 1000 {
-		t.Errorf("top %.0f, next %.0f", r.Top(), r.Rate())
+	if r.MaxRate() != 0 || r.Rate() >= 1000 {
+		t.Errorf("top %.0f, next %.0f", r.MaxRate(), r.Rate())
 	}
 }
