--- a/internal/node/decoder.go
+++ b/internal/node/decoder.go
@@ -21,10 +21,25 @@
 	errUnreadable  = errors.New("unreadable")
 )
 
+// Kinds of lines that collectors send.
+const (
+	kindPing        = "ping"
+	kindCollector   = "collector"
+	kindLoadReport  = "heard"
+	kindUsageReport = "usage"
+)
+
+// Kinds of events that the relay's stream tells.
+const (
+	eventJoined  = "joined"
+	eventLeft    = "left"
+	eventApplied = "applied"
+)
+
 // Bounds by the protocol.
 const (
 	maxProxyNumber = 65535
-	maxMark        = 65535
+	maxBarrier     = 65535
 )
 
 // maxWeight is the highest weight of a server in a list.
@@ -34,26 +49,26 @@
 // of the site (zones, traffic groups); past it no wire name is left. It must never keep a message, call the module or
 // guess a value that was not told.
 type decoder struct {
-	zones      map[string]balancer.ZoneID
-	groups     map[string]balancer.ClassID
-	born       time.Time     // of the router's clock
-	maxFields  int           // of a line
-	maxProxyID int           // the highest number of a proxy
-	maxLatency time.Duration // the highest mean of a report
-	maxSpan    time.Duration // of a report
-	maxFlows   float64       // a second, and held
-	fields     sync.Pool     // so that decoding a line allocates no fields
+	zones       map[string]balancer.ZoneID
+	classes     map[string]balancer.ClassID
+	startedAt   time.Time     // of the router's clock
+	maxFields   int           // of a line
+	maxProxyID  int           // the highest number of a proxy
+	maxLatency  time.Duration // the highest mean of a report
+	maxInterval time.Duration // of a report
+	maxRequests float64       // a second, and held
+	fields      sync.Pool     // so that decoding a line allocates no fields
 }
 
 func newDecoder(terms balancer.Settings, groups []string, born time.Time, limits config.Limits) *decoder {
 	d := &decoder{
-		zones:      map[string]balancer.ZoneID{},
-		groups:     map[string]balancer.ClassID{},
-		born:       born,
-		maxFields:  limits.MaxLineFields,
-		maxProxyID: maxProxyNumber,
-		maxSpan:    limits.MaxReportInterval,
-		maxFlows:   limits.MaxRequestsPerSecond,
+		zones:       map[string]balancer.ZoneID{},
+		classes:     map[string]balancer.ClassID{},
+		startedAt:   born,
+		maxFields:   limits.MaxLineFields,
+		maxProxyID:  maxProxyNumber,
+		maxInterval: limits.MaxReportInterval,
+		maxRequests: limits.MaxRequestsPerSecond,
 	}
 	d.fields.New = func() any { return &fields{} }
 	if terms.Proxies > 0 {
@@ -63,7 +78,7 @@
 		d.zones[string(zone)] = zone
 	}
 	for group, name := range groups {
-		d.groups[name] = balancer.ClassID(group)
+		d.classes[name] = balancer.ClassID(group)
 		d.maxLatency = max(d.maxLatency, 2*terms.Classes[group].Deadline) // means come with noise
 	}
 	return d
@@ -71,17 +86,20 @@
 
 // decodedLine is what a line was decoded to.
 type decodedLine struct {
-	text  string
-	kind  string
-	input any
-	err   error
+	text    string
+	message collectorMessage // nil where err says that there is none
+	err     error
 }
 
-// line decodes a line that came to the manager's address: a kind and words of the form name=value.
-func (d *decoder) line(text string) (kind string, input any, err error) {
+// parseLine decodes a line that came to the manager's address: a kind and words of the form name=value.
+func (d *decoder) parseLine(text string) (message collectorMessage, err error) {
 	kind, rest, _ := strings.Cut(strings.TrimSpace(text), " ")
-	if kind != "ping" && kind != "collector" && kind != "heard" && kind != "usage" {
-		return "", nil, errors.Join(errUnreadable, fmt.Errorf("%.40q is no kind of message", kind))
+	switch kind {
+	case kindPing:
+		message = ping{}
+	case kindCollector, kindLoadReport, kindUsageReport:
+	default:
+		return nil, errors.Join(errUnreadable, fmt.Errorf("%.40q is no kind of message", kind))
 	}
 	f := d.fields.Get().(*fields)
 	defer func() {
@@ -89,23 +107,23 @@
 		d.fields.Put(f)
 	}()
 	if word, ok := f.split(rest, d.maxFields); !ok {
-		return kind, nil, fmt.Errorf("%.40q: up to %d words name=value are due", word, d.maxFields)
+		return message, fmt.Errorf("%.40q: up to %d words name=value are due", word, d.maxFields)
 	}
 	switch kind {
-	case "collector":
-		input = collectorName{f.zone(d, "site")}
-	case "heard":
-		input = serverReport{d.report(f)}
-	case "usage":
-		input = usageReport{d.usage(f)}
+	case kindCollector:
+		message = collectorName{f.zone(d, "site")}
+	case kindLoadReport:
+		message = loadReport{d.parseLoadReport(f)}
+	case kindUsageReport:
+		message = usageReport{d.parseUsageReport(f)}
 	}
-	return kind, input, f.err
+	return message, f.err
 }
 
 // report takes a collector's report of a server.
-func (d *decoder) report(f *fields) balancer.LoadReport {
+func (d *decoder) parseLoadReport(f *fields) balancer.LoadReport {
 	report := balancer.LoadReport{Server: balancer.ServerID(f.text("target")), Zone: f.zone(d, "site"), InFlight: -1}
-	report.Attempts, report.Failed, report.Interval = f.reportSpan(d)
+	report.Attempts, report.Failed, report.Interval = f.reportCounts(d)
 	if report.Failed > report.Attempts {
 		f.fail("fail", "is more than count")
 	}
@@ -116,7 +134,7 @@
 		f.fail("mean", "is no time of an answer")
 	}
 	if text, told := f.value("util"); told && text != "" {
-		load, ok := parseLoad(text, ",", ":", d.maxFlows)
+		load, ok := parseLoad(text, ",", ":", d.maxRequests)
 		if !ok {
 			f.fail("util", "is no load report")
 		}
@@ -125,17 +143,18 @@
 	return report
 }
 
-// usage takes a collector's report of a proxy's usage.
-func (d *decoder) usage(f *fields) balancer.UsageReport {
+// parseUsageReport takes a collector's report of a proxy's usage.
+func (d *decoder) parseUsageReport(f *fields) balancer.UsageReport {
 	usage := balancer.UsageReport{Proxy: balancer.ProxyID(f.integer("id", d.maxProxyID))}
-	usage.Requests, usage.Dropped, usage.Interval = f.reportSpan(d)
-	usage.Class = f.group(d, "lane")
+	usage.Requests, usage.Dropped, usage.Interval = f.reportCounts(d)
+	usage.Class = f.class(d, "lane")
 	return usage
 }
 
-// event decodes an event of the relay's news; an event of another kind is an unknown name.
-func (d *decoder) event(kind, data string) (input any, err error) {
-	if kind != "joined" && kind != "left" && kind != "applied" {
+// parseEvent decodes an event of the relay's stream; an event of another kind is an unknown name. With an error of the
+// event's fields it gives the event too, so that its type is known.
+func (d *decoder) parseEvent(kind, data string) (event proxyEvent, err error) {
+	if kind != eventJoined && kind != eventLeft && kind != eventApplied {
 		return nil, errUnknownName
 	}
 	values, err := url.ParseQuery(data)
@@ -148,14 +167,14 @@
 	}
 	proxy := balancer.ProxyID(f.integer("id", d.maxProxyID))
 	switch kind {
-	case "joined":
-		input = proxyJoined{proxy, f.zone(d, "site"), f.number("rps")}
-	case "left":
-		input = proxyLeft{proxy}
-	case "applied":
-		input = markApplied{proxy, balancer.BarrierID(f.integer("seq", maxMark))}
+	case eventJoined:
+		event = proxyConnected{proxy, f.zone(d, "site"), f.number("rps")}
+	case eventLeft:
+		event = proxyDisconnected{proxy}
+	case eventApplied:
+		event = barrierAck{proxy, balancer.BarrierID(f.integer("seq", maxBarrier))}
 	}
-	return input, f.err
+	return event, f.err
 }
 
 // instance is a server in discovery's list.
@@ -168,12 +187,12 @@
 	StartedAtMs int64    `json:"startedAtMs"`
 }
 
-// list decodes the whole list or changes of it. Entries of unknown zones are left out and counted.
-func (d *decoder) list(text []byte) (list serverList, unknown int, err error) {
+// parseList decodes the whole list or changes of it. Entries of unknown zones are left out and counted.
+func (d *decoder) parseList(text []byte) (list endpointList, unknown int, err error) {
 	var message struct {
-		Generation *int64
-		Reset      bool
-		Instances  []instance
+		Generation *int64     `json:"generation"`
+		Reset      bool       `json:"reset"`
+		Instances  []instance `json:"instances"`
 	}
 	if err := json.Unmarshal(text, &message); err != nil {
 		return list, 0, err
@@ -181,20 +200,20 @@
 	if message.Generation == nil {
 		return list, 0, errors.New("generation: is missing")
 	}
-	return d.listOf(*message.Generation, message.Reset, message.Instances)
+	return d.checkList(*message.Generation, message.Reset, message.Instances)
 }
 
-// listOf checks the servers of a list. Entries of unknown zones are left out and counted.
-func (d *decoder) listOf(generation int64, snapshot bool, instances []instance) (list serverList, unknown int, err error) {
-	list = serverList{generation: generation, snapshot: snapshot, addresses: map[balancer.ServerID]string{}, instances: instances}
+// checkList checks the servers of a list. Entries of unknown zones are left out and counted.
+func (d *decoder) checkList(generation int64, snapshot bool, instances []instance) (list endpointList, unknown int, err error) {
+	list = endpointList{generation: generation, snapshot: snapshot, addresses: map[balancer.ServerID]string{}, instances: instances}
 	for i, server := range instances {
-		entry, err := d.entry(server)
+		entry, err := d.checkInstance(server)
 		if err == errUnknownName {
 			unknown++
 			continue
 		}
 		if err != nil {
-			return serverList{}, 0, fmt.Errorf("instances[%d].%w", i, err)
+			return endpointList{}, 0, fmt.Errorf("instances[%d].%w", i, err)
 		}
 		list.entries = append(list.entries, entry)
 		if server.HostPort != "" { // a removed one may come without; it may still be probed
@@ -205,7 +224,7 @@
 }
 
 // entry checks a server of the list; one of an unknown zone gives errUnknownName.
-func (d *decoder) entry(server instance) (entry balancer.Endpoint, err error) {
+func (d *decoder) checkInstance(server instance) (entry balancer.Endpoint, err error) {
 	entry = balancer.Endpoint{Server: balancer.ServerID(server.InstanceID), Weight: 1}
 	switch server.Lifecycle {
 	case "up":
@@ -231,7 +250,7 @@
 	}
 	entry.Zone = zone
 	if server.StartedAtMs > 0 {
-		entry.Started = time.UnixMilli(server.StartedAtMs).Sub(d.born.Round(0))
+		entry.Started = time.UnixMilli(server.StartedAtMs).Sub(d.startedAt.Round(0))
 		entry.RecentlyStarted = true
 	}
 	return entry, nil
