--- a/internal/node/moves_test.go
+++ b/internal/node/moves_test.go
@@ -15,7 +15,7 @@
 	"tamarindshore/internal/sharding"
 )
 
-// inProcessManager is a manager in this process whose lanes a test can move.
+// inProcessManager is a manager in this process whose connections a test can move between shards.
 type inProcessManager struct {
 	*Node
 	reload chan os.Signal
@@ -35,7 +35,7 @@
 	return d
 }
 
-// startFromConfig starts a manager with the configuration that read gives, and reads it anew for a reload.
+// startFromConfig starts a manager with the configuration that read gives, and reads it again for a reload.
 func startFromConfig(read func() (config.Config, error)) (*inProcessManager, error) {
 	start, err := read()
 	if err != nil {
@@ -57,103 +57,149 @@
 	return nil
 }
 
-// deployWithMovingShards is a rig whose manager's connections move between four cores all the time, until the test ends.
+// deployWithMovingShards starts a deployment whose manager's connections move between four shards all the time, until
+// the test ends.
 func deployWithMovingShards(t *testing.T, site fakes.Site) (*fakes.Deployment, *inProcessManager) {
 	t.Helper()
-	var d *inProcessManager
-	r, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: 4, MemoryMB: 512, MaxDescriptors: 1024, Seed: 1}, func(start, settings string) (fakes.Manager, error) {
-		read := func() (config.Config, error) {
-			s, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": start}[key] })
-			o := config.DefaultOperatorSettings()
-			o.Shards = 4
-			if err == nil {
-				s, err = s.WithOperator(o)
-				s.Limits.Sharding = quickSettings(4)
-			}
-			return s, err
-		}
+	var manager *inProcessManager
+	options := fakes.ManagerOptions{Cores: 4, MemoryMB: 512, MaxDescriptors: 1024, Seed: 1}
+	start := func(configFile, _ string) (fakes.Manager, error) {
 		var err error
-		d, err = startFromConfig(read)
-		return d, err
-	})
+		manager, err = startFromConfig(func() (config.Config, error) { return readShardedConfig(configFile, 4) })
+		return manager, err
+	}
+	deployment, err := fakes.StartDeployment(site, options, start)
 	if err != nil {
 		t.Fatal(err)
 	}
-	over, done := make(chan struct{}), make(chan struct{})
+	stopMoves := moveConnections(manager, 4)
+	t.Cleanup(func() {
+		stopMoves()
+		deployment.Close()
+	})
+	return deployment, manager
+}
+
+// readShardedConfig reads a configuration file for a manager that decodes in some shards and rebalances them quickly.
+func readShardedConfig(file string, shards int) (config.Config, error) {
+	read, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": file}[key] })
+	if err != nil {
+		return read, err
+	}
+	operator := config.DefaultOperatorSettings()
+	operator.Shards = shards
+	read, err = read.WithOperator(operator)
+	read.Limits.Sharding = quickSettings(shards)
+	return read, err
+}
+
+// moveConnections asks a manager all the time to move a connection away from one shard after another, until the
+// function that it returns is called.
+func moveConnections(manager *inProcessManager, shards int) (stop func()) {
+	const interval = 2 * time.Millisecond
+	const movesInARow = 4
+	stopped := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for i := 0; ; i++ {
 			select {
-			case <-over:
+			case <-stopped:
 				return
-			case <-time.After(2 * time.Millisecond):
-				d.decoderPool.rebalanceFrom(sharding.ShardID(i / 4 % 4))
+			case <-time.After(interval):
+				manager.decoderPool.rebalanceFrom(sharding.ShardID(i / movesInARow % shards))
 			}
 		}
 	}()
-	t.Cleanup(func() {
-		close(over)
+	return func() {
+		close(stopped)
 		<-done
-		r.Close()
-	})
-	return r, d
+	}
 }
 
-// startReporters report for all proxies and servers until the test ends, some of them malformed.
-func startReporters(t *testing.T, r *fakes.Deployment, n int) {
-	for i := range n {
-		c, err := net.Dial("tcp", r.ManagerAddress)
+// startReporters connects collectors that report for all proxies and servers until the test ends. The first also sends
+// malformed messages.
+func startReporters(t *testing.T, deployment *fakes.Deployment, count int) {
+	t.Helper()
+	for i := range count {
+		connection, err := net.Dial("tcp", deployment.ManagerAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		zone := r.Site.Zone(i)
-		fmt.Fprintf(c, "collector site=%s\r\n", zone)
-		go func() {
-			for round := 0; ; round++ {
-				for s := range r.Site.Servers {
-					if _, err := fmt.Fprintf(c, "heard site=%s target=%s count=20 fail=0 mean=100 over=1000\r\n", zone, fakes.ServerID(s)); err != nil {
-						return
-					}
-				}
-				for p := range r.Site.Proxies {
-					fmt.Fprintf(c, "usage id=%d lane=quote count=4 fail=0 over=1000\r\n", p)
-				}
-				if i == 0 {
-					fmt.Fprint(c, "usage id=1 lane=quote count=-9\r\nheard site=nowhere target=x count=1 fail=0 mean=1 over=1\r\n")
-				}
-				time.Sleep(5 * time.Millisecond)
+		t.Cleanup(func() { connection.Close() })
+		go report(connection, deployment.Site, deployment.Site.Zone(i), i == 0)
+	}
+}
+
+// report names a collector's zone, then writes rounds of reports until the connection is closed.
+func report(connection net.Conn, site fakes.Site, zone string, malformed bool) {
+	const interval = 5 * time.Millisecond
+	round := reportRound(site, zone, malformed)
+	if _, err := fmt.Fprintf(connection, "collector site=%s\r\n", zone); err != nil {
+		return
+	}
+	for {
+		for _, line := range round {
+			if _, err := io.WriteString(connection, line); err != nil {
+				return
 			}
-		}()
+		}
+		time.Sleep(interval)
+	}
+}
+
+// reportRound is a line for each server and proxy of a site, and some malformed ones.
+func reportRound(site fakes.Site, zone string, malformed bool) (lines []string) {
+	for server := range site.Servers {
+		lines = append(lines, fmt.Sprintf("heard site=%s target=%s count=20 fail=0 mean=100 over=1000\r\n", zone, fakes.ServerID(server)))
 	}
+	for proxy := range site.Proxies {
+		lines = append(lines, fmt.Sprintf("usage id=%d lane=quote count=4 fail=0 over=1000\r\n", proxy))
+	}
+	if malformed {
+		lines = append(lines,
+			"usage id=1 lane=quote count=-9\r\n",
+			"heard site=nowhere target=x count=1 fail=0 mean=1 over=1\r\n")
+	}
+	return lines
 }
 
-func eventually(t *testing.T, what string, is func() bool) {
+// eventually waits until something holds, and fails the test where it does not.
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	eventuallyWithin(t, 8*time.Second, what, is)
+	eventuallyWithin(t, 8*time.Second, what, holds)
 }
 
-func eventuallyWithin(t *testing.T, most time.Duration, what string, is func() bool) {
+func eventuallyWithin(t *testing.T, timeout time.Duration, what string, holds func() bool) {
 	t.Helper()
-	for late := time.Now().Add(most); time.Now().Before(late); time.Sleep(5 * time.Millisecond) {
-		if is() {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if holds() {
 			return
 		}
 	}
-	t.Errorf("%s: not within %v", what, most)
+	t.Errorf("%s: not within %v", what, timeout)
 }
 
-func assertNoViolations(t *testing.T, r *fakes.Deployment) {
+func assertNoViolations(t *testing.T, deployment *fakes.Deployment) {
 	t.Helper()
-	r.Relay.CheckState()
-	r.Relay.Rules.CheckDrains(time.Now(), func(s string) bool { return r.Relay.RequestRate(s) > 0 })
-	for _, rule := range r.Relay.Rules.Results() {
+	relay := deployment.Relay
+	relay.CheckState()
+	relay.Rules.CheckDrains(time.Now(), func(server string) bool { return relay.RequestRate(server) > 0 })
+	for _, rule := range relay.Rules.Results() {
 		if !rule.OK() {
 			t.Errorf("%+v", rule)
 		}
 	}
 }
 
+// proxyIDs are the numbers of a site's proxies from one number to before another.
+func proxyIDs(from, to int) (ids []int) {
+	for id := from; id < to; id++ {
+		ids = append(ids, id)
+	}
+	return ids
+}
+
 const (
 	// leastRounds is how many servers are replaced at least while connections move.
 	leastRounds = 6
@@ -163,32 +209,28 @@
 	roundsWithin = 60 * time.Second
 )
 
-// Drains, restarts, lost answers, a reload and news that break, all while connections move.
+// Drains, restarts, lost answers, reloads and event streams that break, all while connections move.
 func TestMovesLoseNoDrainAndRepeatNoEffect(t *testing.T) {
 	site := fakes.DefaultSite(12, 60)
-	r, d := deployWithMovingShards(t, site)
-	all := make([]int, site.Proxies)
-	for i := range all {
-		all[i] = i
-	}
-	r.Relay.ConnectProxies(all...)
-	eventually(t, "all bound", func() bool { return r.Relay.Counts().AssignedProxies == site.Proxies })
-	startReporters(t, r, 6)
-	r.Relay.Configure(injectFaultsInTurn)
-	moves := func() int64 { return d.metrics.counts[shardMoves].Load() }
+	deployment, manager := deployWithMovingShards(t, site)
+	deployment.Relay.ConnectProxies(proxyIDs(0, site.Proxies)...)
+	eventually(t, "all bound", func() bool { return deployment.Relay.Counts().AssignedProxies == site.Proxies })
+	startReporters(t, deployment, 6)
+	deployment.Relay.Configure(injectFaultsInTurn)
+	moves := func() int64 { return manager.metrics.counts[shardMoves].Load() }
 	began := time.Now()
 	for round := 0; round < leastRounds || moves() < leastMoves && time.Since(began) < roundsWithin; round++ {
-		replaceServer(t, r, d, round)
+		replaceServer(t, deployment, manager, round)
 	}
-	eventually(t, "all bound again", func() bool { return r.Relay.Counts().AssignedProxies == site.Proxies })
-	assertNoViolations(t, r)
+	eventually(t, "all bound again", func() bool { return deployment.Relay.Counts().AssignedProxies == site.Proxies })
+	assertNoViolations(t, deployment)
 	if n := moves(); n < leastMoves {
 		t.Errorf("%d moves only within %v", n, time.Since(began))
 	}
-	if n := d.metrics.counts[callsUnknown].Load(); n == 0 {
+	if n := manager.metrics.counts[callsUnknown].Load(); n == 0 {
 		t.Error("no answer was lost")
 	}
-	if n := d.metrics.counts[malformedMessages].Load() + d.metrics.counts[unknownNames].Load(); n == 0 {
+	if n := manager.metrics.counts[malformedMessages].Load() + manager.metrics.counts[unknownNames].Load(); n == 0 {
 		t.Error("nothing malformed was counted")
 	}
 }
@@ -207,52 +249,48 @@
 
 // replaceServer drains a server, removes it and lists it again as a fresh process, while two proxies reconnect. In
 // one round of three the manager reloads its configuration, in another the relay breaks all connections.
-func replaceServer(t *testing.T, r *fakes.Deployment, d *inProcessManager, round int) {
+func replaceServer(t *testing.T, deployment *fakes.Deployment, manager *inProcessManager, round int) {
 	t.Helper()
 	number := round % leastRounds
-	server := r.Servers[number]
-	r.Discovery.Publish(server.Entry("draining"))
+	server := deployment.Servers[number]
+	deployment.Discovery.Publish(server.Entry("draining"))
 	switch round % 3 {
 	case 1:
-		d.reload <- syscall.SIGHUP
+		manager.reload <- syscall.SIGHUP
 	case 2:
-		r.Relay.SetUnavailable(true)
+		deployment.Relay.SetUnavailable(true)
 		time.Sleep(30 * time.Millisecond)
-		r.Relay.SetUnavailable(false)
+		deployment.Relay.SetUnavailable(false)
 	}
-	eventually(t, "withdrawn", func() bool { return r.Relay.RequestRate(server.ID) == 0 })
+	eventually(t, "withdrawn", func() bool { return deployment.Relay.RequestRate(server.ID) == 0 })
 	if err := server.SetBehaviour(fakes.Down); err != nil {
 		t.Fatal(err)
 	}
-	r.Discovery.Publish(server.Entry("removed"))
-	r.Relay.DisconnectProxies(number, number+10)
-	r.Relay.ConnectProxies(number, number+10)
+	deployment.Discovery.Publish(server.Entry("removed"))
+	deployment.Relay.DisconnectProxies(number, number+10)
+	deployment.Relay.ConnectProxies(number, number+10)
 	if err := server.SetBehaviour(fakes.Healthy); err != nil {
 		t.Fatal(err)
 	}
-	r.Discovery.Publish(server.Entry("up"))
+	deployment.Discovery.Publish(server.Entry("up"))
 }
 
-// Guards against a burst that overruns the channel: 10,000 proxies join within a second while connections move.
+// Guards against a burst that overruns the channel: 10,000 proxies connect within a second while connections move.
 func TestTenThousandJoinsInASecond(t *testing.T) {
 	site := fakes.DefaultSite(40, 10_000)
-	r, d := deployWithMovingShards(t, site)
+	deployment, manager := deployWithMovingShards(t, site)
 	began := time.Now()
 	for at := 0; at < site.Proxies; at += 100 {
-		ids := make([]int, 100)
-		for i := range ids {
-			ids[i] = at + i
-		}
-		r.Relay.ConnectProxies(ids...)
+		deployment.Relay.ConnectProxies(proxyIDs(at, at+100)...)
 		time.Sleep(max(0, time.Duration(at)*time.Second/time.Duration(site.Proxies)-time.Since(began)))
 	}
 	took := time.Since(began)
-	eventually(t, "all joins taken", func() bool { return d.metrics.counts[proxyConnects].Load() >= int64(site.Proxies) })
-	eventually(t, "half of all bound", func() bool { return r.Relay.Counts().AssignedProxies >= site.Proxies/2 })
+	eventually(t, "all joins taken", func() bool { return manager.metrics.counts[proxyConnects].Load() >= int64(site.Proxies) })
+	eventually(t, "half of all bound", func() bool { return deployment.Relay.Counts().AssignedProxies >= site.Proxies/2 })
 	if took > 2*time.Second {
 		t.Logf("the joins took %v on this machine", took)
 	}
-	for _, rule := range r.Relay.Rules.Results() {
+	for _, rule := range deployment.Relay.Rules.Results() {
 		if rule.Name == "queue and messages short" && !rule.OK() {
 			t.Errorf("%+v", rule)
 		}
@@ -260,12 +298,12 @@
 }
 
 func TestEndDuringMoves(t *testing.T) {
-	r, d := deployWithMovingShards(t, fakes.DefaultSite(6, 20))
-	startReporters(t, r, 4)
+	deployment, manager := deployWithMovingShards(t, fakes.DefaultSite(6, 20))
+	startReporters(t, deployment, 4)
 	time.Sleep(100 * time.Millisecond)
-	d.cancel()
+	manager.cancel()
 	select {
-	case <-d.done:
+	case <-manager.done:
 	case <-time.After(5 * time.Second):
 		t.Error("no end within 5 s")
 	}
