--- /dev/null
+++ b/internal/sharding/assigner_test.go
@@ -0,0 +1,240 @@
+package sharding
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// newLoaded is an assigner whose shards have so many connections each, at rest; those of shard 0 take `busy` cores each.
+func newLoaded(shards, conns int, busy float64) *Assigner {
+	a := NewAssigner(DefaultSettings(shards))
+	id := ConnID(0)
+	for i, s := range a.shards {
+		for range conns {
+			id++
+			c := &connection{id: id, owner: Owner{ShardID(i), 1}, recentLoad: []float64{0, 0, 0}}
+			if i == 0 {
+				c.recentLoad = []float64{busy, busy, busy}
+			}
+			a.conns[id] = c
+			s.add(c)
+		}
+	}
+	return a
+}
+
+// repeatLoad tells the load of the windows before once more.
+func (a *Assigner) repeatLoad(now time.Duration) Actions {
+	cores := map[ConnID]float64{}
+	for id, c := range a.conns {
+		cores[id] = c.load()
+	}
+	return a.HandleLoad(now, cores)
+}
+
+func TestConnectionMovesInFourSteps(t *testing.T) {
+	a := newLoaded(2, 2, 0.3)
+	actions := a.repeatLoad(time.Second)
+	if len(actions.Drain) != 1 || actions.Drain[0].Owner != (Owner{0, 1}) || len(actions.Assign) != 0 {
+		t.Fatalf("%+v", actions)
+	}
+	id := actions.Drain[0].Conn
+	actions = a.HandleConnDrained(time.Second, id, 1)
+	if len(actions.Assign) != 1 || actions.Assign[0].Owner != (Owner{1, 2}) || len(actions.Release) != 0 {
+		t.Fatalf("%+v", actions)
+	}
+	actions = a.HandleConnAcquired(time.Second, id, 2)
+	if len(actions.Release) != 1 || actions.Release[0].Owner != (Owner{0, 1}) {
+		t.Fatalf("%+v", actions)
+	}
+	if actions = a.HandleConnAcquired(time.Second, id, 2); len(actions.Release) != 0 {
+		t.Errorf("released twice: %+v", actions)
+	}
+}
+
+func TestMoveThatIsNotDrainedIsCancelledAndKeepsAnOwner(t *testing.T) {
+	a := newLoaded(2, 2, 0.3)
+	id := a.repeatLoad(time.Second).Drain[0].Conn
+	a.HandleWorkerCheck(time.Second+a.settings.DrainTimeout, []time.Duration{-1, -1})
+	if c := a.conns[id]; c.ownership != owned {
+		t.Fatalf("%+v", c)
+	}
+	actions := a.HandleConnDrained(2*time.Second, id, 1)
+	if len(actions.Assign) != 1 || actions.Assign[0].Owner != (Owner{0, 2}) {
+		t.Errorf("one that stopped late is served by nobody: %+v", actions)
+	}
+}
+
+func TestFailedShardGivesItsConnectionsUnderTheNextEpoch(t *testing.T) {
+	a := newLoaded(3, 2, 0.1)
+	actions := a.HandleWorkerFailed(time.Second, 0, 1)
+	if !slices.Equal(actions.RestartWorkers, []ShardID{0}) || len(actions.Assign) != 2 {
+		t.Fatalf("%+v", actions)
+	}
+	for _, assignment := range actions.Assign {
+		if assignment.Owner.Shard == 0 || assignment.Owner.Epoch != 2 {
+			t.Errorf("%+v", assignment)
+		}
+	}
+	if actions := a.HandleConnDrained(time.Second, 1, 1); len(actions.Assign) > 0 {
+		t.Errorf("what the former owner says is taken: %+v", actions)
+	}
+}
+
+func TestOnlyShardThatStallsByTwoTimelyChecksFails(t *testing.T) {
+	a := newLoaded(2, 1, 0.1)
+	stalled := []time.Duration{time.Second, -1}
+	interval := a.settings.CheckInterval
+	a.HandleWorkerCheck(0, stalled)
+	if actions := a.HandleWorkerCheck(2*time.Second, stalled); len(actions.RestartWorkers) > 0 {
+		t.Error("failed by a check that was late itself: the whole process was stalled")
+	}
+	a.HandleWorkerCheck(2*time.Second+interval, stalled)
+	if actions := a.HandleWorkerCheck(2*time.Second+2*interval, stalled); !slices.Equal(actions.RestartWorkers, []ShardID{0}) {
+		t.Errorf("%+v", actions)
+	}
+	if actions := a.HandleWorkerCheck(2*time.Second+3*interval, []time.Duration{0, -1}); len(actions.RestartWorkers) > 0 {
+		t.Errorf("%+v", actions)
+	}
+}
+
+func TestShardThatFailsOftenIsQuarantinedButNeverTheLast(t *testing.T) {
+	a := newLoaded(2, 1, 0.1)
+	for i := range 3 {
+		a.HandleWorkerFailed(time.Duration(i)*time.Second, 0, 99)
+		a.HandleWorkerFailed(time.Duration(i)*time.Second, 1, 99)
+	}
+	quarantined := 0
+	for _, s := range a.shards {
+		if s.quarantinedUntil > 0 {
+			quarantined++
+		}
+	}
+	if quarantined != 1 {
+		t.Fatalf("%d of 2 are quarantined", quarantined)
+	}
+	a.HandleWorkerCheck(time.Hour, []time.Duration{-1, -1})
+	if a.shards[0].quarantinedUntil != 0 || a.shards[1].quarantinedUntil != 0 {
+		t.Error("quarantined for ever")
+	}
+}
+
+// Each quarantine of a shard is twice the one before, up to eight times the first.
+func TestQuarantineDoublesUpToABound(t *testing.T) {
+	a := newLoaded(2, 1, 0.1)
+	now := time.Duration(0)
+	for _, want := range []time.Duration{1, 2, 4, 8, 8} {
+		for range a.settings.MaxFailures {
+			a.HandleWorkerFailed(now, 0, 99)
+		}
+		if lasts := a.shards[0].quarantinedUntil - now; lasts != want*a.settings.QuarantineDuration {
+			t.Errorf("quarantined for %v, not %v", lasts, want*a.settings.QuarantineDuration)
+		}
+		now = a.shards[0].quarantinedUntil
+		a.HandleWorkerCheck(now, []time.Duration{-1, -1})
+	}
+}
+
+func TestConnectionOverWhichShardsFailIsClosed(t *testing.T) {
+	a := newLoaded(3, 1, 0.1)
+	if actions := a.HandleWorkerFailed(0, 0, 1); len(actions.Close) > 0 {
+		t.Error("closed at once")
+	}
+	if actions := a.HandleWorkerFailed(0, 1, 1); !slices.Equal(actions.Close, []ConnID{1}) {
+		t.Errorf("%+v", actions)
+	}
+}
+
+func TestWorkIsSpreadWithoutOscillation(t *testing.T) {
+	a := newLoaded(4, 6, 0.15)
+	var moves []time.Duration
+	for second := 1; second <= 120; second++ {
+		now := time.Duration(second) * time.Second
+		cores := map[ConnID]float64{}
+		for id := range a.conns {
+			if (int(id)+second/3)%5 == 0 { // load that wanders every three seconds
+				cores[id] = 0.3
+			}
+		}
+		for _, drained := range a.HandleLoad(now, cores).Drain {
+			moves = append(moves, now)
+			a.HandleConnDrained(now, drained.Conn, drained.Owner.Epoch)
+			a.HandleConnAcquired(now, drained.Conn, drained.Owner.Epoch+1)
+		}
+	}
+	for i, at := range moves {
+		if j := i + a.settings.MaxMoves; j < len(moves) && moves[j]-at < a.settings.MoveWindow {
+			t.Fatalf("more than %d moves within %v", a.settings.MaxMoves, a.settings.MoveWindow)
+		}
+	}
+	if len(moves) == 0 {
+		t.Error("nothing is spread")
+	}
+}
+
+func TestOneHeavyConnectionStays(t *testing.T) {
+	a := newLoaded(2, 1, 0.9)
+	if actions := a.repeatLoad(time.Second); len(actions.Drain) > 0 {
+		t.Errorf("%+v", actions)
+	}
+}
+
+// The records of the log, each in the words that the operator's pages give.
+func TestLogRecordsNameShardsAndFigures(t *testing.T) {
+	for want, records := range map[string]func() []string{
+		"connection 1 moves from shard 0 to 1: 0.30 of 0.60 cores, 0.02 there": func() []string {
+			return newLoaded(2, 2, 0.3).repeatLoad(time.Second).LogRecords
+		},
+		"connection 1 stays with shard 0: not drained within 0.20s": func() []string {
+			a := newLoaded(2, 2, 0.3)
+			a.repeatLoad(time.Second)
+			return a.HandleWorkerCheck(time.Second+a.settings.DrainTimeout, []time.Duration{-1, -1}).LogRecords
+		},
+		"shard 0 restarted: 2 connections moved to others": func() []string {
+			return newLoaded(2, 2, 0.3).HandleWorkerFailed(0, 0, 99).LogRecords
+		},
+		"connection 1 closed: shards failed over it 2 times": func() []string {
+			a := newLoaded(3, 1, 0.1)
+			a.HandleWorkerFailed(0, 0, 1)
+			return a.HandleWorkerFailed(0, 1, 1).LogRecords
+		},
+		"shard 0 quarantined for 60s after 3 failures": func() []string {
+			a := newLoaded(2, 1, 0.1)
+			a.HandleWorkerFailed(0, 0, 99)
+			a.HandleWorkerFailed(0, 0, 99)
+			return a.HandleWorkerFailed(0, 0, 99).LogRecords
+		},
+		"shard 1 back in service": func() []string {
+			a := newLoaded(2, 1, 0.1)
+			a.shards[1].quarantinedUntil = time.Second
+			return a.HandleWorkerCheck(time.Second, []time.Duration{-1, -1}).LogRecords
+		},
+		"shard 0 stalled: 0.75s at one task": func() []string {
+			a := newLoaded(2, 1, 0.1)
+			stalled := []time.Duration{750 * time.Millisecond, -1}
+			for check := range 2 {
+				a.HandleWorkerCheck(time.Duration(check)*a.settings.CheckInterval, stalled)
+			}
+			return a.HandleWorkerCheck(2*a.settings.CheckInterval, stalled).LogRecords
+		},
+	} {
+		if got := records(); !slices.Contains(got, want) {
+			t.Errorf("%q, not %q", got, want)
+		}
+	}
+}
+
+func TestOwnerAndLoadByShardTellWhatStands(t *testing.T) {
+	a := newLoaded(2, 2, 0.3)
+	if owner, known := a.Owner(1); !known || owner != (Owner{0, 1}) {
+		t.Errorf("%+v %v", owner, known)
+	}
+	if owner, known := a.Owner(99); known {
+		t.Errorf("%+v", owner)
+	}
+	cores, conns := a.LoadByShard()
+	if !slices.Equal(cores, []float64{0.6, 2 * minLoad}) || !slices.Equal(conns, []int{2, 2}) {
+		t.Errorf("%v %v", cores, conns)
+	}
+}
--- a/internal/sharding/types.go
+++ b/internal/sharding/types.go
@@ -1,13 +1,20 @@
-// Package sharding decides which lane (the work of one core) owns which connection, when a connection moves, and what
-// becomes of the connections of a lane that stands still or fails. It is free of I/O: keeper.go decides, this file
-// holds the ids and plain data at its boundary, fold.go says how samples that wait for the one deciding core become
-// fewer. It must never read bytes, start a goroutine or look at a clock.
+// Package sharding decides which shard (the work of one core) owns which connection, when a connection moves, and what
+// becomes of the connections of a shard that stalls or fails. It also merges the samples that wait for the one core that
+// decides. It does no I/O, starts no goroutine and reads no clock; nothing in it is safe for concurrent use.
+//
+// NewAssigner makes an Assigner from its settings; then there is one method for each input, with the time since the
+// start. Each returns Actions. A connection moves in four steps: its owner drains it, what the owner had read is carried
+// over as it is, the new owner acquires it under the next epoch, and the old one releases it. A shard that fails skips
+// the first step: what it still brings has an older epoch.
+//
+// The files: types.go has the ids and plain data, assigner.go the inputs and the ordered rules, connection.go and
+// shard.go the state, failure.go what follows a failed shard, rebalance.go how work is spread, mailbox.go the samples.
 package sharding
 
 import "time"
 
 type (
-	// LaneID is the number of a lane.
+	// ShardID is the number of a shard, from 0.
 	ShardID int
 	// ConnID is the number of a connection.
 	ConnID uint64
@@ -21,40 +28,50 @@
 	Epoch Epoch
 }
 
-// Terms are the counts and times that a keeper is made with.
+// Settings are the counts and times that an Assigner is made with.
 type Settings struct {
 	Shards             int
-	CheckInterval      time.Duration // between two Looked
-	RebalanceInterval  time.Duration // between two looks at how work is spread
-	StallTimeout       time.Duration // that one piece of work may take
-	DrainTimeout       time.Duration // that a lane may take to hold a connection
+	CheckInterval      time.Duration // between two HandleWorkerCheck
+	RebalanceInterval  time.Duration // between two HandleLoad
+	StallTimeout       time.Duration // that one task may take
+	DrainTimeout       time.Duration // that a shard may take to drain a connection
 	MoveCooldown       time.Duration // of a connection that moved, before it moves again
-	MoveWindow         time.Duration // window of MovesMost
-	MaxMoves           int           // to spread work, within it; those of lost lanes do not count
-	MaxFailures        int           // of a lane within FailsWithin before it rests
+	MoveWindow         time.Duration // for MaxMoves
+	MaxMoves           int           // to spread work, within MoveWindow; those of failed shards do not count
+	MaxFailures        int           // of a shard within FailureWindow before it is quarantined
 	FailureWindow      time.Duration
-	QuarantineDuration time.Duration // of a lane that failed so often; doubled each time, eight times it at most
+	QuarantineDuration time.Duration // the first of a shard; doubled each time, up to maxQuarantineFactor times this
 }
 
-// Usual are the terms for so many lanes.
-func DefaultSettings(n int) Settings {
-	return Settings{Shards: n, CheckInterval: 50 * time.Millisecond, RebalanceInterval: time.Second, StallTimeout: 500 * time.Millisecond,
-		DrainTimeout: 200 * time.Millisecond, MoveCooldown: 10 * time.Second, MoveWindow: 10 * time.Second, MaxMoves: 4,
-		MaxFailures: 3, FailureWindow: time.Minute, QuarantineDuration: time.Minute}
+// DefaultSettings are the settings for so many shards.
+func DefaultSettings(shards int) Settings {
+	return Settings{
+		Shards:             shards,
+		CheckInterval:      50 * time.Millisecond,
+		RebalanceInterval:  time.Second,
+		StallTimeout:       500 * time.Millisecond,
+		DrainTimeout:       200 * time.Millisecond,
+		MoveCooldown:       10 * time.Second,
+		MoveWindow:         10 * time.Second,
+		MaxMoves:           4,
+		MaxFailures:        3,
+		FailureWindow:      time.Minute,
+		QuarantineDuration: time.Minute,
+	}
 }
 
-// Place gives a connection an owner, or names the one that it has.
+// Assignment gives a connection an owner, or names the one that it has.
 type Assignment struct {
 	Conn  ConnID
 	Owner Owner
 }
 
-// Acts are what one call decided, to be carried out in the order of the fields.
+// Actions are what one input decided, to be carried out in the order of the fields.
 type Actions struct {
-	Drain          []Assignment // the owner is to stop after what it has in hand, and Held is due
+	Drain          []Assignment // the owner is to stop after its task under way; HandleConnDrained is due
 	Assign         []Assignment // from now on only this owner brings what the connection says
-	Release        []Assignment // an owner of before may forget the connection
-	Close          []ConnID     // it brought down what worked for it, twice
-	RestartWorkers []ShardID    // the lane's worker is given up, and another one begins
+	Release        []Assignment // a former owner may forget the connection
+	Close          []ConnID     // shards failed over it
+	RestartWorkers []ShardID    // the shard's worker is given up, and another one begins
 	LogRecords     []string
 }
