--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -28,7 +28,7 @@
 // failure told for each watch that ends. An upstream that replaces another is asked for already.
 func (n *Node) runWatch(r *receiver, up *upstream, asked bool) {
 	read := func() (bool, error) { return r.readWatch(up, n.watchState) }
-	if !n.start.Balancer.PollsEndpoints {
+	if !n.config.Balancer.PollsEndpoints {
 		r.runStream(up, "watch", watchBreaks, read)
 		return
 	}
@@ -38,7 +38,7 @@
 			select {
 			case <-up.redialCtx.Done():
 				return
-			case <-n.router.listen:
+			case <-n.router.listRequested:
 			}
 		}
 		asked = false
@@ -50,8 +50,8 @@
 			return
 		}
 		r.metrics.add(watchBreaks, 1)
-		r.metrics.logLimited("watch", "error=%q", err)
-		enqueue(listFailed{}, r.inputs, up.ctx.Done())
+		r.metrics.logLimited("watch_closed", "error", err)
+		enqueue(endpointListFailed{}, r.inputs, up.ctx.Done())
 	}
 }
 
@@ -69,7 +69,7 @@
 func (r *receiver) logListAge(state *watchState) {
 	held := state.held(time.Now())
 	if held.age > r.limits.EndpointWatchIdleTimeout {
-		r.metrics.logLimited("list_age", "version", held.version, "age", roundedSeconds(held.age), "confirmed", held.confirmed)
+		r.metrics.logLimited("endpoint_list_age", "version", held.version, "age", roundedSeconds(held.age), "confirmed", held.confirmed)
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	opening := !w.pastFirst
 	w.pastFirst = true
-	list, unknown, err := w.receiver.decoder.list(line)
+	list, unknown, err := w.receiver.decoder.parseList(line)
 	if err != nil {
 		return w.dropList(err)
 	}
@@ -125,8 +125,8 @@
 // dropList counts a list that could not be read. It is asked for again by another watch; where it was malformed there
 // too, what follows is taken meanwhile.
 func (w *watchReader) dropList(err error) error {
-	w.receiver.metrics.add(spoilt, 1)
-	w.receiver.metrics.logLimited("spoilt_list", "from", w.up.address, "error", err)
+	w.receiver.metrics.add(malformedMessages, 1)
+	w.receiver.metrics.logLimited("malformed_endpoint_list", "from", w.up.address, "error", err)
 	if w.up.noteDecodeError() {
 		return err
 	}
@@ -135,9 +135,9 @@
 }
 
 // dropOldList counts a list that is older than the one held.
-func (w *watchReader) dropOldList(list serverList, opening bool) error {
-	w.receiver.metrics.add(listsOld, 1)
-	w.receiver.metrics.logLimited("old_list", "version", list.generation, "held", w.state.heldVersion())
+func (w *watchReader) dropOldList(list endpointList, opening bool) error {
+	w.receiver.metrics.add(staleEndpointLists, 1)
+	w.receiver.metrics.logLimited("stale_endpoint_list", "version", list.generation, "held", w.state.heldVersion())
 	if opening && list.snapshot {
 		return errors.New("an older list than the one held")
 	}
@@ -148,11 +148,11 @@
 }
 
 // takeList hands a list on. The version held moves only where nothing before it is missing.
-func (w *watchReader) takeList(list serverList) error {
+func (w *watchReader) takeList(list endpointList) error {
 	w.staleSince = time.Time{}
 	list.complete = list.snapshot || w.gapSince.IsZero()
 	if list.snapshot || len(list.entries) > 0 { // else nothing has changed
-		w.receiver.metrics.add(listsIn, 1)
+		w.receiver.metrics.add(endpointLists, 1)
 		if !enqueue(list, w.receiver.inputs, w.up.ctx.Done()) {
 			return errStopped // it is not held: guards against a change that the next watch takes for an old one
 		}
