--- a/internal/versions/hold.go
+++ b/internal/versions/hold.go
@@ -1,7 +1,6 @@
 package versions
 
 import (
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -11,211 +10,219 @@
 	"tamarindshore/client/tables"
 )
 
-// hold is a time in which the tables stay at what is pinned, but for what the rules demand.
-type hold struct {
-	key   string
-	to    tables.ID // the version gone back to; zero: what stood
-	pin   PinnedTables
-	whole float64 // weight that is pinned
-	since time.Duration
-	until time.Duration
-}
+// phase is whether the tables follow the load balancer's decisions.
+type phase int
+
+const (
+	following phase = iota // they do
+	holding                // an operator holds them, but for what is urgent
+	resuming               // after a hold: by small steps, until a version needs none
+)
 
-// Done is a command that was carried out, by its key.
-type CompletedCommand struct {
-	Key         string
-	Command     string
-	CompletedAt time.Time
-	Head        tables.ID // the newest version then
+// hold is a time in which the tables are held.
+type hold struct {
+	key          string    // of the operator's command
+	target       tables.ID // the version rolled back to; zero: the tables are held as they were
+	pinned       PinnedTables
+	pinnedWeight float64 // in all
+	since        time.Duration
+	until        time.Duration
 }
 
-// Held tells what is held.
+// HoldStatus describes the hold in force.
 type HoldStatus struct {
-	Key               string
-	Target            tables.ID
+	Key               string    // of the operator's command
+	Target            tables.ID // the version rolled back to; zero: the tables are held as they were
 	Since, Until      time.Time
-	RemainingFraction float64 // part of the weight that is pinned to servers that may get flows
+	RemainingFraction float64 // of the held weight that available servers have
 }
 
-var (
-	// ErrRefused is wrapped by each refusal of a command, with the reason.
-	ErrRefused = errors.New("refused")
-	errKey     = fmt.Errorf("%w: a key of 1 to 64 characters is due", ErrRefused)
-)
-
-// before tells of a command that was carried out under a key: it takes effect once.
-func (c *Chain) before(key, what string) (CompletedCommand, bool, error) {
-	if key == "" || len(key) > 64 {
-		return CompletedCommand{}, false, errKey
-	}
-	for _, d := range c.done {
-		if d.Key == key && d.Command != what {
-			return CompletedCommand{}, false, fmt.Errorf("%w: key %q was that of %q", ErrRefused, key, d.Command)
-		} else if d.Key == key {
-			return d, true, nil
-		}
+func (c *Chain) beginHold(key string, target tables.ID, pinned PinnedTables, duration time.Duration) {
+	c.phase = holding
+	c.hold = hold{
+		key:          key,
+		target:       target,
+		pinned:       pinned,
+		pinnedWeight: pinned.totalWeight(),
+		since:        c.now,
+		until:        c.now + duration,
 	}
-	return CompletedCommand{}, false, nil
 }
 
-func (c *Chain) finish(key, what string) CompletedCommand {
-	d := CompletedCommand{Key: key, Command: what, CompletedAt: c.t.StartedAt.Add(c.now)}
-	if h := c.Head(); h != nil {
-		d.Head = h.ID
-	}
-	c.done = append(c.done, d)
-	c.done = c.done[max(0, len(c.done)-c.t.MaxCompletedCommands):]
-	return d
+func (c *Chain) endHold() {
+	c.phase = resuming
+	c.hold = hold{}
 }
 
-// span checks for how long something is to be held.
-func (c *Chain) span(told time.Duration) (time.Duration, error) {
-	switch {
-	case told == 0:
-		return c.t.DefaultHold, nil
-	case told < time.Second || told > c.t.MaxHold:
-		return 0, fmt.Errorf("%w: a hold lasts from 1s to %v", ErrRefused, c.t.MaxHold)
+// endResuming tells that a version needed no limit.
+func (c *Chain) endResuming() {
+	if c.phase == resuming {
+		c.phase = following
 	}
-	return told, nil
 }
 
-// RollBack goes back to what a version says of the servers that are open today, and holds it. It is refused where
-// that would leave a table without any server, or where the tables' numbers meant something else. Under a key that was
-// used for it before, it does nothing more.
-func (c *Chain) RollBack(now time.Duration, to tables.ID, key string, held time.Duration, see FleetView) (d CompletedCommand, fresh bool, err error) {
-	c.now = now
-	what := "rollback to " + to.String()
-	if d, known, err := c.before(key, what); known || err != nil {
-		return d, false, err
-	}
-	span, err := c.span(held)
-	if err != nil {
-		return d, false, err
-	}
-	v, err := c.FindVersion(to)
-	if err != nil {
-		return d, false, fmt.Errorf("%w: %v", ErrRefused, err)
+// holdDuration checks for how long tables are to be held; 0: the default.
+func (c *Chain) holdDuration(requested time.Duration) (time.Duration, error) {
+	if requested == 0 {
+		return c.settings.DefaultHold, nil
 	}
-	if v.Layout != c.layout {
-		return d, false, fmt.Errorf("%w: the tables were laid out otherwise: %s then, %s now", ErrRefused, v.Layout, c.layout)
+	if requested < time.Second || requested > c.settings.MaxHold {
+		return 0, fmt.Errorf("%w: a hold lasts from 1s to %v", ErrRefused, c.settings.MaxHold)
 	}
-	pin, err := c.today(v.State, see)
-	if err != nil {
-		return d, false, fmt.Errorf("%w: %v", ErrRefused, err)
-	}
-	c.hold = &hold{key: key, to: to, pin: pin, whole: pin.weight(), since: now, until: now + span}
-	return c.finish(key, what), true, nil
-}
-
-// today is a state with the servers that may get flows now; a cold one gets its climbing part.
-func (c *Chain) today(s *tables.State, see FleetView) (PinnedTables, error) {
-	pin := pinned(s)
-	for _, id := range c.State().TableIDs() {
-		lines := pin.Weights[balancer.TableID(id)]
-		for server, w := range lines {
-			sight := see.ServerStatus(server)
-			if !sight.Known || !sight.Available {
-				delete(lines, server)
-			} else if sight.WarmFraction < 1 {
-				lines[server] = w * sight.WarmFraction
-			}
+	return requested, nil
+}
+
+// RollBack goes back to the weights of a version, as far as its servers are available now, and holds them. It is refused
+// where that would leave a table without a server, and where the tables were numbered otherwise. Under the key of a
+// completed rollback to that version it does nothing, and fresh is false. Errors wrap ErrRefused.
+func (c *Chain) RollBack(now time.Duration, target tables.ID, key string, duration time.Duration, view FleetView) (completed CompletedCommand, fresh bool, err error) {
+	return c.runOnce(now, key, "rollback to "+target.String(), func() error {
+		duration, err := c.holdDuration(duration)
+		if err != nil {
+			return err
 		}
-		if len(lines) == 0 && len(c.State().Table(id).Weights) > 0 {
-			return pin, fmt.Errorf("table %d would have no server: all %d that it named then are gone, drain or don't answer",
-				id, len(s.Table(id).Weights))
+		version, err := c.FindVersion(target)
+		if err != nil {
+			return fmt.Errorf("%w: %w", ErrRefused, err)
 		}
-	}
-	return pin, nil
+		if version.Layout != c.layout {
+			return fmt.Errorf("%w: the tables were laid out otherwise: %s then, %s now", ErrRefused, version.Layout, c.layout)
+		}
+		pinned, err := c.withAvailableServers(version.State, view)
+		if err != nil {
+			return fmt.Errorf("%w: %w", ErrRefused, err)
+		}
+		c.beginHold(key, target, pinned, duration)
+		return nil
+	})
 }
 
-func (p PinnedTables) weight() (sum float64) {
-	for _, id := range slices.Sorted(maps.Keys(p.Weights)) {
-		for _, s := range slices.Sorted(maps.Keys(p.Weights[id])) {
-			sum += p.Weights[id][s]
+// withAvailableServers returns the tables of a state with the servers that are available now; a warming one gets its
+// warm fraction.
+func (c *Chain) withAvailableServers(state *tables.State, view FleetView) (PinnedTables, error) {
+	pinned := pinnedTables(state)
+	for _, id := range c.state.TableIDs() {
+		weights := pinned.Weights[balancer.TableID(id)]
+		for server, weight := range weights {
+			status := view.ServerStatus(server)
+			if !status.Known || !status.Available {
+				delete(weights, server)
+			} else if status.WarmFraction < 1 {
+				weights[server] = weight * status.WarmFraction
+			}
+		}
+		if len(weights) == 0 && len(c.state.Table(id).Weights) > 0 {
+			return pinned, fmt.Errorf("table %d would have no server: all %d that it named then are gone, drain or don't answer",
+				id, len(state.Table(id).Weights))
 		}
 	}
-	return sum
+	return pinned, nil
 }
 
-// Hold keeps the tables as they stand.
-func (c *Chain) Hold(now time.Duration, key string, held time.Duration, see FleetView) (d CompletedCommand, fresh bool, err error) {
-	c.now = now
-	if d, known, err := c.before(key, "hold"); known || err != nil {
-		return d, false, err
-	}
-	span, err := c.span(held)
-	if err != nil {
-		return d, false, err
-	}
-	if c.Head() == nil {
-		return d, false, fmt.Errorf("%w: no version was sent yet", ErrRefused)
-	}
-	pin := pinned(c.State())
-	c.hold = &hold{key: key, pin: pin, whole: pin.weight(), since: now, until: now + span}
-	return c.finish(key, "hold"), true, nil
+// Hold keeps the tables as they are. Under the key of a completed hold it does nothing, and fresh is false. Errors wrap
+// ErrRefused.
+func (c *Chain) Hold(now time.Duration, key string, duration time.Duration, _ FleetView) (completed CompletedCommand, fresh bool, err error) {
+	return c.runOnce(now, key, "hold", func() error {
+		duration, err := c.holdDuration(duration)
+		if err != nil {
+			return err
+		}
+		if c.Head() == nil {
+			return fmt.Errorf("%w: %w", ErrRefused, errNoVersion)
+		}
+		c.beginHold(key, tables.ID{}, c.CurrentTables(), duration)
+		return nil
+	})
 }
 
-// Resume ends what is held.
-func (c *Chain) Resume(now time.Duration, key string) (d CompletedCommand, fresh bool, err error) {
-	c.now = now
-	if d, known, err := c.before(key, "resume"); known || err != nil {
-		return d, false, err
-	}
-	if c.hold == nil {
-		return d, false, fmt.Errorf("%w: nothing is held", ErrRefused)
-	}
-	c.hold, c.gliding = nil, true
-	return c.finish(key, "resume"), true, nil
+// Resume ends the hold in force. Under the key of a completed resume it does nothing, and fresh is false. Errors wrap
+// ErrRefused.
+func (c *Chain) Resume(now time.Duration, key string) (completed CompletedCommand, fresh bool, err error) {
+	return c.runOnce(now, key, "resume", func() error {
+		if c.phase != holding {
+			return fmt.Errorf("%w: nothing is held", ErrRefused)
+		}
+		c.endHold()
+		return nil
+	})
 }
 
-// Pinned is what the module is to hold the tables at; false where it decides by itself.
+// Pinned returns the tables that the load balancer is to keep; false: there is no hold.
 func (c *Chain) Pinned() (PinnedTables, bool) {
-	if c.hold == nil {
+	if c.phase != holding {
 		return PinnedTables{}, false
 	}
-	return c.hold.pin, true
+	return c.hold.pinned, true
 }
 
-// Looked ends a hold whose time is over, or of whose weight too little is left. It tells whether one ended.
-func (c *Chain) ExpireHold(now time.Duration, see FleetView) (ended bool, notes []string) {
+// EndExpiredHold ends a hold whose time is over, or whose servers have become unavailable, and tells whether it did.
+func (c *Chain) EndExpiredHold(now time.Duration, view FleetView) (records []balancer.LogRecord, ended bool) {
 	c.now = now
-	if c.hold == nil {
-		return false, nil
+	if c.phase != holding {
+		return nil, false
 	}
-	left := c.left(see)
+	remaining := c.remainingFraction(view)
+	fields := []balancer.LogField{field("key", c.hold.key)}
 	switch {
 	case now >= c.hold.until:
-		notes = append(notes, fmt.Sprintf("hold %q ends: its time of %.0fs is over", c.hold.key, (c.hold.until-c.hold.since).Seconds()))
-	case left < c.t.MinHeldFraction:
-		notes = append(notes, fmt.Sprintf("hold %q ends: %.2f of its weight is left, %.2f is the least", c.hold.key, left, c.t.MinHeldFraction))
+		held := c.hold.until - c.hold.since
+		fields = append(fields, field("reason", "expired"), decimals("held_seconds", held.Seconds(), 0))
+	case remaining < c.settings.MinHeldFraction:
+		fields = append(fields, field("reason", "servers_unavailable"),
+			decimals("remaining_fraction", remaining, 2), decimals("limit", c.settings.MinHeldFraction, 2))
 	default:
-		return false, nil
+		return nil, false
+	}
+	c.endHold()
+	return []balancer.LogRecord{{Event: eventHoldEnded, Fields: fields}}, true
+}
+
+// ExpireHold is EndExpiredHold with the log records as text.
+func (c *Chain) ExpireHold(now time.Duration, view FleetView) (ended bool, notes []string) {
+	records, ended := c.EndExpiredHold(now, view)
+	for _, record := range records {
+		notes = append(notes, record.String())
 	}
-	c.hold, c.gliding = nil, true
-	return true, notes
+	return ended, notes
+}
+
+// remainingFraction is the part of the held weight that available servers have.
+func (c *Chain) remainingFraction(view FleetView) float64 {
+	remaining := c.hold.pinned.sumWeights(func(server balancer.ServerID) bool { return view.ServerStatus(server).Available })
+	return remaining / max(c.hold.pinnedWeight, minPinnedWeight)
 }
 
-// left is the part of what is pinned that servers which may get flows have.
-func (c *Chain) left(see FleetView) float64 {
+// minPinnedWeight stands in for the weight of a hold of empty tables, which ends at once.
+const minPinnedWeight = 1e-9
+
+func (p PinnedTables) totalWeight() float64 {
+	return p.sumWeights(func(balancer.ServerID) bool { return true })
+}
+
+// sumWeights adds up the weights of some servers, in a fixed order so that the sum is the same each time.
+func (p PinnedTables) sumWeights(counts func(balancer.ServerID) bool) float64 {
 	sum := 0.0
-	for _, id := range slices.Sorted(maps.Keys(c.hold.pin.Weights)) {
-		lines := c.hold.pin.Weights[id]
-		for _, s := range slices.Sorted(maps.Keys(lines)) {
-			if see.ServerStatus(s).Available {
-				sum += lines[s]
+	for _, table := range slices.Sorted(maps.Keys(p.Weights)) {
+		weights := p.Weights[table]
+		for _, server := range slices.Sorted(maps.Keys(weights)) {
+			if counts(server) {
+				sum += weights[server]
 			}
 		}
 	}
-	return sum / max(c.hold.whole, 1e-9)
+	return sum
 }
 
-// Holding tells what is held; false where nothing is.
-func (c *Chain) CurrentHold(see FleetView) (HoldStatus, bool) {
-	if c.hold == nil {
+// CurrentHold describes the hold in force; false: there is none.
+func (c *Chain) CurrentHold(view FleetView) (HoldStatus, bool) {
+	if c.phase != holding {
 		return HoldStatus{}, false
 	}
-	return HoldStatus{c.hold.key, c.hold.to, c.t.StartedAt.Add(c.hold.since), c.t.StartedAt.Add(c.hold.until), c.left(see)}, true
+	return HoldStatus{
+		Key:               c.hold.key,
+		Target:            c.hold.target,
+		Since:             c.wallTime(c.hold.since),
+		Until:             c.wallTime(c.hold.until),
+		RemainingFraction: c.remainingFraction(view),
+	}, true
 }
-
-// Commands are those done, oldest first.
-func (c *Chain) CompletedCommands() []CompletedCommand { return c.done }
--- a/internal/versions/peer.go
+++ b/internal/versions/peer.go
@@ -7,127 +7,171 @@
 	"tamarindshore/client/tables"
 )
 
-// Trying says how often something is sent to a holder that does not answer or refuses.
+// RetrySettings say how often something is sent to a replica that does not answer or rejects it.
 type RetrySettings struct {
-	AckTimeout                 time.Duration // from a version sent until it counts as lost
-	InitialBackoff, MaxBackoff time.Duration // between two tries; doubled each time, spread by chance between a half and all of it
+	AckTimeout time.Duration // from a delta sent until it counts as lost
+
+	// Backoff between two attempts: doubled each time up to the most, then spread at random from half of it to all.
+	InitialBackoff time.Duration
+	MaxBackoff     time.Duration
 }
 
-// UsualTrying is that of holders on a network of ours.
+// DefaultRetrySettings are for replicas on a network of one's own.
 func DefaultRetrySettings() RetrySettings {
-	return RetrySettings{AckTimeout: 2 * time.Second, InitialBackoff: 250 * time.Millisecond, MaxBackoff: 30 * time.Second}
+	return RetrySettings{
+		AckTimeout:     2 * time.Second,
+		InitialBackoff: 250 * time.Millisecond,
+		MaxBackoff:     30 * time.Second,
+	}
 }
 
-// Peer decides what one holder is sent: the newest version, as a delta where what it holds is kept, else whole; one at
-// a time; again with growing waits where it refuses or does not answer; nothing more where another writer has taken
-// over.
+// Peer decides what one replica is sent: the newest version, as a delta where the replica's version is kept, else as a
+// snapshot; one at a time; again with growing backoff where the replica rejects it or does not answer; nothing any more
+// once another manager has taken over. It is not safe for use by several goroutines.
 type Peer struct {
-	t      RetrySettings
-	chance uint64
-	held   tables.VersionRef
-	sent   *Version // that waits for its answer
-	sentAt time.Duration
-	again  time.Duration // nothing is sent before
-	tries  int           // without success
-	whole  bool          // it asked for a whole one, or refused a delta
-	over   bool          // another writer has taken over
-	reason tables.Outcome
+	settings      RetrySettings
+	rng           jitter
+	version       tables.VersionRef // that the replica last said it runs
+	inFlight      *Version          // nil: none
+	sentAt        time.Duration
+	notBefore     time.Duration // of the next attempt
+	failures      int           // since the last success
+	needsSnapshot bool          // it asked for one, or rejected a delta
+	superseded    bool
+	lastOutcome   tables.Outcome
 }
 
-// View is what a chain has kept at one time. It never changes, so that others may read it.
-type View struct {
-	kept []*Version
-	head *Version
-}
-
-// View is what is kept now.
-func (c *Chain) View() View { return View{slices.Clone(c.versions), c.Head()} }
-
-// Head is the newest version; nil before the first.
-func (c View) Head() *Version { return c.head }
-
-// NewPeer begins with what a holder says it holds.
-func NewPeer(t RetrySettings, held tables.VersionRef, seed uint64) *Peer {
-	return &Peer{t: t, held: held, chance: seed*2862933555777941757 + 3037000493}
+// NewPeer returns a peer for a replica that runs a version. The seed spreads the attempts of many peers.
+func NewPeer(settings RetrySettings, version tables.VersionRef, seed uint64) *Peer {
+	return &Peer{settings: settings, version: version, rng: newJitter(seed)}
 }
 
-// Held is what it last said it holds.
-func (p *Peer) Version() tables.VersionRef { return p.held }
+// Version returns the version that the replica last said it runs.
+func (p *Peer) Version() tables.VersionRef { return p.version }
 
-// Over tells that another writer has taken over its holder.
-func (p *Peer) Superseded() bool { return p.over }
+// Superseded tells that another manager, with a later epoch, has taken over the replica.
+func (p *Peer) Superseded() bool { return p.superseded }
 
-// Tries is how often it was tried since the last success, and the last refusal.
-func (p *Peer) FailedAttempts() (int, tables.Outcome) { return p.tries, p.reason }
+// FailedAttempts returns how many attempts failed since the last success, and what the replica answered last.
+func (p *Peer) FailedAttempts() (int, tables.Outcome) { return p.failures, p.lastOutcome }
 
-// Next gives what is to be sent now, or else when to ask again; 0 means once there is a newer version or an answer.
-func (p *Peer) NextDelta(now time.Duration, c View) (d *tables.Delta, wake time.Duration) {
-	head := c.Head()
-	switch {
-	case head == nil || p.over || p.held == (tables.VersionRef{ID: head.ID, Digest: head.Digest}):
+// NextDelta returns what to send now. Otherwise wake is when to ask again; 0: once there is a newer version or an answer.
+func (p *Peer) NextDelta(now time.Duration, view View) (delta *tables.Delta, wake time.Duration) {
+	head := view.Head()
+	if head == nil || p.superseded || p.version == refOf(head) {
 		return nil, 0
-	case p.sent != nil && now-p.sentAt < p.t.AckTimeout:
-		return nil, p.sentAt + p.t.AckTimeout
-	case p.sent != nil: // lost on its way, or the answer was
-		p.fail(now)
-		p.whole = true
-	}
-	if now < p.again {
-		return nil, p.again
 	}
-	p.sent, p.sentAt = head, now
-	return c.lead(p.held, p.whole), now + p.t.AckTimeout
-}
-
-// lead makes what brings a holder to the newest version: from what it holds if that is kept, else from nothing.
-func (c View) lead(held tables.VersionRef, whole bool) *tables.Delta {
-	head := c.Head()
-	d := &tables.Delta{ID: head.ID, BaseDigest: tables.EmptyState().Digest(), Digest: head.Digest, CreatedAtMs: uint64(head.CreatedAt.UnixMilli()), Cause: head.Cause}
-	from := tables.EmptyState()
-	for _, v := range c.kept {
-		if !whole && v.ID == held.ID && v.Digest == held.Digest {
-			d.Base, d.BaseDigest, from = v.ID, v.Digest, v.State
+	if p.inFlight != nil {
+		timeout := p.sentAt + p.settings.AckTimeout
+		if now < timeout {
+			return nil, timeout
 		}
+		// The delta or its answer was lost.
+		p.fail(now)
+		p.needsSnapshot = true
+	}
+	if now < p.notBefore {
+		return nil, p.notBefore
 	}
-	d.Ops = tables.Diff(from, head.State)
-	return d
+	p.inFlight = head
+	p.sentAt = now
+	return view.deltaFrom(p.version, p.needsSnapshot), now + p.settings.AckTimeout
 }
 
-// fail puts off the next try.
+// fail gives up what is in flight and sets the time of the next attempt.
 func (p *Peer) fail(now time.Duration) {
-	p.sent, p.tries = nil, p.tries+1
-	wait := p.t.InitialBackoff << min(p.tries-1, 20)
-	if wait <= 0 || wait > p.t.MaxBackoff {
-		wait = p.t.MaxBackoff
+	p.inFlight = nil
+	p.failures++
+	const maxDoublings = 20
+	backoff := p.settings.InitialBackoff << min(p.failures-1, maxDoublings)
+	if backoff <= 0 || backoff > p.settings.MaxBackoff {
+		backoff = p.settings.MaxBackoff
 	}
-	p.chance = p.chance*6364136223846793005 + 1442695040888963407
-	p.again = now + wait/2 + time.Duration(float64(wait/2)*float64(p.chance>>11)/(1<<53))
+	half := backoff / 2
+	p.notBefore = now + half + time.Duration(float64(half)*p.rng.next())
 }
 
-// Acked says that the holder runs a version.
-func (p *Peer) HandleAck(held tables.VersionRef) {
-	p.held, p.reason = held, tables.Applied
-	if p.sent != nil && held.ID == p.sent.ID {
-		p.sent, p.tries, p.whole, p.again = nil, 0, false, 0
+// HandleAck tells that the replica runs a version.
+func (p *Peer) HandleAck(version tables.VersionRef) {
+	p.version = version
+	p.lastOutcome = tables.Applied
+	if p.inFlight != nil && version.ID == p.inFlight.ID {
+		p.inFlight = nil
+		p.failures = 0
+		p.needsSnapshot = false
+		p.notBefore = 0
 	}
 }
 
-// Refused says that the holder refused what it was sent, and what it runs.
-func (p *Peer) HandleRejection(now time.Duration, why tables.Outcome, held tables.VersionRef) {
-	p.held, p.reason = held, why
-	switch why {
+// HandleRejection tells that the replica rejected what it was sent, and which version it runs.
+func (p *Peer) HandleRejection(now time.Duration, outcome tables.Outcome, version tables.VersionRef) {
+	p.version = version
+	p.lastOutcome = outcome
+	switch outcome {
 	case tables.AlreadyApplied:
-		p.sent = nil
+		p.inFlight = nil
 		return
 	case tables.OlderEpoch:
-		p.over = true
+		p.superseded = true
 	case tables.Gap, tables.UnknownBase, tables.WrongDigest, tables.Conflict:
-		p.whole = true
+		p.needsSnapshot = true
 	}
 	p.fail(now)
 }
 
-// AskedWhole says that the holder wants a whole table. What is under way is given up.
-func (p *Peer) HandleSnapshotRequest(held tables.VersionRef) {
-	p.held, p.whole, p.sent = held, true, nil
+// HandleSnapshotRequest tells that the replica wants a snapshot. What is in flight is given up.
+func (p *Peer) HandleSnapshotRequest(version tables.VersionRef) {
+	p.version = version
+	p.needsSnapshot = true
+	p.inFlight = nil
+}
+
+// View is the versions that a chain keeps at one time. It never changes, so it is safe for use by several goroutines.
+type View struct {
+	versions []*Version
+	head     *Version
+}
+
+// View returns the versions that are kept now.
+func (c *Chain) View() View { return View{versions: slices.Clone(c.versions), head: c.Head()} }
+
+// Head returns the newest version; nil before the first.
+func (v View) Head() *Version { return v.head }
+
+// deltaFrom returns the delta that leads a replica to the newest version: from its own version if that is kept and no
+// snapshot is needed, else from the empty state.
+func (v View) deltaFrom(version tables.VersionRef, needsSnapshot bool) *tables.Delta {
+	base := tables.EmptyState()
+	delta := &tables.Delta{
+		ID:          v.head.ID,
+		BaseDigest:  base.Digest(),
+		Digest:      v.head.Digest,
+		CreatedAtMs: uint64(v.head.CreatedAt.UnixMilli()),
+		Cause:       v.head.Cause,
+	}
+	for _, kept := range v.versions {
+		if !needsSnapshot && refOf(kept) == version {
+			base = kept.State
+			delta.Base = kept.ID
+			delta.BaseDigest = kept.Digest
+		}
+	}
+	delta.Ops = tables.Diff(base, v.head.State)
+	return delta
+}
+
+func refOf(version *Version) tables.VersionRef {
+	return tables.VersionRef{ID: version.ID, Digest: version.Digest}
+}
+
+// jitter is a linear congruential generator: as cheap as it is predictable, which is enough to spread attempts.
+type jitter uint64
+
+// newJitter scatters a seed: those of peers follow each other.
+func newJitter(seed uint64) jitter { return jitter(seed*2862933555777941757 + 3037000493) }
+
+// next returns a number from 0 up to 1.
+func (j *jitter) next() float64 {
+	*j = *j*6364136223846793005 + 1442695040888963407
+	return float64(*j>>11) / (1 << 53)
 }
--- /dev/null
+++ b/internal/versions/propose_test.go
@@ -0,0 +1,223 @@
+package versions
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"testing"
+	"time"
+
+	"tamarindshore/balancer"
+)
+
+// One server or table that fails a check must not hold up the tables of the whole fleet.
+func TestWhatFailsACheckIsHeldBackAndTheRestIsSent(t *testing.T) {
+	for _, one := range []struct {
+		check    string
+		weights  []balancer.EndpointWeight
+		fleet    fleet
+		sent     int // of the weight and the admission level of another table
+		recorded string
+	}{
+		{"invalid_number", []balancer.EndpointWeight{weight(0, "a0", math.NaN())}, allReady, 0,
+			"event=version_check_failed check=invalid_number table=0 server=a0 weight=NaN"},
+		{"unknown_server", []balancer.EndpointWeight{weight(0, "ghost", 5)}, fleet{"ghost": {}}, 2,
+			"event=version_check_failed check=unknown_server server=ghost table=0"},
+		{"unavailable_server", []balancer.EndpointWeight{weight(0, "a0", 150)}, fleet{"a0": unavailable}, 2,
+			"event=version_check_failed check=unavailable_server server=a0 table=0 weight=150 current_weight=100"},
+		{"empty_table", []balancer.EndpointWeight{weight(0, "a0", 0), weight(0, "a1", 0)}, allReady, 2,
+			"event=version_check_failed check=empty_table table=0 server=a0"},
+		{"warming_server", []balancer.EndpointWeight{weight(0, "a0", 400)}, fleet{"a0": warming(0.1)}, 2,
+			"event=version_check_failed check=warming_server server=a0 warm_fraction=0.10 request_rate=32.0 total_request_rate=80.0 servers=4"},
+	} {
+		t.Run(one.check, func(t *testing.T) {
+			chain := newTestChain(t)
+			before := chain.State().Digest()
+			commands := balancer.Commands{
+				Weights:         append(one.weights, weight(1, "b0", 90)),
+				AdmissionLevels: []balancer.AdmissionLevel{{Table: 1, Classes: 1, Amount: 0.5}},
+				Assign:          []balancer.TableAssignment{{Proxy: 3, Table: 0}},
+				Barrier:         2,
+			}
+			result := chain.Propose(2*time.Second, commands, "health", one.fleet)
+			sent := len(result.Commands.Weights) + len(result.Commands.AdmissionLevels)
+			unchanged := chain.State().Digest() == before
+			if !result.Modified || unchanged != (one.sent == 0) || sent != one.sent {
+				t.Errorf("%+v", result)
+			}
+			expectWeight(t, chain, 0, "a0", 100)
+			if len(result.LogRecords) != 1 || result.LogRecords[0].String() != one.recorded {
+				t.Errorf("log records %v, want %s", result.LogRecords, one.recorded)
+			}
+			if len(result.Commands.Assign) != 1 || result.Commands.Barrier != 2 {
+				t.Errorf("a proxy waits for a server: %+v", result.Commands)
+			}
+			again := chain.Propose(3*time.Second, commands, "health", one.fleet)
+			if len(again.LogRecords) > 0 {
+				t.Errorf("logged again: %v", again.LogRecords)
+			}
+			valid := chain.Propose(4*time.Second, weights(weight(1, "b0", 80)), "health", allReady)
+			if len(valid.LogRecords) != 1 || valid.LogRecords[0].String() != "event=version_check_passed check="+one.check {
+				t.Errorf("log records %v", valid.LogRecords)
+			}
+		})
+	}
+}
+
+func TestTooManyCommandsAreHeldBack(t *testing.T) {
+	chain := newTestChain(t)
+	chain.settings.MaxCommands = 1
+	result := chain.Propose(2*time.Second, weights(weight(0, "a0", 90), weight(1, "b0", 90)), "health", allReady)
+	if result.Version != nil || result.Commands.Count() != 0 || fieldOf(result.LogRecords[0], "check") != "too_many_commands" {
+		t.Errorf("%+v", result)
+	}
+}
+
+func TestAServerThatIsUnavailableIsNotRestored(t *testing.T) {
+	chain := newTestChain(t)
+	chain.Propose(2*time.Second, balancer.Commands{Withdraw: []balancer.ServerID{"a0"}}, "list", allReady)
+	restore := balancer.Commands{Restore: []balancer.ServerID{"a0"}}
+	chain.Propose(3*time.Second, restore, "list", fleet{"a0": unavailable})
+	if !chain.State().IsWithdrawn("a0") {
+		t.Error("restored while it is unavailable")
+	}
+	chain.Propose(4*time.Second, restore, "list", allReady)
+	if chain.State().IsWithdrawn("a0") {
+		t.Error("not restored once it is available")
+	}
+}
+
+func TestADrainIsNotHeldUpByAFailedCheckOfSomethingElse(t *testing.T) {
+	chain := newTestChain(t)
+	commands := weights(weight(0, "a0", 1), weight(1, "b0", math.Inf(1)))
+	commands.Withdraw = []balancer.ServerID{"a0"}
+	result := chain.Propose(2*time.Second, commands, "list", fleet{"a0": unavailable})
+	if result.Version == nil || !slices.Equal(result.Commands.Withdraw, commands.Withdraw) || len(result.Commands.Weights) != 1 {
+		t.Errorf("%+v", result)
+	}
+	if !chain.State().IsWithdrawn("a0") {
+		t.Error("a0 is not withdrawn")
+	}
+	expectWeight(t, chain, 1, "b0", 100)
+}
+
+func TestATableWithoutAUsableServerGetsOneAtOnce(t *testing.T) {
+	chain := newTestChain(t)
+	commands := weights(weight(0, "b0", 100), weight(1, "b1", math.NaN()))
+	commands.Withdraw = []balancer.ServerID{"a0", "a1"}
+	result := chain.Propose(2*time.Second, commands, "list", fleet{"a0": unavailable, "a1": unavailable})
+	if len(result.Commands.Weights) != 1 {
+		t.Errorf("%+v", result.Commands)
+	}
+	expectWeight(t, chain, 0, "b0", 100)
+}
+
+// A weight that must go out whatever else is wrong must not fail a check and hold up the fleet.
+func TestWhatIsUrgentHoldsUpNothingElse(t *testing.T) {
+	chain := newTestChain(t)
+	commands := weights(weight(0, "c0", 100), weight(1, "b0", 90))
+	commands.Withdraw = []balancer.ServerID{"a0", "a1"}
+	view := fleet{"a0": unavailable, "a1": unavailable, "c0": warming(0.01)}
+	result := chain.Propose(2*time.Second, commands, "list", view)
+	if result.Modified || len(result.Commands.Weights) != 2 {
+		t.Errorf("%+v", result)
+	}
+}
+
+// movedSince is the part of a table's weight that has moved since a state.
+func movedSince(before *proposal, chain *Chain, table uint32) float64 {
+	p := proposal{current: before.current, next: chain.State(), view: before.view}
+	return p.movedFraction(table)
+}
+
+func TestAVersionThatMovesTooMuchGoesInSteps(t *testing.T) {
+	chain := newTestChain(t)
+	chain.settings.MaxMovedFraction = 0.1
+	steps := 0
+	for second := 2; second < 20 && weightOf(chain, 0, "a0") > 10.5; second++ {
+		before := &proposal{current: chain.State(), view: allReady}
+		commands := weights(weight(0, "a0", 10), weight(0, "a1", 190))
+		result := chain.Propose(time.Duration(second)*time.Second, commands, "health", allReady)
+		moved := movedSince(before, chain, 0)
+		if result.Version == nil || moved > 0.21 { // 0.1 of all requests, of which half come to this table
+			t.Fatalf("%.2f moved at once", moved)
+		}
+		steps++
+	}
+	if steps < 3 || steps > 6 {
+		t.Errorf("%d steps", steps)
+	}
+}
+
+func TestWhatAnUnavailableServerLosesDoesNotCountAsMoved(t *testing.T) {
+	chain := newTestChain(t)
+	chain.settings.MaxMovedFraction = 0.2
+	result := chain.Propose(2*time.Second, weights(weight(0, "a0", 0)), "unresponsive", fleet{"a0": unavailable})
+	if result.Modified {
+		t.Errorf("%+v", result)
+	}
+}
+
+func TestWhatAWithdrawnServerLosesDoesNotCountAsMoved(t *testing.T) {
+	chain := newTestChain(t)
+	chain.Propose(2*time.Second, balancer.Commands{Withdraw: []balancer.ServerID{"a0"}}, "list", allReady)
+	chain.settings.MaxMovedFraction = 0.2
+	result := chain.Propose(3*time.Second, weights(weight(0, "a0", 0)), "list", allReady)
+	if result.Modified {
+		t.Errorf("%+v", result)
+	}
+	expectWeight(t, chain, 0, "a0", 0)
+}
+
+func TestALimitedVersionLeavesTheCommandsOfTheCallerAlone(t *testing.T) {
+	chain := newTestChain(t)
+	chain.phase = resuming
+	levels := []balancer.AdmissionLevel{{Table: 0, Classes: 1, Amount: 0.5}}
+	chain.Propose(2*time.Second, balancer.Commands{AdmissionLevels: levels}, "overload", allReady)
+	chain.phase = resuming
+	levels[0].Amount = 1
+	commands := weights(weight(0, "a0", 1))
+	commands.AdmissionLevels = levels
+	result := chain.Propose(3*time.Second, commands, "health", allReady)
+	if !result.Modified || result.Commands.AdmissionLevels[0].Amount != 0.6 {
+		t.Errorf("%+v", result)
+	}
+	if commands.Weights[0].Weight != 1 || levels[0].Amount != 1 {
+		t.Errorf("the caller's commands changed: %+v", commands)
+	}
+}
+
+func TestNothingNewIsNoVersion(t *testing.T) {
+	chain := newTestChain(t)
+	commands := weights(weight(0, "a0", 100))
+	commands.Assign = []balancer.TableAssignment{{}}
+	commands.Barrier = 4
+	result := chain.Propose(2*time.Second, commands, "x", allReady)
+	if result.Version != nil || result.Modified {
+		t.Errorf("%+v", result)
+	}
+}
+
+func BenchmarkPropose(b *testing.B) {
+	for _, servers := range []int{50, 500, 5000} {
+		b.Run(fmt.Sprint(servers), func(b *testing.B) {
+			chain := New(DefaultSettings(1))
+			var all balancer.Commands
+			for i := range servers {
+				all.Weights = append(all.Weights, weight(i/50, fmt.Sprintf("s-%05d", i), 100))
+			}
+			chain.Propose(0, all, "list", allReady)
+			i := 0
+			for b.Loop() {
+				i++
+				var commands balancer.Commands
+				for j := range max(1, servers/100) {
+					commands.Weights = append(commands.Weights, weight(j*2, fmt.Sprintf("s-%05d", j*100), float64(100+i%7)))
+				}
+				if result := chain.Propose(0, commands, "health", allReady); result.Version == nil && i%7 != 0 {
+					b.Fatalf("%+v", result)
+				}
+			}
+		})
+	}
+}
--- a/internal/versions/types.go
+++ b/internal/versions/types.go
@@ -1,7 +1,11 @@
-// Package versions decides what becomes of the tables as versions: which may be sent, how far one may move them, what
-// a way back comes to, how long it is held, and what a holder is sent. It is free of I/O and clocks: chain.go keeps
-// the versions, check.go looks at each before it is used, hold.go decides ways back and holds, peer.go what a holder
-// gets. It must never choose a server or a weight of its own: it lets through, holds back, or goes part of the way.
+// Package versions decides what becomes of the tables as versions: which commands may be sent as the next version, how
+// far one version may move requests, what a rollback leads to, how long tables are held, and what a replica is sent. It
+// is free of I/O, clocks and goroutines, and not safe for use by several goroutines. It never chooses a server or a
+// weight: it lets commands pass, holds them back, or goes part of the way.
+//
+// A Chain is made by New. Propose is asked before commands go out, and HandleBarrierAck told that they were carried out.
+// RollBack, Hold and Resume are operators' commands; EndExpiredHold is called once a second. Pinned returns the tables
+// that the load balancer is to keep. Every time is the time since the manager's start.
 package versions
 
 import (
@@ -11,69 +15,117 @@
 	"tamarindshore/client/tables"
 )
 
-// Terms are the bounds that a chain keeps.
+// Settings bound what a Chain lets pass and keeps.
 type Settings struct {
-	Epoch                uint64
-	StartedAt            time.Time     // of the manager's clock: version times are told by it
-	MaxMovedFraction     float64       // part of a table's weight that one version may move, what closed servers leave not counted
-	MaxStepAfterHold     float64       // the same, and of a share let in, in versions after a hold
-	MaxWarmUpFactor      float64       // times its climbing part that a cold server may get of all flows
-	MaxCommands          int           // orders of one version
-	MaxVersions          int           // versions kept,
-	MaxVersionBytes      int           // and what they take, about
-	DefaultHold          time.Duration // of a way back that names no time
-	MaxHold              time.Duration
-	MinHeldFraction      float64 // of the weight that is held: below it what is held is of no use any more
-	MaxCompletedCommands int     // of ways back done that are remembered
+	Epoch     uint64    // of this manager
+	StartedAt time.Time // of this manager: the times of versions are told by it
+
+	// Limits of one version.
+	MaxMovedFraction float64 // of all requests that it may move between available servers
+	MaxStepAfterHold float64 // the same, and the step of an admission level, in versions after a hold
+	MaxWarmUpFactor  float64 // times its warm fraction of an equal share that a warming server may get
+	MaxCommands      int
+
+	// Limits of what is kept.
+	MaxVersions          int
+	MaxVersionBytes      int // estimated, of all versions
+	MaxCompletedCommands int
+
+	// Limits of a hold.
+	DefaultHold     time.Duration // where the operator names no duration
+	MaxHold         time.Duration
+	MinHeldFraction float64 // of the held weight: a hold ends once available servers have less
 }
 
-// Usual are the terms of a manager whose epoch is its start.
+// DefaultSettings are the settings of a manager.
 func DefaultSettings(epoch uint64) Settings {
-	return Settings{Epoch: epoch, MaxMovedFraction: 0.9, MaxStepAfterHold: 0.1, MaxWarmUpFactor: 3, MaxCommands: 1 << 20, MaxVersions: 256, MaxVersionBytes: 1 << 20,
-		DefaultHold: 30 * time.Minute, MaxHold: 24 * time.Hour, MinHeldFraction: 0.5, MaxCompletedCommands: 1024}
+	return Settings{
+		Epoch:                epoch,
+		MaxMovedFraction:     0.9,
+		MaxStepAfterHold:     0.1,
+		MaxWarmUpFactor:      3,
+		MaxCommands:          1 << 20,
+		MaxVersions:          256,
+		MaxVersionBytes:      1 << 20,
+		MaxCompletedCommands: 1024,
+		DefaultHold:          30 * time.Minute,
+		MaxHold:              24 * time.Hour,
+		MinHeldFraction:      0.5,
+	}
 }
 
-// Sight is what the manager knows of a server now.
+// ServerStatus is what the manager knows of a server now.
 type ServerStatus struct {
 	Known        bool
-	Available    bool    // it may get flows: it neither drains nor is gone, and it answers
-	WarmFraction float64 // part of its climb; 1 where it is warm
+	Available    bool    // it may get requests: it is neither draining nor gone, and it answers
+	WarmFraction float64 // progress of its slow start; 1: warm
 }
 
-// Seer is who knows the fleet now.
+// FleetView is the manager's view of the fleet now.
 type FleetView interface {
 	ServerStatus(balancer.ServerID) ServerStatus
-	RequestRate(balancer.TableID) float64 // a second, that come to a table's proxies
-	ReadyServers() (all, warm int)        // servers that may get flows
+	// RequestRate is how many requests a second come to the proxies of a table.
+	RequestRate(balancer.TableID) float64
+	// ReadyServers is how many servers are available, and how many of these are warm.
+	ReadyServers() (all, warm int)
 }
 
 // Version is one state of all tables that was sent.
 type Version struct {
-	ID         tables.ID
-	Parent     tables.Digest
-	Digest     tables.Digest
-	CreatedAt  time.Time
-	Cause      string
-	Layout     string // what its tables' numbers mean
-	CommandKey string // of the way back that made it
-	Ops        []tables.Op
-	State      *tables.State
-	Barrier    balancer.BarrierID // of the orders that carried it
+	ID           tables.ID
+	Parent       tables.Digest // of the state before it
+	Digest       tables.Digest // of State
+	CreatedAt    time.Time
+	Cause        string
+	Layout       string      // how the tables were numbered
+	CommandKey   string      // of the operator's command whose hold was in force
+	Ops          []tables.Op // that lead from the state before it
+	State        *tables.State
+	Barrier      balancer.BarrierID // of the commands that carried it
+	Acknowledged bool               // the commands were carried out; until then the version before it may be in force
 
-	Acknowledged bool // it was carried out; until then the one before may still stand
-	size         int
+	size int // estimated bytes
 }
 
-// Result is what became of a proposal.
+// Result is what becomes of a proposal.
 type Result struct {
-	Commands balancer.Commands // that may go out
-	Modified bool              // they are not those proposed: the module must hear what stands
-	Version  *Version          // nil where nothing changed
-	Notes    []string
+	Commands   balancer.Commands // that may go out
+	Modified   bool              // they are not those proposed: the load balancer must be told the current tables
+	Version    *Version          // nil: no table changes
+	LogRecords []balancer.LogRecord
+	Notes      []string // the log records as text
 }
 
-// Pin is what tables are brought to and held at.
+// PinnedTables are tables in the load balancer's terms.
 type PinnedTables struct {
 	Weights         map[balancer.TableID]map[balancer.ServerID]float64
-	AdmissionLevels map[balancer.TableID]map[uint]balancer.AdmissionLevel
+	AdmissionLevels map[balancer.TableID]map[uint]balancer.AdmissionLevel // by mask of traffic classes
+}
+
+// pinnedTables converts a state.
+func pinnedTables(state *tables.State) PinnedTables {
+	pinned := PinnedTables{
+		Weights:         map[balancer.TableID]map[balancer.ServerID]float64{},
+		AdmissionLevels: map[balancer.TableID]map[uint]balancer.AdmissionLevel{},
+	}
+	for _, number := range state.TableIDs() {
+		table := state.Table(number)
+		id := balancer.TableID(number)
+		weights := map[balancer.ServerID]float64{}
+		for server, weight := range table.Weights {
+			weights[balancer.ServerID(server)] = weight
+		}
+		levels := map[uint]balancer.AdmissionLevel{}
+		for classes, level := range table.AdmissionLevels {
+			levels[uint(classes)] = balancer.AdmissionLevel{
+				Table:   id,
+				Classes: uint(classes),
+				Amount:  level.Amount,
+				Retry:   balancer.RetryPolicy(level.Retry),
+			}
+		}
+		pinned.Weights[id] = weights
+		pinned.AdmissionLevels[id] = levels
+	}
+	return pinned
 }
