--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -10,12 +10,12 @@
 
 // Resources. In the strict reading all that is no request counts; beside it stands the reading without collectors' lines.
 const (
-	CoreStrict            Resource = "core, strict"
-	CoreWithoutCollectors Resource = "core, without collectors' lines"
-	Memory                Resource = "memory"
-	BytesStrict           Resource = "bytes, strict"
-	BytesWithout          Resource = "bytes, without collectors' lines"
-	InForce               Resource = "change in force"
+	CoreStrict             Resource = "core, strict"
+	CoreWithoutCollectors  Resource = "core, without collectors' lines"
+	Memory                 Resource = "memory"
+	BytesStrict            Resource = "bytes, strict"
+	BytesWithoutCollectors Resource = "bytes, without collectors' lines"
+	Propagation            Resource = "change in force"
 )
 
 // Check holds one role's load in one situation against one budget.
@@ -27,8 +27,8 @@
 	Mechanism Mechanism
 }
 
-// Passed tells whether a budget is passed in a scope, by what was measured of it.
-func (c Check) Passed(scope Scope) bool { return c.Ratio[scope].Value > 1 }
+// Exceeded reports whether a budget is exceeded in a scope, by what was measured of it.
+func (c Check) Exceeded(scope Scope) bool { return c.Ratio[scope].Value > 1 }
 
 const bytesPerMB = 1 << 20
 
@@ -37,28 +37,28 @@
 	situations := m.Plan.situations()
 	all := []Check{m.check(Manager, Memory, situations[0])} // it is the same in all
 	for _, s := range situations {
-		for _, resource := range []Resource{CoreStrict, CoreWithoutCollectors, BytesStrict, BytesWithout} {
+		for _, resource := range []Resource{CoreStrict, CoreWithoutCollectors, BytesStrict, BytesWithoutCollectors} {
 			all = append(all, m.check(Manager, resource, s))
 		}
 		for _, resource := range []Resource{CoreStrict, Memory, BytesStrict} {
 			all = append(all, m.check(ControlMachine, resource, s))
 		}
 	}
-	return append(all, m.inForce()...)
+	return append(all, m.propagationChecks()...)
 }
 
 func (m *Model) check(role Role, resource Resource, s Situation) Check {
-	c := Check{Situation: s.Name, Role: role, Resource: resource, Ratio: map[Scope]Figure{}, Mechanism: carrying(role, resource, s)}
+	c := Check{Situation: s.Name, Role: role, Resource: resource, Ratio: map[Scope]Figure{}, Mechanism: mechanismFor(role, resource, s)}
 	if role == Manager && resource == BytesStrict {
-		c.Mechanism = carryingStrict(m.manager(s, WholeList), s)
+		c.Mechanism = mechanismForAllBytes(m.manager(s, WholeList), s)
 	}
 	for _, scope := range Scopes {
-		c.Ratio[scope] = m.spent(m.Load(role, s, scope), resource).times(1 / m.budget(role, resource))
+		c.Ratio[scope] = m.spending(m.Load(role, s, scope), resource).times(1 / m.budget(role, resource))
 	}
 	return c
 }
 
-func (m *Model) spent(l Load, resource Resource) Figure {
+func (m *Model) spending(l Load, resource Resource) Figure {
 	switch resource {
 	case CoreStrict:
 		return l.Core
@@ -104,11 +104,11 @@
 	return ranked
 }
 
-// PassedPartly are the checks that pass their budget with the whole list though their mechanism stands, wholly or in
-// part, the worst first.
-func PassedPartly(all []Check) []Check {
+// ExceededThoughBuilt are the checks that exceed their budget with the whole list although their mechanism is built, at
+// least in part; the worst first.
+func ExceededThoughBuilt(all []Check) []Check {
 	var passed []Check
-	for _, c := range PassedBudgets(all, WholeList) {
+	for _, c := range ExceededBudgets(all, WholeList) {
 		if c.Mechanism.Status != Missing && !c.Mechanism.Chosen {
 			passed = append(passed, c)
 		}
@@ -119,40 +119,40 @@
 	return passed
 }
 
-// PassedBudgets are the checks that pass their budget in a scope.
-func PassedBudgets(all []Check, scope Scope) []Check {
+// ExceededBudgets are the checks that exceed their budget in a scope.
+func ExceededBudgets(all []Check, scope Scope) []Check {
 	var passed []Check
 	for _, c := range all {
-		if c.Passed(scope) {
+		if c.Exceeded(scope) {
 			passed = append(passed, c)
 		}
 	}
 	return passed
 }
 
-// Standing is how one missing mechanism fares in the ranking.
-type Standing struct {
-	Mechanism Mechanism
-	Worst     Check
-	Passed    int // rows over budget with the whole list
-	Mended    int // of them, rows under budget in the scope that the mechanism makes
+// MechanismRank is how one missing mechanism fares in the ranking.
+type MechanismRank struct {
+	Mechanism    Mechanism
+	Worst        Check
+	ExceededRows int // rows over budget with the whole list
+	MendedRows   int // of them, rows under budget in the scope that the mechanism makes
 }
 
-// Standings are the missing mechanisms, the one with the worst row first.
-func Standings(all []Check) []Standing {
-	var standings []Standing
+// MechanismRanks are the missing mechanisms, the one with the worst row first.
+func MechanismRanks(all []Check) []MechanismRank {
+	var standings []MechanismRank
 	for _, c := range Ranking(all) {
-		i := slices.IndexFunc(standings, func(s Standing) bool { return s.Mechanism.Name == c.Mechanism.Name })
+		i := slices.IndexFunc(standings, func(s MechanismRank) bool { return s.Mechanism.Name == c.Mechanism.Name })
 		if i < 0 {
 			i = len(standings)
-			standings = append(standings, Standing{Mechanism: c.Mechanism, Worst: c})
+			standings = append(standings, MechanismRank{Mechanism: c.Mechanism, Worst: c})
 		}
-		if !c.Passed(WholeList) {
+		if !c.Exceeded(WholeList) {
 			continue
 		}
-		standings[i].Passed++
-		if !c.Passed(scopeMadeBy(c.Mechanism)) {
-			standings[i].Mended++
+		standings[i].ExceededRows++
+		if !c.Exceeded(scopeMadeBy(c.Mechanism)) {
+			standings[i].MendedRows++
 		}
 	}
 	return standings
--- a/internal/capacity/budget_test.go
+++ b/internal/capacity/budget_test.go
@@ -30,17 +30,17 @@
 	if !slices.Equal(got, []float64{20, 5, 2, 0.5}) {
 		t.Errorf("the ranking of missing mechanisms: %v", got)
 	}
-	standings := Standings(all)
+	standings := MechanismRanks(all)
 	if len(standings) != 2 || standings[0].Mechanism.Name != "subsetting" || standings[1].Mechanism.Name != "watch cache" {
 		t.Fatalf("mechanisms: %+v", standings)
 	}
-	if s := standings[0]; s.Passed != 1 || s.Mended != 0 {
-		t.Errorf("subsetting: %d over budget, %d mended, not 1 and 0 (20 times becomes 2)", s.Passed, s.Mended)
+	if s := standings[0]; s.ExceededRows != 1 || s.MendedRows != 0 {
+		t.Errorf("subsetting: %d over budget, %d mended, not 1 and 0 (20 times becomes 2)", s.ExceededRows, s.MendedRows)
 	}
-	if s := standings[1]; s.Passed != 2 || s.Mended != 2 {
-		t.Errorf("watch cache: %d over budget, %d mended, not 2 and 2", s.Passed, s.Mended)
+	if s := standings[1]; s.ExceededRows != 2 || s.MendedRows != 2 {
+		t.Errorf("watch cache: %d over budget, %d mended, not 2 and 2", s.ExceededRows, s.MendedRows)
 	}
-	partly := PassedPartly(all)
+	partly := ExceededThoughBuilt(all)
 	if len(partly) != 2 || partly[0].Mechanism.Name != delta.Name || partly[1].Mechanism.Name != aggregate.Name {
 		t.Errorf("passed though their mechanism stands, or partly: %+v", partly)
 	}
@@ -57,7 +57,7 @@
 func TestPassedBudgetsByScope(t *testing.T) {
 	all := []Check{checkOf(20, subsetting), checkOf(5, watchCache), checkOf(1, delta)}
 	for scope, want := range map[Scope]int{WholeList: 2, Subset: 1, CachedSubset: 0} {
-		if got := len(PassedBudgets(all, scope)); got != want {
+		if got := len(ExceededBudgets(all, scope)); got != want {
 			t.Errorf("%s: %d budgets passed, not %d", scope, got, want)
 		}
 	}
@@ -97,7 +97,7 @@
 	passed := map[string][]Scope{}
 	for _, l := range m.Limits() {
 		for _, scope := range Scopes {
-			if l.Passed(scope) {
+			if l.Exceeded(scope) {
 				passed[l.What] = append(passed[l.What], scope)
 			}
 		}
--- a/internal/capacity/cases.go
+++ b/internal/capacity/cases.go
@@ -17,35 +17,35 @@
 
 // writePlanSize holds the sums of slopes against managers that were measured at the plan's size.
 func (m *Model) writePlanSize(w io.Writer) {
-	heading(w, "Managers measured at the plan's size, and what the sum of the slopes says of them")
+	writeHeading(w, "Managers measured at the plan's size, and what the sum of the slopes says of them")
 	cases := m.Costs.report.PlanSize
 	if len(cases) == 0 {
 		fmt.Fprintln(w, "The slopes' file has none: not measured.")
 		return
 	}
-	header(w, "manager", "cost", "measured", "spread of runs", "sum of the slopes", "measured / sum")
+	writeHeader(w, "manager", "cost", "measured", "spread of runs", "sum of the slopes", "measured / sum")
 	for _, c := range cases {
 		for _, cost := range caseCosts {
 			if _, found := c.Costs[cost]; found {
-				row(w, m.caseCells(c, cost)...)
+				writeRow(w, m.caseCells(c, cost)...)
 			}
 		}
 	}
 }
 
-func (m *Model) caseCells(c scale.Case, cost scale.Cost) []string {
+func (m *Model) caseCells(c scale.PlanSizeCase, cost scale.Cost) []string {
 	sum := m.Costs.At(cost, m.Costs.sizesAlong(cost, c.Sizes))
 	show := func(value float64) string {
-		return costFigure(Source{Along: sum.Along, Value: known(value)})
+		return formatCost(Source{Slopes: sum.Slopes, Value: known(value)})
 	}
-	cells := []string{c.Name, string(cost), show(c.Costs[cost]), percent3(c.Spread[cost])}
+	cells := []string{c.Name, string(cost), show(c.Costs[cost]), formatPercent(c.Spread[cost])}
 	switch {
 	case !sum.Value.Known:
 		return append(cells, unmeasured, "none")
 	case sum.Value.Value == 0:
 		return append(cells, show(0), "none")
 	}
-	return append(cells, show(sum.Value.Value), number3(c.Costs[cost]/sum.Value.Value))
+	return append(cells, show(sum.Value.Value), formatNumber(c.Costs[cost]/sum.Value.Value))
 }
 
 // sizesAlong are the sizes of a case along the axes that a cost was measured along.
@@ -60,34 +60,34 @@
 }
 
 // writeReal holds hollow managers against real processes.
-func (m *Model) writeReal(w io.Writer) {
+func (m *Model) writeProcesses(w io.Writer) {
 	r := m.Costs.report
-	heading(w, "Real processes, and hollow managers of the same size")
-	if len(r.Real) == 0 {
+	writeHeading(w, "Real processes, and hollow managers of the same size")
+	if len(r.Processes) == 0 {
 		fmt.Fprintln(w, "The slopes' file has none: not measured.")
 		return
 	}
-	header(w, "state", "between reads", "servers", "proxies", "collectors' lines a second", "core, real", "core, hollow", "the process alone", "largest resident set", "hollow heap", "context switches a second")
-	for _, c := range r.Real {
-		row(w, c.Name, intervalCell(c.Interval), number3(float64(c.Servers)), number3(float64(c.Proxies)), number3(c.Reports), medianOrNone(c.CPU, percent3),
-			medianOrNone(c.HollowCPU, percent3), overheadCell(c), number3(c.MemoryMB)+" MB", number3(c.HollowHeap)+" MB", medianOrNone(c.Wakeups, number3))
+	writeHeader(w, "state", "between reads", "servers", "proxies", "collectors' lines a second", "core, real", "core, hollow", "the process alone", "largest resident set", "hollow heap", "context switches a second")
+	for _, c := range r.Processes {
+		writeRow(w, c.Name, intervalCell(c.ReadInterval), formatNumber(float64(c.Servers)), formatNumber(float64(c.Proxies)), formatNumber(c.ReportsPerSecond), medianOrNone(c.CPU, formatPercent),
+			medianOrNone(c.HollowCPU, formatPercent), overheadCell(c), formatNumber(c.MemoryMB)+" MB", formatNumber(c.HollowHeapMB)+" MB", medianOrNone(c.ContextSwitches, formatNumber))
 	}
 	fmt.Fprintf(w, "\nCounted to a manager's core beside the slopes: %s in the strict reading (state \"%s\"), %s without collectors' lines (state \"%s\").\n",
-		show(m.processOverhead(busyState), percent3), busyState, show(m.processOverhead(quietState), percent3), quietState)
+		formatFigure(m.processOverhead(busyState), formatPercent), busyState, formatFigure(m.processOverhead(quietState), formatPercent), quietState)
 }
 
 func intervalCell(seconds float64) string {
 	if seconds == 0 {
 		return "as it comes"
 	}
-	return seconds3(seconds)
+	return formatSeconds(seconds)
 }
 
-func overheadCell(c scale.RealCase) string {
+func overheadCell(c scale.ProcessCase) string {
 	if len(c.CPU) == 0 || len(c.HollowCPU) == 0 {
 		return unmeasured
 	}
-	return percent3(overheadOf(c))
+	return formatPercent(overheadOf(c))
 }
 
 func medianOrNone(runs []float64, how func(float64) string) string {
--- a/internal/capacity/cases_test.go
+++ b/internal/capacity/cases_test.go
@@ -20,7 +20,7 @@
 	if !strings.Contains(tablesOf(r, t), "The slopes' file has none: not measured.") {
 		t.Error("a file without cases is not called so")
 	}
-	r.PlanSize = []scale.Case{{
+	r.PlanSize = []scale.PlanSizeCase{{
 		Name:   "whole list",
 		Sizes:  map[scale.Axis]float64{scale.Servers: 24000, scale.Proxies: 480, scale.Zones: 88, scale.OpeningListSize: 24000},
 		Costs:  map[scale.Cost]float64{scale.CPUPerQuietSecond: 0.1056, scale.HeapBytes: 5e6, scale.LongestDecision: 0.2},
@@ -43,9 +43,9 @@
 
 func TestRealProcessesBesideHollowManagers(t *testing.T) {
 	r := madeUp(t)
-	r.Real = []scale.RealCase{
-		{Name: "quiet", Servers: 60, Proxies: 40, CPU: []float64{0.03, 0.01, 0.02}, Wakeups: []float64{1000}, HollowCPU: []float64{0.005}, MemoryMB: 30, HollowHeap: 2},
-		{Name: "alone", Interval: 0.05, Servers: 60, Proxies: 40, CPU: []float64{0.01}},
+	r.Processes = []scale.ProcessCase{
+		{Name: "quiet", Servers: 60, Proxies: 40, CPU: []float64{0.03, 0.01, 0.02}, ContextSwitches: []float64{1000}, HollowCPU: []float64{0.005}, MemoryMB: 30, HollowHeapMB: 2},
+		{Name: "alone", ReadInterval: 0.05, Servers: 60, Proxies: 40, CPU: []float64{0.01}},
 	}
 	text := tablesOf(r, t)
 	for _, want := range []string{
@@ -69,9 +69,9 @@
 		constant(scale.ControlCPUPerManager, scale.Managers, 0.08))
 	p := small(t)
 	m := NewModel(p, r)
-	near(t, "alone", m.changeInForce(WholeList).Value, 3)                           // 2 s, and a decision of 0.011 s on 1.1% of a core
+	near(t, "alone", m.propagation(WholeList).Value, 3)                             // 2 s, and a decision of 0.011 s on 1.1% of a core
 	near(t, "all openings of a machine", m.allOpenings(WholeList).Value, 2*0.08/16) // two readers, 16 cores
-	checks := m.inForce()
+	checks := m.propagationChecks()
 	near(t, "against 19 s", checks[0].Ratio[WholeList].Value, 3.0/19)
 	near(t, "beside openings, against 19 s", checks[1].Ratio[WholeList].Value, 3.01/19)
 }
@@ -104,9 +104,9 @@
 		Points: []scale.Point{{Size: 10, Runs: []float64{0.1}}}})
 	p := small(t)
 	m := NewModel(p, r)
-	h := p.usual(WholeList)
-	near(t, "as measured", m.coreOfChange(h, 10).Value, 0.1)
-	near(t, "beyond it", m.coreOfChange(h, 1000).Value, 0.00002*100) // an opening of 100 entries
+	h := p.normalServerCounts(WholeList)
+	near(t, "as measured", m.listChangeCore(h, 10).Value, 0.1)
+	near(t, "beyond it", m.listChangeCore(h, 1000).Value, 0.00002*100) // an opening of 100 entries
 }
 
 func TestAProcessBeyondItsHollowManager(t *testing.T) {
@@ -117,7 +117,7 @@
 	if before.Core.Known {
 		t.Error("no real process was measured, yet the core is called known")
 	}
-	r.Real = []scale.RealCase{
+	r.Processes = []scale.ProcessCase{
 		{Name: busyState, Servers: 60, CPU: []float64{0.02, 0.03, 0.04}, HollowCPU: []float64{0.01}},
 		{Name: busyState, Servers: 240, CPU: []float64{0.05}, HollowCPU: []float64{0.01}},
 		{Name: quietState, Servers: 60, CPU: []float64{0.004}, HollowCPU: []float64{0.001}},
@@ -134,7 +134,7 @@
 	if spaced := NewModel(p, r).Load(Manager, p.situations()[0], WholeList); spaced.Core.Known {
 		t.Error("no real process was measured with reads 50 ms apart, yet the core is called known")
 	}
-	r.Real = append(r.Real, scale.RealCase{Name: busyState, Interval: 0.05, CPU: []float64{0.004}, HollowCPU: []float64{0.001}})
+	r.Processes = append(r.Processes, scale.ProcessCase{Name: busyState, ReadInterval: 0.05, CPU: []float64{0.004}, HollowCPU: []float64{0.001}})
 	spaced := NewModel(p, r).Load(Manager, p.situations()[0], WholeList)
 	near(t, "strict, reads 50 ms apart", spaced.Core.Value-before.Core.Value, 0.003)
 }
@@ -145,7 +145,7 @@
 		constant(scale.PropagationDuringOpeningsLast, scale.Managers, 6), constant(scale.PropagationDuringControlLossLast, scale.Managers, 8),
 		constant(scale.CPUPerSubsetRead, scale.OpeningListSize, 0.022), constant(scale.CPUPerListRead, scale.OpeningListSize, 0.033))
 	m := NewModel(small(t), r)
-	checks := m.inForce()
+	checks := m.propagationChecks()
 	near(t, "beside openings, subset", checks[1].Ratio[Subset].Value, (6.0+1)/19)          // and a decision of 0.011 s on 1.1% of a core
 	near(t, "beside openings, whole list", checks[1].Ratio[WholeList].Value, (6.0+1+1)/19) // it reads for 1 s more
 	near(t, "machines lost, subset", checks[2].Ratio[Subset].Value, (8.0+1)/19)
@@ -155,7 +155,7 @@
 }
 
 func TestAChangeWhileMachinesAreLostIsUnknownWhereItWasNotMeasured(t *testing.T) {
-	checks := NewModel(small(t), madeUp(t)).inForce()
+	checks := NewModel(small(t), madeUp(t)).propagationChecks()
 	if len(checks) != 3 || checks[2].Ratio[Subset].Known {
 		t.Errorf("%+v", checks)
 	}
@@ -166,6 +166,6 @@
 	r.Slopes = append(r.Slopes, constant(scale.CPUPerSubsetRead, scale.OpeningListSize, 0.022), constant(scale.CPUPerListRead, scale.OpeningListSize, 0.002))
 	p := small(t)
 	m := NewModel(p, r)
-	held := p.usual(CachedSubset)
-	near(t, "a subset of what is sent", m.openingCore(p.usual(Subset)).Value-m.openingCore(held).Value, 0.02)
+	held := p.normalServerCounts(CachedSubset)
+	near(t, "a subset of what is sent", m.openingCore(p.normalServerCounts(Subset)).Value-m.openingCore(held).Value, 0.02)
 }
--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -4,38 +4,38 @@
 
 // readers is how many managers one control machine serves.
 func (m *Model) readers(s Situation) float64 {
-	return (float64(m.Plan.Fleet.Managers) - s.Lost) / s.Machines
+	return (float64(m.Plan.Fleet.Managers) - s.LostManagers) / s.ControlMachines
 }
 
 // controlMachine is a machine that tells the list to its part of all managers.
 func (m *Model) controlMachine(s Situation, scope Scope) Load {
-	p, readers, h := m.Plan, m.readers(s), m.Plan.usual(scope)
+	p, readers, h := m.Plan, m.readers(s), m.Plan.normalServerCounts(scope)
 	told := s // the machine itself hears each change, and tells what changes; what was missed is told apart
-	told.Resumes = 0
+	told.MissedEntries = 0
 	heard, changes := p.listChanges(told, 1), p.listChanges(told, h.sentShare(false))
-	opens, resumes := s.Openers/s.Machines/s.Window, s.Resumers/s.Machines/s.Window
+	opens, resumes := s.OpeningManagers/s.ControlMachines/s.Window, s.ResumingManagers/s.ControlMachines/s.Window
 	load := Load{
 		State:       stateOf(float64(p.Fleet.Servers), "servers") + ", " + stateOf(readers, "readers"),
 		MessagesIn:  known(heard.lines/s.Window + opens + resumes),
 		MessagesOut: known(readers*(1+changes.lines/s.Window) + opens + resumes),
-		BytesIn:     m.bytesOfChanges(heard).times(1 / s.Window),
+		BytesIn:     m.listChangeBytes(heard).times(1 / s.Window),
 		Memory:      m.cost(scale.ControlHeapPerManager, m.controlSizes(scale.ControlHeapPerManager, s, h)).times(readers),
 		Connections: known(readers),
 		Core:        m.controlCore(s, h, opens, changes.lines/s.Window*readers),
 	}
-	perReader := m.heartbeats().plus(m.bytesOfChanges(changes).times(1 / s.Window))
+	perReader := m.heartbeatBytes().plus(m.listChangeBytes(changes).times(1 / s.Window))
 	resumed := known(0)
-	if s.Resumes > 0 {
-		resumed = m.bytesOfChanges(p.listChanges(s, h.sentShare(false))).times(resumes)
+	if s.MissedEntries > 0 {
+		resumed = m.listChangeBytes(p.listChanges(s, h.sentShare(false))).times(resumes)
 	}
-	load.BytesOut = perReader.times(readers).plus(m.opening(h).times(opens)).plus(resumed)
+	load.BytesOut = perReader.times(readers).plus(m.openingBytes(h).times(opens)).plus(resumed)
 	load.CoreWithoutCollectors = load.Core
 	return load
 }
 
 // controlCore is what a control machine spends: what its readers' openings cost, the changes that it tells them, and its
 // signs of life. Where these were not measured it is the least.
-func (m *Model) controlCore(s Situation, h holding, opens, changes float64) Figure {
+func (m *Model) controlCore(s Situation, h serverCounts, opens, changes float64) Figure {
 	opening := m.cost(scale.ControlCPUPerManager, m.controlSizes(scale.ControlCPUPerManager, s, h))
 	telling := m.cost(scale.ControlCPUPerChange, m.controlSizes(scale.ControlCPUPerChange, s, h))
 	alive := m.cost(scale.ControlCPUPerQuietSecond, Sizes{scale.Managers: m.readers(s)})
@@ -43,7 +43,7 @@
 }
 
 // controlSizes is the fleet as one control machine sees it.
-func (m *Model) controlSizes(cost scale.Cost, s Situation, h holding) Sizes {
+func (m *Model) controlSizes(cost scale.Cost, s Situation, h serverCounts) Sizes {
 	sizes := m.listSizes(cost, h.sent)
 	sizes[scale.Managers] = m.readers(s)
 	return sizes
@@ -52,9 +52,9 @@
 // agent passes on what discovery tells to the manager beside it. There is none in this repository, so its own costs are
 // not measured.
 func (m *Model) agent(s Situation, scope Scope) Load {
-	h := m.Plan.holding(s, scope)
+	h := m.Plan.serverCounts(s, scope)
 	in := m.managerInputs(s, h)
-	list := m.listBytes(s, h).plus(m.heartbeats())
+	list := m.listBytes(s, h).plus(m.heartbeatBytes())
 	return Load{
 		State:       stateOf(h.sent, "servers"),
 		MessagesIn:  known(1 + in.listLines),
--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -4,11 +4,11 @@
 
 // Limits of today's code that a plan may pass, whatever it costs. Each stands where Where says.
 const (
-	mostLineTime    = 2.6   // seconds that a line of the list may take
-	mostProxyNumber = 65536 // proxies of all managers, and proxies' numbers
-	mostProbesWait  = 4096  // servers that are asked at once
-	mostGroups      = 63
-	bindingPart     = 0.75 // of the queue, which the binding of one proxy has to fit
+	maxLineTime            = 2.6   // seconds that a line of the list may take
+	maxProxyNumber         = 65536 // proxies of all managers, and proxies' numbers
+	maxWaitingHealthChecks = 4096  // servers that are asked at once
+	maxTrafficClasses      = 63
+	assignmentPart         = 0.75 // of the queue, which the binding of one proxy has to fit
 )
 
 // Limit is a fixed bound of today's code, and what the plan asks of it.
@@ -20,8 +20,8 @@
 	Where  string
 }
 
-// Passed tells whether the plan passes the limit in a scope.
-func (l Limit) Passed(scope Scope) bool {
+// Exceeded tells whether the plan passes the limit in a scope.
+func (l Limit) Exceeded(scope Scope) bool {
 	return l.Wanted[scope].Known && l.Wanted[scope].Value > l.Bound
 }
 
@@ -29,32 +29,34 @@
 func (m *Model) Limits() []Limit {
 	p := m.Plan
 	return []Limit{
-		{"bytes of a whole list, which is one line", float64(config.MaxEndpointListBytes(p.Budgets.MemoryMB)), m.perScope(func(s Scope) Figure { return m.opening(p.usual(s)) }),
+		{"bytes of a whole list, which is one line", float64(config.MaxEndpointListBytes(p.Budgets.MemoryMB)), m.perScope(func(s Scope) Figure { return m.openingBytes(p.normalServerCounts(s)) }),
 			"a whole list is refused as too long: only changes can be taken", "`config.Limits.LineList`"},
-		{"seconds of a whole list, sent at the budget's pace", mostLineTime, m.perScope(func(s Scope) Figure { return m.opening(p.usual(s)).times(1 / p.Budgets.BytesPerSecond) }),
+		{"seconds of a whole list, sent at the budget's pace", maxLineTime, m.perScope(func(s Scope) Figure {
+			return m.openingBytes(p.normalServerCounts(s)).times(1 / p.Budgets.BytesPerSecond)
+		}),
 			"the watch counts as silent and is opened again", "`config.Limits.SilentWatch`, `deadlineConn` in `internal/node`"},
-		{"lines of a table, all of which the binding of a proxy sends", bindingPart * float64(p.Managers.QueueLines),
-			m.perScope(func(s Scope) Figure { return known(m.tableLines(p.usual(s))) }),
+		{"lines of a table, all of which the binding of a proxy sends", assignmentPart * float64(p.Managers.QueueCapacity),
+			m.perScope(func(s Scope) Figure { return known(m.tableWeights(p.normalServerCounts(s))) }),
 			"no binding fits the queue, so no proxy is bound", "`queueUrgent` in `balancer/choice.go`, `room` in `balancer/ledger.go`, blocks by `part`"},
-		{"proxies of all managers, and their numbers", mostProxyNumber, m.perScope(func(Scope) Figure {
+		{"proxies of all managers, and their numbers", maxProxyNumber, m.perScope(func(Scope) Figure {
 			return known(float64(p.Managers.Proxies) * float64(p.Fleet.Managers))
 		}), "the settings are refused, unless each relay numbers its own proxies", "`domain.proxies` in `internal/platformsettings`, `decoder` in `internal/node`"},
-		{"servers asked at once", mostProbesWait, m.perScope(func(s Scope) Figure { return known(p.usual(s).held) }),
+		{"servers asked at once", maxWaitingHealthChecks, m.perScope(func(s Scope) Figure { return known(p.normalServerCounts(s).held) }),
 			"a lost fleet is not probed whole", "`config.Limits.ProbesWait`"},
-		{"traffic groups", mostGroups, m.perScope(func(Scope) Figure { return known(float64(p.Managers.TrafficGroups)) }),
+		{"traffic groups", maxTrafficClasses, m.perScope(func(Scope) Figure { return known(float64(p.Managers.TrafficClasses)) }),
 			"the settings are refused", "`classes` in `internal/platformsettings`"},
 	}
 }
 
 // tableLines is how many servers a table names: as many as its flows are spread over. That is all that are held, evenly,
 // since a server's target is its share of all of them.
-func (m *Model) tableLines(h holding) float64 {
-	return h.held / float64(m.Plan.Managers.ProxyZones) / m.blocks()
+func (m *Model) tableWeights(h serverCounts) float64 {
+	return h.held / float64(m.Plan.Managers.ProxyZones) / m.shards()
 }
 
 // blocks is into how many tables a zone is divided at most: one for five proxies of a manager, counted as `part` in the
 // decisions does, as if they stood evenly in all zones.
-func (m *Model) blocks() float64 {
+func (m *Model) shards() float64 {
 	const proxiesPerBlock, serversPerBlock = 5, 4
 	perZone := float64(m.Plan.Fleet.Servers) / float64(m.Plan.Fleet.Zones)
 	proxies := float64(m.Plan.Managers.Proxies) / float64(m.Plan.Fleet.Zones)
--- a/internal/capacity/listchange.go
+++ b/internal/capacity/list_change.go
@@ -11,29 +11,29 @@
 // listChanges is what a part of a situation's changes comes to. Entries that change together stand in one line, as does
 // all that a reader missed.
 func (p Plan) listChanges(s Situation, share float64) listChanges {
-	if s.Resumes > 0 {
-		return listChanges{1, max(1, s.Resumes*share)}
+	if s.MissedEntries > 0 {
+		return listChanges{1, max(1, s.MissedEntries*share)}
 	}
-	entries := s.Changes * share
+	entries := s.ListChanges * share
 	if entries == 0 {
 		return listChanges{}
 	}
-	lines := min(s.Changes/float64(p.Day.Batch), entries)
+	lines := min(s.ListChanges/float64(p.Day.Batch), entries)
 	return listChanges{lines, entries / lines}
 }
 
 // bytesOfChanges is what changes of the list come to on the wire.
-func (m *Model) bytesOfChanges(c listChanges) Figure {
+func (m *Model) listChangeBytes(c listChanges) Figure {
 	if c.lines == 0 {
 		return known(0)
 	}
 	source := m.Costs.OrPlan(scale.BytesOfListChange, Sizes{scale.RestartsAtOnce: c.entries}, c.entries*m.Plan.Messages.ListEntry)
-	return m.keep(source).times(c.lines)
+	return m.recordSource(source).times(c.lines)
 }
 
 // coreOfChange is what one line of changes costs a manager. A line of more entries than were measured is counted as no
 // dearer than an opening, which takes all entries that the manager holds.
-func (m *Model) coreOfChange(h holding, entries float64) Figure {
+func (m *Model) listChangeCore(h serverCounts, entries float64) Figure {
 	sizes := m.managerSizes(h)
 	sizes[scale.RestartsAtOnce] = entries
 	change := m.cost(scale.CPUPerListChange, sizes)
--- a/internal/capacity/load.go
+++ b/internal/capacity/load.go
@@ -72,21 +72,23 @@
 }
 
 // cost is a cost at a size; its source is kept for the table of sources.
-func (m *Model) cost(cost scale.Cost, sizes Sizes) Figure { return m.keep(m.Costs.At(cost, sizes)) }
+func (m *Model) cost(cost scale.Cost, sizes Sizes) Figure {
+	return m.recordSource(m.Costs.At(cost, sizes))
+}
 
 // bytesAt is the bytes of a kind of message where they are measured along axes of the fleet's size.
 func (m *Model) bytesAt(cost scale.Cost, sizes Sizes, assumed float64) Figure {
 	s := m.Costs.OrPlan(cost, sizes, assumed)
-	s.Missing = nil // along which nobody expects the message to grow
-	return m.keep(s)
+	s.UnmeasuredAxes = nil // along which nobody expects the message to grow
+	return m.recordSource(s)
 }
 
 // bytesOf is the bytes of a message that are the same at every size.
 func (m *Model) bytesOf(cost scale.Cost, assumed float64) Figure {
-	return m.keep(m.Costs.OrPlan(cost, nil, assumed))
+	return m.recordSource(m.Costs.OrPlan(cost, nil, assumed))
 }
 
-func (m *Model) keep(s Source) Figure {
+func (m *Model) recordSource(s Source) Figure {
 	key := fmt.Sprint(s.Cost, s.Sizes)
 	for _, old := range m.sources {
 		if fmt.Sprint(old.Cost, old.Sizes) == key {
--- a/internal/capacity/load_test.go
+++ b/internal/capacity/load_test.go
@@ -48,7 +48,7 @@
 	p := planned(t)
 	p.Managers.ListStored = false
 	p.Fleet = Fleet{Managers: 10, Servers: 100, Services: 2, RequestsPerSecond: 100, Regions: 5, Zones: 10}
-	p.Managers.Proxies, p.Managers.TrafficGroups, p.Managers.TriesPerRequest = 50, 1, 1
+	p.Managers.Proxies, p.Managers.TrafficClasses, p.Managers.AttemptsPerRequest = 50, 1, 1
 	p.Control.Count = 5
 	p.Day.Failures, p.Day.Restarts, p.Day.Changes, p.Day.Batch = 1, 10, 69, 5
 	p.Subset = SubsetSize{HomeZones: 1, Others: 9, WidenBelow: 0.7}
@@ -64,7 +64,7 @@
 
 func TestSizesOfASubset(t *testing.T) {
 	p := small(t)
-	whole, subset, cached := p.usual(WholeList), p.usual(Subset), p.usual(CachedSubset)
+	whole, subset, cached := p.normalServerCounts(WholeList), p.normalServerCounts(Subset), p.normalServerCounts(CachedSubset)
 	near(t, "held, whole list", whole.held, 100)
 	near(t, "held, subset", subset.held, 19)               // 10 of the home zone and 9 others
 	near(t, "sent, subset", subset.sent, 100)              // dropped where it is decoded
@@ -80,21 +80,21 @@
 func TestHomeZonesThatAreTheWholeFleet(t *testing.T) {
 	p := small(t)
 	p.Subset = SubsetSize{HomeZones: 10, Others: 50}
-	near(t, "held", p.usual(Subset).held, 100)
-	near(t, "share of others", p.usual(Subset).share(true), 1)
+	near(t, "held", p.normalServerCounts(Subset).held, 100)
+	near(t, "share of others", p.normalServerCounts(Subset).share(true), 1)
 }
 
 func TestCollectorsLines(t *testing.T) {
 	p := small(t)
-	near(t, "reports, whole list", p.reports(p.usual(WholeList)), 100*(1-math.Exp(-0.1))) // 10 tries on 100 servers
-	near(t, "reports, subset", p.reports(p.usual(Subset)), 19*(1-math.Exp(-10.0/19)))
-	near(t, "usages", p.usages(), 50*(1-math.Exp(-0.2))) // 10 requests on 50 proxies
+	near(t, "reports, whole list", p.loadReports(p.normalServerCounts(WholeList)), 100*(1-math.Exp(-0.1))) // 10 tries on 100 servers
+	near(t, "reports, subset", p.loadReports(p.normalServerCounts(Subset)), 19*(1-math.Exp(-10.0/19)))
+	near(t, "usages", p.usageReports(), 50*(1-math.Exp(-0.2))) // 10 requests on 50 proxies
 }
 
 func TestProbesAreBounded(t *testing.T) {
 	p := small(t)
-	near(t, "a few silent servers", p.probes(10), 5) // each once in 2 s
-	near(t, "a silent fleet", p.probes(1e6), 64/0.6) // 64 at once, 0.6 s each
+	near(t, "a few silent servers", p.healthChecks(10), 5) // each once in 2 s
+	near(t, "a silent fleet", p.healthChecks(1e6), 64/0.6) // 64 at once, 0.6 s each
 }
 
 func TestBusiestSecond(t *testing.T) {
@@ -150,12 +150,12 @@
 func TestASubsetWidensWhereARegionIsCutOff(t *testing.T) {
 	p := small(t)
 	// 10 of the 90 servers of other zones can be reached: of 9, 18, 36 and 72 others 1, 2, 4 and 8, where 6.3 are needed
-	near(t, "held", p.holding(p.regionCut(), Subset).held, 10+72)
-	near(t, "held by what a cache sent before", p.holding(p.regionCut(), CachedSubset).held, 10+9)
+	near(t, "held", p.serverCounts(p.regionCut(), Subset).held, 10+72)
+	near(t, "held by what a cache sent before", p.serverCounts(p.regionCut(), CachedSubset).held, 10+9)
 	p.Fleet.Regions = 10 // nothing but the home zone is left
-	near(t, "held where no other can be reached", p.holding(p.regionCut(), Subset).held, 100)
+	near(t, "held where no other can be reached", p.serverCounts(p.regionCut(), Subset).held, 100)
 	zoneLost := situation(t, p, "a zone is lost")
-	near(t, "held where one zone of many is lost", p.holding(zoneLost, Subset).held, 10+9)
+	near(t, "held where one zone of many is lost", p.serverCounts(zoneLost, Subset).held, 10+9)
 }
 
 func situation(t *testing.T, p Plan, name string) Situation {
@@ -191,11 +191,11 @@
 		share          float64
 		lines, entries float64
 	}{
-		{"all of two batches", Situation{Changes: 40}, 1, 2, 20},
-		{"a tenth of two batches", Situation{Changes: 40}, 0.1, 2, 2},
-		{"a hundredth: less than one entry", Situation{Changes: 40}, 0.01, 0.4, 1},
-		{"all that was missed", Situation{Resumes: 500}, 1, 1, 500},
-		{"nothing of what was missed", Situation{Resumes: 50}, 0.001, 1, 1},
+		{"all of two batches", Situation{ListChanges: 40}, 1, 2, 20},
+		{"a tenth of two batches", Situation{ListChanges: 40}, 0.1, 2, 2},
+		{"a hundredth: less than one entry", Situation{ListChanges: 40}, 0.01, 0.4, 1},
+		{"all that was missed", Situation{MissedEntries: 500}, 1, 1, 500},
+		{"nothing of what was missed", Situation{MissedEntries: 50}, 0.001, 1, 1},
 		{"nothing", Situation{}, 1, 0, 0},
 	} {
 		got := p.listChanges(one.situation, one.share)
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -11,32 +11,34 @@
 
 // inputs are the messages that a manager takes in, a second.
 type inputs struct {
-	reports, usages, news, listLines, probes float64
+	loadReports, usageReports, relayEvents, listLines, healthChecks float64
 }
 
 // decisions is how many of them the decisions hear, beside the list.
-func (in inputs) decisions() float64 { return in.reports + in.usages + in.news + in.probes }
+func (in inputs) decisions() float64 {
+	return in.loadReports + in.usageReports + in.relayEvents + in.healthChecks
+}
 
-func (m *Model) managerInputs(s Situation, h holding) inputs {
+func (m *Model) managerInputs(s Situation, h serverCounts) inputs {
 	p := m.Plan
-	in := inputs{reports: p.reports(h), usages: p.usages()}
-	in.news = m.newsPerSecond(h, in)
-	in.probes = p.probes(s.Silent * h.share(s.Homeless))
-	if s.Recovering > 0 {
-		in.probes += s.Recovering * h.share(s.Homeless) / s.Window
+	in := inputs{loadReports: p.loadReports(h), usageReports: p.usageReports()}
+	in.relayEvents = m.relayEvents(h, in)
+	in.healthChecks = p.healthChecks(s.Unresponsive * h.share(s.OutsideHome))
+	if s.RecoveringServers > 0 {
+		in.healthChecks += s.RecoveringServers * h.share(s.OutsideHome) / s.Window
 	}
 	if s.Opens {
-		in.news += float64(p.Managers.Proxies) / s.Window
+		in.relayEvents += float64(p.Managers.Proxies) / s.Window
 		if !s.FromStore {
 			in.listLines = 1 / s.Window
 		}
 	}
-	in.listLines += p.listChanges(s, h.sentShare(s.Homeless)).lines / s.Window
+	in.listLines += p.listChanges(s, h.sentShare(s.OutsideHome)).lines / s.Window
 	return in
 }
 
 // newsPerSecond is how many events of the relay come: mostly answers to marks, more where tables change more.
-func (m *Model) newsPerSecond(h holding, in inputs) float64 {
+func (m *Model) relayEvents(h serverCounts, in inputs) float64 {
 	if !m.Costs.measured(scale.RelayEventsPerSecond) {
 		return callsPerSecond
 	}
@@ -44,19 +46,19 @@
 }
 
 func (m *Model) manager(s Situation, scope Scope) Load {
-	p, h := m.Plan, m.Plan.holding(s, scope)
+	p, h := m.Plan, m.Plan.serverCounts(s, scope)
 	in := m.managerInputs(s, h)
 	load := Load{
 		State:       stateOf(h.held, "servers") + ", " + stateOf(float64(p.Managers.Proxies), "proxies"),
 		MessagesIn:  known(heartbeatsPerSecond + in.decisions() + in.listLines),
-		MessagesOut: known(callsPerSecond + in.probes),
+		MessagesOut: known(callsPerSecond + in.healthChecks),
 		Memory:      m.cost(scale.HeapBytes, m.managerSizes(h)),
-		Connections: known(standingConnections + float64(p.Managers.ProxyZones*p.Managers.CollectorsPerZone) + m.openProbes(in.probes)),
+		Connections: known(standingConnections + float64(p.Managers.ProxyZones*p.Managers.CollectorsPerZone) + m.openHealthChecks(in.healthChecks)),
 	}
-	load.CollectorBytes = m.collectorLines(in)
-	load.BytesIn = m.listBytes(s, h).plus(load.CollectorBytes).plus(m.newsBytes(in)).plus(m.heartbeats())
-	heard := p.listChanges(s, h.share(s.Homeless))
-	load.BytesOut = m.calls(h, in, heard.lines/s.Window).plus(m.probeBytes(s, in)).plus(m.openingOrders(s, h))
+	load.CollectorBytes = m.collectorBytes(in)
+	load.BytesIn = m.listBytes(s, h).plus(load.CollectorBytes).plus(m.relayEventBytes(in)).plus(m.heartbeatBytes())
+	heard := p.listChanges(s, h.share(s.OutsideHome))
+	load.BytesOut = m.callBytes(h, in, heard.lines/s.Window).plus(m.healthCheckBytes(s, in)).plus(m.openingCommands(s, h))
 	eventCore := m.eventCore(s, h, in)
 	load.Core = m.busyCore(s, h, in, heard).plus(eventCore).plus(m.processOverhead(busyState))
 	load.CoreWithoutCollectors = m.quietCore(s, h, heard).plus(eventCore).plus(m.processOverhead(quietState))
@@ -64,51 +66,51 @@
 }
 
 // managerSizes is the fleet as one manager sees it.
-func (m *Model) managerSizes(h holding) Sizes {
+func (m *Model) managerSizes(h serverCounts) Sizes {
 	return Sizes{
 		scale.Servers:       h.held,
 		scale.Proxies:       float64(m.Plan.Managers.Proxies),
 		scale.Zones:         float64(m.Plan.Fleet.Zones),
-		scale.TrafficGroups: float64(m.Plan.Managers.TrafficGroups),
+		scale.TrafficGroups: float64(m.Plan.Managers.TrafficClasses),
 	}
 }
 
 // busySizes adds what comes in a second: collectors' lines, and changes of the list. A busy second was measured with
 // the reference's changes, which are counted at least.
-func (m *Model) busySizes(h holding, in inputs, changes float64) Sizes {
+func (m *Model) busySizes(h serverCounts, in inputs, changes float64) Sizes {
 	sizes := m.managerSizes(h)
-	sizes[scale.Reports] = in.reports + in.usages
+	sizes[scale.Reports] = in.loadReports + in.usageReports
 	sizes[scale.ListChanges] = max(changes, m.Costs.report.Reference[scale.ListChanges])
 	return sizes
 }
 
 // quietCore is a second without collectors' lines, with changes of the list.
-func (m *Model) quietCore(s Situation, h holding, changes listChanges) Figure {
+func (m *Model) quietCore(s Situation, h serverCounts, changes listChanges) Figure {
 	quiet := m.cost(scale.CPUPerQuietSecond, m.managerSizes(h))
 	if changes.lines == 0 {
 		return quiet
 	}
-	return quiet.plus(m.coreOfChange(h, changes.entries).times(changes.lines / s.Window))
+	return quiet.plus(m.listChangeCore(h, changes.entries).times(changes.lines / s.Window))
 }
 
 // busyCore is a second in which collectors' lines come too: as measured, or the quiet second and each line's cost. It
 // was measured with changes of one entry each; what further entries of a change cost is added.
-func (m *Model) busyCore(s Situation, h holding, in inputs, changes listChanges) Figure {
+func (m *Model) busyCore(s Situation, h serverCounts, in inputs, changes listChanges) Figure {
 	if m.Costs.measured(scale.CPUPerBusySecond) {
 		busy := m.cost(scale.CPUPerBusySecond, m.busySizes(h, in, changes.lines/s.Window))
 		if changes.entries <= 1 {
 			return busy
 		}
-		further := m.coreOfChange(h, changes.entries).plus(m.coreOfChange(h, 1).times(-1))
+		further := m.listChangeCore(h, changes.entries).plus(m.listChangeCore(h, 1).times(-1))
 		return busy.plus(further.times(changes.lines / s.Window))
 	}
-	return m.quietCore(s, h, changes).plus(m.cost(scale.CPUPerInput, m.managerSizes(h)).times(in.reports + in.usages))
+	return m.quietCore(s, h, changes).plus(m.cost(scale.CPUPerInput, m.managerSizes(h)).times(in.loadReports + in.usageReports))
 }
 
 // eventCore is what comes beside the second's own work, collectors' lines and changes of the list: the relay's news,
 // probes' answers, an opening.
-func (m *Model) eventCore(s Situation, h holding, in inputs) Figure {
-	core := m.cost(scale.CPUPerInput, m.managerSizes(h)).times(in.news + in.probes)
+func (m *Model) eventCore(s Situation, h serverCounts, in inputs) Figure {
+	core := m.cost(scale.CPUPerInput, m.managerSizes(h)).times(in.relayEvents + in.healthChecks)
 	if s.Opens {
 		core = core.plus(m.openingCore(h).times(1 / s.Window))
 	}
@@ -117,75 +119,75 @@
 
 // openingCore is the processor time of an opening. What is sent beyond what is held is decoded, and dropped there. A list
 // from the store is counted as dear as one on the wire.
-func (m *Model) openingCore(h holding) Figure {
+func (m *Model) openingCore(h serverCounts) Figure {
 	opening := m.cost(scale.CPUPerOpening, m.openingSizes(h))
 	if h.sent <= h.held {
 		return opening
 	}
 	held := m.cost(scale.CPUPerListRead, m.listSizes(scale.CPUPerListRead, h.held))
-	return opening.plus(m.reading(Subset)).plus(held.times(-1))
+	return opening.plus(m.listReadTime(Subset)).plus(held.times(-1))
 }
 
 // openingSizes is what an opening's processor time was measured along.
-func (m *Model) openingSizes(h holding) Sizes {
+func (m *Model) openingSizes(h serverCounts) Sizes {
 	if m.Costs.listAxis(scale.CPUPerOpening) == scale.OpeningListSize {
 		return Sizes{scale.OpeningListSize: h.held}
 	}
 	return m.managerSizes(h)
 }
 
-func (m *Model) opening(h holding) Figure {
+func (m *Model) openingBytes(h serverCounts) Figure {
 	sizes := m.listSizes(scale.BytesOfOpening, h.sent)
-	return m.keep(m.Costs.OrPlan(scale.BytesOfOpening, sizes, h.sent*m.Plan.Messages.ListEntry))
+	return m.recordSource(m.Costs.OrPlan(scale.BytesOfOpening, sizes, h.sent*m.Plan.Messages.ListEntry))
 }
 
 // listBytes is what the list costs a manager on the wire.
-func (m *Model) listBytes(s Situation, h holding) Figure {
+func (m *Model) listBytes(s Situation, h serverCounts) Figure {
 	if s.NoList {
 		return known(0)
 	}
-	bytes := m.bytesOfChanges(m.Plan.listChanges(s, h.sentShare(s.Homeless))).times(1 / s.Window)
+	bytes := m.listChangeBytes(m.Plan.listChanges(s, h.sentShare(s.OutsideHome))).times(1 / s.Window)
 	if s.Opens && !s.FromStore {
-		bytes = bytes.plus(m.opening(h).times(1 / s.Window))
+		bytes = bytes.plus(m.openingBytes(h).times(1 / s.Window))
 	}
 	return bytes
 }
 
-func (m *Model) collectorLines(in inputs) Figure {
-	reports := m.bytesOf(scale.BytesOfReport, m.Plan.Messages.Report).times(in.reports)
-	return reports.plus(m.bytesOf(scale.BytesOfUsage, m.Plan.Messages.Usage).times(in.usages))
+func (m *Model) collectorBytes(in inputs) Figure {
+	reports := m.bytesOf(scale.BytesOfReport, m.Plan.Messages.Report).times(in.loadReports)
+	return reports.plus(m.bytesOf(scale.BytesOfUsage, m.Plan.Messages.Usage).times(in.usageReports))
 }
 
-func (m *Model) newsBytes(in inputs) Figure {
-	return m.bytesOf(scale.BytesOfRelayEvent, m.Plan.Messages.News).times(in.news)
+func (m *Model) relayEventBytes(in inputs) Figure {
+	return m.bytesOf(scale.BytesOfRelayEvent, m.Plan.Messages.RelayEvent).times(in.relayEvents)
 }
 
-func (m *Model) heartbeats() Figure {
+func (m *Model) heartbeatBytes() Figure {
 	return m.bytesOf(scale.BytesOfHeartbeat, m.Plan.Messages.Heartbeat)
 }
 
-func (m *Model) calls(h holding, in inputs, changes float64) Figure {
+func (m *Model) callBytes(h serverCounts, in inputs, changes float64) Figure {
 	return m.bytesAt(scale.BytesOfCalls, m.busySizes(h, in, changes), m.Plan.Messages.Calls)
 }
 
 // probeBytes counts a silent server's probe as the packet that opens its connection, which nobody answers.
-func (m *Model) probeBytes(s Situation, in inputs) Figure {
-	if s.Recovering > 0 {
-		return m.bytesOf(scale.BytesOfHealthCheck, m.Plan.Messages.Probe).times(in.probes)
+func (m *Model) healthCheckBytes(s Situation, in inputs) Figure {
+	if s.RecoveringServers > 0 {
+		return m.bytesOf(scale.BytesOfHealthCheck, m.Plan.Messages.HealthCheck).times(in.healthChecks)
 	}
-	return known(m.Plan.Messages.UnansweredProbe * in.probes)
+	return known(m.Plan.Messages.UnansweredHealthCheck * in.healthChecks)
 }
 
-func (m *Model) openProbes(perSecond float64) float64 {
-	return min(float64(m.Plan.Managers.ProbesOpen), perSecond*m.Plan.Managers.ProbeTimeout.Seconds())
+func (m *Model) openHealthChecks(perSecond float64) float64 {
+	return min(float64(m.Plan.Managers.MaxHealthChecks), perSecond*m.Plan.Managers.HealthCheckTimeout.Seconds())
 }
 
 // openingOrders is what a manager that starts tells its proxies: the tables of their zones, and a binding for each.
-func (m *Model) openingOrders(s Situation, h holding) Figure {
+func (m *Model) openingCommands(s Situation, h serverCounts) Figure {
 	if !s.Opens {
 		return known(0)
 	}
 	p := m.Plan
-	orders := m.tableLines(h)*float64(p.Managers.ProxyZones) + float64(p.Managers.Proxies)
-	return known(orders * p.Messages.Order / s.Window)
+	orders := m.tableWeights(h)*float64(p.Managers.ProxyZones) + float64(p.Managers.Proxies)
+	return known(orders * p.Messages.Command / s.Window)
 }
--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Tables writes all tables of the page as Markdown, and tells which budgets are passed in the scope that is judged.
+// WriteTables writes all tables of the page as Markdown, and tells which budgets are passed in the scope that is judged.
 func (m *Model) WriteTables(w io.Writer) (passed []Check) {
 	checks := m.Checks()
 	m.writeAssumptions(w)
@@ -24,43 +24,43 @@
 	writePartly(w, checks)
 	m.writeSources(w)
 	m.writePlanSize(w)
-	m.writeReal(w)
-	m.writeInForce(w)
+	m.writeProcesses(w)
+	m.writePropagation(w)
 	m.writeFleets(w)
-	passed = PassedBudgets(checks, m.Plan.Judged)
+	passed = ExceededBudgets(checks, m.Plan.Judged)
 	m.writeVerdict(w, passed)
 	return passed
 }
 
-func heading(w io.Writer, title string) { fmt.Fprintf(w, "\n### %s\n\n", title) }
+func writeHeading(w io.Writer, title string) { fmt.Fprintf(w, "\n### %s\n\n", title) }
 
-func row(w io.Writer, cells ...string) { fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | ")) }
+func writeRow(w io.Writer, cells ...string) { fmt.Fprintf(w, "| %s |\n", strings.Join(cells, " | ")) }
 
-func header(w io.Writer, cells ...string) {
-	row(w, cells...)
-	row(w, slices.Repeat([]string{"---"}, len(cells))...)
+func writeHeader(w io.Writer, cells ...string) {
+	writeRow(w, cells...)
+	writeRow(w, slices.Repeat([]string{"---"}, len(cells))...)
 }
 
 func (m *Model) writeAssumptions(w io.Writer) {
 	p := m.Plan
-	heading(w, "What follows from the plan")
-	header(w, "what", "figure", "from")
-	row(w, "managers in a zone", number3(float64(p.Fleet.Managers)/float64(p.Fleet.Zones)), "plan")
-	row(w, "servers in a zone", number3(float64(p.Fleet.Servers)/float64(p.Fleet.Zones)), "plan")
-	row(w, "servers of a service", number3(float64(p.Fleet.Servers)/float64(p.Fleet.Services)), "plan")
-	row(w, "requests a second at a manager's proxies", number3(p.requestsPerManager()), "plan")
-	row(w, "requests a second at a server", number3(p.Fleet.RequestsPerSecond/float64(p.Fleet.Servers)), "plan")
-	row(w, "proxies in all", number3(float64(p.Fleet.Managers)*float64(p.Managers.Proxies)), "plan, assumed proxies of a manager")
-	row(w, "changed entries of the list a day", number3(p.entriesPerDay()), "plan, assumed entries of a failure, restart and change")
-	row(w, "changed entries in the busiest second", number3(p.busiestSecond()), "plan, batches at random within the busiest hour")
-	row(w, "servers that a manager holds, whole list", number3(p.usual(WholeList).held), "plan")
-	row(w, "servers that a manager holds, subset", number3(p.usual(Subset).held), "plan, size of the subset")
-	row(w, "servers that a manager holds, subset, while its region is cut off", number3(p.holding(p.regionCut(), Subset).held), "plan: it doubles while too few can be reached")
-	row(w, "managers that hold a server, subset", number3(p.holders(p.usual(Subset))), "plan, size of the subset")
+	writeHeading(w, "What follows from the plan")
+	writeHeader(w, "what", "figure", "from")
+	writeRow(w, "managers in a zone", formatNumber(float64(p.Fleet.Managers)/float64(p.Fleet.Zones)), "plan")
+	writeRow(w, "servers in a zone", formatNumber(float64(p.Fleet.Servers)/float64(p.Fleet.Zones)), "plan")
+	writeRow(w, "servers of a service", formatNumber(float64(p.Fleet.Servers)/float64(p.Fleet.Services)), "plan")
+	writeRow(w, "requests a second at a manager's proxies", formatNumber(p.requestsPerManager()), "plan")
+	writeRow(w, "requests a second at a server", formatNumber(p.Fleet.RequestsPerSecond/float64(p.Fleet.Servers)), "plan")
+	writeRow(w, "proxies in all", formatNumber(float64(p.Fleet.Managers)*float64(p.Managers.Proxies)), "plan, assumed proxies of a manager")
+	writeRow(w, "changed entries of the list a day", formatNumber(p.entriesPerDay()), "plan, assumed entries of a failure, restart and change")
+	writeRow(w, "changed entries in the busiest second", formatNumber(p.busiestSecond()), "plan, batches at random within the busiest hour")
+	writeRow(w, "servers that a manager holds, whole list", formatNumber(p.normalServerCounts(WholeList).held), "plan")
+	writeRow(w, "servers that a manager holds, subset", formatNumber(p.normalServerCounts(Subset).held), "plan, size of the subset")
+	writeRow(w, "servers that a manager holds, subset, while its region is cut off", formatNumber(p.serverCounts(p.regionCut(), Subset).held), "plan: it doubles while too few can be reached")
+	writeRow(w, "managers that hold a server, subset", formatNumber(p.holders(p.normalServerCounts(Subset))), "plan, size of the subset")
 	for _, scope := range []Scope{WholeList, Subset} {
-		row(w, "collectors' lines on servers a second at a manager, "+string(scope), number3(p.reports(p.usual(scope))), "plan, requests spread evenly over what it holds")
+		writeRow(w, "collectors' lines on servers a second at a manager, "+string(scope), formatNumber(p.loadReports(p.normalServerCounts(scope))), "plan, requests spread evenly over what it holds")
 	}
-	row(w, "collectors' lines on proxies a second at a manager", number3(p.usages()), "plan, requests spread evenly")
+	writeRow(w, "collectors' lines on proxies a second at a manager", formatNumber(p.usageReports()), "plan, requests spread evenly")
 }
 
 // tailPart is the part of requests that a tail of 99 in 100 leaves out.
@@ -69,8 +69,8 @@
 // writeTail shows what part of all requests a table can send to a server that is gone, until a change is in force.
 func (m *Model) writeTail(w io.Writer) {
 	p := m.Plan
-	heading(w, "Requests that a late table can touch")
-	header(w, "event", "servers", "requests until a change is in force", "part of all requests meanwhile", "against 1 in 100")
+	writeHeading(w, "Requests that a late table can touch")
+	writeHeader(w, "event", "servers", "requests until a change is in force", "part of all requests meanwhile", "against 1 in 100")
 	for _, e := range []struct {
 		name    string
 		servers float64
@@ -80,16 +80,16 @@
 		{"a zone is lost", float64(p.Fleet.Servers) / float64(p.Fleet.Zones)},
 	} {
 		part := e.servers / float64(p.Fleet.Servers)
-		requests := part * p.Fleet.RequestsPerSecond * p.Budgets.ChangeInForce.Seconds()
-		row(w, e.name, number3(e.servers), number3(requests), percent3(part), number3(part/tailPart))
+		requests := part * p.Fleet.RequestsPerSecond * p.Budgets.MaxPropagation.Seconds()
+		writeRow(w, e.name, formatNumber(e.servers), formatNumber(requests), formatPercent(part), formatNumber(part/tailPart))
 	}
 }
 
 func (m *Model) writeRole(w io.Writer, role Role) {
-	heading(w, "Load of one "+string(role))
-	header(w, "situation", "scope", "state", "messages in / out", "bytes in / out", "core", "memory", "connections", "worst ratio")
+	writeHeading(w, "Load of one "+string(role))
+	writeHeader(w, "situation", "scope", "state", "messages in / out", "bytes in / out", "core", "memory", "connections", "worst ratio")
 	for _, r := range mergeRows(m.loadRows(role)) {
-		row(w, append([]string{strings.Join(r.situations, "; "), scopeNames(r.scopes)}, r.cells...)...)
+		writeRow(w, append([]string{strings.Join(r.situations, "; "), scopeNames(r.scopes)}, r.cells...)...)
 	}
 }
 
@@ -147,9 +147,9 @@
 
 func (m *Model) loadCells(role Role, s Situation, scope Scope) []string {
 	l := m.Load(role, s, scope)
-	return []string{l.State, show(l.MessagesIn, number3) + " / " + show(l.MessagesOut, number3),
-		show(l.BytesIn, bytes3) + " / " + show(l.BytesOut, bytes3), show(l.Core, percent3), show(l.Memory, bytes3),
-		show(l.Connections, number3), m.worst(role, l)}
+	return []string{l.State, formatFigure(l.MessagesIn, formatNumber) + " / " + formatFigure(l.MessagesOut, formatNumber),
+		formatFigure(l.BytesIn, formatBytes) + " / " + formatFigure(l.BytesOut, formatBytes), formatFigure(l.Core, formatPercent), formatFigure(l.Memory, formatBytes),
+		formatFigure(l.Connections, formatNumber), m.worst(role, l)}
 }
 
 // worst is the largest ratio of a load to a budget of its role, and which.
@@ -159,68 +159,68 @@
 	}
 	most, name := 0.0, ""
 	for _, resource := range []Resource{CoreStrict, Memory, BytesStrict} {
-		if f := m.spent(l, resource); f.Value/m.budget(role, resource) >= most {
+		if f := m.spending(l, resource); f.Value/m.budget(role, resource) >= most {
 			most, name = f.Value/m.budget(role, resource), string(resource)
 		}
 	}
-	return number3(most) + " (" + name + ")"
+	return formatNumber(most) + " (" + name + ")"
 }
 
 // writeProxies shows the assumption that weighs most at a third and at three times.
 func (m *Model) writeProxies(w io.Writer) {
-	heading(w, "A manager in a quiet second, by the proxies that it steers")
-	resources := []Resource{CoreStrict, CoreWithoutCollectors, Memory, BytesStrict, BytesWithout}
+	writeHeading(w, "A manager in a quiet second, by the proxies that it steers")
+	resources := []Resource{CoreStrict, CoreWithoutCollectors, Memory, BytesStrict, BytesWithoutCollectors}
 	cells := []string{"proxies", "scope"}
 	for _, r := range resources {
 		cells = append(cells, "ratio: "+string(r))
 	}
-	header(w, cells...)
+	writeHeader(w, cells...)
 	usual := m.Plan.Managers.Proxies
 	for _, proxies := range []int{usual / 3, usual, 3 * usual} {
 		other := *m
 		other.Plan.Managers.Proxies = max(1, proxies)
 		quiet := other.Plan.situations()[0]
 		for _, scope := range []Scope{WholeList, Subset} {
-			cells := []string{number3(float64(proxies)), string(scope)}
+			cells := []string{formatNumber(float64(proxies)), string(scope)}
 			for _, r := range resources {
-				cells = append(cells, show(other.check(Manager, r, quiet).Ratio[scope], number3))
+				cells = append(cells, formatFigure(other.check(Manager, r, quiet).Ratio[scope], formatNumber))
 			}
-			row(w, cells...)
+			writeRow(w, cells...)
 		}
 	}
 }
 
 func writeChecks(w io.Writer, checks []Check) {
-	heading(w, "Against the budgets, as ratios")
-	header(w, "situation", "role", "budget", "whole list", "subset", "subset at a watch cache", "carried by", "status")
+	writeHeading(w, "Against the budgets, as ratios")
+	writeHeader(w, "situation", "role", "budget", "whole list", "subset", "subset at a watch cache", "carried by", "status")
 	for _, c := range checks {
-		row(w, c.Situation, string(c.Role), string(c.Resource), show(c.Ratio[WholeList], number3), show(c.Ratio[Subset], number3),
-			show(c.Ratio[CachedSubset], number3), c.Mechanism.Name, string(c.Mechanism.Status))
+		writeRow(w, c.Situation, string(c.Role), string(c.Resource), formatFigure(c.Ratio[WholeList], formatNumber), formatFigure(c.Ratio[Subset], formatNumber),
+			formatFigure(c.Ratio[CachedSubset], formatNumber), c.Mechanism.Name, string(c.Mechanism.Status))
 	}
-	heading(w, "The mechanisms, and where they stand")
-	header(w, "mechanism", "status", "where")
+	writeHeading(w, "The mechanisms, and where they stand")
+	writeHeader(w, "mechanism", "status", "where")
 	var told []string
 	for _, c := range checks {
 		if key := c.Mechanism.Name + string(c.Mechanism.Status); !slices.Contains(told, key) {
 			told = append(told, key)
-			row(w, c.Mechanism.Name, string(c.Mechanism.Status), c.Mechanism.Where)
+			writeRow(w, c.Mechanism.Name, string(c.Mechanism.Status), c.Mechanism.Where)
 		}
 	}
 }
 
 func (m *Model) writeLimits(w io.Writer) {
-	heading(w, "Fixed limits of today's code")
-	header(w, "limit", "bound", "whole list", "subset", "subset at a watch cache", "what happens past it", "where")
+	writeHeading(w, "Fixed limits of today's code")
+	writeHeader(w, "limit", "bound", "whole list", "subset", "subset at a watch cache", "what happens past it", "where")
 	for _, l := range m.Limits() {
-		cells := []string{l.What, number3(l.Bound)}
+		cells := []string{l.What, formatNumber(l.Bound)}
 		for _, scope := range Scopes {
-			cell := show(l.Wanted[scope], number3)
-			if l.Passed(scope) {
+			cell := formatFigure(l.Wanted[scope], formatNumber)
+			if l.Exceeded(scope) {
 				cell += ", **passed**"
 			}
 			cells = append(cells, cell)
 		}
-		row(w, append(cells, l.Effect, l.Where)...)
+		writeRow(w, append(cells, l.Effect, l.Where)...)
 	}
 }
 
@@ -228,33 +228,33 @@
 const rankedRows = 20
 
 func writeRanking(w io.Writer, checks []Check) {
-	heading(w, "The rows whose mechanism is missing, the worst first")
-	header(w, "rank", "ratio, whole list", "ratio, with its mechanism", "situation", "role", "budget", "missing mechanism")
+	writeHeading(w, "The rows whose mechanism is missing, the worst first")
+	writeHeader(w, "rank", "ratio, whole list", "ratio, with its mechanism", "situation", "role", "budget", "missing mechanism")
 	for i, c := range Ranking(checks) {
 		if i == rankedRows {
 			break
 		}
-		row(w, strconv.Itoa(i+1), show(c.Ratio[WholeList], number3), show(c.Ratio[scopeMadeBy(c.Mechanism)], number3),
+		writeRow(w, strconv.Itoa(i+1), formatFigure(c.Ratio[WholeList], formatNumber), formatFigure(c.Ratio[scopeMadeBy(c.Mechanism)], formatNumber),
 			c.Situation, string(c.Role), string(c.Resource), c.Mechanism.Name)
 	}
 	fmt.Fprintln(w)
-	for i, s := range Standings(checks) {
+	for i, s := range MechanismRanks(checks) {
 		fmt.Fprintf(w, "%d. **%s**: its worst row is %s of the budget (%s, %s, %s). It has %d rows over budget and brings %d of them under.\n",
-			i+1, s.Mechanism.Name, show(s.Worst.Ratio[WholeList], number3), s.Worst.Situation, s.Worst.Role, s.Worst.Resource, s.Passed, s.Mended)
+			i+1, s.Mechanism.Name, formatFigure(s.Worst.Ratio[WholeList], formatNumber), s.Worst.Situation, s.Worst.Role, s.Worst.Resource, s.ExceededRows, s.MendedRows)
 	}
 }
 
 func writePartly(w io.Writer, checks []Check) {
-	heading(w, "Rows over budget whose mechanism stands, or partly stands")
-	header(w, "ratio, whole list", "subset", "subset at a watch cache", "situation", "role", "budget", "mechanism", "status")
-	for _, c := range PassedPartly(checks) {
-		row(w, show(c.Ratio[WholeList], number3), show(c.Ratio[Subset], number3), show(c.Ratio[CachedSubset], number3),
+	writeHeading(w, "Rows over budget whose mechanism stands, or partly stands")
+	writeHeader(w, "ratio, whole list", "subset", "subset at a watch cache", "situation", "role", "budget", "mechanism", "status")
+	for _, c := range ExceededThoughBuilt(checks) {
+		writeRow(w, formatFigure(c.Ratio[WholeList], formatNumber), formatFigure(c.Ratio[Subset], formatNumber), formatFigure(c.Ratio[CachedSubset], formatNumber),
 			c.Situation, string(c.Role), string(c.Resource), c.Mechanism.Name, string(c.Mechanism.Status))
 	}
 }
 
 func (m *Model) writeVerdict(w io.Writer, passed []Check) {
-	heading(w, "Verdict")
+	writeHeading(w, "Verdict")
 	if len(passed) == 0 {
 		fmt.Fprintf(w, "No budget is passed in the scope that the plan judges, `%s`.\n", m.Plan.Judged)
 		return
@@ -262,6 +262,6 @@
 	fmt.Fprintf(w, "Budgets passed in the scope that the plan judges, `%s`:\n\n", m.Plan.Judged)
 	for _, c := range passed {
 		fmt.Fprintf(w, "- %s, %s: %s, %s times the budget (%s, %s)\n", c.Situation, c.Role, c.Resource,
-			show(c.Ratio[m.Plan.Judged], number3), c.Mechanism.Name, c.Mechanism.Status)
+			formatFigure(c.Ratio[m.Plan.Judged], formatNumber), c.Mechanism.Name, c.Mechanism.Status)
 	}
 }
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -31,24 +31,24 @@
 )
 
 // carryingStrict is the mechanism that carries all bytes of a manager: that of collectors' lines where they are most.
-func carryingStrict(l Load, s Situation) Mechanism {
+func mechanismForAllBytes(l Load, s Situation) Mechanism {
 	if l.CollectorBytes.Value > l.bytes().Value/2 {
 		return aggregate
 	}
-	return carrying(Manager, BytesWithout, s)
+	return mechanismFor(Manager, BytesWithoutCollectors, s)
 }
 
 // carrying is the mechanism that carries a resource of a role in a situation.
-func carrying(role Role, resource Resource, s Situation) Mechanism {
+func mechanismFor(role Role, resource Resource, s Situation) Mechanism {
 	if role == ControlMachine {
-		return carryingControl(resource, s)
+		return mechanismForControl(resource, s)
 	}
 	switch {
 	case resource == CoreStrict, resource == CoreWithoutCollectors, resource == Memory:
 		return subsetting
 	case s.FromStore:
 		return storedList
-	case s.Resumes > 0:
+	case s.MissedEntries > 0:
 		return resume
 	case s.Reopens:
 		return resume
@@ -56,17 +56,17 @@
 		return snapshot
 	case s.NoList:
 		return subsetting // probes of servers that do not answer, of all that the manager holds
-	case s.Changes > 0:
+	case s.ListChanges > 0:
 		return watchCache
 	}
 	return delta
 }
 
-func carryingControl(resource Resource, s Situation) Mechanism {
+func mechanismForControl(resource Resource, s Situation) Mechanism {
 	switch {
 	case resource == Memory:
 		return watchCache
-	case resource == CoreStrict && s.Openers > 0:
+	case resource == CoreStrict && s.OpeningManagers > 0:
 		return jitter
 	}
 	return watchCache
--- a/internal/capacity/numbers.go
+++ b/internal/capacity/numbers.go
@@ -12,7 +12,7 @@
 // tooSmall stands for a number that three places don't show.
 const tooSmall = "under 0.001"
 
-func show(f Figure, how func(float64) string) string {
+func formatFigure(f Figure, how func(float64) string) string {
 	switch {
 	case f.Known:
 		return how(f.Value)
@@ -26,10 +26,10 @@
 	return "at least " + least
 }
 
-func stateOf(n float64, what string) string { return number3(n) + " " + what }
+func stateOf(n float64, what string) string { return formatNumber(n) + " " + what }
 
 // number3 is a number to three places, with thousands apart.
-func number3(x float64) string {
+func formatNumber(x float64) string {
 	switch size := math.Abs(x); {
 	case size == 0:
 		return "0"
@@ -53,26 +53,26 @@
 	return strings.Join(append([]string{digits}, parts...), ",")
 }
 
-func bytes3(x float64) string {
+func formatBytes(x float64) string {
 	for _, unit := range []struct {
 		size float64
 		name string
 	}{{1e9, "GB"}, {1e6, "MB"}, {1e3, "KB"}} {
 		if x >= unit.size {
-			return number3(x/unit.size) + " " + unit.name
+			return formatNumber(x/unit.size) + " " + unit.name
 		}
 	}
-	return number3(x) + " B"
+	return formatNumber(x) + " B"
 }
 
-func percent3(x float64) string { return number3(100*x) + "%" }
+func formatPercent(x float64) string { return formatNumber(100*x) + "%" }
 
-func seconds3(x float64) string {
+func formatSeconds(x float64) string {
 	switch {
 	case x >= 1:
-		return number3(x) + " s"
+		return formatNumber(x) + " s"
 	case x >= 1e-3:
-		return number3(1e3*x) + " ms"
+		return formatNumber(1e3*x) + " ms"
 	}
-	return number3(1e6*x) + " µs"
+	return formatNumber(1e6*x) + " µs"
 }
--- a/internal/capacity/surroundings.go
+++ b/internal/capacity/other_roles.go
@@ -8,15 +8,15 @@
 // relay carries the calls of the managers of its zone to their proxies.
 func (m *Model) relay(s Situation, scope Scope) Load {
 	p := m.Plan
-	managers, h := p.perRelay(), p.holding(s, scope)
+	managers, h := p.perRelay(), p.serverCounts(s, scope)
 	in := m.managerInputs(s, h)
-	calls := m.calls(h, in, p.listChanges(s, h.share(s.Homeless)).lines/s.Window).plus(m.openingOrders(s, h))
+	calls := m.callBytes(h, in, p.listChanges(s, h.share(s.OutsideHome)).lines/s.Window).plus(m.openingCommands(s, h))
 	return Load{
 		State:       stateOf(managers*float64(p.Managers.Proxies), "proxies") + ", " + stateOf(managers, "managers"),
 		MessagesIn:  known(managers * callsPerSecond),
-		MessagesOut: known(managers * in.news),
+		MessagesOut: known(managers * in.relayEvents),
 		BytesIn:     calls.times(managers),
-		BytesOut:    m.newsBytes(in).times(managers),
+		BytesOut:    m.relayEventBytes(in).times(managers),
 		Connections: known(managers * (2 + float64(p.Managers.Proxies))),
 	}
 }
@@ -30,14 +30,14 @@
 	p := m.Plan
 	managers := float64(p.Fleet.Managers*p.Managers.ProxyZones) / float64(p.Fleet.Zones)
 	part := 1 / float64(p.Managers.ProxyZones*p.Managers.CollectorsPerZone)
-	lines := inputs{reports: p.reports(p.holding(s, scope)) * part, usages: p.usages() * part}
+	lines := inputs{loadReports: p.loadReports(p.serverCounts(s, scope)) * part, usageReports: p.usageReports() * part}
 	requests := p.Fleet.RequestsPerSecond / float64(p.Fleet.Zones*p.Managers.CollectorsPerZone)
 	return Load{
 		State:       stateOf(requests, "requests a second"),
 		MessagesIn:  Figure{},
 		MessagesOut: known(managers * lines.decisions()),
 		BytesIn:     Figure{},
-		BytesOut:    m.collectorLines(lines).times(managers),
+		BytesOut:    m.collectorBytes(lines).times(managers),
 		Connections: known(managers),
 	}
 }
@@ -45,36 +45,36 @@
 // proxy holds the table of its zone.
 func (m *Model) proxy(s Situation, scope Scope) Load {
 	p := m.Plan
-	h := p.holding(s, scope)
+	h := p.serverCounts(s, scope)
 	requests := p.requestsPerManager() / float64(p.Managers.Proxies)
 	orders := known(0)
 	if s.Opens {
-		orders = known((m.tableLines(h) + 1) * p.Messages.Order / s.Window)
+		orders = known((m.tableWeights(h) + 1) * p.Messages.Command / s.Window)
 	}
 	return Load{
-		State:       stateOf(m.tableLines(h), "lines at most") + ", " + stateOf(requests, "requests a second"),
+		State:       stateOf(m.tableWeights(h), "lines at most") + ", " + stateOf(requests, "requests a second"),
 		MessagesIn:  known(callsPerSecond),
 		MessagesOut: known(callsPerSecond),
 		BytesIn:     orders,
-		BytesOut:    m.bytesOf(scale.BytesOfRelayEvent, p.Messages.News),
-		Connections: known(1 + m.tableLines(h)),
+		BytesOut:    m.bytesOf(scale.BytesOfRelayEvent, p.Messages.RelayEvent),
+		Connections: known(1 + m.tableWeights(h)),
 	}
 }
 
 // server answers requests, and the probes of all managers that hold it and take it for silent or back.
 func (m *Model) server(s Situation, scope Scope) Load {
 	p := m.Plan
-	holders := p.holders(p.usual(scope))
+	holders := p.holders(p.normalServerCounts(scope))
 	probes := 0.0
-	if s.Silent > 0 || s.Recovering > 0 {
-		probes = holders / p.Managers.ProbeInterval.Seconds()
+	if s.Unresponsive > 0 || s.RecoveringServers > 0 {
+		probes = holders / p.Managers.HealthCheckInterval.Seconds()
 	}
 	requests := p.Fleet.RequestsPerSecond / float64(p.Fleet.Servers)
 	return Load{
 		State:       stateOf(requests, "requests a second") + ", held by " + stateOf(holders, "managers"),
 		MessagesIn:  known(probes),
 		MessagesOut: known(probes),
-		BytesIn:     m.bytesOf(scale.BytesOfHealthCheck, p.Messages.Probe).times(probes),
+		BytesIn:     m.bytesOf(scale.BytesOfHealthCheck, p.Messages.HealthCheck).times(probes),
 		BytesOut:    Figure{},
 		Connections: Figure{},
 	}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -12,24 +12,24 @@
 	if load.Core.Known {
 		t.Error("the cost of a change of the list is not in the made-up slopes, yet the sum is known")
 	}
-	if got := show(load.Core, percent3); !strings.HasPrefix(got, "at least 5.7") {
+	if got := formatFigure(load.Core, formatPercent); !strings.HasPrefix(got, "at least 5.7") {
 		t.Errorf("the rest of it is shown as %q", got)
 	}
-	if got := show(Figure{}, percent3); got != unmeasured {
+	if got := formatFigure(Figure{}, formatPercent); got != unmeasured {
 		t.Errorf("nothing measured is shown as %q", got)
 	}
 }
 
 func TestNumbers(t *testing.T) {
 	for x, want := range map[float64]string{0: "0", 0.0001: "under 0.001", 0.00417: "0.00417", 1.23456: "1.23", 63.63: "63.6", 272.7: "273", 1400000: "1,400,000"} {
-		if got := number3(x); got != want {
+		if got := formatNumber(x); got != want {
 			t.Errorf("%v: %q, not %q", x, got, want)
 		}
 	}
-	if got := bytes3(3600100); got != "3.6 MB" {
+	if got := formatBytes(3600100); got != "3.6 MB" {
 		t.Errorf("bytes: %q", got)
 	}
-	if got := seconds3(0.0528); got != "52.8 ms" {
+	if got := formatSeconds(0.0528); got != "52.8 ms" {
 		t.Errorf("seconds: %q", got)
 	}
 }
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -42,7 +42,7 @@
 // Budgets are the most that may be spent. Those on a core, memory and bytes hold for one manager.
 type Budgets struct {
 	RequestTail    time.Duration // added to a request, 99 in 100
-	ChangeInForce  time.Duration // from a change told until the last manager's orders carry it
+	MaxPropagation time.Duration // from a change told until the last manager's orders carry it
 	Core           float64       // part of one core
 	MemoryMB       float64
 	BytesPerSecond float64
@@ -73,19 +73,19 @@
 
 // Managers holds what is assumed of one manager and of those around it.
 type Managers struct {
-	Proxies           int // that one manager steers
-	ProxyZones        int // zones in which they stand
-	TrafficGroups     int
-	TriesPerRequest   float64
-	ListStored        bool          // each keeps the list as last held in its store
-	ReadInterval      time.Duration // between reads of what collectors and the relay tell; 0: each is made at once
-	ReportInterval    time.Duration // over which a collector sums
-	CollectorsPerZone int
-	RelaysPerZone     int
-	QueueLines        int // lines that may wait in a manager's channel
-	ProbeInterval     time.Duration
-	ProbeTimeout      time.Duration
-	ProbesOpen        int
+	Proxies             int // that one manager steers
+	ProxyZones          int // zones in which they stand
+	TrafficClasses      int
+	AttemptsPerRequest  float64
+	ListStored          bool          // each keeps the list as last held in its store
+	ReadInterval        time.Duration // between reads of what collectors and the relay tell; 0: each is made at once
+	ReportInterval      time.Duration // over which a collector sums
+	CollectorsPerZone   int
+	RelaysPerZone       int
+	QueueCapacity       int // lines that may wait in a manager's channel
+	HealthCheckInterval time.Duration
+	HealthCheckTimeout  time.Duration
+	MaxHealthChecks     int
 }
 
 // SubsetSize is the division of the list that subsetting makes.
@@ -97,5 +97,5 @@
 
 // MessageBytes are sizes that stand in where no slope tells of them.
 type MessageBytes struct {
-	Report, Usage, News, ListEntry, Probe, UnansweredProbe, Heartbeat, Calls, Order float64
+	Report, Usage, RelayEvent, ListEntry, HealthCheck, UnansweredHealthCheck, Heartbeat, Calls, Command float64
 }
--- a/internal/capacity/process.go
+++ b/internal/capacity/process.go
@@ -18,8 +18,8 @@
 func (m *Model) processOverhead(state string) Figure {
 	interval := m.Plan.Managers.ReadInterval.Seconds()
 	var differences []float64
-	for _, c := range m.Costs.report.Real {
-		if c.Name == state && c.Interval == interval && len(c.CPU) > 0 && len(c.HollowCPU) > 0 {
+	for _, c := range m.Costs.report.Processes {
+		if c.Name == state && c.ReadInterval == interval && len(c.CPU) > 0 && len(c.HollowCPU) > 0 {
 			differences = append(differences, overheadOf(c))
 		}
 	}
@@ -31,8 +31,8 @@
 
 // readIntervals are the intervals between reads that real processes were measured with, the shortest first.
 func (c Costs) readIntervals() (intervals []time.Duration) {
-	for _, one := range c.report.Real {
-		interval := time.Duration(one.Interval * float64(time.Second))
+	for _, one := range c.report.Processes {
+		interval := time.Duration(one.ReadInterval * float64(time.Second))
 		if !slices.Contains(intervals, interval) {
 			intervals = append(intervals, interval)
 		}
@@ -41,6 +41,6 @@
 	return intervals
 }
 
-func overheadOf(c scale.RealCase) float64 {
+func overheadOf(c scale.ProcessCase) float64 {
 	return max(0, median(c.CPU)-median(c.HollowCPU))
 }
--- a/internal/capacity/inforce.go
+++ b/internal/capacity/propagation.go
@@ -4,51 +4,51 @@
 
 // inForce holds the time until a change is in force at the last manager against its budget: alone, beside the openings
 // of all managers, and while two control machines are lost.
-func (m *Model) inForce() []Check {
+func (m *Model) propagationChecks() []Check {
 	check := func(situation string, carried Mechanism, time func(Scope) Figure) Check {
-		c := Check{Situation: situation, Role: Manager, Resource: InForce, Ratio: map[Scope]Figure{}, Mechanism: carried}
+		c := Check{Situation: situation, Role: Manager, Resource: Propagation, Ratio: map[Scope]Figure{}, Mechanism: carried}
 		for _, scope := range Scopes {
-			c.Ratio[scope] = time(scope).times(1 / m.Plan.Budgets.ChangeInForce.Seconds())
+			c.Ratio[scope] = time(scope).times(1 / m.Plan.Budgets.MaxPropagation.Seconds())
 		}
 		return c
 	}
 	return []Check{
-		check("a change in a quiet second", subsetting, m.changeInForce),
-		check("a change beside all managers' openings", watchCache, m.changeBesideOpenings),
-		check("a change as two control machines are lost", resume, m.changeMachinesLost),
+		check("a change in a quiet second", subsetting, m.propagation),
+		check("a change beside all managers' openings", watchCache, m.propagationDuringOpenings),
+		check("a change as two control machines are lost", resume, m.propagationDuringControlLoss),
 	}
 }
 
 // changeInForce is when the last manager's orders carry a change: as measured with managers of the smallest useful state,
 // and the longest decision of a manager of the plan's size, for which a change may wait, on its share of a core.
-func (m *Model) changeInForce(scope Scope) Figure {
+func (m *Model) propagation(scope Scope) Figure {
 	return m.allManagers(scale.PropagationLast).plus(m.waitForDecision(scope))
 }
 
 // changeBesideOpenings is the same where all managers open as the change is told: as measured, or else the change alone
 // and what a control machine needs for its openings.
-func (m *Model) changeBesideOpenings(scope Scope) Figure {
+func (m *Model) propagationDuringOpenings(scope Scope) Figure {
 	if !m.Costs.measured(scale.PropagationDuringOpeningsLast) {
-		return m.changeInForce(scope).plus(m.allOpenings(scope))
+		return m.propagation(scope).plus(m.allOpenings(scope))
 	}
-	return m.afterReading(scale.PropagationDuringOpeningsLast, scope)
+	return m.afterListRead(scale.PropagationDuringOpeningsLast, scope)
 }
 
 // changeMachinesLost is the same where two control machines are lost as the change is told.
-func (m *Model) changeMachinesLost(scope Scope) Figure {
-	return m.afterReading(scale.PropagationDuringControlLossLast, scope)
+func (m *Model) propagationDuringControlLoss(scope Scope) Figure {
+	return m.afterListRead(scale.PropagationDuringControlLossLast, scope)
 }
 
 // afterReading is a time that was measured with managers that read a whole list of the plan's size and take a subset of
 // it, with the reading of another scope in its place.
-func (m *Model) afterReading(cost scale.Cost, scope Scope) Figure {
-	other := m.reading(scope).plus(m.reading(Subset).times(-1))
+func (m *Model) afterListRead(cost scale.Cost, scope Scope) Figure {
+	other := m.listReadTime(scope).plus(m.listReadTime(Subset).times(-1))
 	return m.allManagers(cost).plus(other.times(1 / m.Plan.Budgets.Core)).plus(m.waitForDecision(scope))
 }
 
 // reading is the processor time in which a manager reads the list that it is sent at an opening.
-func (m *Model) reading(scope Scope) Figure {
-	h := m.Plan.usual(scope)
+func (m *Model) listReadTime(scope Scope) Figure {
+	h := m.Plan.normalServerCounts(scope)
 	if scope == Subset {
 		return m.cost(scale.CPUPerSubsetRead, Sizes{scale.OpeningListSize: h.sent})
 	}
@@ -60,13 +60,13 @@
 }
 
 func (m *Model) waitForDecision(scope Scope) Figure {
-	decision := m.cost(scale.LongestDecision, m.managerSizes(m.Plan.usual(scope)))
+	decision := m.cost(scale.LongestDecision, m.managerSizes(m.Plan.normalServerCounts(scope)))
 	return decision.times(1 / m.Plan.Budgets.Core)
 }
 
 // allOpenings is how long a control machine's cores need to open all its managers, for which a change may wait.
 func (m *Model) allOpenings(scope Scope) Figure {
 	quiet := m.Plan.situations()[0]
-	opening := m.cost(scale.ControlCPUPerManager, m.controlSizes(scale.ControlCPUPerManager, quiet, m.Plan.usual(scope)))
+	opening := m.cost(scale.ControlCPUPerManager, m.controlSizes(scale.ControlCPUPerManager, quiet, m.Plan.normalServerCounts(scope)))
 	return opening.times(m.readers(quiet) / float64(m.Plan.Control.Cores))
 }
--- a/internal/capacity/inforce_page.go
+++ b/internal/capacity/propagation_page.go
@@ -7,36 +7,36 @@
 )
 
 // circumstance is what happens as a change is told, and the costs that were measured of it.
-type circumstance struct {
+type propagationCase struct {
 	name               string
 	median, tail, last scale.Cost
 }
 
-var circumstances = []circumstance{
+var propagationCases = []propagationCase{
 	{"quiet, one control machine tells all", scale.PropagationMedian, scale.PropagationTail, scale.PropagationLast},
 	{"all managers open, seven machines tell them", scale.PropagationDuringOpeningsMedian, scale.PropagationDuringOpeningsTail, scale.PropagationDuringOpeningsLast},
 	{"two of seven machines are lost", scale.PropagationDuringControlLossMedian, scale.PropagationDuringControlLossTail, scale.PropagationDuringControlLossLast},
 }
 
 // writeInForce shows the times until a change is in force, as measured.
-func (m *Model) writeInForce(w io.Writer) {
-	heading(w, "A change in force at hollow managers, as measured")
-	header(w, "as the change is told", "managers", "half of them", "99 in 100", "the last", "spread of runs of the last")
-	for _, c := range circumstances {
+func (m *Model) writePropagation(w io.Writer) {
+	writeHeading(w, "A change in force at hollow managers, as measured")
+	writeHeader(w, "as the change is told", "managers", "half of them", "99 in 100", "the last", "spread of runs of the last")
+	for _, c := range propagationCases {
 		last, measured := m.Costs.report.Find(c.last, scale.Managers)
 		if !measured {
-			row(w, c.name, unmeasured, unmeasured, unmeasured, unmeasured, unmeasured)
+			writeRow(w, c.name, unmeasured, unmeasured, unmeasured, unmeasured, unmeasured)
 			continue
 		}
 		for _, point := range last.Points {
-			row(w, c.name, number3(point.Size), m.measuredAt(c.median, scale.Managers, point.Size), m.measuredAt(c.tail, scale.Managers, point.Size),
-				seconds3(median(point.Runs)), percent3(last.Spread))
+			writeRow(w, c.name, formatNumber(point.Size), m.measuredAt(c.median, scale.Managers, point.Size), m.measuredAt(c.tail, scale.Managers, point.Size),
+				formatSeconds(median(point.Runs)), formatPercent(last.Spread))
 		}
 	}
 }
 
 // fleetCosts are shown of fleets of real processes, with the heading of each.
-var fleetCosts = []struct {
+var processFleetCosts = []struct {
 	cost    scale.Cost
 	heading string
 }{
@@ -53,23 +53,23 @@
 
 // writeFleets shows fleets of real processes beside as many hollow managers.
 func (m *Model) writeFleets(w io.Writer) {
-	heading(w, "Fleets of real processes on one machine, and as many hollow managers")
+	writeHeading(w, "Fleets of real processes on one machine, and as many hollow managers")
 	slope, measured := m.Costs.report.Find(scale.ProcessPropagationLast, scale.Processes)
 	if !measured {
 		io.WriteString(w, "The slopes' file has none: not measured.\n")
 		return
 	}
 	headings := []string{"processes"}
-	for _, one := range fleetCosts {
+	for _, one := range processFleetCosts {
 		headings = append(headings, one.heading)
 	}
-	header(w, headings...)
+	writeHeader(w, headings...)
 	for _, point := range slope.Points {
-		cells := []string{number3(point.Size)}
-		for _, one := range fleetCosts {
+		cells := []string{formatNumber(point.Size)}
+		for _, one := range processFleetCosts {
 			cells = append(cells, m.measuredAt(one.cost, scale.Processes, point.Size))
 		}
-		row(w, cells...)
+		writeRow(w, cells...)
 	}
 }
 
@@ -81,7 +81,7 @@
 	}
 	for _, point := range slope.Points {
 		if point.Size == size {
-			return costFigure(Source{Along: []scale.Slope{slope}, Value: known(median(point.Runs))})
+			return formatCost(Source{Slopes: []scale.Slope{slope}, Value: known(median(point.Runs))})
 		}
 	}
 	return unmeasured
@@ -89,15 +89,15 @@
 
 // writeReadIntervals shows what the time between reads does to a manager's core, for each that was measured.
 func (m *Model) writeReadIntervals(w io.Writer) {
-	heading(w, "A manager's core in a quiet second, by the time between reads")
-	header(w, "between reads", "scope", "ratio: "+string(CoreStrict), "ratio: "+string(CoreWithoutCollectors))
+	writeHeading(w, "A manager's core in a quiet second, by the time between reads")
+	writeHeader(w, "between reads", "scope", "ratio: "+string(CoreStrict), "ratio: "+string(CoreWithoutCollectors))
 	for _, interval := range m.Costs.readIntervals() {
 		other := *m
 		other.Plan.Managers.ReadInterval = interval
 		quiet := other.Plan.situations()[0]
 		for _, scope := range []Scope{WholeList, Subset} {
-			row(w, intervalCell(interval.Seconds()), string(scope), show(other.check(Manager, CoreStrict, quiet).Ratio[scope], number3),
-				show(other.check(Manager, CoreWithoutCollectors, quiet).Ratio[scope], number3))
+			writeRow(w, intervalCell(interval.Seconds()), string(scope), formatFigure(other.check(Manager, CoreStrict, quiet).Ratio[scope], formatNumber),
+				formatFigure(other.check(Manager, CoreWithoutCollectors, quiet).Ratio[scope], formatNumber))
 		}
 	}
 }
--- a/internal/capacity/inforce_page_test.go
+++ b/internal/capacity/propagation_page_test.go
@@ -38,8 +38,8 @@
 
 func TestTheCoreIsShownForEachIntervalBetweenReads(t *testing.T) {
 	r := madeUp(t)
-	r.Real = []scale.RealCase{
-		{Name: busyState, Interval: 0.05, CPU: []float64{0.002}, HollowCPU: []float64{0.001}},
+	r.Processes = []scale.ProcessCase{
+		{Name: busyState, ReadInterval: 0.05, CPU: []float64{0.002}, HollowCPU: []float64{0.001}},
 		{Name: busyState, CPU: []float64{0.02}, HollowCPU: []float64{0.001}},
 	}
 	text := tablesOf(r, t)
--- a/internal/capacity/restart_test.go
+++ b/internal/capacity/restart_test.go
@@ -8,19 +8,19 @@
 	p.Managers.ListStored = true
 	stored := situation(t, p, "all managers restart")
 	missed := p.busyHourEntries() / 3600 * 19 // the window of 19 s
-	near(t, "entries missed", stored.Resumes, missed)
+	near(t, "entries missed", stored.MissedEntries, missed)
 	m := NewModel(p, madeUp(t))
-	h := p.usual(WholeList)
-	resumed := m.bytesOfChanges(listChanges{lines: 1, entries: max(1, missed)}).Value
+	h := p.normalServerCounts(WholeList)
+	resumed := m.listChangeBytes(listChanges{lines: 1, entries: max(1, missed)}).Value
 	near(t, "bytes of the list", m.listBytes(stored, h).Value, resumed/19)
-	near(t, "bytes of a whole list", m.listBytes(whole, h).Value, m.opening(h).Value/19)
-	if resumed >= m.opening(h).Value {
-		t.Errorf("%g bytes of changes, %g of a whole list", resumed, m.opening(h).Value)
+	near(t, "bytes of a whole list", m.listBytes(whole, h).Value, m.openingBytes(h).Value/19)
+	if resumed >= m.openingBytes(h).Value {
+		t.Errorf("%g bytes of changes, %g of a whole list", resumed, m.openingBytes(h).Value)
 	}
-	if c := carrying(Manager, BytesWithout, stored); c.Status != Stands || c.Name != "snapshot" {
+	if c := mechanismFor(Manager, BytesWithoutCollectors, stored); c.Status != Stands || c.Name != "snapshot" {
 		t.Errorf("carried by %+v", c)
 	}
-	if c := carrying(Manager, BytesWithout, whole); c.Status != Partly || c.Name != "snapshot" {
+	if c := mechanismFor(Manager, BytesWithoutCollectors, whole); c.Status != Partly || c.Name != "snapshot" {
 		t.Errorf("without a store carried by %+v", c)
 	}
 	control, before := m.Load(ControlMachine, stored, WholeList), m.Load(ControlMachine, whole, WholeList)
--- a/internal/capacity/scope.go
+++ b/internal/capacity/scope.go
@@ -3,19 +3,19 @@
 import "math"
 
 // holding is how many servers a manager holds in a situation, and how many it is sent.
-type holding struct {
-	all  float64 // servers of the fleet
-	home float64 // servers of the manager's home zones
-	held float64
-	sent float64 // at an opening
+type serverCounts struct {
+	fleet float64 // servers of the fleet
+	home  float64 // servers of the manager's home zones
+	held  float64
+	sent  float64 // at an opening
 	// filtered says that changes of servers outside the subset are not sent.
 	filtered bool
 }
 
 // holding works out what a manager holds.
-func (p Plan) holding(s Situation, scope Scope) holding {
+func (p Plan) serverCounts(s Situation, scope Scope) serverCounts {
 	all, home := float64(p.Fleet.Servers), p.home()
-	h := holding{all: all, home: home, held: all, sent: all}
+	h := serverCounts{fleet: all, home: home, held: all, sent: all}
 	if scope == WholeList {
 		return h
 	}
@@ -33,7 +33,7 @@
 }
 
 // usual is what a manager holds while nothing is lost.
-func (p Plan) usual(scope Scope) holding { return p.holding(Situation{}, scope) }
+func (p Plan) normalServerCounts(scope Scope) serverCounts { return p.serverCounts(Situation{}, scope) }
 
 // home is how many servers stand in a manager's home zones.
 func (p Plan) home() float64 { return p.perZone() * float64(p.Subset.HomeZones) }
@@ -46,24 +46,24 @@
 	if elsewhere <= 0 || others == 0 {
 		return 0
 	}
-	reachable := max(0, elsewhere-s.Silent) / elsewhere
+	reachable := max(0, elsewhere-s.Unresponsive) / elsewhere
 	needed := p.Subset.WidenBelow * others
-	for s.Homeless && others < elsewhere && others*reachable < needed {
+	for s.OutsideHome && others < elsewhere && others*reachable < needed {
 		others *= 2
 	}
 	return min(others, elsewhere)
 }
 
 // share is the part of some servers that a manager holds; elsewhere says that none of them stands in its home.
-func (h holding) share(elsewhere bool) float64 {
-	if h.held >= h.all || !elsewhere {
-		return h.held / h.all
+func (h serverCounts) share(elsewhere bool) float64 {
+	if h.held >= h.fleet || !elsewhere {
+		return h.held / h.fleet
 	}
-	return max(0, h.held-h.home) / (h.all - h.home)
+	return max(0, h.held-h.home) / (h.fleet - h.home)
 }
 
 // sentShare is the part of the list's changes that reaches a manager on the wire.
-func (h holding) sentShare(elsewhere bool) float64 {
+func (h serverCounts) sentShare(elsewhere bool) float64 {
 	if h.filtered {
 		return h.share(elsewhere)
 	}
@@ -71,7 +71,7 @@
 }
 
 // holders is how many managers hold a server.
-func (p Plan) holders(h holding) float64 { return float64(p.Fleet.Managers) * h.held / h.all }
+func (p Plan) holders(h serverCounts) float64 { return float64(p.Fleet.Managers) * h.held / h.fleet }
 
 // requestsPerManager is how many requests a second come to a manager's proxies. None of them comes to the manager.
 func (p Plan) requestsPerManager() float64 {
@@ -80,21 +80,21 @@
 
 // reports is how many collectors' lines on servers a manager hears a second: one for each zone of its proxies and each
 // server that a request met within the interval, were requests spread evenly over all servers that it holds.
-func (p Plan) reports(h holding) float64 {
+func (p Plan) loadReports(h serverCounts) float64 {
 	zones, interval := float64(p.Managers.ProxyZones), p.Managers.ReportInterval.Seconds()
-	tries := p.requestsPerManager() * p.Managers.TriesPerRequest * interval
-	return zones * occupied(h.held, tries/zones) / interval
+	tries := p.requestsPerManager() * p.Managers.AttemptsPerRequest * interval
+	return zones * expectedOccupied(h.held, tries/zones) / interval
 }
 
 // usages is how many collectors' lines on proxies a manager hears a second: one for each proxy and traffic group that a
 // request came to within the interval.
-func (p Plan) usages() float64 {
+func (p Plan) usageReports() float64 {
 	interval := p.Managers.ReportInterval.Seconds()
-	return occupied(float64(p.Managers.Proxies*p.Managers.TrafficGroups), p.requestsPerManager()*interval) / interval
+	return expectedOccupied(float64(p.Managers.Proxies*p.Managers.TrafficClasses), p.requestsPerManager()*interval) / interval
 }
 
 // probes is how many probes a manager sends a second while so many of the servers that it holds are silent.
-func (p Plan) probes(silent float64) float64 {
-	most := float64(p.Managers.ProbesOpen) / p.Managers.ProbeTimeout.Seconds()
-	return min(silent/p.Managers.ProbeInterval.Seconds(), most)
+func (p Plan) healthChecks(silent float64) float64 {
+	most := float64(p.Managers.MaxHealthChecks) / p.Managers.HealthCheckTimeout.Seconds()
+	return min(silent/p.Managers.HealthCheckInterval.Seconds(), most)
 }
--- a/internal/capacity/situation.go
+++ b/internal/capacity/situation.go
@@ -5,27 +5,27 @@
 // Situation is a state of the fleet in which all roles are looked at. What happens in it is spread over its window,
 // and rates are means over that.
 type Situation struct {
-	Name       string
-	Window     float64 // seconds
-	Changes    float64 // entries of the list that change
-	Silent     float64 // servers that do not answer, as the worst-off manager sees it
-	Opens      bool    // the worst-off manager takes its list anew
-	FromStore  bool    // it opens with the list that its store kept, and asks for what changed since
-	Reopens    bool    // it ran on meanwhile and holds a generation
-	Openers    float64 // managers that do
-	Resumes    float64 // entries that the worst-off manager missed and asks for
-	Resumers   float64 // managers that ask for them
-	Machines   float64 // control machines that serve
-	Lost       float64 // managers that are away
-	Homeless   bool    // the silent servers are of other zones than the manager's
-	NoList     bool    // nothing of the list arrives
-	Recovering float64 // servers that answer again
+	Name              string
+	Window            float64 // seconds
+	ListChanges       float64 // entries of the list that change
+	Unresponsive      float64 // servers that do not answer, as the worst-off manager sees it
+	Opens             bool    // the worst-off manager takes its list anew
+	FromStore         bool    // it opens with the list that its store kept, and asks for what changed since
+	Reopens           bool    // it ran on meanwhile and holds a generation
+	OpeningManagers   float64 // managers that do
+	MissedEntries     float64 // entries that the worst-off manager missed and asks for
+	ResumingManagers  float64 // managers that ask for them
+	ControlMachines   float64 // control machines that serve
+	LostManagers      float64 // managers that are away
+	OutsideHome       bool    // the silent servers are of other zones than the manager's
+	NoList            bool    // nothing of the list arrives
+	RecoveringServers float64 // servers that answer again
 }
 
 // situations are those that the plan has to bear, in the order of the tables.
 func (p Plan) situations() []Situation {
 	f := p.Fleet
-	window := p.Budgets.ChangeInForce.Seconds()
+	window := p.Budgets.MaxPropagation.Seconds()
 	machines := float64(p.Control.Count)
 	perZone := float64(f.Servers) / float64(f.Zones)
 	managersPerZone := float64(f.Managers) / float64(f.Zones)
@@ -33,31 +33,31 @@
 	managersPerRegion := float64(f.Managers) / float64(f.Regions)
 	perMachine := float64(f.Managers) / machines
 	return []Situation{
-		{Name: "a quiet second", Window: 1, Machines: machines},
-		{Name: "the busiest second of an ordinary day", Window: 1, Changes: p.busiestSecond(), Silent: 1, Homeless: true, Machines: machines},
-		{Name: "a zone is lost", Window: window, Changes: perZone, Silent: perZone, Homeless: true, Lost: managersPerZone, Machines: machines},
-		{Name: "the zone is back", Window: window, Changes: perZone, Recovering: perZone, Openers: managersPerZone, Homeless: true, Machines: machines},
+		{Name: "a quiet second", Window: 1, ControlMachines: machines},
+		{Name: "the busiest second of an ordinary day", Window: 1, ListChanges: p.busiestSecond(), Unresponsive: 1, OutsideHome: true, ControlMachines: machines},
+		{Name: "a zone is lost", Window: window, ListChanges: perZone, Unresponsive: perZone, OutsideHome: true, LostManagers: managersPerZone, ControlMachines: machines},
+		{Name: "the zone is back", Window: window, ListChanges: perZone, RecoveringServers: perZone, OpeningManagers: managersPerZone, OutsideHome: true, ControlMachines: machines},
 		p.regionCut(),
-		{Name: "the region returns", Window: window, Resumes: p.busyHourEntries() * p.Events.RegionCut.Hours(), Resumers: managersPerRegion, Recovering: perRegion, Machines: machines},
+		{Name: "the region returns", Window: window, MissedEntries: p.busyHourEntries() * p.Events.RegionCut.Hours(), ResumingManagers: managersPerRegion, RecoveringServers: perRegion, ControlMachines: machines},
 		p.restart("all managers of a zone restart", managersPerZone),
 		p.restart("all managers restart", float64(f.Managers)),
-		{Name: "one control machine is lost", Window: window, Opens: true, Reopens: true, Openers: perMachine, Machines: machines - 1},
-		{Name: "two control machines are lost", Window: window, Opens: true, Reopens: true, Openers: 2 * perMachine, Machines: machines - 2},
+		{Name: "one control machine is lost", Window: window, Opens: true, Reopens: true, OpeningManagers: perMachine, ControlMachines: machines - 1},
+		{Name: "two control machines are lost", Window: window, Opens: true, Reopens: true, OpeningManagers: 2 * perMachine, ControlMachines: machines - 2},
 	}
 }
 
 // restart is so many managers that restart together. Where each has a list in its store, it asks for what changed within
 // the window at the pace of the busiest hour.
 func (p Plan) restart(name string, managers float64) Situation {
-	window := p.Budgets.ChangeInForce.Seconds()
-	s := Situation{Name: name, Window: window, Opens: true, Machines: float64(p.Control.Count)}
+	window := p.Budgets.MaxPropagation.Seconds()
+	s := Situation{Name: name, Window: window, Opens: true, ControlMachines: float64(p.Control.Count)}
 	if !p.Managers.ListStored {
-		s.Openers = managers
+		s.OpeningManagers = managers
 		return s
 	}
 	s.FromStore = true
-	s.Resumers = managers
-	s.Resumes = p.busyHourEntries() / secondsPerHour * window
+	s.ResumingManagers = managers
+	s.MissedEntries = p.busyHourEntries() / secondsPerHour * window
 	return s
 }
 
@@ -65,9 +65,9 @@
 func (p Plan) regionCut() Situation {
 	f := p.Fleet
 	return Situation{
-		Name: "a region is cut off", Window: p.Budgets.ChangeInForce.Seconds(), NoList: true, Homeless: true,
-		Silent: float64(f.Servers) - float64(f.Servers)/float64(f.Regions),
-		Lost:   float64(f.Managers) / float64(f.Regions), Machines: float64(p.Control.Count),
+		Name: "a region is cut off", Window: p.Budgets.MaxPropagation.Seconds(), NoList: true, OutsideHome: true,
+		Unresponsive: float64(f.Servers) - float64(f.Servers)/float64(f.Regions),
+		LostManagers: float64(f.Managers) / float64(f.Regions), ControlMachines: float64(p.Control.Count),
 	}
 }
 
@@ -104,7 +104,7 @@
 }
 
 // occupied is how many of some cells are hit at least once, where so many hits fall on them evenly.
-func occupied(cells, hits float64) float64 {
+func expectedOccupied(cells, hits float64) float64 {
 	if cells == 0 {
 		return 0
 	}
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -32,13 +32,13 @@
 
 // Source says where the value of a cost comes from.
 type Source struct {
-	Cost    scale.Cost
-	Sizes   Sizes // along the axes that were measured
-	Value   Figure
-	Along   []scale.Slope // the slopes that it was worked out from
-	Missing []scale.Axis  // wanted sizes along which no slope was measured: counted at the reference
-	Beyond  []scale.Axis  // along which the wanted size is beyond the largest measured
-	Assumed bool          // the plan's own figure stands in
+	Cost             scale.Cost
+	Sizes            Sizes // along the axes that were measured
+	Value            Figure
+	Slopes           []scale.Slope // the slopes that it was worked out from
+	UnmeasuredAxes   []scale.Axis  // wanted sizes along which no slope was measured: counted at the reference
+	ExtrapolatedAxes []scale.Axis  // along which the wanted size is beyond the largest measured
+	Assumed          bool          // the plan's own figure stands in
 }
 
 // Costs gives costs at a size: the reference's cost, and for each axis the slope's rise from the reference to the size.
@@ -53,22 +53,22 @@
 	for _, axis := range sortedAxes(sizes) {
 		slope, measured := c.report.Find(cost, axis)
 		if !measured {
-			s.Missing = append(s.Missing, axis)
+			s.UnmeasuredAxes = append(s.UnmeasuredAxes, axis)
 			continue
 		}
 		s.Sizes[axis] = sizes[axis]
-		s.Along = append(s.Along, slope)
+		s.Slopes = append(s.Slopes, slope)
 		references = append(references, costAt(slope, c.report.Reference[axis]))
 		if sizes[axis] > largest(slope) {
-			s.Beyond = append(s.Beyond, axis)
+			s.ExtrapolatedAxes = append(s.ExtrapolatedAxes, axis)
 		}
 	}
 	if len(references) == 0 {
-		s.Value, s.Along = c.reference(cost)
+		s.Value, s.Slopes = c.reference(cost)
 		return s
 	}
 	value := mean(references)
-	for _, slope := range s.Along {
+	for _, slope := range s.Slopes {
 		value += costAt(slope, sizes[slope.Axis]) - costAt(slope, c.report.Reference[slope.Axis])
 	}
 	s.Value = known(max(0, value))
--- a/internal/capacity/slopes_test.go
+++ b/internal/capacity/slopes_test.go
@@ -14,11 +14,11 @@
 	near(t, "at the reference", s.Value.Value, 0.003)
 	s = c.At(scale.CPUPerQuietSecond, Sizes{scale.Servers: 24000, scale.Proxies: 480, scale.Zones: 88})
 	near(t, "at a size", s.Value.Value, 0.003+0.000002*23000+0.00001*380)
-	if !slices.Equal(s.Missing, []scale.Axis{scale.Zones}) {
-		t.Errorf("missing: %v", s.Missing)
+	if !slices.Equal(s.UnmeasuredAxes, []scale.Axis{scale.Zones}) {
+		t.Errorf("missing: %v", s.UnmeasuredAxes)
 	}
-	if !slices.Equal(s.Beyond, []scale.Axis{scale.Servers}) {
-		t.Errorf("beyond what was measured: %v", s.Beyond)
+	if !slices.Equal(s.ExtrapolatedAxes, []scale.Axis{scale.Servers}) {
+		t.Errorf("beyond what was measured: %v", s.ExtrapolatedAxes)
 	}
 }
 
--- a/internal/capacity/sources.go
+++ b/internal/capacity/sources.go
@@ -10,16 +10,16 @@
 )
 
 func (m *Model) writeSources(w io.Writer) {
-	heading(w, "Where the figures come from")
+	writeHeading(w, "Where the figures come from")
 	r := m.Costs.report
 	fmt.Fprintf(w, "Slopes: version %d, seed %d, %d cores, %s.\n\n", r.Version, r.Seed, r.Cores, r.GoVersion)
 	sources := slices.SortedStableFunc(slices.Values(m.sources), func(a, b Source) int { return strings.Compare(string(a.Cost), string(b.Cost)) })
 	m.writeSlopes(w, sources)
 	fmt.Fprintln(w)
-	header(w, "cost", "at", "figure", "reckoned")
+	writeHeader(w, "cost", "at", "figure", "reckoned")
 	for _, group := range groupSources(sources) {
 		s := group[0]
-		row(w, string(s.Cost), rangesOf(group), costFigure(s), reckoned(s))
+		writeRow(w, string(s.Cost), rangesOf(group), formatCost(s), origin(s))
 	}
 }
 
@@ -27,7 +27,7 @@
 func groupSources(sources []Source) [][]Source {
 	var groups [][]Source
 	alike := func(a, b Source) bool {
-		return a.Cost == b.Cost && costFigure(a) == costFigure(b) && reckoned(a) == reckoned(b)
+		return a.Cost == b.Cost && formatCost(a) == formatCost(b) && origin(a) == origin(b)
 	}
 	for _, s := range sources {
 		i := slices.IndexFunc(groups, func(g []Source) bool { return alike(g[0], s) })
@@ -48,9 +48,9 @@
 		for _, s := range group {
 			least, most = min(least, s.Sizes[axis]), max(most, s.Sizes[axis])
 		}
-		text := fmt.Sprintf("%s %s", axis, number3(least))
+		text := fmt.Sprintf("%s %s", axis, formatNumber(least))
 		if most > least {
-			text += " to " + number3(most)
+			text += " to " + formatNumber(most)
 		}
 		at = append(at, text)
 	}
@@ -59,16 +59,16 @@
 
 // writeSlopes tells each slope that a cost was worked out from, once.
 func (m *Model) writeSlopes(w io.Writer, sources []Source) {
-	header(w, "cost", "along", "shape", "worst distance of a size from the curve", "worst spread of runs", "sizes measured", "managers")
+	writeHeader(w, "cost", "along", "shape", "worst distance of a size from the curve", "worst spread of runs", "sizes measured", "managers")
 	told := map[string]bool{}
 	for _, s := range sources {
-		for _, slope := range s.Along {
+		for _, slope := range s.Slopes {
 			key := string(slope.Cost) + " " + string(slope.Axis)
 			if told[key] {
 				continue
 			}
 			told[key] = true
-			row(w, slopeCells(slope)...)
+			writeRow(w, slopeCells(slope)...)
 		}
 	}
 }
@@ -81,8 +81,8 @@
 	if s.Hollow {
 		managers = "hollow"
 	}
-	sizes := number3(smallest(s)) + " to " + number3(largest(s))
-	return []string{string(s.Cost), string(s.Axis), shape, percent3(s.WorstError), percent3(s.Spread), sizes, managers}
+	sizes := formatNumber(smallest(s)) + " to " + formatNumber(largest(s))
+	return []string{string(s.Cost), string(s.Axis), shape, formatPercent(s.WorstError), formatPercent(s.Spread), sizes, managers}
 }
 
 func orNone(words []string, none string) string {
@@ -92,24 +92,24 @@
 	return strings.Join(words, ", ")
 }
 
-func costFigure(s Source) string {
+func formatCost(s Source) string {
 	unit := ""
-	if len(s.Along) > 0 {
-		unit = s.Along[0].Unit
+	if len(s.Slopes) > 0 {
+		unit = s.Slopes[0].Unit
 	}
 	switch {
 	case !s.Value.Known:
 		return unmeasured
 	case unit == "seconds":
-		return seconds3(s.Value.Value)
+		return formatSeconds(s.Value.Value)
 	case unit == "bytes", s.Assumed:
-		return bytes3(s.Value.Value)
+		return formatBytes(s.Value.Value)
 	}
-	return number3(s.Value.Value)
+	return formatNumber(s.Value.Value)
 }
 
 // reckoned says how a cost was worked out beyond what was measured.
-func reckoned(s Source) string {
+func origin(s Source) string {
 	var notes []string
 	switch {
 	case s.Assumed:
@@ -117,22 +117,22 @@
 	case !s.Value.Known:
 		return "no slope: all that needs it says so"
 	}
-	if axes := misfits(s); len(axes) > 0 {
+	if axes := interpolatedAxes(s); len(axes) > 0 {
 		notes = append(notes, "no shape fits along "+axisNames(axes)+": between the measured sizes")
 	}
-	if len(s.Missing) > 0 {
-		notes = append(notes, "not measured along "+axisNames(s.Missing)+", counted as at the reference")
+	if len(s.UnmeasuredAxes) > 0 {
+		notes = append(notes, "not measured along "+axisNames(s.UnmeasuredAxes)+", counted as at the reference")
 	}
-	if len(s.Beyond) > 0 {
-		notes = append(notes, "beyond the largest size measured along "+axisNames(s.Beyond))
+	if len(s.ExtrapolatedAxes) > 0 {
+		notes = append(notes, "beyond the largest size measured along "+axisNames(s.ExtrapolatedAxes))
 	}
 	return orNone(notes, "within what was measured")
 }
 
 // misfits are the axes along which a cost comes from measured points.
-func misfits(s Source) []scale.Axis {
+func interpolatedAxes(s Source) []scale.Axis {
 	var axes []scale.Axis
-	for _, slope := range s.Along {
+	for _, slope := range s.Slopes {
 		if size, asked := s.Sizes[slope.Axis]; asked && interpolated(slope, size) {
 			axes = append(axes, slope.Axis)
 		}
--- a/internal/scale/connections.go
+++ b/internal/scale/connections.go
@@ -12,12 +12,12 @@
 )
 
 // connectionsMost is how many connections a manager takes that have not reported anything yet.
-const connectionsMost = 240
+const maxConnections = 240
 
 // measureConnections measures the memory that so many connections to a real process take, on a process of its own in
 // each run: one that had them before keeps their memory.
 func measureConnections(ctx context.Context, options Options, connections int) (samples []sample, err error) {
-	for range min(options.Runs, fleetRunsMost) {
+	for range min(options.Runs, maxFleetRuns) {
 		bytes, err := bytesOfConnections(ctx, options, connections)
 		if err != nil {
 			return nil, err
@@ -28,25 +28,25 @@
 }
 
 func bytesOfConnections(ctx context.Context, options Options, connections int) (float64, error) {
-	f, err := raiseRealFleet(ctx, options.Program, inForceScenario(options.Seed), 1)
+	f, err := startProcessFleet(ctx, options.Program, propagationScenario(options.Seed), 1)
 	defer f.close()
 	if err != nil {
 		return 0, err
 	}
 	manager := f.managers[0]
-	before := fakes.ResidentMemoryMB(manager.daemon)
+	before := fakes.ResidentMemoryMB(manager.process)
 	for range connections {
-		connection, err := pinged(manager.address)
+		connection, err := openServedConnection(manager.address)
 		if err != nil {
 			return 0, err
 		}
 		defer connection.Close()
 	}
-	return max(0, fakes.ResidentMemoryMB(manager.daemon)-before) * mib, nil
+	return max(0, fakes.ResidentMemoryMB(manager.process)-before) * mib, nil
 }
 
 // pinged opens a connection and waits until it is served.
-func pinged(address string) (net.Conn, error) {
+func openServedConnection(address string) (net.Conn, error) {
 	connection, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return nil, err
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -23,13 +23,13 @@
 
 // Requests that a control process takes, a line each.
 const (
-	requestUse    = "use"    // answered by its controlUse
+	requestUsage  = "use"    // answered by its controlUse
 	requestTime   = "time"   // answered by its controlUse without the heap, which takes a collection to tell
 	requestChange = "change" // a server drains, or comes back; answered by its controlUse
 )
 
 // controlUse is what a control process has used so far.
-type controlUse struct {
+type controlUsage struct {
 	Address   string  `json:"address"`
 	CPU       float64 `json:"cpu"`  // seconds
 	HeapBytes float64 `json:"heap"` // held after a collection, the stacks of its goroutines included
@@ -41,7 +41,7 @@
 	site := scenario.site()
 	var entries []fakes.Endpoint
 	for server := range servers {
-		entries = append(entries, scenario.entry(site, server, "up"))
+		entries = append(entries, scenario.endpoint(site, server, "up"))
 	}
 	discovery, err := fakes.NewDiscovery("127.0.0.1:0", entries)
 	if err != nil {
@@ -49,18 +49,18 @@
 	}
 	defer discovery.Close()
 	out := json.NewEncoder(answers)
-	if err := out.Encode(controlUse{Address: discovery.Address}); err != nil {
+	if err := out.Encode(controlUsage{Address: discovery.Address}); err != nil {
 		return err
 	}
 	lines := bufio.NewScanner(requests)
 	for changed := 0; lines.Scan(); {
 		if lines.Text() == requestChange {
-			discovery.Publish(scenario.entry(site, changed/2%servers, []string{"draining", "up"}[changed%2]))
+			discovery.Publish(scenario.endpoint(site, changed/2%servers, []string{"draining", "up"}[changed%2]))
 			changed++
 		}
-		use := controlUse{Address: discovery.Address, CPU: processCPU().Seconds()}
-		if lines.Text() == requestUse {
-			use.HeapBytes = heldBytes() + stackBytes()
+		use := controlUsage{Address: discovery.Address, CPU: processCPU().Seconds()}
+		if lines.Text() == requestUsage {
+			use.HeapBytes = heapInUse() + stackInUse()
 			use.CPU = processCPU().Seconds()
 		}
 		if err := out.Encode(use); err != nil {
@@ -71,15 +71,15 @@
 }
 
 // control is a control process that serves readers of this one.
-type control struct {
+type controlProcess struct {
 	command *exec.Cmd
 	in      io.WriteCloser
 	answers *json.Decoder
 	address string
 }
 
-func startControl(ctx context.Context, program string, servers int) (c *control, err error) {
-	c = &control{command: exec.CommandContext(ctx, program, append(controlArguments, ControlFlag, strconv.Itoa(servers))...)}
+func startControl(ctx context.Context, program string, servers int) (c *controlProcess, err error) {
+	c = &controlProcess{command: exec.CommandContext(ctx, program, append(controlArguments, ControlFlag, strconv.Itoa(servers))...)}
 	c.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if c.in, err = c.command.StdinPipe(); err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	c.answers = json.NewDecoder(out)
-	var first controlUse
+	var first controlUsage
 	if err := c.answers.Decode(&first); err != nil {
 		c.stop()
 		return nil, fmt.Errorf("the control process did not begin: %w", err)
@@ -104,7 +104,7 @@
 // controlArguments stand before the flag that makes a program the control process.
 var controlArguments = []string{"scale"}
 
-func (c *control) ask(request string) (use controlUse, err error) {
+func (c *controlProcess) request(request string) (use controlUsage, err error) {
 	if _, err := io.WriteString(c.in, request+"\n"); err != nil {
 		return use, err
 	}
@@ -112,27 +112,27 @@
 }
 
 // stop ends the control process.
-func (c *control) stop() {
+func (c *controlProcess) stop() {
 	c.in.Close()
 	c.command.Process.Kill()
 	c.command.Wait()
 }
 
 // reader is a manager as discovery sees it: a connection that watches the list.
-type reader struct {
+type listReader struct {
 	connection net.Conn
 	in         *bufio.Reader
 	bytes      int
 }
 
 // openReader asks for the list and its changes.
-func openReader(address string) (*reader, error) {
+func openReader(address string) (*listReader, error) {
 	connection, err := net.DialTimeout("tcp", address, controlTimeout)
 	if err != nil {
 		return nil, err
 	}
 	connection.SetDeadline(time.Now().Add(controlTimeout))
-	r := &reader{connection: connection, in: bufio.NewReader(connection)}
+	r := &listReader{connection: connection, in: bufio.NewReader(connection)}
 	request := "GET /discovery/hosts?watch=1&after=0 HTTP/1.1\r\nHost: " + address + "\r\n\r\n"
 	if _, err := io.WriteString(connection, request); err != nil {
 		return nil, errors.Join(err, connection.Close())
@@ -141,7 +141,7 @@
 }
 
 // until reads to the end of the first line that holds a word.
-func (r *reader) until(word string) error {
+func (r *listReader) readUntil(word string) error {
 	for {
 		line, err := r.in.ReadString('\n')
 		r.bytes += len(line)
@@ -170,7 +170,7 @@
 		return nil, err
 	}
 	defer c.stop()
-	before, err := c.ask(requestUse)
+	before, err := c.request(requestUsage)
 	if err != nil {
 		return nil, err
 	}
@@ -185,7 +185,7 @@
 		return nil, err
 	}
 	opened := time.Since(began)
-	after, err := c.ask(requestUse)
+	after, err := c.request(requestUsage)
 	if err != nil {
 		return nil, err
 	}
@@ -201,39 +201,39 @@
 		ControlConnections:     n,
 		OpeningLast:            opened.Seconds(),
 	}
-	if one[ControlCPUPerChange], err = changeCost(c, all); err != nil || quiet == 0 {
+	if one[ControlCPUPerChange], err = controlChangeCost(c, all); err != nil || quiet == 0 {
 		return one, err
 	}
-	one[ControlCPUPerQuietSecond], err = quietCost(ctx, c, len(all), quiet)
+	one[ControlCPUPerQuietSecond], err = quietControlCost(ctx, c, len(all), quiet)
 	return one, err
 }
 
 // quietCost is the control side's processor time in a second for each reader, while nothing changes.
-func quietCost(ctx context.Context, c *control, readers int, span time.Duration) (float64, error) {
-	before, err := c.ask(requestUse)
+func quietControlCost(ctx context.Context, c *controlProcess, readers int, span time.Duration) (float64, error) {
+	before, err := c.request(requestUsage)
 	if err != nil {
 		return 0, err
 	}
-	if err := wait(ctx, span); err != nil {
+	if err := sleep(ctx, span); err != nil {
 		return 0, err
 	}
-	after, err := c.ask(requestTime)
+	after, err := c.request(requestTime)
 	return (after.CPU - before.CPU) / span.Seconds() / float64(readers), err
 }
 
 // openReaders opens all readers at once and waits until each has the whole list.
-func openReaders(address string, readers int) ([]*reader, error) {
-	all, errs := make([]*reader, readers), make([]error, readers)
+func openReaders(address string, readers int) ([]*listReader, error) {
+	all, errs := make([]*listReader, readers), make([]error, readers)
 	var group sync.WaitGroup
 	for i := range readers {
 		group.Go(func() {
 			if all[i], errs[i] = openReader(address); errs[i] == nil {
-				errs[i] = all[i].until(`"instances"`)
+				errs[i] = all[i].readUntil(`"instances"`)
 			}
 		})
 	}
 	group.Wait()
-	var opened []*reader
+	var opened []*listReader
 	for _, r := range all {
 		if r != nil {
 			opened = append(opened, r)
@@ -243,22 +243,22 @@
 }
 
 // changeCost is the control side's processor time for telling one change to one reader.
-func changeCost(c *control, readers []*reader) (float64, error) {
-	before, err := c.ask(requestUse)
+func controlChangeCost(c *controlProcess, readers []*listReader) (float64, error) {
+	before, err := c.request(requestUsage)
 	if err != nil {
 		return 0, err
 	}
 	for change := range controlChanges {
-		if _, err := c.ask(requestChange); err != nil {
+		if _, err := c.request(requestChange); err != nil {
 			return 0, err
 		}
 		word := fmt.Sprintf(`"generation":%d,`, firstVersion+1+change)
 		for _, r := range readers {
-			if err := r.until(word); err != nil {
+			if err := r.readUntil(word); err != nil {
 				return 0, err
 			}
 		}
 	}
-	after, err := c.ask(requestUse)
+	after, err := c.request(requestUsage)
 	return (after.CPU - before.CPU) / controlChanges / float64(len(readers)), err
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// FitBound is the largest relative distance of a point from a curve that is still called a fit: what runs on a shared
+// MaxFitError is the largest relative distance of a point from a curve that is still called a fit: what runs on a shared
 // machine differ by.
-const FitBound = 0.25
+const MaxFitError = 0.25
 
 // shapes that are tried, the simplest first.
 var shapes = []Shape{Constant, Linear, Linearithmic, Quadratic}
@@ -19,7 +19,7 @@
 	best := Slope{WorstError: math.Inf(1)}
 	for _, shape := range shapes {
 		one := fitShape(s, shape)
-		if one.WorstError <= FitBound {
+		if one.WorstError <= MaxFitError {
 			best = one
 			break
 		}
@@ -27,7 +27,7 @@
 			best = one
 		}
 	}
-	best.Fits = best.WorstError <= FitBound
+	best.Fits = best.WorstError <= MaxFitError
 	best.Spread = spread(s.Points)
 	return best
 }
@@ -38,9 +38,9 @@
 	s.Shape = shape
 	s.Base, s.PerUnit = leastSquares(s.Points, shape)
 	s.WorstError = 0
-	least := leastPart * largest(s.Points)
+	least := minRelativePart * largestMedian(s.Points)
 	for _, p := range s.Points {
-		median := medianOf(p.Runs)
+		median := Median(p.Runs)
 		if distance := math.Abs(s.At(p.Size) - median); distance > 0 {
 			s.WorstError = max(s.WorstError, distance/max(median, least))
 		}
@@ -50,21 +50,21 @@
 
 // leastPart is the part of the largest point below which a point counts as if it were that: a cost that is nothing at
 // one size can't be told relative to itself.
-const leastPart = 1e-3
+const minRelativePart = 1e-3
 
 // largest is the largest median; no cost is below zero.
-func largest(points []Point) (most float64) {
+func largestMedian(points []Point) (most float64) {
 	for _, p := range points {
-		most = max(most, medianOf(p.Runs))
+		most = max(most, Median(p.Runs))
 	}
 	return most
 }
 
 func leastSquares(points []Point, shape Shape) (base, perUnit float64) {
 	var ones, xs, squares, ys, products float64 // weighted sums
-	least := leastPart * largest(points)
+	least := minRelativePart * largestMedian(points)
 	for _, p := range points {
-		y := medianOf(p.Runs)
+		y := Median(p.Runs)
 		scale := max(y, least)
 		if scale == 0 {
 			continue
@@ -98,14 +98,14 @@
 func spread(points []Point) float64 {
 	widest := 0.0
 	for _, p := range points {
-		if median := medianOf(p.Runs); median != 0 {
+		if median := Median(p.Runs); median != 0 {
 			widest = max(widest, (slices.Max(p.Runs)-slices.Min(p.Runs))/math.Abs(median))
 		}
 	}
 	return widest
 }
 
-func medianOf(values []float64) float64 {
+func Median(values []float64) float64 {
 	sorted := slices.SortedFunc(slices.Values(values), cmp.Compare[float64])
 	if len(sorted) == 0 {
 		return 0
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -58,7 +58,7 @@
 		}
 		return 100
 	}
-	if got := fitted(Slope{Points: pointsOf(step, 0)}); got.Fits || got.WorstError <= FitBound {
+	if got := fitted(Slope{Points: pointsOf(step, 0)}); got.Fits || got.WorstError <= MaxFitError {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/scale/format_test.go
+++ b/internal/scale/format_test.go
@@ -27,14 +27,14 @@
 			{Cost: "proxies-bound", Axis: "proxies", Unit: "proxies", Shape: "quadratic", PerUnit: 2,
 				Points: []Point{{Size: 2, Runs: []float64{8}}}},
 		},
-		PlanSize: []Case{{Name: "whole list", Sizes: map[Axis]float64{"servers": 24000, "zones": 88}, HomeServers: 273,
+		PlanSize: []PlanSizeCase{{Name: "whole list", Sizes: map[Axis]float64{"servers": 24000, "zones": 88}, HomeServers: 273,
 			Costs:  map[Cost]float64{"cpu-per-list-read": 0.375, "change-in-force-last": 1.25},
 			Spread: map[Cost]float64{"cpu-per-list-read": 0.03125}}},
-		Real: []RealCase{
-			{Name: "busy", Interval: 0.05, Servers: 600, Proxies: 480, Reports: 200, CPU: []float64{0.01, 0.02},
-				Wakeups: []float64{30, 40}, Probes: []float64{1, 2}, HollowCPU: []float64{0.005}, MemoryMB: 33.5, HollowHeap: 2.25},
-			{Name: "as it comes", Servers: 1, Proxies: 2, Reports: 3, CPU: []float64{1}, Wakeups: []float64{2},
-				Probes: []float64{3}, MemoryMB: 4},
+		Processes: []ProcessCase{
+			{Name: "busy", ReadInterval: 0.05, Servers: 600, Proxies: 480, ReportsPerSecond: 200, CPU: []float64{0.01, 0.02},
+				ContextSwitches: []float64{30, 40}, HealthChecks: []float64{1, 2}, HollowCPU: []float64{0.005}, MemoryMB: 33.5, HollowHeapMB: 2.25},
+			{Name: "as it comes", Servers: 1, Proxies: 2, ReportsPerSecond: 3, CPU: []float64{1}, ContextSwitches: []float64{2},
+				HealthChecks: []float64{3}, MemoryMB: 4},
 		},
 	}
 }
--- a/internal/scale/limits.go
+++ b/internal/scale/limits.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	mib        = 1 << 20
-	memoryMost = 12 << 10 * mib // bytes that a run may hold, or half of the machine's memory where that is less
+	mib       = 1 << 20
+	maxMemory = 12 << 10 * mib // bytes that a run may hold, or half of the machine's memory where that is less
 	// ReadersMost is the largest number of connections that a run opens at once: what a control machine of the plan
 	// serves while two of seven are lost, and some more.
-	ReadersMost = 1200
-	garbage     = 2 // times what is held: the heap between two collections
+	MaxReaders    = 1200
+	garbageFactor = 2 // times what is held: the heap between two collections
 )
 
 // Memory is the limit on what a run may hold.
@@ -28,7 +28,7 @@
 		return Memory{}, err
 	}
 	total, err := totalMemory(text)
-	return Memory{min(memoryMost, total/2)}, err
+	return Memory{min(maxMemory, total/2)}, err
 }
 
 func totalMemory(meminfo []byte) (float64, error) {
@@ -56,13 +56,13 @@
 }
 
 // allows tells whether so many things of so many bytes fit, and how many would.
-func (m Memory) allows(what string, bytesEach float64, things int) error {
-	needs := garbage * bytesEach * float64(things)
+func (m Memory) checkFits(what string, bytesEach float64, things int) error {
+	needs := garbageFactor * bytesEach * float64(things)
 	if needs <= m.Bytes {
 		return nil
 	}
 	return &LimitError{What: what, Needs: megabytes(needs), Limit: megabytes(m.Bytes),
-		Fits: fmt.Sprintf("%d fit", int(m.Bytes/(garbage*bytesEach)))}
+		Fits: fmt.Sprintf("%d fit", int(m.Bytes/(garbageFactor*bytesEach)))}
 }
 
 func megabytes(n float64) string { return fmt.Sprintf("%.0f MB of memory", n/mib) }
@@ -81,19 +81,19 @@
 func (s Scenario) estimate() float64 {
 	spans := (warmSpan + busySpan).Seconds()
 	// each change is answered by proxies whose tables it moves
-	changes := spans * s.ListChanges * (bytesOfChange + float64(s.Proxies)*perAnswer)
+	changes := spans * s.ListChanges * (bytesOfChange + float64(s.Proxies)*bytesOfAck)
 	return bytesOfScenario + float64(s.Servers)*bytesOfServer + float64(s.Proxies)*bytesOfProxy + spans*s.Reports*bytesOfReport + changes
 }
 
-const perAnswer = 128 // bytes of an answer to a mark
+const bytesOfAck = 128 // bytes of an answer to a mark
 
 // allowsScenario tells whether a scenario fits, and what size along an axis would.
-func (m Memory) allowsScenario(axis Axis, size float64, scenario Scenario) error {
-	needs := garbage * scenario.estimate()
+func (m Memory) checkScenarioFits(axis Axis, size float64, scenario Scenario) error {
+	needs := garbageFactor * scenario.estimate()
 	if needs <= m.Bytes {
 		return nil
 	}
-	base := garbage * scenario.With(axis, 0).estimate()
+	base := garbageFactor * scenario.With(axis, 0).estimate()
 	fits := int(size * max(0, m.Bytes-base) / (needs - base))
 	return &LimitError{What: fmt.Sprintf("%s %g", axis, size), Needs: megabytes(needs), Limit: megabytes(m.Bytes), Fits: fmt.Sprintf("%d fit", fits)}
 }
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -38,7 +38,7 @@
 }
 
 // processorCosts are the figures of the phases' processor time and memory.
-func processorCosts(busy, quiet map[Phase]played) sample {
+func processorCosts(busy, quiet map[Phase]phaseCost) sample {
 	list, inputs, changes := busy[PhaseList], busy[PhaseInputs], busy[PhaseChanges]
 	one := sample{
 		CPUPerListRead:    list.cpu.Seconds(),
@@ -50,14 +50,14 @@
 		HeapBytes:         busy[PhaseBusy].heapBytes,
 	}
 	for _, phase := range busy {
-		one[LongestDecision] = max(one[LongestDecision], phase.longest.Seconds())
+		one[LongestDecision] = max(one[LongestDecision], phase.longestDecision.Seconds())
 	}
 	return one
 }
 
 // trafficCosts are the figures of a script's bytes and counts, which are the same in each run.
 func trafficCosts(s *script, into sample) {
-	list, join, busy, changes := s.find(PhaseList), s.find(PhaseJoin), s.find(PhaseBusy), s.find(PhaseChanges)
+	list, join, busy, changes := s.phase(PhaseList), s.phase(PhaseJoin), s.phase(PhaseBusy), s.phase(PhaseChanges)
 	into[BytesOfOpening] = perMessage(list.traffic[node.EndpointListMessage])
 	into[BytesOfListChange] = perMessage(changes.traffic[node.EndpointListMessage])
 	into[BytesOfReport] = perMessage(busy.traffic[node.LoadReportMessage])
@@ -65,12 +65,12 @@
 	into[BytesOfRelayEvent] = perMessage(join.traffic[node.ProxyEventMessage])
 	into[BytesOfCalls] = perSecond(busy.traffic[node.RelayCallMessage])
 	into[BytesOfHeartbeat] = perSecond(busy.traffic[node.HeartbeatMessage])
-	probe := node.HealthCheckTraffic(s.scenario.entry(s.site, 0, "up").HostPort)
+	probe := node.HealthCheckTraffic(s.scenario.endpoint(s.site, 0, "up").HostPort)
 	into[BytesOfHealthCheck] = float64(probe.In + probe.Out)
 	into[HealthChecksPerSecond] = float64(busy.traffic[node.HealthCheckMessage].Messages) / busySpan.Seconds()
 	into[RelayEventsPerSecond] = float64(busy.traffic[node.ProxyEventMessage].Messages) / busySpan.Seconds()
-	into[ProxiesAssigned] = float64(s.bound)
-	into[CommandsPerSecond] = float64(busy.orders) / busySpan.Seconds()
+	into[ProxiesAssigned] = float64(s.assignedProxies)
+	into[CommandsPerSecond] = float64(busy.commands) / busySpan.Seconds()
 }
 
 func perMessage(t node.Traffic) float64 {
--- a/internal/scale/plansize.go
+++ b/internal/scale/plansize.go
@@ -44,8 +44,8 @@
 	scenario Scenario
 }
 
-func measurePlanSize(ctx context.Context, options Options) ([]Case, error) {
-	var cases []Case
+func measurePlanSize(ctx context.Context, options Options) ([]PlanSizeCase, error) {
+	var cases []PlanSizeCase
 	for _, one := range planCases(options.Seed) {
 		fmt.Fprintf(options.Progress, "plan's size: %s: %d runs\n", one.name, options.Runs)
 		samples, err := measure(ctx, one.scenario, options.Runs)
@@ -57,12 +57,12 @@
 	return cases, nil
 }
 
-func caseOf(one planCase, samples []sample) Case {
-	result := Case{Name: one.name, Sizes: one.scenario.sizes(), HomeServers: one.scenario.HomeServers, Costs: map[Cost]float64{},
+func caseOf(one planCase, samples []sample) PlanSizeCase {
+	result := PlanSizeCase{Name: one.name, Sizes: one.scenario.sizes(), HomeServers: one.scenario.HomeServers, Costs: map[Cost]float64{},
 		Spread: map[Cost]float64{}}
 	for cost := range samples[0] {
 		point := pointOf(0, cost, samples)
-		result.Costs[cost], result.Spread[cost] = medianOf(point.Runs), spread([]Point{point})
+		result.Costs[cost], result.Spread[cost] = Median(point.Runs), spread([]Point{point})
 	}
 	return result
 }
--- a/internal/scale/real.go
+++ b/internal/scale/process.go
@@ -14,23 +14,23 @@
 	"tamarindshore/internal/fakes"
 )
 
-// RealCase is a real process in one state, and a hollow manager in the same where it has one.
-type RealCase struct {
-	Name       string    `json:"name"`
-	Interval   float64   `json:"readIntervalSeconds,omitempty"` // between reads; 0: each is made at once
-	Servers    int       `json:"servers"`
-	Proxies    int       `json:"proxies"`
-	Reports    float64   `json:"reportsPerSecond"`
-	CPU        []float64 `json:"cpuPerSecond"`     // of a core, by run
-	Wakeups    []float64 `json:"wakeupsPerSecond"` // context switches of the process, by run
-	Probes     []float64 `json:"probesPerSecond"`  // that the process sent, by run
-	HollowCPU  []float64 `json:"hollowCPUPerSecond,omitempty"`
-	MemoryMB   float64   `json:"memoryMB"`               // the process's largest resident set
-	HollowHeap float64   `json:"hollowHeapMB,omitempty"` // held after a collection
+// ProcessCase is a real process in one state, and a hollow manager in the same state where that is measured.
+type ProcessCase struct {
+	Name             string    `json:"name"`
+	ReadInterval     float64   `json:"readIntervalSeconds,omitempty"` // between reads; 0: each is made at once
+	Servers          int       `json:"servers"`
+	Proxies          int       `json:"proxies"`
+	ReportsPerSecond float64   `json:"reportsPerSecond"`
+	CPU              []float64 `json:"cpuPerSecond"`     // of a core, by run
+	ContextSwitches  []float64 `json:"wakeupsPerSecond"` // context switches of the process, by run
+	HealthChecks     []float64 `json:"probesPerSecond"`  // that the process sent, by run
+	HollowCPU        []float64 `json:"hollowCPUPerSecond,omitempty"`
+	MemoryMB         float64   `json:"memoryMB"`               // the process's largest resident set
+	HollowHeapMB     float64   `json:"hollowHeapMB,omitempty"` // held after a collection
 }
 
 // realScenario is a size that a real process and a hollow manager both reach.
-func realScenario(seed uint64, servers, proxies int) Scenario {
+func processScenario(seed uint64, servers, proxies int) Scenario {
 	scenario := Reference()
 	scenario.Seed, scenario.Servers, scenario.Proxies, scenario.Zones, scenario.TrafficGroups = seed, servers, proxies, 3, 2
 	scenario.ListChanges = 0
@@ -38,49 +38,49 @@
 }
 
 // realState is what a real process is measured in.
-type realState struct {
-	name    string
-	joined  bool
-	reports float64
-	changes float64
-	every   time.Duration // between the writes of reports
-	spaced  bool          // it is measured with spaced reads too
+type processState struct {
+	name             string
+	connected        bool
+	reportsPerSecond float64
+	changesPerSecond float64
+	writeInterval    time.Duration // between the writes of reports
+	spacedReads      bool          // it is measured with spaced reads too
 }
 
 // realIntervals are the settings between reads under which real processes are measured.
-var realIntervals = []time.Duration{0, 50 * time.Millisecond}
+var readIntervals = []time.Duration{0, 50 * time.Millisecond}
 
-var realStates = []realState{
-	{"no proxies", false, 0, 0, writeEvery, false},
-	{"proxies joined, nothing reported", true, 0, 0, writeEvery, true},
-	{"200 reports a second", true, 200, 0, writeEvery, false},
+var processStates = []processState{
+	{"no proxies", false, 0, 0, reportWriteInterval, false},
+	{"proxies joined, nothing reported", true, 0, 0, reportWriteInterval, true},
+	{"200 reports a second", true, 200, 0, reportWriteInterval, false},
 	{"200 reports a second in one write", true, 200, 0, time.Second, false},
-	{"200 reports and one list change a second", true, 200, 1, writeEvery, true},
-	{"2000 reports a second", true, 2000, 0, writeEvery, true},
+	{"200 reports and one list change a second", true, 200, 1, reportWriteInterval, true},
+	{"2000 reports a second", true, 2000, 0, reportWriteInterval, true},
 }
 
 // realSizes are servers and proxies of the real processes.
-var realSizes = [][2]int{{60, 600}, {240, 600}}
+var processSizes = [][2]int{{60, 600}, {240, 600}}
 
 const (
-	realCores   = 1
-	realSettle  = 2 * time.Second
-	realSpan    = 3 * time.Second
-	realRuns    = 3
-	writeEvery  = 5 * time.Millisecond
-	writeAtMost = 5 * time.Second
+	processCores        = 1
+	processSettleTime   = 2 * time.Second
+	processSpan         = 3 * time.Second
+	processRuns         = 3
+	reportWriteInterval = 5 * time.Millisecond
+	writeTimeout        = 5 * time.Second
 )
 
 // measureReal starts real processes on loopback, one at a time, and measures each beside hollow managers.
-func measureReal(ctx context.Context, options Options) (cases []RealCase, err error) {
+func measureProcesses(ctx context.Context, options Options) (cases []ProcessCase, err error) {
 	dir, err := os.MkdirTemp("", "tamarindshore-scale-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	for _, size := range realSizes {
-		scenario := realScenario(options.Seed, size[0], size[1])
-		for _, interval := range realIntervals {
+	for _, size := range processSizes {
+		scenario := processScenario(options.Seed, size[0], size[1])
+		for _, interval := range readIntervals {
 			some, err := measureProcess(ctx, options, scenario, interval, filepath.Join(dir, "manager.log"))
 			if err != nil {
 				return nil, err
@@ -92,10 +92,10 @@
 }
 
 // measureProcess measures one process in one state after the other.
-func measureProcess(ctx context.Context, options Options, scenario Scenario, interval time.Duration, log string) (cases []RealCase, err error) {
+func measureProcess(ctx context.Context, options Options, scenario Scenario, interval time.Duration, log string) (cases []ProcessCase, err error) {
 	site := scenario.site()
 	begin := fakes.ProcessStarter(options.Program, log)
-	how := fakes.ManagerOptions{Cores: realCores, MemoryMB: 512, MaxDescriptors: maxSockets, Seed: scenario.Seed}
+	how := fakes.ManagerOptions{Cores: processCores, MemoryMB: 512, MaxDescriptors: maxSockets, Seed: scenario.Seed}
 	if interval > 0 {
 		how.OperatorSettings = fmt.Sprintf("(read-interval %v)", interval)
 	}
@@ -104,19 +104,19 @@
 		return nil, err
 	}
 	defer rig.Close()
-	for _, state := range realStates {
-		if interval > 0 && !state.spaced {
+	for _, state := range processStates {
+		if interval > 0 && !state.spacedReads {
 			continue
 		}
 		fmt.Fprintf(options.Progress, "real process, %d servers, %d proxies, %v between reads: %s\n", scenario.Servers, scenario.Proxies, interval, state.name)
 		now := scenario
-		now.Reports, now.ListChanges = state.reports, state.changes
-		one := RealCase{Name: state.name, Interval: interval.Seconds(), Servers: now.Servers, Proxies: now.Proxies, Reports: now.Reports}
+		now.Reports, now.ListChanges = state.reportsPerSecond, state.changesPerSecond
+		one := ProcessCase{Name: state.name, ReadInterval: interval.Seconds(), Servers: now.Servers, Proxies: now.Proxies, ReportsPerSecond: now.Reports}
 		if err := measureState(ctx, rig, now, state, &one); err != nil {
 			return nil, err
 		}
-		if state.joined {
-			if err := hollowBeside(ctx, now, &one); err != nil {
+		if state.connected {
+			if err := measureHollowManager(ctx, now, &one); err != nil {
 				return nil, err
 			}
 		}
@@ -125,17 +125,17 @@
 	return cases, nil
 }
 
-func measureState(ctx context.Context, rig *fakes.Deployment, scenario Scenario, state realState, into *RealCase) error {
-	if state.joined && rig.Relay.Counts().ConnectedProxies == 0 {
+func measureState(ctx context.Context, rig *fakes.Deployment, scenario Scenario, state processState, into *ProcessCase) error {
+	if state.connected && rig.Relay.Counts().ConnectedProxies == 0 {
 		for proxy := range scenario.Proxies {
 			rig.Relay.ConnectProxies(proxy)
 		}
 	}
 	load, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
-	go func() { ended <- feed(load, rig, scenario, state.every) }()
-	err := wait(ctx, realSettle)
-	for range realRuns {
+	go func() { ended <- reportToProcess(load, rig, scenario, state.writeInterval) }()
+	err := sleep(ctx, processSettleTime)
+	for range processRuns {
 		if err != nil {
 			break
 		}
@@ -147,32 +147,32 @@
 }
 
 // measureSpan adds one run.
-func measureSpan(ctx context.Context, rig *fakes.Deployment, into *RealCase) error {
-	probesBefore, err := probesSent(rig)
+func measureSpan(ctx context.Context, rig *fakes.Deployment, into *ProcessCase) error {
+	probesBefore, err := healthChecksSent(rig)
 	if err != nil {
 		return err
 	}
-	cpuBefore, switchesBefore := processUse()
+	cpuBefore, switchesBefore := childrenUsage()
 	began := time.Now()
-	if err := wait(ctx, realSpan); err != nil {
+	if err := sleep(ctx, processSpan); err != nil {
 		return err
 	}
-	cpuAfter, switchesAfter := processUse()
+	cpuAfter, switchesAfter := childrenUsage()
 	took := time.Since(began).Seconds()
-	probesAfter, err := probesSent(rig)
+	probesAfter, err := healthChecksSent(rig)
 	into.CPU = append(into.CPU, (cpuAfter-cpuBefore)/took)
-	into.Wakeups = append(into.Wakeups, (switchesAfter-switchesBefore)/took)
-	into.Probes = append(into.Probes, (probesAfter-probesBefore)/took)
+	into.ContextSwitches = append(into.ContextSwitches, (switchesAfter-switchesBefore)/took)
+	into.HealthChecks = append(into.HealthChecks, (probesAfter-probesBefore)/took)
 	return err
 }
 
-func probesSent(rig *fakes.Deployment) (float64, error) {
+func healthChecksSent(rig *fakes.Deployment) (float64, error) {
 	counters, err := rig.Counters()
 	return float64(counters["probes_sent"]), err
 }
 
 // wait lets time pass; it ends early with the context.
-func wait(ctx context.Context, span time.Duration) error {
+func sleep(ctx context.Context, span time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -183,17 +183,17 @@
 
 // processUse is the processor time, in seconds, of the processes that this one started, and how often their threads were
 // switched.
-func processUse() (cpu, switches float64) {
-	for _, pid := range children() {
-		for _, task := range globbed("/proc/" + pid + "/task/*") {
-			cpu += runTime(task)
+func childrenUsage() (cpu, switches float64) {
+	for _, pid := range childProcesses() {
+		for _, task := range globFiles("/proc/" + pid + "/task/*") {
+			cpu += threadRunTime(task)
 			switches += contextSwitches(task)
 		}
 	}
 	return cpu, switches
 }
 
-func globbed(pattern string) []string {
+func globFiles(pattern string) []string {
 	files, err := filepath.Glob(pattern)
 	if err != nil {
 		panic(err) // the patterns stand in this file
@@ -202,8 +202,8 @@
 }
 
 // children are the processes that this one started, by number.
-func children() (pids []string) {
-	for _, file := range globbed("/proc/self/task/*/children") {
+func childProcesses() (pids []string) {
+	for _, file := range globFiles("/proc/self/task/*/children") {
 		if text, err := os.ReadFile(file); err == nil {
 			pids = append(pids, strings.Fields(string(text))...)
 		}
@@ -212,7 +212,7 @@
 }
 
 // runTime is the seconds that a thread has run so far; 0 once it has ended.
-func runTime(task string) float64 {
+func threadRunTime(task string) float64 {
 	text, err := os.ReadFile(task + "/schedstat")
 	if err != nil {
 		return 0
@@ -238,7 +238,7 @@
 }
 
 // feed tells a real manager what a recorder would tell a hollow one, on a collector's connection and discovery's watch.
-func feed(ctx context.Context, rig *fakes.Deployment, scenario Scenario, every time.Duration) error {
+func reportToProcess(ctx context.Context, rig *fakes.Deployment, scenario Scenario, every time.Duration) error {
 	if scenario.Reports == 0 {
 		return nil
 	}
@@ -247,7 +247,7 @@
 		return err
 	}
 	defer connection.Close()
-	source := &recorder{scenario: scenario, site: rig.Site, version: firstVersion}
+	source := &recorder{scenario: scenario, site: rig.Site, listVersion: firstVersion}
 	lines := []string{"collector site=" + rig.Site.Zones[0]}
 	began := time.Now()
 	tick := time.NewTicker(every)
@@ -260,7 +260,7 @@
 		}
 		passed := time.Since(began).Seconds()
 		for ; float64(told) < passed*scenario.Reports; told++ {
-			lines = append(lines, source.report().Text)
+			lines = append(lines, source.nextReport().Text)
 		}
 		for ; float64(changed) < passed*scenario.ListChanges; changed++ {
 			server := rig.Servers[changed/2%len(rig.Servers)]
@@ -269,7 +269,7 @@
 		if len(lines) == 0 {
 			continue
 		}
-		connection.SetWriteDeadline(time.Now().Add(writeAtMost))
+		connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := connection.Write([]byte(strings.Join(lines, "\r\n") + "\r\n")); err != nil {
 			return err
 		}
@@ -278,7 +278,7 @@
 }
 
 // hollowBeside measures a hollow manager in the state of a real process.
-func hollowBeside(ctx context.Context, scenario Scenario, into *RealCase) error {
+func measureHollowManager(ctx context.Context, scenario Scenario, into *ProcessCase) error {
 	quiet := scenario.Reports == 0
 	if quiet {
 		scenario.Reports = Reference().Reports
@@ -287,7 +287,7 @@
 	if err != nil {
 		return err
 	}
-	for range realRuns {
+	for range processRuns {
 		costs, err := replay(ctx, script)
 		if err != nil {
 			return err
@@ -297,7 +297,7 @@
 			name, span = PhaseQuiet, quietSpan
 		}
 		into.HollowCPU = append(into.HollowCPU, costs[name].cpu.Seconds()/span.Seconds())
-		into.HollowHeap = costs[name].heapBytes / (1 << 20)
+		into.HollowHeapMB = costs[name].heapBytes / (1 << 20)
 	}
 	return nil
 }
--- a/internal/scale/inforce.go
+++ b/internal/scale/propagation.go
@@ -15,49 +15,49 @@
 
 // Sizes of the managers whose changes are timed: the smallest state in which tables, climbs and withdrawals all occur.
 const (
-	inForceServers = 60
-	inForceProxies = 20
-	inForceZones   = 3
-	inForceMost    = 30 * time.Second // until a change that isn't in force counts as lost
-	inForceEvery   = 40 * time.Second // between the changes that are timed
-	collectEvery   = 256              // managers between two collections of garbage
+	propagationServers    = 60
+	propagationProxies    = 20
+	propagationZones      = 3
+	propagationTimeout    = 30 * time.Second // until a change that isn't in force counts as lost
+	propagationInterval   = 40 * time.Second // between the changes that are timed
+	managersPerCollection = 256              // managers between two collections of garbage
 )
 
-func inForceScenario(seed uint64) Scenario {
+func propagationScenario(seed uint64) Scenario {
 	scenario := Reference()
-	scenario.Seed, scenario.Servers, scenario.Proxies, scenario.Zones = seed, inForceServers, inForceProxies, inForceZones
+	scenario.Seed, scenario.Servers, scenario.Proxies, scenario.Zones = seed, propagationServers, propagationProxies, propagationZones
 	return scenario
 }
 
 // inForceCosts are measured for changes in force.
-var inForceCosts = []Cost{PropagationMedian, PropagationTail, PropagationLast, PropagationDuringOpeningsMedian, PropagationDuringOpeningsTail,
+var propagationCosts = []Cost{PropagationMedian, PropagationTail, PropagationLast, PropagationDuringOpeningsMedian, PropagationDuringOpeningsTail,
 	PropagationDuringOpeningsLast, PropagationDuringControlLossMedian, PropagationDuringControlLossTail, PropagationDuringControlLossLast, HollowBytes}
 
 // inForceTerms is what a measurement of changes in force goes by.
-type inForceTerms struct {
-	change, list time.Duration // of the control side: processor time for one reader
-	reading      time.Duration // processor time in which a manager reads a whole list of the plan's size
+type propagationInputs struct {
+	changeWriteTime, listWriteTime time.Duration // of the control side: processor time for one reader
+	listReadTime                   time.Duration // processor time in which a manager reads a whole list of the plan's size
 }
 
 // inForceRun is one run: a fleet that opens, and the changes that are told it.
-type inForceRun struct {
-	fleet   *fleet
-	control controlSide
-	reading time.Duration
-	version int
-	drained []int // servers, in the order in which they were drained
+type propagationRun struct {
+	fleet        *hollowFleet
+	control      controlSide
+	listReadTime time.Duration
+	version      int
+	drained      []int // servers, in the order in which they were drained
 }
 
 // measureInForce opens a fleet of managers and drains one server after another, in each run beside all openings, in
 // quiet and with control machines lost.
-func measureInForce(ctx context.Context, options Options, terms inForceTerms, managers int) ([]sample, error) {
+func measurePropagation(ctx context.Context, options Options, terms propagationInputs, managers int) ([]sample, error) {
 	// A manager of its own has a small heap; the collection of all that are here would count as its decision.
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	var samples []sample
 	for run := range options.Runs {
-		one, err := measureInForceRun(ctx, options, terms, managers, uint64(run))
+		one, err := measurePropagationRun(ctx, options, terms, managers, uint64(run))
 		if err != nil {
 			return nil, err
 		}
@@ -66,41 +66,41 @@
 	return samples, nil
 }
 
-func measureInForceRun(ctx context.Context, options Options, terms inForceTerms, managers int, run uint64) (sample, error) {
-	f, err := newFleet(inForceScenario(options.Seed), coreShare)
+func measurePropagationRun(ctx context.Context, options Options, terms propagationInputs, managers int, run uint64) (sample, error) {
+	f, err := newHollowFleet(propagationScenario(options.Seed), managerCoreShare)
 	if err != nil {
 		return nil, err
 	}
 	defer f.close()
 	random := rand.New(rand.NewPCG(options.Seed, run))
-	r := &inForceRun{fleet: f, control: controlSide{change: terms.change, list: terms.list, random: random}, reading: terms.reading,
+	r := &propagationRun{fleet: f, control: controlSide{changeWriteTime: terms.changeWriteTime, listWriteTime: terms.listWriteTime, rng: random}, listReadTime: terms.listReadTime,
 		version: firstVersion}
 	one := sample{}
-	opening, err := r.besideOpenings(ctx, options.Memory, managers)
+	opening, err := r.duringOpenings(ctx, options.Memory, managers)
 	if err != nil {
 		return nil, err
 	}
 	one.addTimes(opening, PropagationDuringOpeningsMedian, PropagationDuringOpeningsTail, PropagationDuringOpeningsLast)
-	quiet, err := r.drain(ctx, 2*inForceEvery, r.control.quiet(managers))
+	quiet, err := r.drain(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
 	if err != nil {
 		return nil, err
 	}
 	one.addTimes(quiet, PropagationMedian, PropagationTail, PropagationLast)
 	limits := f.start.Limits
-	again := reconnect{silent: limits.EndpointWatchIdleTimeout, backoffLeast: limits.MinBackoff, backoffMost: limits.MaxBackoff}
-	lost, err := r.drain(ctx, 4*inForceEvery, r.control.machinesLost(managers, again))
+	again := reconnectSettings{watchTimeout: limits.EndpointWatchIdleTimeout, minBackoff: limits.MinBackoff, maxBackoff: limits.MaxBackoff}
+	lost, err := r.drain(ctx, 4*propagationInterval, r.control.arrivalsDuringControlLoss(managers, again))
 	if err != nil {
 		return nil, err
 	}
 	one.addTimes(lost, PropagationDuringControlLossMedian, PropagationDuringControlLossTail, PropagationDuringControlLossLast)
-	one[HollowBytes] = f.bytes
+	one[HollowBytes] = f.bytesPerManager
 	return one, nil
 }
 
 // besideOpenings starts all managers at once, and tells a change meanwhile.
-func (r *inForceRun) besideOpenings(ctx context.Context, memory Memory, managers int) (times []float64, err error) {
-	empty := heldBytes()
-	arrivals := r.control.besideOpenings(managers)
+func (r *propagationRun) duringOpenings(ctx context.Context, memory Memory, managers int) (times []float64, err error) {
+	empty := heapInUse()
+	arrivals := r.control.arrivalsDuringOpenings(managers)
 	change := r.nextChange()
 	for _, reached := range arrivals {
 		if err := ctx.Err(); err != nil {
@@ -110,10 +110,10 @@
 		if err != nil {
 			return nil, err
 		}
-		if err := r.fleet.open(one, reached.list, r.reading); err != nil {
+		if err := r.fleet.openManager(one, reached.list, r.listReadTime); err != nil {
 			return nil, err
 		}
-		took, err := one.withdraws(reached.change, change.message, change.server)
+		took, err := one.withdrawalTime(reached.change, change.message, change.server)
 		if err != nil {
 			return nil, err
 		}
@@ -121,7 +121,7 @@
 		if err := r.fleet.checkMemory(memory, empty, managers); err != nil {
 			return nil, err
 		}
-		if len(r.fleet.managers)%collectEvery == 0 {
+		if len(r.fleet.managers)%managersPerCollection == 0 {
 			runtime.GC()
 		}
 	}
@@ -130,7 +130,7 @@
 }
 
 // drain tells managers that run a change at a time, and gives, sorted, the times until their orders carry it.
-func (r *inForceRun) drain(ctx context.Context, at time.Duration, arrivals []arrival) (times []float64, err error) {
+func (r *propagationRun) drain(ctx context.Context, at time.Duration, arrivals []arrival) (times []float64, err error) {
 	if err := r.fleet.advanceAll(ctx, at); err != nil {
 		return nil, err
 	}
@@ -144,9 +144,9 @@
 		reachedAt, message := at+reached.change, change.message
 		if reached.change == 0 { // the list holds it
 			reachedAt, message = at+reached.list, r.wholeList()
-			one.busyUntil = reachedAt + one.paced(r.reading)
+			one.busyUntil = reachedAt + one.wallTime(r.listReadTime)
 		}
-		took, err := one.withdraws(reachedAt, message, change.server)
+		took, err := one.withdrawalTime(reachedAt, message, change.server)
 		if err != nil {
 			return nil, err
 		}
@@ -163,24 +163,24 @@
 }
 
 // nextChange drains the next server.
-func (r *inForceRun) nextChange() drainChange {
+func (r *propagationRun) nextChange() drainChange {
 	server := len(r.drained)
 	r.drained = append(r.drained, server)
-	source := &recorder{scenario: r.fleet.scenario, site: r.fleet.site, version: r.version, order: []int{server}}
-	message := source.change(1)
-	r.version = source.version
+	source := &recorder{scenario: r.fleet.scenario, site: r.fleet.site, listVersion: r.version, serverOrder: []int{server}}
+	message := source.listChange(1)
+	r.version = source.listVersion
 	return drainChange{message: message, server: balancer.ServerID(fakes.ServerID(server))}
 }
 
 // wholeList is the list as it stands after the changes that were told.
-func (r *inForceRun) wholeList() node.Message {
+func (r *propagationRun) wholeList() node.Message {
 	list := fakes.EndpointList{Version: r.version, Complete: true}
 	for server := range r.fleet.scenario.Servers {
 		lifecycle := "up"
 		if slices.Contains(r.drained, server) {
 			lifecycle = "draining"
 		}
-		list.Endpoints = append(list.Endpoints, r.fleet.scenario.entry(r.fleet.site, server, lifecycle))
+		list.Endpoints = append(list.Endpoints, r.fleet.scenario.endpoint(r.fleet.site, server, lifecycle))
 	}
 	return node.Message{Kind: node.EndpointListMessage, Text: encodeList(list)}
 }
--- a/internal/scale/inforce_test.go
+++ b/internal/scale/propagation_test.go
@@ -10,39 +10,39 @@
 )
 
 func testControl() controlSide {
-	return controlSide{change: time.Millisecond, list: 160 * time.Millisecond, random: rand.New(rand.NewPCG(1, 2))}
+	return controlSide{changeWriteTime: time.Millisecond, listWriteTime: 160 * time.Millisecond, rng: rand.New(rand.NewPCG(1, 2))}
 }
 
 func TestAChangeIsInForceAtEachManager(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	const managers = 12
-	f, err := newFleet(inForceScenario(1), coreShare)
+	f, err := newHollowFleet(propagationScenario(1), managerCoreShare)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.close()
 	ctx := context.Background()
-	r := &inForceRun{fleet: f, control: testControl(), reading: time.Millisecond, version: firstVersion}
-	opening, err := r.besideOpenings(ctx, Memory{2 << 30}, managers)
+	r := &propagationRun{fleet: f, control: testControl(), listReadTime: time.Millisecond, version: firstVersion}
+	opening, err := r.duringOpenings(ctx, Memory{2 << 30}, managers)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// Two lists of 10 ms stand before the change, and reading one takes 1 ms at a part of a core.
-	least := 20*time.Millisecond + time.Millisecond + transitLeast
+	least := 20*time.Millisecond + time.Millisecond + minTransit
 	expectTimes(t, "beside openings", opening, managers, least)
-	quiet, err := r.drain(ctx, 2*inForceEvery, r.control.quiet(managers))
+	quiet, err := r.drain(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectTimes(t, "quiet", quiet, managers, time.Millisecond+transitLeast)
-	again := reconnect{silent: 2 * time.Second, backoffLeast: 50 * time.Millisecond, backoffMost: 200 * time.Millisecond}
-	lost, err := r.drain(ctx, 4*inForceEvery, r.control.machinesLost(managers, again))
+	expectTimes(t, "quiet", quiet, managers, time.Millisecond+minTransit)
+	again := reconnectSettings{watchTimeout: 2 * time.Second, minBackoff: 50 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
+	lost, err := r.drain(ctx, 4*propagationInterval, r.control.arrivalsDuringControlLoss(managers, again))
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectTimes(t, "machines lost", lost, managers, time.Millisecond+transitLeast)
-	late := slices.IndexFunc(lost, func(seconds float64) bool { return seconds > again.silent.Seconds() })
+	expectTimes(t, "machines lost", lost, managers, time.Millisecond+minTransit)
+	late := slices.IndexFunc(lost, func(seconds float64) bool { return seconds > again.watchTimeout.Seconds() })
 	if came := managers - late; late < 0 || came < 2 || came > 4 { // those of two machines in seven
 		t.Errorf("machines lost: %v", lost)
 	}
@@ -50,7 +50,7 @@
 
 func expectTimes(t *testing.T, circumstance string, times []float64, managers int, least time.Duration) {
 	t.Helper()
-	if len(times) != managers || !slices.IsSorted(times) || times[0] < least.Seconds() || times[len(times)-1] > inForceMost.Seconds() {
+	if len(times) != managers || !slices.IsSorted(times) || times[0] < least.Seconds() || times[len(times)-1] > propagationTimeout.Seconds() {
 		t.Errorf("%s: %v", circumstance, times)
 	}
 }
@@ -60,30 +60,30 @@
 	defer runtime.UnlockOSThread()
 	const managers = 3
 	last := func(reading time.Duration) float64 {
-		f, err := newFleet(inForceScenario(1), coreShare)
+		f, err := newHollowFleet(propagationScenario(1), managerCoreShare)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer f.close()
-		r := &inForceRun{fleet: f, control: testControl(), reading: reading, version: firstVersion}
-		times, err := r.besideOpenings(context.Background(), Memory{2 << 30}, managers)
+		r := &propagationRun{fleet: f, control: testControl(), listReadTime: reading, version: firstVersion}
+		times, err := r.duringOpenings(context.Background(), Memory{2 << 30}, managers)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return times[managers-1]
 	}
 	const reading = 100 * time.Millisecond
-	if long := last(reading); long < reading.Seconds()/coreShare {
-		t.Errorf("a list that takes %v is read within %.3f s on %g of a core", reading, long, coreShare)
+	if long := last(reading); long < reading.Seconds()/managerCoreShare {
+		t.Errorf("a list that takes %v is read within %.3f s on %g of a core", reading, long, managerCoreShare)
 	}
 }
 
 func TestOpeningsAreWrittenBeforeTheChange(t *testing.T) {
 	control := testControl()
 	const managers = 70
-	for place, reached := range control.besideOpenings(managers) {
-		written := managers / controlMachines * control.listEvery()
-		if reached.list < control.listEvery() || reached.change <= written || reached.change < reached.list {
+	for place, reached := range control.arrivalsDuringOpenings(managers) {
+		written := managers / controlMachines * control.listWriteInterval()
+		if reached.list < control.listWriteInterval() || reached.change <= written || reached.change < reached.list {
 			t.Errorf("manager %d: %+v", place, reached)
 		}
 	}
@@ -92,9 +92,9 @@
 func TestManagersOfLostMachinesGetTheListFromTheOthers(t *testing.T) {
 	control := testControl()
 	const managers = 700
-	again := reconnect{silent: 2 * time.Second, backoffLeast: 50 * time.Millisecond, backoffMost: 200 * time.Millisecond}
+	again := reconnectSettings{watchTimeout: 2 * time.Second, minBackoff: 50 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
 	var lists []time.Duration
-	for place, reached := range control.machinesLost(managers, again) {
+	for place, reached := range control.arrivalsDuringControlLoss(managers, again) {
 		if (reached.list == 0) == (reached.change == 0) {
 			t.Errorf("manager %d gets both or neither: %+v", place, reached)
 		}
@@ -102,15 +102,15 @@
 			lists = append(lists, reached.list)
 		}
 	}
-	if len(lists) != managers*machinesLost/controlMachines {
+	if len(lists) != managers*lostControlMachines/controlMachines {
 		t.Errorf("%d managers reopen", len(lists))
 	}
 	slices.Sort(lists)
-	if first := again.silent + again.backoffLeast + control.listEvery(); lists[0] < first {
+	if first := again.watchTimeout + again.minBackoff + control.listWriteInterval(); lists[0] < first {
 		t.Errorf("the first list comes after %v, before %v", lists[0], first)
 	}
 	// Each of five machines writes forty lists one after another.
-	if last, least := lists[len(lists)-1], again.silent+again.backoffLeast+40*control.listEvery(); last < least {
+	if last, least := lists[len(lists)-1], again.watchTimeout+again.minBackoff+40*control.listWriteInterval(); last < least {
 		t.Errorf("the last list comes after %v, before %v", last, least)
 	}
 }
--- a/internal/scale/proxies.go
+++ b/internal/scale/proxies.go
@@ -10,14 +10,14 @@
 // proxyTables models the relay and its proxies as far as a manager notices: which proxies a call reaches, each of whom
 // then answers the call's mark.
 type proxyTables struct {
-	tableOf map[balancer.ProxyID]balancer.TableID
-	members map[balancer.TableID]map[balancer.ProxyID]bool
-	lines   map[balancer.ServerID]map[balancer.TableID]bool
+	tableOf    map[balancer.ProxyID]balancer.TableID
+	members    map[balancer.TableID]map[balancer.ProxyID]bool
+	tablesWith map[balancer.ServerID]map[balancer.TableID]bool
 }
 
 func newProxyTables() *proxyTables {
 	return &proxyTables{tableOf: map[balancer.ProxyID]balancer.TableID{}, members: map[balancer.TableID]map[balancer.ProxyID]bool{},
-		lines: map[balancer.ServerID]map[balancer.TableID]bool{}}
+		tablesWith: map[balancer.ServerID]map[balancer.TableID]bool{}}
 }
 
 // apply carries out a call's orders and gives the proxies that they reach, by number.
@@ -25,40 +25,40 @@
 	reached := map[balancer.ProxyID]bool{}
 	touched := map[balancer.TableID]bool{}
 	for _, server := range o.Withdraw {
-		maps.Copy(touched, p.lines[server])
+		maps.Copy(touched, p.tablesWith[server])
 	}
 	for _, line := range o.Weights {
-		p.setLine(line)
+		p.setWeight(line)
 		touched[line.Table] = true
 	}
 	for _, level := range o.AdmissionLevels {
 		touched[level.Table] = true
 	}
 	for _, server := range o.Restore {
-		maps.Copy(touched, p.lines[server])
+		maps.Copy(touched, p.tablesWith[server])
 	}
 	for table := range touched {
 		maps.Copy(reached, p.members[table])
 	}
 	for _, place := range o.Assign {
-		p.bind(place)
+		p.assign(place)
 		reached[place.Proxy] = true
 	}
 	return slices.Sorted(maps.Keys(reached))
 }
 
-func (p *proxyTables) setLine(line balancer.EndpointWeight) {
+func (p *proxyTables) setWeight(line balancer.EndpointWeight) {
 	if line.Weight == 0 {
-		delete(p.lines[line.Server], line.Table)
+		delete(p.tablesWith[line.Server], line.Table)
 		return
 	}
-	if p.lines[line.Server] == nil {
-		p.lines[line.Server] = map[balancer.TableID]bool{}
+	if p.tablesWith[line.Server] == nil {
+		p.tablesWith[line.Server] = map[balancer.TableID]bool{}
 	}
-	p.lines[line.Server][line.Table] = true
+	p.tablesWith[line.Server][line.Table] = true
 }
 
-func (p *proxyTables) bind(place balancer.TableAssignment) {
+func (p *proxyTables) assign(place balancer.TableAssignment) {
 	if before, bound := p.tableOf[place.Proxy]; bound {
 		delete(p.members[before], place.Proxy)
 	}
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -37,32 +37,32 @@
 func ParseReport(name string, text []byte) (report Report, err error) {
 	var head struct{ Version *int }
 	if err := json.Unmarshal(text, &head); err != nil {
-		return report, faultOfJSON(name, text, err)
+		return report, jsonError(name, text, err)
 	}
 	switch {
 	case head.Version == nil:
-		return report, faultAt(name, text, "version", "version", "is missing")
+		return report, errorAtKey(name, text, "version", "version", "is missing")
 	case *head.Version != ReportVersion:
-		return report, faultAt(name, text, "version", "version", fmt.Sprintf("%d is not %d, which this program reads", *head.Version, ReportVersion))
+		return report, errorAtKey(name, text, "version", "version", fmt.Sprintf("%d is not %d, which this program reads", *head.Version, ReportVersion))
 	}
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&report); err != nil {
-		return report, faultOfJSON(name, text, err)
+		return report, jsonError(name, text, err)
 	}
-	if field, what := report.fault(); field != "" {
+	if field, what := report.invalidField(); field != "" {
 		return report, fmt.Errorf("%s:%d: %s: %s", name, lineOfField(text, field), field, what)
 	}
 	return report, nil
 }
 
 // faultAt is an error at the first place of a key.
-func faultAt(name string, text []byte, key, field, what string) error {
+func errorAtKey(name string, text []byte, key, field, what string) error {
 	return fmt.Errorf("%s:%d: %s: %s", name, lineOfKey(text, key, 0), field, what)
 }
 
 // faultOfJSON adds the line, and the key where it is known, to an error of the decoder.
-func faultOfJSON(name string, text []byte, err error) error {
+func jsonError(name string, text []byte, err error) error {
 	var syntax *json.SyntaxError
 	var wrongType *json.UnmarshalTypeError
 	atEnd := func() error {
@@ -115,7 +115,7 @@
 }
 
 // fault names the field of a report that can't be, and what is wrong with it.
-func (r Report) fault() (field, what string) {
+func (r Report) invalidField() (field, what string) {
 	if len(r.Reference) == 0 {
 		return "reference", "is missing"
 	}
@@ -123,7 +123,7 @@
 		return "slopes", "is missing or empty"
 	}
 	for i, s := range r.Slopes {
-		if field, what := s.fault(); field != "" {
+		if field, what := s.invalidField(); field != "" {
 			return fmt.Sprintf("slopes[%d].%s", i, field), what
 		}
 		if _, told := r.Reference[s.Axis]; !told {
@@ -134,7 +134,7 @@
 }
 
 // fault names the field of a slope that can't be, and what is wrong with it.
-func (s Slope) fault() (field, what string) {
+func (s Slope) invalidField() (field, what string) {
 	switch {
 	case s.Cost == "":
 		return "cost", "is missing"
@@ -142,15 +142,15 @@
 		return "axis", "is missing"
 	case !s.Shape.known():
 		return "shape", fmt.Sprintf("%q is none of %v", s.Shape, shapes)
-	case !finite(s.Base):
+	case !inRange(s.Base):
 		return "base", "is out of range"
-	case !finite(math.Abs(s.PerUnit)):
+	case !inRange(math.Abs(s.PerUnit)):
 		return "perUnit", "is out of range"
 	case len(s.Points) == 0:
 		return "points", "is missing"
 	}
 	for i, p := range s.Points {
-		if !finite(p.Size) {
+		if !inRange(p.Size) {
 			return fmt.Sprintf("points[%d].size", i), "is no number from 0 up"
 		}
 		if len(p.Runs) == 0 {
@@ -161,8 +161,8 @@
 }
 
 // figureMost is larger than any size or cost that can be.
-const figureMost = 1e18
+const maxFigure = 1e18
 
-func finite(x float64) bool { return x >= 0 && x <= figureMost }
+func inRange(x float64) bool { return x >= 0 && x <= maxFigure }
 
 func (s Shape) known() bool { return slices.Contains(shapes, s) }
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -87,7 +87,7 @@
 	} {
 		report := sound()
 		spoil(&report.Slopes[0])
-		if got, what := report.fault(); got != "slopes[0]."+field || what == "" {
+		if got, what := report.invalidField(); got != "slopes[0]."+field || what == "" {
 			t.Errorf("%s: %q %s", field, got, what)
 		}
 	}
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -36,14 +36,14 @@
 		return fmt.Errorf("--sizes: one --axis is due with it")
 	}
 	for _, size := range o.Sizes {
-		if !(size >= 1 && size <= sizeMost) {
-			return fmt.Errorf("--sizes: %g is not from 1 to %g", size, float64(sizeMost))
+		if !(size >= 1 && size <= maxSize) {
+			return fmt.Errorf("--sizes: %g is not from 1 to %g", size, float64(maxSize))
 		}
 	}
 	return nil
 }
 
-const sizeMost = 1e9
+const maxSize = 1e9
 
 // Run measures what the options ask for. A size that doesn't fit the limits is an error before anything is begun.
 func Run(ctx context.Context, options Options) (Report, error) {
@@ -64,25 +64,25 @@
 	}
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(int64(options.Memory.Bytes)))
 	for _, s := range wanted {
-		slopes, err := run.survey(ctx, s)
+		slopes, err := run.measureSurvey(ctx, s)
 		if err != nil {
 			return report, err
 		}
 		report.Slopes = append(report.Slopes, slopes...)
 	}
-	return report, run.beside(ctx, &report)
+	return report, run.measureBeside(ctx, &report)
 }
 
 // wanted are the surveys that the options ask for, each with its sizes.
 func (r *session) wanted() (all []survey) {
 	for _, s := range surveys {
-		if len(r.options.Axes) > 0 && !slices.Contains(r.options.Axes, s.axis) || s.real && r.options.Program == "" {
+		if len(r.options.Axes) > 0 && !slices.Contains(r.options.Axes, s.axis) || s.realProcesses && r.options.Program == "" {
 			continue
 		}
 		if r.options.Small {
-			s.sizes = s.small
+			s.sizes = s.smallSizes
 		}
-		if len(r.options.Sizes) > 0 && (!s.real || s.axis == Processes || s.axis == Connections) {
+		if len(r.options.Sizes) > 0 && (!s.realProcesses || s.axis == Processes || s.axis == Connections) {
 			s.sizes = r.options.Sizes
 		}
 		all = append(all, s)
@@ -91,7 +91,7 @@
 }
 
 // survey measures one cost after the other along an axis, size by size.
-func (r *session) survey(ctx context.Context, s survey) ([]Slope, error) {
+func (r *session) measureSurvey(ctx context.Context, s survey) ([]Slope, error) {
 	points := map[Cost][]Point{}
 	for _, size := range s.sizes {
 		began := time.Now()
@@ -109,13 +109,13 @@
 	}
 	var slopes []Slope
 	for _, cost := range s.costs {
-		slopes = append(slopes, fitted(Slope{Cost: cost, Axis: s.axis, Unit: unitOf(cost), Hollow: !s.real, Points: points[cost]}))
+		slopes = append(slopes, fitted(Slope{Cost: cost, Axis: s.axis, Unit: unitOf(cost), Hollow: !s.realProcesses, Points: points[cost]}))
 	}
 	return slopes, nil
 }
 
 // beside measures what is no slope, in a whole run: the plan's size, and real processes.
-func (r *session) beside(ctx context.Context, report *Report) (err error) {
+func (r *session) measureBeside(ctx context.Context, report *Report) (err error) {
 	if len(r.options.Axes) > 0 || r.options.Small {
 		return nil
 	}
@@ -123,7 +123,7 @@
 		return err
 	}
 	if r.options.Program != "" {
-		report.Real, err = measureReal(ctx, r.options)
+		report.Processes, err = measureProcesses(ctx, r.options)
 	}
 	return err
 }
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -99,7 +99,7 @@
 		}
 		session := &session{options: o, reference: Reference()}
 		for _, s := range surveys {
-			if s.axis == axis && !s.real && s.check(session, fits, s) != nil {
+			if s.axis == axis && !s.realProcesses && s.check(session, fits, s) != nil {
 				t.Errorf("%s: %g are said to fit and don't", axis, fits)
 			}
 		}
@@ -109,22 +109,22 @@
 func TestManagersThatTakeMoreThanEstimatedAreRefused(t *testing.T) {
 	o := options(Managers)
 	o.Memory = Memory{64 << 20}
-	f, err := newFleet(inForceScenario(1), coreShare)
+	f, err := newHollowFleet(propagationScenario(1), managerCoreShare)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.close()
-	r := &inForceRun{fleet: f, control: testControl(), version: firstVersion}
-	_, err = r.besideOpenings(context.Background(), o.Memory, 1000)
+	r := &propagationRun{fleet: f, control: testControl(), version: firstVersion}
+	_, err = r.duringOpenings(context.Background(), o.Memory, 1000)
 	var limit *LimitError
-	if !errors.As(err, &limit) || len(f.managers) > fleetProbe {
+	if !errors.As(err, &limit) || len(f.managers) > managersBeforeMemoryCheck {
 		t.Errorf("%v after %d", err, len(f.managers))
 	}
 }
 
 func TestMoreConnectionsThanTheLimitAreRefused(t *testing.T) {
 	session := &session{options: options()}
-	if err := session.readersFit(ReadersMost+1, survey{axis: Managers}); err == nil || !strings.Contains(err.Error(), "1200 fit") {
+	if err := session.readersFit(MaxReaders+1, survey{axis: Managers}); err == nil || !strings.Contains(err.Error(), "1200 fit") {
 		t.Error(err)
 	}
 }
@@ -132,7 +132,7 @@
 func TestTheEstimateOfMemoryIsAnUpperBound(t *testing.T) {
 	for _, scenario := range []Scenario{smaller(), smaller().With(Servers, 2400), smaller().With(Proxies, 2000), smaller().With(Reports, 2000),
 		smaller().With(ListChanges, 10)} {
-		before := heldBytes()
+		before := heapInUse()
 		busy, err := record(context.Background(), scenario, false)
 		if err != nil {
 			t.Fatal(err)
@@ -141,7 +141,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		held := heldBytes() - before + costs[PhaseChanges].heapBytes
+		held := heapInUse() - before + costs[PhaseChanges].heapBytes
 		if most := scenario.estimate(); held > most {
 			t.Errorf("%+v holds %.0f bytes, %.0f are estimated", scenario, held, most)
 		}
@@ -158,7 +158,7 @@
 	if _, err := totalMemory([]byte("MemFree: 1 kB\n")); err == nil {
 		t.Error("no total is taken for one")
 	}
-	if limit, err := MemoryLimit(); err != nil || limit.Bytes <= 0 || limit.Bytes > memoryMost {
+	if limit, err := MemoryLimit(); err != nil || limit.Bytes <= 0 || limit.Bytes > maxMemory {
 		t.Errorf("%v, %v", limit, err)
 	}
 }
@@ -170,7 +170,7 @@
 	}
 	for _, axis := range []Axis{Servers, Managers, OpeningListSize} {
 		o := options(axis)
-		o.Small, o.Runs, o.Program, o.Memory = false, 100, program, Memory{memoryMost}
+		o.Small, o.Runs, o.Program, o.Memory = false, 100, program, Memory{maxMemory}
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(500*time.Millisecond, cancel)
 		began := time.Now()
@@ -181,7 +181,7 @@
 			t.Errorf("%s: ended after %v", axis, took)
 		}
 	}
-	if left := children(); len(left) > 0 {
+	if left := childProcesses(); len(left) > 0 {
 		t.Errorf("processes %v go on", left)
 	}
 }
@@ -195,7 +195,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := len(Reference().With(Servers, 60).wholeList(Reference().With(Servers, 60).site(), firstVersion))
+	list := len(Reference().With(Servers, 60).completeList(Reference().With(Servers, 60).site(), firstVersion))
 	if bytes := one[ControlBytesPerManager]; bytes < float64(list) || bytes > float64(list)+500 {
 		t.Errorf("%g bytes of an opening, the list has %d", bytes, list)
 	}
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -31,10 +31,10 @@
 }
 
 const (
-	flowsPerReport = 3    // that each collector's line tells of: so few that no server is missed between two lines on it
-	memoryMB       = 4096 // told to each manager: far above what it needs, so that it changes nothing
-	maxSockets     = 4096
-	firstVersion   = 41
+	requestsPerReport = 3    // that each collector's line tells of: so few that no server is missed between two lines on it
+	memoryMB          = 4096 // told to each manager: far above what it needs, so that it changes nothing
+	maxSockets        = 4096
+	firstVersion      = 41
 )
 
 // With is the scenario with another size along one axis.
@@ -59,12 +59,12 @@
 }
 
 // flows is how many a second come to all proxies: as many as the reports tell of.
-func (s Scenario) flows() float64 { return flowsPerReport * s.Reports / 2 }
+func (s Scenario) requestRate() float64 { return requestsPerReport * s.Reports / 2 }
 
 // site is the deployment that a scenario stands for, in the words of the platform's configuration.
 func (s Scenario) site() fakes.Site {
 	site := fakes.DefaultSite(s.Servers, s.Proxies)
-	site.RequestRate = s.flows() / float64(s.Proxies)
+	site.RequestRate = s.requestRate() / float64(s.Proxies)
 	site.Zones = nil
 	for zone := range s.Zones {
 		site.Zones = append(site.Zones, fmt.Sprintf("z-%02d", zone))
@@ -78,7 +78,7 @@
 }
 
 // entry is a server's line of the list.
-func (s Scenario) entry(site fakes.Site, server int, lifecycle string) fakes.Endpoint {
+func (s Scenario) endpoint(site fakes.Site, server int, lifecycle string) fakes.Endpoint {
 	return fakes.Endpoint{ID: fakes.ServerID(server), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", server>>16, server>>8&255, server&255),
 		Zone: s.zoneOfServer(site, server), Lifecycle: lifecycle, Weight: 1}
 }
@@ -101,10 +101,10 @@
 }
 
 // wholeList is the list that tells all servers.
-func (s Scenario) wholeList(site fakes.Site, version int) string {
+func (s Scenario) completeList(site fakes.Site, version int) string {
 	list := fakes.EndpointList{Version: version, Complete: true}
 	for server := range s.Servers {
-		list.Endpoints = append(list.Endpoints, s.entry(site, server, "up"))
+		list.Endpoints = append(list.Endpoints, s.endpoint(site, server, "up"))
 	}
 	return encodeList(list)
 }
@@ -118,7 +118,7 @@
 }
 
 // start is what the manager of a scenario is told at its start: no server is known before the list is read.
-func (s Scenario) start(site fakes.Site) (config.Config, error) {
+func (s Scenario) managerConfig(site fakes.Site) (config.Config, error) {
 	dir, err := os.MkdirTemp("", "tamarindshore-scale-")
 	if err != nil {
 		return config.Config{}, err
--- a/internal/scale/script.go
+++ b/internal/scale/script.go
@@ -34,25 +34,25 @@
 
 // phase is a part of a script, and what a manager's traffic was during it.
 type phase struct {
-	name    Phase
-	span    time.Duration
-	steps   []step
-	inputs  int // messages but for heartbeats
-	traffic [node.HeartbeatMessage + 1]node.Traffic
-	orders  int
+	name     Phase
+	span     time.Duration
+	steps    []step
+	inputs   int // messages but for heartbeats
+	traffic  [node.HeartbeatMessage + 1]node.Traffic
+	commands int
 }
 
 // script is what one manager is told, step by step. Played again on a fresh manager it does the same work, so that it
 // can be measured without what the fleet round the manager costs.
 type script struct {
-	scenario Scenario
-	site     fakes.Site
-	phases   []phase
-	bound    int // proxies that have a table at the end
+	scenario        Scenario
+	site            fakes.Site
+	phases          []phase
+	assignedProxies int // proxies that have a table at the end
 }
 
 // find is the phase of a name; nil where the script has none.
-func (s *script) find(name Phase) *phase {
+func (s *script) phase(name Phase) *phase {
 	for i := range s.phases {
 		if s.phases[i].name == name {
 			return &s.phases[i]
@@ -62,18 +62,18 @@
 }
 
 const (
-	answerDelay    = 20 * time.Millisecond // until a proxy answers a call's mark
-	probeDelay     = 2 * time.Millisecond  // until a server answers a probe
-	joinSpan       = 4 * time.Second
-	warmSpan       = 8 * time.Second
-	busySpan       = 4 * time.Second
-	quietSpan      = 4 * time.Second
-	newsBatch      = 512 // events that the router takes together
-	reportTick     = time.Millisecond
-	inputsMeasured = 20 * newsBatch
-	changesMost    = 16
-	longestReport  = time.Minute // span that the manager takes a report for
-	heartbeatEvery = time.Second
+	ackDelay          = 20 * time.Millisecond // until a proxy answers a call's mark
+	healthCheckDelay  = 2 * time.Millisecond  // until a server answers a probe
+	joinSpan          = 4 * time.Second
+	warmSpan          = 8 * time.Second
+	busySpan          = 4 * time.Second
+	quietSpan         = 4 * time.Second
+	eventBatch        = 512 // events that the router takes together
+	reportTick        = time.Millisecond
+	measuredInputs    = 20 * eventBatch
+	measuredChanges   = 16
+	maxReportInterval = time.Minute // span that the manager takes a report for
+	heartbeatInterval = time.Second
 )
 
 // scriptEpoch is the time that lists count from: a fixed one, so that each run does the same work.
@@ -81,26 +81,26 @@
 
 // recorder drives one hollow manager through a scenario and writes down what it is told.
 type recorder struct {
-	ctx      context.Context
-	scenario Scenario
-	site     fakes.Site
-	manager  *node.HollowManager
-	proxies  *proxyTables
-	now      time.Duration
-	pending  []step // answers under way, in the order of their time
-	reports  int    // told so far
-	version  int    // of the list
-	next     int    // server that changes next
-	restarts int    // told so far
-	order    []int  // servers by chance from the seed
-	current  *phase
-	script   *script
+	ctx         context.Context
+	scenario    Scenario
+	site        fakes.Site
+	manager     *node.HollowManager
+	proxies     *proxyTables
+	now         time.Duration
+	pending     []step // answers under way, in the order of their time
+	reportsSent int    // told so far
+	listVersion int    // of the list
+	nextServer  int    // server that changes next
+	changesSent int    // told so far
+	serverOrder []int  // servers by chance from the seed
+	current     *phase
+	script      *script
 }
 
 // record writes a scenario's script. A quiet one has no flows, and so no reports.
 func record(ctx context.Context, scenario Scenario, quiet bool) (*script, error) {
 	site := scenario.site()
-	start, err := scenario.start(site)
+	start, err := scenario.managerConfig(site)
 	if err != nil {
 		return nil, err
 	}
@@ -109,11 +109,11 @@
 		return nil, err
 	}
 	defer manager.Close()
-	r := &recorder{ctx: ctx, scenario: scenario, site: site, manager: manager, proxies: newProxyTables(), version: firstVersion,
+	r := &recorder{ctx: ctx, scenario: scenario, site: site, manager: manager, proxies: newProxyTables(), listVersion: firstVersion,
 		script: &script{scenario: scenario, site: site}}
-	r.order = rand.New(rand.NewPCG(scenario.Seed, uint64(scenario.Servers))).Perm(scenario.Servers)
+	r.serverOrder = rand.New(rand.NewPCG(scenario.Seed, uint64(scenario.Servers))).Perm(scenario.Servers)
 	err = r.play(quiet)
-	r.script.bound = len(r.proxies.tableOf)
+	r.script.assignedProxies = len(r.proxies.tableOf)
 	return r.script, err
 }
 
@@ -122,24 +122,24 @@
 		name Phase
 		do   func() error
 	}{
-		{PhaseList, r.list}, {PhaseJoin, r.join}, {PhaseWarm, func() error { return r.busy(warmSpan) }},
-		{PhaseBusy, func() error { return r.busy(busySpan) }}, {PhaseChanges, r.changes}, {PhaseInputs, r.inputs},
+		{PhaseList, r.playList}, {PhaseJoin, r.playJoin}, {PhaseWarm, func() error { return r.playBusy(warmSpan) }},
+		{PhaseBusy, func() error { return r.playBusy(busySpan) }}, {PhaseChanges, r.playListChanges}, {PhaseInputs, r.playInputs},
 	}
 	if quiet {
 		parts = append(parts[:2], []struct {
 			name Phase
 			do   func() error
-		}{{PhaseWarm, r.quieten}, {PhaseQuiet, func() error { return r.advance(r.now + quietSpan) }}}...)
+		}{{PhaseWarm, r.stopTraffic}, {PhaseQuiet, func() error { return r.advance(r.now + quietSpan) }}}...)
 	}
 	for _, part := range parts {
-		if err := r.phase(part.name, part.do); err != nil {
+		if err := r.playPhase(part.name, part.do); err != nil {
 			return fmt.Errorf("%s: %w", part.name, err)
 		}
 	}
 	return nil
 }
 
-func (r *recorder) phase(name Phase, do func() error) error {
+func (r *recorder) playPhase(name Phase, do func() error) error {
 	before := r.traffic()
 	began := r.now
 	r.script.phases = append(r.script.phases, phase{name: name})
@@ -176,31 +176,31 @@
 	r.current.inputs += len(messages)
 	var answers, probes []node.Message
 	for _, call := range result.RelayCalls {
-		r.current.orders += call.Count()
+		r.current.commands += call.Count()
 		for _, proxy := range r.proxies.apply(call) {
 			if call.Barrier > 0 {
-				answers = append(answers, appliedMessage(proxy, call.Barrier))
+				answers = append(answers, barrierAck(proxy, call.Barrier))
 			}
 		}
 	}
 	for _, server := range result.HealthChecks {
 		probes = append(probes, node.Message{Kind: node.HealthCheckMessage, Server: server})
 	}
-	r.later(r.now+probeDelay, probes)
-	r.later(r.now+answerDelay, answers)
+	r.schedule(r.now+healthCheckDelay, probes)
+	r.schedule(r.now+ackDelay, answers)
 	return nil
 }
 
 // appliedMessage is a proxy's answer to a call's mark.
-func appliedMessage(proxy balancer.ProxyID, mark balancer.BarrierID) node.Message {
+func barrierAck(proxy balancer.ProxyID, mark balancer.BarrierID) node.Message {
 	return node.Message{Kind: node.ProxyEventMessage, Event: "applied",
-		Text: fmt.Sprintf("id=%d&seq=%d&ms=%.1f", proxy, mark, answerDelay.Seconds()*1000)}
+		Text: fmt.Sprintf("id=%d&seq=%d&ms=%.1f", proxy, mark, ackDelay.Seconds()*1000)}
 }
 
 // later keeps answers until their time, as many together as the router takes.
-func (r *recorder) later(at time.Duration, messages []node.Message) {
+func (r *recorder) schedule(at time.Duration, messages []node.Message) {
 	for len(messages) > 0 {
-		n := min(newsBatch, len(messages))
+		n := min(eventBatch, len(messages))
 		place := len(r.pending)
 		for place > 0 && r.pending[place-1].at > at {
 			place--
@@ -238,16 +238,16 @@
 	}
 }
 
-func (r *recorder) list() error {
-	return r.step(time.Millisecond, node.Message{Kind: node.EndpointListMessage, Text: r.scenario.wholeList(r.site, r.version)})
+func (r *recorder) playList() error {
+	return r.step(time.Millisecond, node.Message{Kind: node.EndpointListMessage, Text: r.scenario.completeList(r.site, r.listVersion)})
 }
 
-func (r *recorder) join() error {
+func (r *recorder) playJoin() error {
 	began := r.now
 	messages := []node.Message{{Kind: node.ProxyEventsOpened}}
 	for proxy := range r.scenario.Proxies {
-		messages = append(messages, r.joined(proxy))
-		if len(messages) == newsBatch {
+		messages = append(messages, r.proxyConnected(proxy))
+		if len(messages) == eventBatch {
 			if err := r.step(r.now+time.Millisecond, messages...); err != nil {
 				return err
 			}
@@ -261,25 +261,25 @@
 	return r.advance(began + joinSpan)
 }
 
-func (r *recorder) joined(proxy int) node.Message {
+func (r *recorder) proxyConnected(proxy int) node.Message {
 	return node.Message{Kind: node.ProxyEventMessage, Event: "joined",
 		Text: fmt.Sprintf("id=%d&site=%s&rps=%g&new=1", proxy, r.scenario.zoneOfProxy(r.site, proxy), r.site.RequestRate)}
 }
 
 // busy lets reports and changes of the list come, each at its time.
-func (r *recorder) busy(span time.Duration) error {
+func (r *recorder) playBusy(span time.Duration) error {
 	began, told, changed := r.now, 0, 0
 	for at := began; at < began+span; at += reportTick {
 		passed := (at - began + reportTick).Seconds()
 		var messages []node.Message
 		for ; float64(told) < math.Floor(passed*r.scenario.Reports); told++ {
-			messages = append(messages, r.report())
+			messages = append(messages, r.nextReport())
 		}
 		for ; float64(changed) < math.Floor(passed*r.scenario.ListChanges); changed++ {
-			messages = append(messages, r.change(1))
+			messages = append(messages, r.listChange(1))
 		}
-		if (at-began)%heartbeatEvery == 0 {
-			messages = append(messages, heartbeats((at-began)/heartbeatEvery)...)
+		if (at-began)%heartbeatInterval == 0 {
+			messages = append(messages, heartbeats((at-began)/heartbeatInterval)...)
 		}
 		if len(messages) == 0 {
 			continue
@@ -304,68 +304,68 @@
 }
 
 // quieten tells that no flows come any more, and waits until what was told before is out of date.
-func (r *recorder) quieten() error {
-	if err := r.step(r.now+time.Millisecond, usage(0, r.site.TrafficClasses[0].Name, 0, time.Second)); err != nil {
+func (r *recorder) stopTraffic() error {
+	if err := r.step(r.now+time.Millisecond, usageReport(0, r.site.TrafficClasses[0].Name, 0, time.Second)); err != nil {
 		return err
 	}
 	return r.advance(r.now + warmSpan)
 }
 
 // report is the next collector's line: in turn one on a server and one on a proxy.
-func (r *recorder) report() node.Message {
-	n := r.reports / 2
-	r.reports++
-	if r.reports%2 == 1 {
+func (r *recorder) nextReport() node.Message {
+	n := r.reportsSent / 2
+	r.reportsSent++
+	if r.reportsSent%2 == 1 {
 		server := n % r.scenario.Servers
 		zone := r.site.Zones[(n/r.scenario.Servers+server)%len(r.site.Zones)]
 		return node.Message{Kind: node.LoadReportMessage, Text: fmt.Sprintf("heard site=%s target=%s count=%d fail=0 mean=%.1f over=%.1f util=inflight:%d",
-			zone, fakes.ServerID(server), flowsPerReport, 100+float64(n%7), r.between(r.scenario.Servers).Seconds()*1000, 1+n%3)}
+			zone, fakes.ServerID(server), requestsPerReport, 100+float64(n%7), r.reportInterval(r.scenario.Servers).Seconds()*1000, 1+n%3)}
 	}
 	group := r.site.TrafficClasses[n/r.scenario.Proxies%len(r.site.TrafficClasses)]
-	return usage(n%r.scenario.Proxies, group.Name, flowsPerReport, r.between(r.scenario.Proxies*len(r.site.TrafficClasses)))
+	return usageReport(n%r.scenario.Proxies, group.Name, requestsPerReport, r.reportInterval(r.scenario.Proxies*len(r.site.TrafficClasses)))
 }
 
-func usage(proxy int, group string, flows int, span time.Duration) node.Message {
+func usageReport(proxy int, group string, flows int, span time.Duration) node.Message {
 	return node.Message{Kind: node.UsageReportMessage,
 		Text: fmt.Sprintf("usage id=%d lane=%s count=%d fail=0 over=%.1f", proxy, group, flows, span.Seconds()*1000)}
 }
 
 // between is the time from one report on a thing to the next, where so many things are reported on in turn.
-func (r *recorder) between(things int) time.Duration {
+func (r *recorder) reportInterval(things int) time.Duration {
 	seconds := float64(things) / (r.scenario.Reports / 2)
-	return min(longestReport, time.Duration(seconds*float64(time.Second)))
+	return min(maxReportInterval, time.Duration(seconds*float64(time.Second)))
 }
 
 // change drains servers, or lets them come back as fresh processes, in turn.
-func (r *recorder) change(servers int) node.Message {
-	r.version++
-	list := fakes.EndpointList{Version: r.version}
-	drains := r.restarts%2 == 0
+func (r *recorder) listChange(servers int) node.Message {
+	r.listVersion++
+	list := fakes.EndpointList{Version: r.listVersion}
+	drains := r.changesSent%2 == 0
 	for range servers {
-		server := r.order[r.next%len(r.order)]
-		entry := r.scenario.entry(r.site, server, "draining")
+		server := r.serverOrder[r.nextServer%len(r.serverOrder)]
+		entry := r.scenario.endpoint(r.site, server, "draining")
 		if !drains {
-			entry = r.scenario.entry(r.site, server, "up")
+			entry = r.scenario.endpoint(r.site, server, "up")
 			entry.Started = scriptEpoch.Add(r.now).UnixMilli()
 		}
 		list.Endpoints = append(list.Endpoints, entry)
-		r.next++
+		r.nextServer++
 	}
-	if r.restarts++; drains {
-		r.next -= servers // the same ones come back
+	if r.changesSent++; drains {
+		r.nextServer -= servers // the same ones come back
 	}
 	return node.Message{Kind: node.EndpointListMessage, Text: encodeList(list)}
 }
 
 // inputs tells many reports right after a second's decision.
-func (r *recorder) inputs() error {
-	if err := r.advance(max(r.manager.NextWake(), r.now) + answerDelay + time.Millisecond); err != nil {
+func (r *recorder) playInputs() error {
+	if err := r.advance(max(r.manager.NextWake(), r.now) + ackDelay + time.Millisecond); err != nil {
 		return err
 	}
-	for told := 0; told < inputsMeasured; {
+	for told := 0; told < measuredInputs; {
 		var messages []node.Message
-		for range newsBatch {
-			messages = append(messages, r.report())
+		for range eventBatch {
+			messages = append(messages, r.nextReport())
 			told++
 		}
 		if err := r.step(r.now+time.Microsecond, messages...); err != nil {
@@ -376,12 +376,12 @@
 }
 
 // changes tells changes of the list, each alone, with time for the proxies' answers between them.
-func (r *recorder) changes() error {
-	for range changesMost {
+func (r *recorder) playListChanges() error {
+	for range measuredChanges {
 		if err := r.advance(r.now + 50*time.Millisecond); err != nil {
 			return err
 		}
-		message := r.change(min(r.scenario.RestartsAtOnce, r.scenario.Servers))
+		message := r.listChange(min(r.scenario.RestartsAtOnce, r.scenario.Servers))
 		if err := r.step(r.now+time.Microsecond, message); err != nil {
 			return err
 		}
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -144,12 +144,12 @@
 	GoVersion string           `json:"goVersion"`
 	Reference map[Axis]float64 `json:"reference"` // sizes of the axes that are held while one grows
 	Slopes    []Slope          `json:"slopes"`
-	PlanSize  []Case           `json:"planSize,omitempty"` // one manager at the plan's size, with the whole list and with a subset
-	Real      []RealCase       `json:"real,omitempty"`     // real processes beside hollow managers
+	PlanSize  []PlanSizeCase   `json:"planSize,omitempty"` // one manager at the plan's size, with the whole list and with a subset
+	Processes []ProcessCase    `json:"real,omitempty"`     // real processes beside hollow managers
 }
 
-// Case is one manager in one scenario, and the median of the runs for each cost.
-type Case struct {
+// PlanSizeCase is one manager in one scenario of the plan's size, and the median of the runs for each cost.
+type PlanSizeCase struct {
 	Name        string           `json:"name"`
 	Sizes       map[Axis]float64 `json:"sizes"`
 	HomeServers int              `json:"homeServers"` // in the zone of the manager's proxies
--- a/internal/scale/subset_read.go
+++ b/internal/scale/subset_read.go
@@ -9,7 +9,7 @@
 )
 
 // spillServers is how many servers of other zones the manager holds whose reading of a whole list is measured.
-const spillServers = 100
+const spillOfSubset = 100
 
 // subsetScenario is a fleet of so many servers in the plan's zones, of which a manager needs one zone and some others.
 func subsetScenario(seed uint64, servers int) Scenario {
@@ -38,24 +38,24 @@
 
 func subsetRead(scenario Scenario) (time.Duration, error) {
 	site := scenario.site()
-	start, err := scenario.start(site)
+	start, err := scenario.managerConfig(site)
 	if err != nil {
 		return 0, err
 	}
-	start.Spill = spillServers
+	start.Spill = spillOfSubset
 	manager, err := node.NewHollowManager(start, scriptEpoch)
 	if err != nil {
 		return 0, err
 	}
 	defer manager.Close()
 	source := &recorder{scenario: scenario, site: site}
-	list := node.Message{Kind: node.EndpointListMessage, Text: scenario.wholeList(site, firstVersion)}
+	list := node.Message{Kind: node.EndpointListMessage, Text: scenario.completeList(site, firstVersion)}
 	runtime.GC()
 	began := processCPU()
 	if _, err := manager.Step(time.Millisecond, list); err != nil {
 		return 0, err
 	}
-	if _, err := manager.Step(2*time.Millisecond, node.Message{Kind: node.ProxyEventsOpened}, source.joined(0)); err != nil {
+	if _, err := manager.Step(2*time.Millisecond, node.Message{Kind: node.ProxyEventsOpened}, source.proxyConnected(0)); err != nil {
 		return 0, err
 	}
 	return processCPU() - began, nil
--- a/internal/scale/withdrawals_test.go
+++ b/internal/scale/withdrawals_test.go
@@ -9,16 +9,16 @@
 	var orders withdrawals
 	told := time.Unix(1000, 0)
 	all := orders.expect("s-1", 2)
-	orders.note("n1", told.Add(time.Second), "withdraw", "s-1")
-	orders.note("n1", told.Add(2*time.Second), "withdraw", "s-1") // again, by the same manager
-	orders.note("n2", told.Add(time.Second), "restore", "s-1")
-	orders.note("n2", told.Add(time.Second), "withdraw", "s-2")
+	orders.onCommand("n1", told.Add(time.Second), "withdraw", "s-1")
+	orders.onCommand("n1", told.Add(2*time.Second), "withdraw", "s-1") // again, by the same manager
+	orders.onCommand("n2", told.Add(time.Second), "restore", "s-1")
+	orders.onCommand("n2", told.Add(time.Second), "withdraw", "s-2")
 	select {
 	case <-all:
 		t.Fatal("over before the second manager withdrew the server")
 	default:
 	}
-	orders.note("n2", told.Add(3*time.Second), "withdraw", "s-1")
+	orders.onCommand("n2", told.Add(3*time.Second), "withdraw", "s-1")
 	select {
 	case <-all:
 	default:
--- a/internal/scale/work_test.go
+++ b/internal/scale/work_test.go
@@ -24,7 +24,7 @@
 func open(t *testing.T, scenario Scenario) opened {
 	t.Helper()
 	site := scenario.site()
-	start, err := scenario.start(site)
+	start, err := scenario.managerConfig(site)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,16 +34,16 @@
 	}
 	t.Cleanup(manager.Close)
 	r := &recorder{ctx: context.Background(), scenario: scenario, site: site, manager: manager, proxies: newProxyTables(),
-		version: firstVersion, script: &script{}, current: &phase{}}
+		listVersion: firstVersion, script: &script{}, current: &phase{}}
 	for server := range scenario.Servers {
-		r.order = append(r.order, server)
+		r.serverOrder = append(r.serverOrder, server)
 	}
-	for _, do := range []func() error{r.list, r.join, r.quieten, func() error { return r.busy(2 * time.Second) }} {
+	for _, do := range []func() error{r.playList, r.playJoin, r.stopTraffic, func() error { return r.playBusy(2 * time.Second) }} {
 		if err := do(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := r.advance(r.manager.NextWake() + 2*answerDelay); err != nil {
+	if err := r.advance(r.manager.NextWake() + 2*ackDelay); err != nil {
 		t.Fatal(err)
 	}
 	if bound := len(r.proxies.tableOf); bound != scenario.Proxies {
@@ -74,7 +74,7 @@
 func (o opened) inputWork(input func(node.Message)) (w work) {
 	var messages []node.Message
 	for range 2 * inputsCounted {
-		messages = append(messages, o.report())
+		messages = append(messages, o.nextReport())
 	}
 	for _, message := range messages[:inputsCounted] { // the history of samples has its full length after these
 		input(message)
@@ -161,7 +161,7 @@
 		site := scenario.site()
 		var entries []fakes.Endpoint
 		for server := range servers {
-			entries = append(entries, scenario.entry(site, server, "up"))
+			entries = append(entries, scenario.endpoint(site, server, "up"))
 		}
 		discovery, err := fakes.NewDiscovery("127.0.0.1:0", entries)
 		if err != nil {
@@ -173,12 +173,12 @@
 			t.Fatal(err)
 		}
 		defer r.connection.Close()
-		if err := r.until(`"instances"`); err != nil {
+		if err := r.readUntil(`"instances"`); err != nil {
 			t.Fatal(err)
 		}
 		before := r.bytes
-		discovery.Publish(scenario.entry(site, 0, "draining"))
-		if err := r.until(`"draining"`); err != nil {
+		discovery.Publish(scenario.endpoint(site, 0, "draining"))
+		if err := r.readUntil(`"draining"`); err != nil {
 			t.Fatal(err)
 		}
 		return r.bytes - before
@@ -192,7 +192,7 @@
 	size := func(servers int) (orders int, bytes int64) {
 		o := open(t, smaller().With(Servers, float64(servers)))
 		before := o.manager.Traffic(node.RelayCallMessage).Out
-		for _, call := range o.tell(o.change(1)).RelayCalls {
+		for _, call := range o.tell(o.listChange(1)).RelayCalls {
 			orders += call.Count()
 		}
 		return orders, o.manager.Traffic(node.RelayCallMessage).Out - before
@@ -210,10 +210,10 @@
 
 func TestMemoryOfAServerAndAProxyIsBounded(t *testing.T) {
 	held := func(scenario Scenario) float64 {
-		before := heldBytes()
+		before := heapInUse()
 		o := open(t, scenario)
-		o.script, o.current, o.pending, o.order = nil, nil, nil, nil
-		bytes := heldBytes() - before
+		o.script, o.current, o.pending, o.serverOrder = nil, nil, nil, nil
+		bytes := heapInUse() - before
 		runtime.KeepAlive(o.recorder)
 		return bytes
 	}
