--- a/internal/node/receiver.go
+++ b/internal/node/receiver.go
@@ -16,45 +16,32 @@
 // (probe.go). It hands on decoded inputs in the order in which each connection delivered them, and replaces what is
 // broken or silent. It must never write to a collector, call the module or fill a gap by a guess.
 type receiver struct {
-	limits  config.Limits
-	decoder *decoder
-	inputs  chan<- any
-	stop    <-chan struct{}
-	metrics *metrics
-	isReady func() bool // whether pings are answered
-	mu      sync.Mutex
-	jitter  *rand.Rand       // of backoff; used under mu
-	conns   []*collectorConn // connections to the manager's address; used under mu
-	hub     *hub             // decodes on several cores; nil: each connection decodes its own lines
+	limits      config.Limits
+	decoder     *decoder
+	inputs      chan<- input
+	stop        <-chan struct{}
+	metrics     *metrics
+	isReady     func() bool // whether pings are answered
+	mu          sync.Mutex
+	jitter      *rand.Rand       // of backoff; used under mu
+	conns       []*collectorConn // connections to the manager's address; used under mu
+	decoderPool *decoderPool     // decodes on several cores; nil: each connection decodes its own lines
 }
 
 var errStopped = errors.New("the manager ends")
 
 // enqueue hands an input to the module's owner; false once the manager ends.
-func (r *receiver) enqueue(input any) bool { return enqueue(input, r.inputs, r.stop) }
+func (r *receiver) enqueue(in input) bool { return enqueue(in, r.inputs, r.stop) }
 
-func enqueue(input any, inputs chan<- any, stop <-chan struct{}) bool {
+func enqueue(in input, inputs chan<- input, stop <-chan struct{}) bool {
 	select {
-	case inputs <- input:
+	case inputs <- in:
 		return true
 	case <-stop:
 		return false
 	}
 }
 
-// countSample counts samples of the kind of an input.
-func (r *receiver) countSample(input any) {
-	switch sample := input.(type) {
-	case serverReport:
-		r.metrics.add(reportsIn, 1)
-		if sample.InFlight >= 0 {
-			r.metrics.add(loadsIn, 1)
-		}
-	case usageReport:
-		r.metrics.add(usagesIn, 1)
-	}
-}
-
 // isLocalFailure tells whether a connection failed for want of a local resource, which says nothing of the peer. Guards
 // against a zone that is taken for lost, or servers for silent, when this process has no descriptors left.
 func isLocalFailure(err error) bool {
@@ -72,8 +59,8 @@
 func recoverPanic(m *metrics, reader string, read func() error) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			m.add(readersFailed, 1)
-			m.logLimited("reader_failed", "reader", reader, "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
+			m.add(readerPanics, 1)
+			m.logLimited("reader_panic", "reader", reader, "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
 			err = errors.Join(errUnreadable, fmt.Errorf("the reader failed: %v", cause))
 		}
 	}()
