--- a/docs_test.go
+++ b/docs_test.go
@@ -2,18 +2,11 @@
 
 import (
 	"fmt"
-	"go/ast"
-	"go/parser"
-	"go/token"
-	"io/fs"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"regexp"
 	"slices"
-	"strconv"
 	"strings"
-	"sync"
 	"testing"
 )
 
@@ -47,6 +40,25 @@
 	literals  map[string]bool     // string literals of the program
 	suffixes  map[string]bool     // literals that are appended to others, as to the name of a stream
 	files     map[string]bool     // base names
+	declared  map[string]bool     // names of packages, types, fields, constants, variables and functions
+}
+
+// glossaryHeader begins a table whose second column has names of the code.
+const glossaryHeader = "| wire | code"
+
+// codeNames gives the parts of the names in the second column of a row of the glossary; paths are checked as such.
+func codeNames(ofGlossary bool, line string) (names []string) {
+	columns := strings.Split(line, "|")
+	if !ofGlossary || len(columns) < 4 {
+		return nil
+	}
+	for _, span := range codeSpan.FindAllStringSubmatch(columns[2], -1) {
+		if pathForm.MatchString(span[1]) && strings.Contains(span[1], "/") {
+			continue
+		}
+		names = append(names, strings.Split(strings.TrimSuffix(span[1], "()"), ".")...)
+	}
+	return names
 }
 
 // Headings under which a page names counters and log events in a column of a table, without event= before them.
@@ -58,10 +70,17 @@
 // page checks the text of a page and returns one line for each fault.
 func (c *docCheck) page(path, text string) (faults []string) {
 	heading := ""
+	ofGlossary := false // in a table of names on the wire and in the code
 	for number, line := range strings.Split(text, "\n") {
 		if strings.HasPrefix(line, "## ") {
 			heading = line
 		}
+		ofGlossary = strings.HasPrefix(line, glossaryHeader) || ofGlossary && strings.HasPrefix(line, "|")
+		for _, name := range codeNames(ofGlossary, line) {
+			if !c.declared[name] {
+				faults = append(faults, fmt.Sprintf("%s:%d: no name %s in the code", path, number+1, name))
+			}
+		}
 		for _, name := range logNames(heading, line) {
 			if !c.isLogName(name) {
 				faults = append(faults, fmt.Sprintf("%s:%d: no counter or log event %s", path, number+1, name))
@@ -259,111 +278,6 @@
 	return faults
 }
 
-// newDocCheck reads the repository's Go files and the program's help.
-func newDocCheck(t *testing.T) *docCheck {
-	t.Helper()
-	c := &docCheck{commands: map[string][]string{}, functions: map[string]bool{}, literals: map[string]bool{}, suffixes: map[string]bool{}, files: map[string]bool{}}
-	set := token.NewFileSet()
-	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
-		switch {
-		case err != nil:
-			return err
-		case entry.IsDir() && path != "." && (entry.Name() == ".git" || entry.Name() == "journal" || entry.Name() == "bin"):
-			return filepath.SkipDir
-		case entry.IsDir():
-			return nil
-		}
-		c.files[entry.Name()] = true
-		if !strings.HasSuffix(path, ".go") {
-			return nil
-		}
-		file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
-		if err == nil {
-			c.addFile(file, strings.HasSuffix(path, "_test.go"))
-		}
-		return err
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.addCommands(t)
-	return c
-}
-
-// addFile adds the functions and string literals of a file.
-func (c *docCheck) addFile(file *ast.File, isTest bool) {
-	for _, declaration := range file.Decls {
-		function, ok := declaration.(*ast.FuncDecl)
-		if !ok {
-			continue
-		}
-		name := function.Name.Name
-		if isTest {
-			c.tests = append(c.tests, name)
-		}
-		scope := file.Name.Name
-		if function.Recv != nil {
-			scope = receiverName(function.Recv.List[0].Type)
-		}
-		c.functions[name] = true
-		c.functions[scope+"."+name] = true
-	}
-	if isTest {
-		return
-	}
-	ast.Inspect(file, func(node ast.Node) bool {
-		switch node := node.(type) {
-		case *ast.BasicLit:
-			c.literals[literalText(node)] = true
-		case *ast.BinaryExpr:
-			if right, ok := node.Y.(*ast.BasicLit); ok && node.Op == token.ADD && suffixForm.MatchString(literalText(right)) {
-				c.suffixes[literalText(right)] = true
-			}
-		}
-		return true
-	})
-}
-
-// literalText is the text of a string literal, empty for another one.
-func literalText(literal *ast.BasicLit) string {
-	text, err := strconv.Unquote(literal.Value)
-	if literal.Kind != token.STRING || err != nil {
-		return ""
-	}
-	return text
-}
-
-// addCommands adds the program's commands and flags, as its help prints them.
-func (c *docCheck) addCommands(t *testing.T) {
-	t.Helper()
-	program := filepath.Join(t.TempDir(), "tamarindshore")
-	if output, err := exec.Command("go", "build", "-o", program, "./cmd/tamarindshore").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, output)
-	}
-	help := func(words ...string) string {
-		output, err := exec.Command(program, append(words, "--help")...).Output()
-		if err != nil {
-			t.Errorf("tamarindshore %s --help: %v", strings.Join(words, " "), err)
-		}
-		return string(output)
-	}
-	var mu sync.Mutex
-	var all sync.WaitGroup
-	for line := range strings.Lines(help()) {
-		command := helpCommand.FindStringSubmatch(line)
-		if command == nil || strings.HasPrefix(line, "  -") {
-			continue
-		}
-		all.Go(func() {
-			flags := flagForm.FindAllString(help(strings.Fields(command[1])...), -1)
-			mu.Lock()
-			defer mu.Unlock()
-			c.commands[command[1]] = flags
-		})
-	}
-	all.Wait()
-}
-
 // Guards against pages that name a path, command, flag, log event, function or test that does not exist, and against a
 // check that passes whatever it reads.
 func TestPagesNameWhatExists(t *testing.T) {
@@ -422,6 +336,9 @@
 		"## Counters\n| `sings` | |":                                                 "no counter or log event sings",
 		"## Old and new names\n| `sing` | `event=start name` |":                      "",
 		"## Old and new names\n| `sing` | `event=sing name` |":                       "no counter or log event sing; docs/x.md:2: no log event sing",
+		"| wire | code |\n| `x` | `balancer.Commands`, `errBusy` |":                  "",
+		"| wire | code |\n| `x` | `balancer.Sing` |":                                 "no name Sing in the code",
+		"| wire | code |\n\n| `x` | `Sing` |":                                        "",
 		"`docCheck.page()`, `newDocCheck()`":                                         "",
 		"`docCheck.sing()`":                                                          "no function docCheck.sing()",
 		"`sing()`":                                                                   "no function sing()",
