--- a/internal/scale/arrivals.go
+++ b/internal/scale/arrivals.go
@@ -14,21 +14,21 @@
 	maxTransit          = 75 * time.Millisecond  // to the farthest region
 	controlMachines     = 7
 	lostControlMachines = 2
-	controlMachineCores = 16 // that write whole lists; assumed, as in deploy/capacity.sexp
+	controlMachineCores = 16 // that write complete lists; assumed, as in deploy/capacity.sexp
 )
 
-// controlSide is what the control machines take for what they write.
+// controlSide is the control machines of a fleet, and the time that they take for what they write.
 type controlSide struct {
 	changeWriteTime time.Duration // processor time of one change told to one reader
-	listWriteTime   time.Duration // processor time of a whole list told to one reader
+	listWriteTime   time.Duration // processor time of a complete list told to one reader
 	local           bool          // the managers are on the same machine: nothing crosses a network
 	rng             *rand.Rand
 }
 
-// arrival is what reaches one manager, in the time since a change was told to the control side.
+// arrival is when something reaches one manager, since a change was told to the control side.
 type arrival struct {
-	list   time.Duration // a whole list; 0: none comes
-	change time.Duration // the change in a line of its own; 0: the list holds it
+	list   time.Duration // a complete list; 0: none comes
+	change time.Duration // the change in a message of its own; 0: the list holds it
 }
 
 func (c controlSide) transit() time.Duration {
@@ -38,66 +38,81 @@
 	return minTransit + time.Duration(c.rng.Float64()*float64(maxTransit-minTransit))
 }
 
-// listEvery is the time between two whole lists that a machine writes.
+// listWriteInterval is the time between two complete lists that a machine writes.
 func (c controlSide) listWriteInterval() time.Duration { return c.listWriteTime / controlMachineCores }
 
-// quiet is a change that one machine tells all managers.
+// quietArrivals are those of a change that one machine tells all managers.
 func (c controlSide) quietArrivals(managers int) []arrival {
-	all := make([]arrival, managers)
-	for rank, place := range c.rng.Perm(managers) {
-		all[place].change = time.Duration(rank+1)*c.changeWriteTime + c.transit()
+	arrivals := make([]arrival, managers)
+	for rank, manager := range c.rng.Perm(managers) {
+		arrivals[manager].change = time.Duration(rank+1)*c.changeWriteTime + c.transit()
 	}
-	return all
+	return arrivals
 }
 
-// besideOpenings is a change that is told just as all managers have asked for the whole list. The machines write what
-// was asked for first, without a priority for changes: the worst order.
+// arrivalsDuringOpenings are those of a change that is told just as all managers have asked for the complete list. The
+// machines write what was asked for first, without a priority for changes: the worst order.
 func (c controlSide) arrivalsDuringOpenings(managers int) []arrival {
-	all := make([]arrival, managers)
-	perMachine := (managers + controlMachines - 1) / controlMachines
-	for rank, place := range c.rng.Perm(managers) {
+	arrivals := make([]arrival, managers)
+	managersPerMachine := (managers + controlMachines - 1) / controlMachines
+	allListsWritten := time.Duration(managersPerMachine) * c.listWriteInterval()
+	for rank, manager := range c.rng.Perm(managers) {
 		turn := time.Duration(rank/controlMachines + 1)
-		crossing := c.transit()
-		all[place] = arrival{
-			list:   turn*c.listWriteInterval() + crossing,
-			change: time.Duration(perMachine)*c.listWriteInterval() + turn*c.changeWriteTime + crossing,
+		transit := c.transit()
+		arrivals[manager] = arrival{
+			list:   turn*c.listWriteInterval() + transit,
+			change: allListsWritten + turn*c.changeWriteTime + transit,
 		}
 	}
-	return all
+	return arrivals
 }
 
-// reconnect is how managers come back to the control side after their machine was lost.
+// reconnectSettings say how managers come back to the control side after their machine was lost.
 type reconnectSettings struct {
-	watchTimeout           time.Duration // until a manager takes its watch for broken
-	minBackoff, maxBackoff time.Duration // waits before a new try, by chance between them
+	watchTimeout time.Duration // until a manager takes its watch for broken
+	minBackoff   time.Duration // waits before a new attempt are drawn between these
+	maxBackoff   time.Duration
 }
 
-// machinesLost is a change that is told just as two machines are lost. Their managers come to the others, which write
-// each of them the whole list: the generation that it held is not known there.
-func (c controlSide) arrivalsDuringControlLoss(managers int, r reconnectSettings) []arrival {
-	all := make([]arrival, managers)
-	standing := controlMachines - lostControlMachines
-	var asked []listRequest
-	for rank, place := range c.rng.Perm(managers) {
+// arrivalsDuringControlLoss are those of a change that is told just as two machines are lost. Their managers come to the
+// others, which write each of them the complete list: the generation that it held is not known there.
+func (c controlSide) arrivalsDuringControlLoss(managers int, settings reconnectSettings) []arrival {
+	arrivals := make([]arrival, managers)
+	remaining := controlMachines - lostControlMachines
+	var requests []listRequest
+	for rank, manager := range c.rng.Perm(managers) {
 		turn := time.Duration(rank/controlMachines + 1)
-		if machine := rank % controlMachines; machine < standing {
-			all[place].change = turn*c.changeWriteTime + c.transit()
+		if machine := rank % controlMachines; machine < remaining {
+			arrivals[manager].change = turn*c.changeWriteTime + c.transit()
 			continue
 		}
-		backoff := r.minBackoff + time.Duration(c.rng.Float64()*float64(r.maxBackoff-r.minBackoff))
-		asked = append(asked, listRequest{manager: place, machine: len(asked) % standing, at: r.watchTimeout + backoff + c.transit()})
+		requests = append(requests, listRequest{
+			manager: manager,
+			machine: len(requests) % remaining,
+			at:      settings.watchTimeout + c.backoff(settings) + c.transit(),
+		})
 	}
-	slices.SortFunc(asked, func(a, b listRequest) int { return cmp.Compare(a.at, b.at) })
-	freeAt := make([]time.Duration, standing)
-	for _, one := range asked {
-		freeAt[one.machine] = max(freeAt[one.machine], one.at) + c.listWriteInterval()
-		all[one.manager].list = freeAt[one.machine] + c.transit()
-	}
-	return all
+	c.writeLists(requests, remaining, arrivals)
+	return arrivals
+}
+
+func (c controlSide) backoff(settings reconnectSettings) time.Duration {
+	return settings.minBackoff + time.Duration(c.rng.Float64()*float64(settings.maxBackoff-settings.minBackoff))
 }
 
-// request is a manager's for a whole list.
+// listRequest is a manager's request for a complete list.
 type listRequest struct {
-	manager, machine int
-	at               time.Duration // at the machine
+	manager int
+	machine int
+	at      time.Duration // at the machine
+}
+
+// writeLists lets each machine write the lists that were requested of it, in the order of the requests.
+func (c controlSide) writeLists(requests []listRequest, machines int, arrivals []arrival) {
+	slices.SortFunc(requests, func(a, b listRequest) int { return cmp.Compare(a.at, b.at) })
+	freeAt := make([]time.Duration, machines)
+	for _, request := range requests {
+		freeAt[request.machine] = max(freeAt[request.machine], request.at) + c.listWriteInterval()
+		arrivals[request.manager].list = freeAt[request.machine] + c.transit()
+	}
 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -12,151 +12,151 @@
 	"tamarindshore/internal/node"
 )
 
-// coreShare is the part of a core that a manager may use.
+// managerCoreShare is the part of a core that a manager may use.
 const managerCoreShare = 0.011
 
-// fleet is many hollow managers that read one list.
+// managersBeforeMemoryCheck is how many managers are opened before it is checked whether all of them fit.
+const managersBeforeMemoryCheck = 8
+
+// hollowFleet is many hollow managers that read one list.
 type hollowFleet struct {
 	scenario        Scenario
 	site            fakes.Site
-	start           config.Config
-	list            string         // the whole list at the first version
+	config          config.Config
+	list            string         // the complete list at the first version
 	opening         []node.Message // what the relay tells a manager that starts
-	coreShare       float64        // of a core, that each manager has
+	coreShare       float64        // part of a core that each manager has
 	managers        []*pacedManager
-	bytesPerManager float64 // of the heap, for each manager
+	bytesPerManager float64 // of the heap
 }
 
-// follower is one manager of a fleet, on its part of a core: a step begins once the one before it is done.
-type pacedManager struct {
-	manager   *node.HollowManager
-	coreShare float64
-	proxies   *proxyTables
-	now       time.Duration
-	busyUntil time.Duration
-	acks      []step
+// newHollowFleet returns a fleet without managers, each of which will have a share of a core.
+func newHollowFleet(scenario Scenario, coreShare float64) (*hollowFleet, error) {
+	site := scenario.site()
+	config, err := scenario.managerConfig(site)
+	if err != nil {
+		return nil, err
+	}
+	return &hollowFleet{
+		scenario:  scenario,
+		site:      site,
+		config:    config,
+		list:      scenario.completeList(site, firstVersion),
+		opening:   openingMessages(scenario, site),
+		coreShare: coreShare,
+	}, nil
 }
 
-// newFleet is a fleet without managers, each of which will have a share of a core.
-func newHollowFleet(scenario Scenario, share float64) (*hollowFleet, error) {
-	f := &hollowFleet{scenario: scenario, site: scenario.site(), coreShare: share}
-	f.list = scenario.completeList(f.site, firstVersion)
-	f.opening = []node.Message{{Kind: node.ProxyEventsOpened}}
-	source := &recorder{scenario: scenario, site: f.site}
+// openingMessages are what the relay tells a manager that starts: all proxies, which have no requests.
+func openingMessages(scenario Scenario, site fakes.Site) []node.Message {
+	source := newMessageSource(scenario, site)
+	messages := []node.Message{{Kind: node.ProxyEventsOpened}}
 	for proxy := range scenario.Proxies {
-		f.opening = append(f.opening, source.proxyConnected(proxy))
+		messages = append(messages, source.proxyConnected(proxy))
 	}
-	f.opening = append(f.opening, node.Message{Kind: node.ProxySnapshotComplete}, usageReport(0, f.site.TrafficClasses[0].Name, 0, time.Second))
-	var err error
-	f.start, err = scenario.managerConfig(f.site)
-	return f, err
+	noRequests := usageReport(0, site.TrafficClasses[0].Name, 0, time.Second)
+	return append(messages, node.Message{Kind: node.ProxySnapshotComplete}, noRequests)
 }
 
 func (f *hollowFleet) close() {
-	for _, one := range f.managers {
-		one.manager.Close()
+	for _, m := range f.managers {
+		m.manager.Close()
 	}
 }
 
 // add starts one more manager, which knows nothing yet.
 func (f *hollowFleet) add() (*pacedManager, error) {
-	start := f.start
-	start.Seed = f.scenario.Seed + uint64(len(f.managers))
-	manager, err := node.NewHollowManager(start, scriptEpoch)
+	config := f.config
+	config.Seed = f.scenario.Seed + uint64(len(f.managers))
+	manager, err := node.NewHollowManager(config, scriptEpoch)
 	if err != nil {
 		return nil, err
 	}
-	one := &pacedManager{manager: manager, coreShare: f.coreShare, proxies: newProxyTables()}
-	f.managers = append(f.managers, one)
-	return one, nil
+	added := &pacedManager{manager: manager, coreShare: f.coreShare, proxies: newProxyTables()}
+	f.managers = append(f.managers, added)
+	return added, nil
 }
 
-// fleetProbe is how many managers are opened before it is said whether all of them fit.
-const managersBeforeMemoryCheck = 8
-
-// checkMemory tells once, after the first managers were opened, whether all of them fit.
-func (f *hollowFleet) checkMemory(memory Memory, empty float64, managers int) error {
+// checkMemory checks, once the first managers were opened, whether all of them fit.
+func (f *hollowFleet) checkMemory(memory Memory, emptyHeap float64, managers int) error {
 	if len(f.managers) != managersBeforeMemoryCheck {
 		return nil
 	}
-	f.bytesPerManager = (heapInUse() - empty) / managersBeforeMemoryCheck
+	f.bytesPerManager = (heapInUse() - emptyHeap) / managersBeforeMemoryCheck
 	return memory.checkFits(fmt.Sprintf("%s %d", Managers, managers), f.bytesPerManager, managers)
 }
 
 // advanceAll lets time pass for all managers.
 func (f *hollowFleet) advanceAll(ctx context.Context, to time.Duration) error {
-	for _, one := range f.managers {
+	for _, m := range f.managers {
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		if _, err := one.advance(to, ""); err != nil {
+		if _, err := m.advance(to, ""); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// open tells a manager that starts the whole list and the relay's news. Besides what it does here, reading the list
-// takes it a processor time that is given.
-func (f *hollowFleet) openManager(one *pacedManager, at, reading time.Duration) error {
-	if _, err := one.advance(at, ""); err != nil {
+// openManager tells a manager that starts the complete list and the relay's events. Reading the list takes it a given
+// processor time beside what it does here.
+func (f *hollowFleet) openManager(m *pacedManager, at, listReadTime time.Duration) error {
+	if _, err := m.advance(at, ""); err != nil {
 		return err
 	}
-	if _, err := one.step(at, node.Message{Kind: node.EndpointListMessage, Text: f.list}); err != nil {
+	if _, err := m.step(at, node.Message{Kind: node.EndpointListMessage, Text: f.list}); err != nil {
 		return err
 	}
-	one.busyUntil += one.wallTime(reading)
-	_, err := one.step(at, f.opening...)
+	m.busyUntil += m.wallTime(listReadTime)
+	_, err := m.step(at, f.opening...)
 	return err
 }
 
-// paced is how long a processor time takes on the manager's share of a core.
-func (f *pacedManager) wallTime(cpu time.Duration) time.Duration {
-	return time.Duration(float64(cpu) / f.coreShare)
+// pacedManager is a hollow manager on its share of a core: a step begins once the one before it is done.
+type pacedManager struct {
+	manager   *node.HollowManager
+	coreShare float64
+	proxies   *proxyTables
+	now       time.Duration
+	busyUntil time.Duration
+	acks      []step // that are under way, by time
+}
+
+// wallTime is how long a processor time takes on the manager's share of a core.
+func (m *pacedManager) wallTime(cpu time.Duration) time.Duration {
+	return time.Duration(float64(cpu) / m.coreShare)
 }
 
-// step tells a follower messages, once it is done with what came before, and lets its proxies' answers be under way.
-// The calling goroutine must be locked to its thread.
-func (f *pacedManager) step(at time.Duration, messages ...node.Message) (withdrawn []balancer.ServerID, err error) {
-	f.now = max(f.now, at, f.busyUntil)
+// step tells a manager messages, once it is done with what came before, and returns the servers that it withdraws. The
+// calling goroutine must be locked to its thread.
+func (m *pacedManager) step(at time.Duration, messages ...node.Message) ([]balancer.ServerID, error) {
+	m.now = max(m.now, at, m.busyUntil)
 	began := threadCPU()
-	result, err := f.manager.Step(f.now, messages...)
-	f.busyUntil = f.now + f.wallTime(threadCPU()-began)
+	result, err := m.manager.Step(m.now, messages...)
+	m.busyUntil = m.now + m.wallTime(threadCPU()-began)
 	if err != nil {
 		return nil, err
 	}
+	var withdrawn []balancer.ServerID
 	for _, call := range result.RelayCalls {
 		withdrawn = append(withdrawn, call.Withdraw...)
-		answers := step{at: f.busyUntil + ackDelay}
-		for _, proxy := range f.proxies.apply(call) {
-			if call.Barrier > 0 {
-				answers.messages = append(answers.messages, barrierAck(proxy, call.Barrier))
-			}
-		}
-		if len(answers.messages) > 0 {
-			f.acks = append(f.acks, answers)
+		if acks := m.proxies.acknowledge(call); len(acks) > 0 {
+			m.acks = append(m.acks, step{at: m.busyUntil + ackDelay, messages: acks})
 		}
 	}
 	return withdrawn, nil
 }
 
-// advance lets time pass for a follower until its orders withdraw a server, or to a time. It tells whether they did.
-func (f *pacedManager) advance(to time.Duration, server balancer.ServerID) (withdrawn bool, err error) {
+// advance lets time pass for a manager until it withdraws a server, or to a time. It reports whether it withdrew it.
+func (m *pacedManager) advance(to time.Duration, server balancer.ServerID) (withdrawn bool, err error) {
 	for {
-		at := to + 1
-		if next := f.manager.NextWake(); next > 0 {
-			at = max(next, f.now)
-		}
-		var messages []node.Message
-		if len(f.acks) > 0 && f.acks[0].at <= at {
-			at, messages = f.acks[0].at, f.acks[0].messages
-			f.acks = f.acks[1:]
-		}
-		if at > to {
-			f.now = max(f.now, to)
+		next := m.nextStep(to)
+		if next.at > to {
+			m.now = max(m.now, to)
 			return false, nil
 		}
-		servers, err := f.step(at, messages...)
+		servers, err := m.step(next.at, next.messages...)
 		if err != nil {
 			return false, err
 		}
@@ -166,18 +166,44 @@
 	}
 }
 
-// withdraws tells a follower a message and gives the time at which its orders carry a server's withdrawal.
-func (f *pacedManager) withdrawalTime(at time.Duration, message node.Message, server balancer.ServerID) (time.Duration, error) {
-	if withdrawn, err := f.advance(at, server); err != nil || withdrawn {
-		return f.busyUntil, err
+// nextStep is what happens next to a manager: its timer, or acknowledgements, which it takes from those under way. One
+// after the end says that nothing happens until then. Acknowledgements that are due after the end, and before the timer,
+// are lost: all figures so far were measured so.
+func (m *pacedManager) nextStep(end time.Duration) step {
+	next := step{at: end + 1}
+	if wake := m.manager.NextWake(); wake > 0 {
+		next.at = max(wake, m.now)
+	}
+	if len(m.acks) > 0 && m.acks[0].at <= next.at {
+		next = m.acks[0]
+		m.acks = m.acks[1:]
+	}
+	return next
+}
+
+// NotWithdrawnError says that a manager did not withdraw a server in time.
+type NotWithdrawnError struct {
+	Server  balancer.ServerID
+	Timeout time.Duration // since the manager was told that the server drains
+}
+
+// Error names the server and the time.
+func (e *NotWithdrawnError) Error() string {
+	return fmt.Sprintf("%s is not withdrawn %v after its drain was told", e.Server, e.Timeout)
+}
+
+// withdrawalTime tells a manager a message, and returns the time at which it has withdrawn a server.
+func (m *pacedManager) withdrawalTime(at time.Duration, message node.Message, server balancer.ServerID) (time.Duration, error) {
+	if withdrawn, err := m.advance(at, server); err != nil || withdrawn {
+		return m.busyUntil, err
 	}
-	servers, err := f.step(at, message)
+	servers, err := m.step(at, message)
 	if err != nil || slices.Contains(servers, server) {
-		return f.busyUntil, err
+		return m.busyUntil, err
 	}
-	withdrawn, err := f.advance(f.now+propagationTimeout, server)
+	withdrawn, err := m.advance(m.now+propagationTimeout, server)
 	if err == nil && !withdrawn {
-		return 0, fmt.Errorf("%s is not withdrawn %v after its drain was told", server, propagationTimeout)
+		return 0, &NotWithdrawnError{Server: server, Timeout: propagationTimeout}
 	}
-	return f.busyUntil, err
+	return m.busyUntil, err
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -247,7 +247,7 @@
 		return err
 	}
 	defer connection.Close()
-	source := &recorder{scenario: scenario, site: rig.Site, listVersion: firstVersion}
+	source := newMessageSource(scenario, rig.Site)
 	lines := []string{"collector site=" + rig.Site.Zones[0]}
 	began := time.Now()
 	tick := time.NewTicker(every)
--- a/internal/scale/propagation.go
+++ b/internal/scale/propagation.go
@@ -13,112 +13,129 @@
 	"tamarindshore/internal/node"
 )
 
-// Sizes of the managers whose changes are timed: the smallest state in which tables, climbs and withdrawals all occur.
+// Sizes of the managers whose changes are timed: the smallest in which slow start and withdrawals both occur.
 const (
-	propagationServers    = 60
-	propagationProxies    = 20
-	propagationZones      = 3
-	propagationTimeout    = 30 * time.Second // until a change that isn't in force counts as lost
+	propagationServers = 60
+	propagationProxies = 20
+	propagationZones   = 3
+)
+
+const (
+	propagationTimeout    = 30 * time.Second // after which a change that isn't in force counts as lost
 	propagationInterval   = 40 * time.Second // between the changes that are timed
-	managersPerCollection = 256              // managers between two collections of garbage
+	managersPerCollection = 256              // that are opened between two collections of garbage
 )
 
 func propagationScenario(seed uint64) Scenario {
 	scenario := Reference()
-	scenario.Seed, scenario.Servers, scenario.Proxies, scenario.Zones = seed, propagationServers, propagationProxies, propagationZones
+	scenario.Seed = seed
+	scenario.Servers = propagationServers
+	scenario.Proxies = propagationProxies
+	scenario.Zones = propagationZones
 	return scenario
 }
 
-// inForceCosts are measured for changes in force.
-var propagationCosts = []Cost{PropagationMedian, PropagationTail, PropagationLast, PropagationDuringOpeningsMedian, PropagationDuringOpeningsTail,
-	PropagationDuringOpeningsLast, PropagationDuringControlLossMedian, PropagationDuringControlLossTail, PropagationDuringControlLossLast, HollowBytes}
+// propagationCosts are measured by measurePropagation.
+var propagationCosts = []Cost{
+	PropagationMedian, PropagationTail, PropagationLast,
+	PropagationDuringOpeningsMedian, PropagationDuringOpeningsTail, PropagationDuringOpeningsLast,
+	PropagationDuringControlLossMedian, PropagationDuringControlLossTail, PropagationDuringControlLossLast,
+	HollowBytes,
+}
 
-// inForceTerms is what a measurement of changes in force goes by.
+// propagationInputs are the processor times, measured before, that the propagation of a change depends on.
 type propagationInputs struct {
-	changeWriteTime, listWriteTime time.Duration // of the control side: processor time for one reader
-	listReadTime                   time.Duration // processor time in which a manager reads a whole list of the plan's size
+	changeWriteTime time.Duration // of the control side, for one change and one reader
+	listWriteTime   time.Duration // of the control side, for a complete list and one reader
+	listReadTime    time.Duration // of a manager, for a complete list of the plan's size
 }
 
-// inForceRun is one run: a fleet that opens, and the changes that are told it.
+// propagationRun is one run: a fleet that opens, and the changes that are told it.
 type propagationRun struct {
 	fleet        *hollowFleet
 	control      controlSide
 	listReadTime time.Duration
 	version      int
-	drained      []int // servers, in the order in which they were drained
+	drained      []int // servers, in the order in which they drained
 }
 
-// measureInForce opens a fleet of managers and drains one server after another, in each run beside all openings, in
-// quiet and with control machines lost.
-func measurePropagation(ctx context.Context, options Options, terms propagationInputs, managers int) ([]sample, error) {
+// measurePropagation opens a fleet of managers and drains one server after another: in each run during all openings, in
+// quiet, and while control machines are lost.
+func measurePropagation(ctx context.Context, options Options, inputs propagationInputs, managers int) ([]sample, error) {
 	// A manager of its own has a small heap; the collection of all that are here would count as its decision.
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	var samples []sample
 	for run := range options.Runs {
-		one, err := measurePropagationRun(ctx, options, terms, managers, uint64(run))
+		measured, err := measurePropagationRun(ctx, options, inputs, managers, uint64(run))
 		if err != nil {
 			return nil, err
 		}
-		samples = append(samples, one)
+		samples = append(samples, measured)
 	}
 	return samples, nil
 }
 
-func measurePropagationRun(ctx context.Context, options Options, terms propagationInputs, managers int, run uint64) (sample, error) {
-	f, err := newHollowFleet(propagationScenario(options.Seed), managerCoreShare)
+func measurePropagationRun(ctx context.Context, options Options, inputs propagationInputs, managers int, run uint64) (sample, error) {
+	fleet, err := newHollowFleet(propagationScenario(options.Seed), managerCoreShare)
 	if err != nil {
 		return nil, err
 	}
-	defer f.close()
-	random := rand.New(rand.NewPCG(options.Seed, run))
-	r := &propagationRun{fleet: f, control: controlSide{changeWriteTime: terms.changeWriteTime, listWriteTime: terms.listWriteTime, rng: random}, listReadTime: terms.listReadTime,
-		version: firstVersion}
-	one := sample{}
+	defer fleet.close()
+	r := &propagationRun{
+		fleet: fleet,
+		control: controlSide{
+			changeWriteTime: inputs.changeWriteTime,
+			listWriteTime:   inputs.listWriteTime,
+			rng:             rand.New(rand.NewPCG(options.Seed, run)),
+		},
+		listReadTime: inputs.listReadTime,
+		version:      firstVersion,
+	}
+	measured := sample{}
 	opening, err := r.duringOpenings(ctx, options.Memory, managers)
 	if err != nil {
 		return nil, err
 	}
-	one.addTimes(opening, PropagationDuringOpeningsMedian, PropagationDuringOpeningsTail, PropagationDuringOpeningsLast)
+	measured.addTimes(opening, PropagationDuringOpeningsMedian, PropagationDuringOpeningsTail, PropagationDuringOpeningsLast)
 	quiet, err := r.drain(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
 	if err != nil {
 		return nil, err
 	}
-	one.addTimes(quiet, PropagationMedian, PropagationTail, PropagationLast)
-	limits := f.start.Limits
-	again := reconnectSettings{watchTimeout: limits.EndpointWatchIdleTimeout, minBackoff: limits.MinBackoff, maxBackoff: limits.MaxBackoff}
-	lost, err := r.drain(ctx, 4*propagationInterval, r.control.arrivalsDuringControlLoss(managers, again))
+	measured.addTimes(quiet, PropagationMedian, PropagationTail, PropagationLast)
+	lost, err := r.drain(ctx, 4*propagationInterval, r.control.arrivalsDuringControlLoss(managers, fleet.reconnectSettings()))
 	if err != nil {
 		return nil, err
 	}
-	one.addTimes(lost, PropagationDuringControlLossMedian, PropagationDuringControlLossTail, PropagationDuringControlLossLast)
-	one[HollowBytes] = f.bytesPerManager
-	return one, nil
+	measured.addTimes(lost, PropagationDuringControlLossMedian, PropagationDuringControlLossTail, PropagationDuringControlLossLast)
+	measured[HollowBytes] = fleet.bytesPerManager
+	return measured, nil
+}
+
+// reconnectSettings are those of the fleet's managers.
+func (f *hollowFleet) reconnectSettings() reconnectSettings {
+	limits := f.config.Limits
+	return reconnectSettings{watchTimeout: limits.EndpointWatchIdleTimeout, minBackoff: limits.MinBackoff, maxBackoff: limits.MaxBackoff}
 }
 
-// besideOpenings starts all managers at once, and tells a change meanwhile.
-func (r *propagationRun) duringOpenings(ctx context.Context, memory Memory, managers int) (times []float64, err error) {
-	empty := heapInUse()
+// duringOpenings starts all managers at once and tells a change meanwhile. It returns, sorted, the seconds until each has
+// withdrawn the server.
+func (r *propagationRun) duringOpenings(ctx context.Context, memory Memory, managers int) ([]float64, error) {
+	emptyHeap := heapInUse()
 	arrivals := r.control.arrivalsDuringOpenings(managers)
 	change := r.nextChange()
-	for _, reached := range arrivals {
+	var times []float64
+	for _, arrival := range arrivals {
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		one, err := r.fleet.add()
-		if err != nil {
-			return nil, err
-		}
-		if err := r.fleet.openManager(one, reached.list, r.listReadTime); err != nil {
-			return nil, err
-		}
-		took, err := one.withdrawalTime(reached.change, change.message, change.server)
+		took, err := r.openAndWithdraw(arrival, change)
 		if err != nil {
 			return nil, err
 		}
 		times = append(times, took.Seconds())
-		if err := r.fleet.checkMemory(memory, empty, managers); err != nil {
+		if err := r.fleet.checkMemory(memory, emptyHeap, managers); err != nil {
 			return nil, err
 		}
 		if len(r.fleet.managers)%managersPerCollection == 0 {
@@ -129,24 +146,31 @@
 	return times, nil
 }
 
-// drain tells managers that run a change at a time, and gives, sorted, the times until their orders carry it.
-func (r *propagationRun) drain(ctx context.Context, at time.Duration, arrivals []arrival) (times []float64, err error) {
+// openAndWithdraw starts a manager, and returns the time at which it has carried out a change.
+func (r *propagationRun) openAndWithdraw(arrival arrival, change drainChange) (time.Duration, error) {
+	manager, err := r.fleet.add()
+	if err != nil {
+		return 0, err
+	}
+	if err := r.fleet.openManager(manager, arrival.list, r.listReadTime); err != nil {
+		return 0, err
+	}
+	return manager.withdrawalTime(arrival.change, change.message, change.server)
+}
+
+// drain tells managers that run a change at a time. It returns, sorted, the seconds until each has withdrawn the server.
+func (r *propagationRun) drain(ctx context.Context, at time.Duration, arrivals []arrival) ([]float64, error) {
 	if err := r.fleet.advanceAll(ctx, at); err != nil {
 		return nil, err
 	}
 	runtime.GC()
 	change := r.nextChange()
-	for place, reached := range arrivals {
+	var times []float64
+	for i, arrival := range arrivals {
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		one := r.fleet.managers[place]
-		reachedAt, message := at+reached.change, change.message
-		if reached.change == 0 { // the list holds it
-			reachedAt, message = at+reached.list, r.wholeList()
-			one.busyUntil = reachedAt + one.wallTime(r.listReadTime)
-		}
-		took, err := one.withdrawalTime(reachedAt, message, change.server)
+		took, err := r.withdraw(r.fleet.managers[i], at, arrival, change)
 		if err != nil {
 			return nil, err
 		}
@@ -156,6 +180,16 @@
 	return times, nil
 }
 
+// withdraw tells a manager a change, alone or within a complete list, and returns when it has carried it out.
+func (r *propagationRun) withdraw(manager *pacedManager, at time.Duration, arrival arrival, change drainChange) (time.Duration, error) {
+	if arrival.change > 0 {
+		return manager.withdrawalTime(at+arrival.change, change.message, change.server)
+	}
+	listAt := at + arrival.list
+	manager.busyUntil = listAt + manager.wallTime(r.listReadTime)
+	return manager.withdrawalTime(listAt, r.completeList(), change.server)
+}
+
 // drainChange is a change of the list that drains one server.
 type drainChange struct {
 	message node.Message
@@ -166,14 +200,19 @@
 func (r *propagationRun) nextChange() drainChange {
 	server := len(r.drained)
 	r.drained = append(r.drained, server)
-	source := &recorder{scenario: r.fleet.scenario, site: r.fleet.site, listVersion: r.version, serverOrder: []int{server}}
-	message := source.listChange(1)
-	r.version = source.listVersion
-	return drainChange{message: message, server: balancer.ServerID(fakes.ServerID(server))}
+	r.version++
+	list := fakes.EndpointList{
+		Version:   r.version,
+		Endpoints: []fakes.Endpoint{r.fleet.scenario.endpoint(r.fleet.site, server, "draining")},
+	}
+	return drainChange{
+		message: node.Message{Kind: node.EndpointListMessage, Text: encodeList(list)},
+		server:  balancer.ServerID(fakes.ServerID(server)),
+	}
 }
 
-// wholeList is the list as it stands after the changes that were told.
-func (r *propagationRun) wholeList() node.Message {
+// completeList is the list as it stands after the changes that were told.
+func (r *propagationRun) completeList() node.Message {
 	list := fakes.EndpointList{Version: r.version, Complete: true}
 	for server := range r.fleet.scenario.Servers {
 		lifecycle := "up"
--- a/internal/scale/proxies.go
+++ b/internal/scale/proxies.go
@@ -1,14 +1,16 @@
 package scale
 
 import (
+	"fmt"
 	"maps"
 	"slices"
 
 	"tamarindshore/balancer"
+	"tamarindshore/internal/node"
 )
 
-// proxyTables models the relay and its proxies as far as a manager notices: which proxies a call reaches, each of whom
-// then answers the call's mark.
+// proxyTables models the relay and its proxies as far as a manager notices: which proxies a call reaches. Each of them
+// acknowledges the call's barrier.
 type proxyTables struct {
 	tableOf    map[balancer.ProxyID]balancer.TableID
 	members    map[balancer.TableID]map[balancer.ProxyID]bool
@@ -16,55 +18,76 @@
 }
 
 func newProxyTables() *proxyTables {
-	return &proxyTables{tableOf: map[balancer.ProxyID]balancer.TableID{}, members: map[balancer.TableID]map[balancer.ProxyID]bool{},
-		tablesWith: map[balancer.ServerID]map[balancer.TableID]bool{}}
+	return &proxyTables{
+		tableOf:    map[balancer.ProxyID]balancer.TableID{},
+		members:    map[balancer.TableID]map[balancer.ProxyID]bool{},
+		tablesWith: map[balancer.ServerID]map[balancer.TableID]bool{},
+	}
 }
 
-// apply carries out a call's orders and gives the proxies that they reach, by number.
-func (p *proxyTables) apply(o balancer.Commands) []balancer.ProxyID {
-	reached := map[balancer.ProxyID]bool{}
+// acknowledge carries out a call, and returns the proxies' acknowledgements.
+func (p *proxyTables) acknowledge(call balancer.Commands) []node.Message {
+	reached := p.apply(call)
+	if call.Barrier == 0 {
+		return nil
+	}
+	var acks []node.Message
+	for _, proxy := range reached {
+		acks = append(acks, barrierAck(proxy, call.Barrier))
+	}
+	return acks
+}
+
+func barrierAck(proxy balancer.ProxyID, barrier balancer.BarrierID) node.Message {
+	text := fmt.Sprintf("id=%d&seq=%d&ms=%.1f", proxy, barrier, milliseconds(ackDelay))
+	return node.Message{Kind: node.ProxyEventMessage, Event: "applied", Text: text}
+}
+
+// apply carries out a call's commands, and returns the proxies that they reach, by number.
+func (p *proxyTables) apply(call balancer.Commands) []balancer.ProxyID {
 	touched := map[balancer.TableID]bool{}
-	for _, server := range o.Withdraw {
+	for _, server := range call.Withdraw {
 		maps.Copy(touched, p.tablesWith[server])
 	}
-	for _, line := range o.Weights {
-		p.setWeight(line)
-		touched[line.Table] = true
+	for _, weight := range call.Weights {
+		p.setWeight(weight)
+		touched[weight.Table] = true
 	}
-	for _, level := range o.AdmissionLevels {
+	for _, level := range call.AdmissionLevels {
 		touched[level.Table] = true
 	}
-	for _, server := range o.Restore {
+	for _, server := range call.Restore {
 		maps.Copy(touched, p.tablesWith[server])
 	}
+	reached := map[balancer.ProxyID]bool{}
 	for table := range touched {
 		maps.Copy(reached, p.members[table])
 	}
-	for _, place := range o.Assign {
-		p.assign(place)
-		reached[place.Proxy] = true
+	for _, assignment := range call.Assign {
+		p.assign(assignment)
+		reached[assignment.Proxy] = true
 	}
 	return slices.Sorted(maps.Keys(reached))
 }
 
-func (p *proxyTables) setWeight(line balancer.EndpointWeight) {
-	if line.Weight == 0 {
-		delete(p.tablesWith[line.Server], line.Table)
+func (p *proxyTables) setWeight(w balancer.EndpointWeight) {
+	if w.Weight == 0 {
+		delete(p.tablesWith[w.Server], w.Table)
 		return
 	}
-	if p.tablesWith[line.Server] == nil {
-		p.tablesWith[line.Server] = map[balancer.TableID]bool{}
+	if p.tablesWith[w.Server] == nil {
+		p.tablesWith[w.Server] = map[balancer.TableID]bool{}
 	}
-	p.tablesWith[line.Server][line.Table] = true
+	p.tablesWith[w.Server][w.Table] = true
 }
 
-func (p *proxyTables) assign(place balancer.TableAssignment) {
-	if before, bound := p.tableOf[place.Proxy]; bound {
-		delete(p.members[before], place.Proxy)
+func (p *proxyTables) assign(a balancer.TableAssignment) {
+	if before, assigned := p.tableOf[a.Proxy]; assigned {
+		delete(p.members[before], a.Proxy)
 	}
-	if p.members[place.Table] == nil {
-		p.members[place.Table] = map[balancer.ProxyID]bool{}
+	if p.members[a.Table] == nil {
+		p.members[a.Table] = map[balancer.ProxyID]bool{}
 	}
-	p.tableOf[place.Proxy] = place.Table
-	p.members[place.Table][place.Proxy] = true
+	p.tableOf[a.Proxy] = a.Table
+	p.members[a.Table][a.Proxy] = true
 }
--- a/internal/scale/subset_read.go
+++ b/internal/scale/subset_read.go
@@ -14,7 +14,10 @@
 // subsetScenario is a fleet of so many servers in the plan's zones, of which a manager needs one zone and some others.
 func subsetScenario(seed uint64, servers int) Scenario {
 	scenario := Reference()
-	scenario.Seed, scenario.Servers, scenario.Zones, scenario.HomeProxies = seed, servers, planZones, true
+	scenario.Seed = seed
+	scenario.Servers = servers
+	scenario.Zones = planZones
+	scenario.HomeProxies = true
 	return scenario
 }
 
@@ -48,7 +51,7 @@
 		return 0, err
 	}
 	defer manager.Close()
-	source := &recorder{scenario: scenario, site: site}
+	source := newMessageSource(scenario, site)
 	list := node.Message{Kind: node.EndpointListMessage, Text: scenario.completeList(site, firstVersion)}
 	runtime.GC()
 	began := processCPU()
--- a/internal/scale/work_test.go
+++ b/internal/scale/work_test.go
@@ -33,8 +33,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(manager.Close)
-	r := &recorder{ctx: context.Background(), scenario: scenario, site: site, manager: manager, proxies: newProxyTables(),
-		listVersion: firstVersion, script: &script{}, current: &phase{}}
+	r := &recorder{messageSource: newMessageSource(scenario, site), ctx: context.Background(), manager: manager,
+		proxies: newProxyTables(), script: &script{}, current: &phase{}}
 	for server := range scenario.Servers {
 		r.serverOrder = append(r.serverOrder, server)
 	}
@@ -192,7 +192,7 @@
 	size := func(servers int) (orders int, bytes int64) {
 		o := open(t, smaller().With(Servers, float64(servers)))
 		before := o.manager.Traffic(node.RelayCallMessage).Out
-		for _, call := range o.tell(o.listChange(1)).RelayCalls {
+		for _, call := range o.tell(o.nextListChange(o.now, 1)).RelayCalls {
 			orders += call.Count()
 		}
 		return orders, o.manager.Traffic(node.RelayCallMessage).Out - before
