--- a/internal/scale/connections.go
+++ b/internal/scale/connections.go
@@ -11,12 +11,13 @@
 	"tamarindshore/internal/fakes"
 )
 
-// connectionsMost is how many connections a manager takes that have not reported anything yet.
+// maxConnections is how many connections a manager takes that have not reported anything yet.
 const maxConnections = 240
 
 // measureConnections measures the memory that so many connections to a real process take, on a process of its own in
 // each run: one that had them before keeps their memory.
-func measureConnections(ctx context.Context, options Options, connections int) (samples []sample, err error) {
+func measureConnections(ctx context.Context, options Options, connections int) ([]sample, error) {
+	var samples []sample
 	for range min(options.Runs, maxFleetRuns) {
 		bytes, err := bytesOfConnections(ctx, options, connections)
 		if err != nil {
@@ -28,12 +29,12 @@
 }
 
 func bytesOfConnections(ctx context.Context, options Options, connections int) (float64, error) {
-	f, err := startProcessFleet(ctx, options.Program, propagationScenario(options.Seed), 1)
-	defer f.close()
+	fleet, err := startProcessFleet(ctx, options.Program, propagationScenario(options.Seed), 1)
+	defer fleet.close()
 	if err != nil {
 		return 0, err
 	}
-	manager := f.managers[0]
+	manager := fleet.managers[0]
 	before := fakes.ResidentMemoryMB(manager.process)
 	for range connections {
 		connection, err := openServedConnection(manager.address)
@@ -45,7 +46,7 @@
 	return max(0, fakes.ResidentMemoryMB(manager.process)-before) * mib, nil
 }
 
-// pinged opens a connection and waits until it is served.
+// openServedConnection opens a connection and waits until it is served.
 func openServedConnection(address string) (net.Conn, error) {
 	connection, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -9,6 +9,7 @@
 	"io"
 	"net"
 	"os/exec"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -21,29 +22,30 @@
 // ControlFlag is the hidden flag with which a program runs ServeControl for a list of so many servers.
 const ControlFlag = "--control-of"
 
-// Requests that a control process takes, a line each.
+// Requests that a control process takes, a line each. It answers each with a controlUsage.
 const (
-	requestUsage  = "use"    // answered by its controlUse
-	requestTime   = "time"   // answered by its controlUse without the heap, which takes a collection to tell
-	requestChange = "change" // a server drains, or comes back; answered by its controlUse
+	requestUsage  = "use"    // all of it
+	requestTime   = "time"   // without the heap, which takes a garbage collection to measure
+	requestChange = "change" // a server drains, or comes back
 )
 
-// controlUse is what a control process has used so far.
+// controlUsage is what a control process has used so far.
 type controlUsage struct {
 	Address   string  `json:"address"`
 	CPU       float64 `json:"cpu"`  // seconds
-	HeapBytes float64 `json:"heap"` // held after a collection, the stacks of its goroutines included
+	HeapBytes float64 `json:"heap"` // in use after a garbage collection, the goroutines' stacks included
 }
 
-// ServeControl runs discovery's stand-in with a list of so many servers, and answers requests until they end.
+// ServeControl runs discovery's stand-in with a list of so many servers, and answers requests until they end. It is the
+// control process that measureControl starts.
 func ServeControl(servers int, requests io.Reader, answers io.Writer) error {
 	scenario := Reference().With(Servers, float64(servers))
 	site := scenario.site()
-	var entries []fakes.Endpoint
+	var endpoints []fakes.Endpoint
 	for server := range servers {
-		entries = append(entries, scenario.endpoint(site, server, "up"))
+		endpoints = append(endpoints, scenario.endpoint(site, server, "up"))
 	}
-	discovery, err := fakes.NewDiscovery("127.0.0.1:0", entries)
+	discovery, err := fakes.NewDiscovery(loopbackAnyPort, endpoints)
 	if err != nil {
 		return err
 	}
@@ -53,24 +55,31 @@
 		return err
 	}
 	lines := bufio.NewScanner(requests)
-	for changed := 0; lines.Scan(); {
-		if lines.Text() == requestChange {
-			discovery.Publish(scenario.endpoint(site, changed/2%servers, []string{"draining", "up"}[changed%2]))
-			changed++
+	changes := 0
+	for lines.Scan() {
+		request := lines.Text()
+		if request == requestChange {
+			server := changes / 2 % servers
+			discovery.Publish(scenario.endpoint(site, server, lifecycleAfter(changes)))
+			changes++
 		}
-		use := controlUsage{Address: discovery.Address, CPU: processCPU().Seconds()}
-		if lines.Text() == requestUsage {
-			use.HeapBytes = heapInUse() + stackInUse()
-			use.CPU = processCPU().Seconds()
-		}
-		if err := out.Encode(use); err != nil {
+		if err := out.Encode(usageOfControl(discovery.Address, request)); err != nil {
 			return err
 		}
 	}
 	return lines.Err()
 }
 
-// control is a control process that serves readers of this one.
+func usageOfControl(address, request string) controlUsage {
+	usage := controlUsage{Address: address}
+	if request == requestUsage {
+		usage.HeapBytes = heapInUse() + stackInUse()
+	}
+	usage.CPU = processCPU().Seconds()
+	return usage
+}
+
+// controlProcess is a process that runs ServeControl for readers of this one.
 type controlProcess struct {
 	command *exec.Cmd
 	in      io.WriteCloser
@@ -78,20 +87,26 @@
 	address string
 }
 
-func startControl(ctx context.Context, program string, servers int) (c *controlProcess, err error) {
-	c = &controlProcess{command: exec.CommandContext(ctx, program, append(controlArguments, ControlFlag, strconv.Itoa(servers))...)}
-	c.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if c.in, err = c.command.StdinPipe(); err != nil {
+// controlArguments stand before the flag that makes a program the control process.
+var controlArguments = []string{"scale"}
+
+// startControl starts a control process, which ends with the context, or with this process.
+func startControl(ctx context.Context, program string, servers int) (*controlProcess, error) {
+	arguments := slices.Concat(controlArguments, []string{ControlFlag, strconv.Itoa(servers)})
+	command := exec.CommandContext(ctx, program, arguments...)
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	in, err := command.StdinPipe()
+	if err != nil {
 		return nil, err
 	}
-	out, err := c.command.StdoutPipe()
+	out, err := command.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := c.command.Start(); err != nil {
+	if err := command.Start(); err != nil {
 		return nil, err
 	}
-	c.answers = json.NewDecoder(out)
+	c := &controlProcess{command: command, in: in, answers: json.NewDecoder(out)}
 	var first controlUsage
 	if err := c.answers.Decode(&first); err != nil {
 		c.stop()
@@ -101,28 +116,28 @@
 	return c, nil
 }
 
-// controlArguments stand before the flag that makes a program the control process.
-var controlArguments = []string{"scale"}
-
-func (c *controlProcess) request(request string) (use controlUsage, err error) {
+// request sends a request and waits for its answer.
+func (c *controlProcess) request(request string) (controlUsage, error) {
+	var usage controlUsage
 	if _, err := io.WriteString(c.in, request+"\n"); err != nil {
-		return use, err
+		return usage, err
 	}
-	return use, c.answers.Decode(&use)
+	err := c.answers.Decode(&usage)
+	return usage, err
 }
 
-// stop ends the control process.
+// stop kills the control process.
 func (c *controlProcess) stop() {
 	c.in.Close()
 	c.command.Process.Kill()
 	c.command.Wait()
 }
 
-// reader is a manager as discovery sees it: a connection that watches the list.
+// listReader is a manager as discovery sees it: a connection that watches the list.
 type listReader struct {
 	connection net.Conn
 	in         *bufio.Reader
-	bytes      int
+	bytes      int // read so far
 }
 
 // openReader asks for the list and its changes.
@@ -140,125 +155,133 @@
 	return r, nil
 }
 
-// until reads to the end of the first line that holds a word.
-func (r *listReader) readUntil(word string) error {
+// readUntil reads to the end of the first line that holds a text.
+func (r *listReader) readUntil(text string) error {
 	for {
 		line, err := r.in.ReadString('\n')
 		r.bytes += len(line)
 		if err != nil {
 			return err
 		}
-		if strings.Contains(line, word) {
+		if strings.Contains(line, text) {
 			return nil
 		}
 	}
 }
 
 const (
-	controlTimeout = 60 * time.Second
-	controlChanges = 20
-	controlServers = 600
-	controlReaders = 20              // where the list grows
-	controlQuiet   = 4 * time.Second // two signs of life for each reader
+	controlTimeout   = 60 * time.Second
+	controlChanges   = 20 // that are measured
+	controlServers   = 600
+	controlReaders   = 20              // while the list grows
+	controlQuietSpan = 4 * time.Second // two heartbeats for each reader
 )
 
-// measureControl measures the control side of one list for so many readers, and how it does while nothing changes
-// for a time; 0: that isn't measured.
-func measureControl(ctx context.Context, program string, servers, readers int, quiet time.Duration) (sample, error) {
-	c, err := startControl(ctx, program, servers)
+// measureControl measures the control side of one list for so many readers, and what it costs while nothing changes for
+// a span; 0: that isn't measured.
+func measureControl(ctx context.Context, program string, servers, readers int, quietSpan time.Duration) (sample, error) {
+	process, err := startControl(ctx, program, servers)
 	if err != nil {
 		return nil, err
 	}
-	defer c.stop()
-	before, err := c.request(requestUsage)
+	defer process.stop()
+	measured := sample{}
+	opened, err := measureOpening(process, readers, measured)
+	defer closeReaders(opened)
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	all, err := openReaders(c.address, readers)
-	defer func() {
-		for _, r := range all {
-			r.connection.Close()
-		}
-	}()
+	measured[ControlCPUPerChange], err = controlChangeCost(process, opened)
+	if err != nil || quietSpan == 0 {
+		return measured, err
+	}
+	measured[ControlCPUPerQuietSecond], err = quietControlCost(ctx, process, readers, quietSpan)
+	return measured, err
+}
+
+// measureOpening opens so many readers at once. It returns those that were opened also where it returns an error.
+func measureOpening(process *controlProcess, readers int, into sample) ([]*listReader, error) {
+	before, err := process.request(requestUsage)
 	if err != nil {
 		return nil, err
 	}
-	opened := time.Since(began)
-	after, err := c.request(requestUsage)
+	began := time.Now()
+	opened, err := openReaders(process.address, readers)
 	if err != nil {
-		return nil, err
+		return opened, err
+	}
+	took := time.Since(began)
+	after, err := process.request(requestUsage)
+	if err != nil {
+		return opened, err
 	}
-	n := float64(readers)
 	bytes := 0
-	for _, r := range all {
+	for _, r := range opened {
 		bytes += r.bytes
 	}
-	one := sample{
-		ControlCPUPerManager:   (after.CPU - before.CPU) / n,
-		ControlHeapPerManager:  max(0, after.HeapBytes-before.HeapBytes) / n,
-		ControlBytesPerManager: float64(bytes) / n,
-		ControlConnections:     n,
-		OpeningLast:            opened.Seconds(),
-	}
-	if one[ControlCPUPerChange], err = controlChangeCost(c, all); err != nil || quiet == 0 {
-		return one, err
+	into[ControlCPUPerManager] = (after.CPU - before.CPU) / float64(readers)
+	into[ControlHeapPerManager] = max(0, after.HeapBytes-before.HeapBytes) / float64(readers)
+	into[ControlBytesPerManager] = float64(bytes) / float64(readers)
+	into[ControlConnections] = float64(readers)
+	into[OpeningLast] = took.Seconds()
+	return opened, nil
+}
+
+func closeReaders(readers []*listReader) {
+	for _, r := range readers {
+		r.connection.Close()
 	}
-	one[ControlCPUPerQuietSecond], err = quietControlCost(ctx, c, len(all), quiet)
-	return one, err
 }
 
-// quietCost is the control side's processor time in a second for each reader, while nothing changes.
-func quietControlCost(ctx context.Context, c *controlProcess, readers int, span time.Duration) (float64, error) {
-	before, err := c.request(requestUsage)
+// quietControlCost is the control side's processor time in a second for each reader, while nothing changes.
+func quietControlCost(ctx context.Context, process *controlProcess, readers int, span time.Duration) (float64, error) {
+	before, err := process.request(requestUsage)
 	if err != nil {
 		return 0, err
 	}
 	if err := sleep(ctx, span); err != nil {
 		return 0, err
 	}
-	after, err := c.request(requestTime)
+	after, err := process.request(requestTime)
 	return (after.CPU - before.CPU) / span.Seconds() / float64(readers), err
 }
 
-// openReaders opens all readers at once and waits until each has the whole list.
-func openReaders(address string, readers int) ([]*listReader, error) {
-	all, errs := make([]*listReader, readers), make([]error, readers)
-	var group sync.WaitGroup
-	for i := range readers {
-		group.Go(func() {
-			if all[i], errs[i] = openReader(address); errs[i] == nil {
-				errs[i] = all[i].readUntil(`"instances"`)
+// openReaders opens so many readers at once, and waits until each has the complete list. It returns those that were opened
+// also where it returns an error.
+func openReaders(address string, count int) ([]*listReader, error) {
+	readers := make([]*listReader, count)
+	errs := make([]error, count)
+	var workers sync.WaitGroup
+	for i := range count {
+		workers.Go(func() {
+			readers[i], errs[i] = openReader(address)
+			if errs[i] == nil {
+				errs[i] = readers[i].readUntil(`"instances"`)
 			}
 		})
 	}
-	group.Wait()
-	var opened []*listReader
-	for _, r := range all {
-		if r != nil {
-			opened = append(opened, r)
-		}
-	}
+	workers.Wait()
+	opened := slices.DeleteFunc(readers, func(r *listReader) bool { return r == nil })
 	return opened, errors.Join(errs...)
 }
 
-// changeCost is the control side's processor time for telling one change to one reader.
-func controlChangeCost(c *controlProcess, readers []*listReader) (float64, error) {
-	before, err := c.request(requestUsage)
+// controlChangeCost is the control side's processor time for one change and one reader.
+func controlChangeCost(process *controlProcess, readers []*listReader) (float64, error) {
+	before, err := process.request(requestUsage)
 	if err != nil {
 		return 0, err
 	}
 	for change := range controlChanges {
-		if _, err := c.request(requestChange); err != nil {
+		if _, err := process.request(requestChange); err != nil {
 			return 0, err
 		}
-		word := fmt.Sprintf(`"generation":%d,`, firstVersion+1+change)
+		version := fmt.Sprintf(`"generation":%d,`, firstVersion+1+change)
 		for _, r := range readers {
-			if err := r.readUntil(word); err != nil {
+			if err := r.readUntil(version); err != nil {
 				return 0, err
 			}
 		}
 	}
-	after, err := c.request(requestUsage)
+	after, err := process.request(requestUsage)
 	return (after.CPU - before.CPU) / controlChanges / float64(len(readers)), err
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -1,7 +1,6 @@
 package scale
 
 import (
-	"cmp"
 	"math"
 	"slices"
 )
@@ -13,18 +12,18 @@
 // shapes that are tried, the simplest first.
 var shapes = []Shape{Constant, Linear, Linearithmic, Quadratic}
 
-// fitted fills in the curve of a slope from its points: the simplest shape that is within FitBound of each point's
+// fitted fills in the curve of a slope from its points: the simplest shape that is within MaxFitError of each point's
 // median, or else the one whose worst point is nearest.
 func fitted(s Slope) Slope {
 	best := Slope{WorstError: math.Inf(1)}
 	for _, shape := range shapes {
-		one := fitShape(s, shape)
-		if one.WorstError <= MaxFitError {
-			best = one
+		curve := fitShape(s, shape)
+		if curve.WorstError <= MaxFitError {
+			best = curve
 			break
 		}
-		if one.WorstError < best.WorstError {
-			best = one
+		if curve.WorstError < best.WorstError {
+			best = curve
 		}
 	}
 	best.Fits = best.WorstError <= MaxFitError
@@ -32,44 +31,45 @@
 	return best
 }
 
-// fitShape lays a curve of one shape by least squares of the relative distances, since sizes are spread by factors.
-// A base below zero stands for nothing; the curve then goes through zero.
+// fitShape fits a curve of one shape by least squares of the relative distances, since sizes differ by factors. No curve
+// has a base below zero: it then goes through zero.
 func fitShape(s Slope, shape Shape) Slope {
 	s.Shape = shape
 	s.Base, s.PerUnit = leastSquares(s.Points, shape)
 	s.WorstError = 0
-	least := minRelativePart * largestMedian(s.Points)
+	smallest := minRelativePart * largestMedian(s.Points)
 	for _, p := range s.Points {
-		median := Median(p.Runs)
+		median := p.Median()
 		if distance := math.Abs(s.At(p.Size) - median); distance > 0 {
-			s.WorstError = max(s.WorstError, distance/max(median, least))
+			s.WorstError = max(s.WorstError, distance/max(median, smallest))
 		}
 	}
 	return s
 }
 
-// leastPart is the part of the largest point below which a point counts as if it were that: a cost that is nothing at
-// one size can't be told relative to itself.
+// minRelativePart is the part of the largest point that a point counts as at least: relative to a cost of zero no distance
+// can be told.
 const minRelativePart = 1e-3
 
-// largest is the largest median; no cost is below zero.
+// largestMedian is the largest median of a point; no cost is below zero.
 func largestMedian(points []Point) (most float64) {
 	for _, p := range points {
-		most = max(most, Median(p.Runs))
+		most = max(most, p.Median())
 	}
 	return most
 }
 
 func leastSquares(points []Point, shape Shape) (base, perUnit float64) {
 	var ones, xs, squares, ys, products float64 // weighted sums
-	least := minRelativePart * largestMedian(points)
+	smallest := minRelativePart * largestMedian(points)
 	for _, p := range points {
-		y := Median(p.Runs)
-		scale := max(y, least)
+		y := p.Median()
+		scale := max(y, smallest)
 		if scale == 0 {
 			continue
 		}
-		x, weight := shape.Of(p.Size), 1/(scale*scale)
+		x := shape.Of(p.Size)
+		weight := 1 / (scale * scale)
 		ones += weight
 		xs += weight * x
 		squares += weight * x * x
@@ -86,7 +86,7 @@
 	base = (ys*squares - xs*products) / determinant
 	perUnit = (ones*products - xs*ys) / determinant
 	switch {
-	case perUnit < 0: // no cost is foretold to fall below zero: one that falls counts as its mean
+	case perUnit < 0: // a falling curve would predict costs below zero: the mean takes its place
 		return ys / ones, 0
 	case base < 0:
 		return 0, products / squares
@@ -98,15 +98,16 @@
 func spread(points []Point) float64 {
 	widest := 0.0
 	for _, p := range points {
-		if median := Median(p.Runs); median != 0 {
+		if median := p.Median(); median != 0 {
 			widest = max(widest, (slices.Max(p.Runs)-slices.Min(p.Runs))/math.Abs(median))
 		}
 	}
 	return widest
 }
 
+// Median of values, in any order; 0 where there are none.
 func Median(values []float64) float64 {
-	sorted := slices.SortedFunc(slices.Values(values), cmp.Compare[float64])
+	sorted := slices.Sorted(slices.Values(values))
 	if len(sorted) == 0 {
 		return 0
 	}
--- a/internal/scale/limits.go
+++ b/internal/scale/limits.go
@@ -1,8 +1,7 @@
 package scale
 
 import (
-	"bufio"
-	"bytes"
+	"errors"
 	"fmt"
 	"os"
 	"strconv"
@@ -18,10 +17,13 @@
 	garbageFactor = 2 // times what is held: the heap between two collections
 )
 
-// Memory is the limit on what a run may hold.
+// Memory is the limit on the memory that a run may hold.
 type Memory struct{ Bytes float64 }
 
-// MemoryLimit is the limit on this machine.
+// ErrNoMemTotal says that the machine doesn't tell its memory.
+var ErrNoMemTotal = errors.New("/proc/meminfo: MemTotal: is missing")
+
+// MemoryLimit returns the limit on this machine, from /proc/meminfo.
 func MemoryLimit() (Memory, error) {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -31,15 +33,18 @@
 	return Memory{min(maxMemory, total/2)}, err
 }
 
+// totalMemory reads the machine's memory, in bytes, from the text of /proc/meminfo.
 func totalMemory(meminfo []byte) (float64, error) {
-	lines := bufio.NewScanner(bytes.NewReader(meminfo))
-	for lines.Scan() {
-		if rest, found := strings.CutPrefix(lines.Text(), "MemTotal:"); found {
-			kib, err := strconv.ParseFloat(strings.TrimSpace(strings.TrimSuffix(strings.TrimSpace(rest), "kB")), 64)
-			return kib * 1024, err
+	for line := range strings.Lines(string(meminfo)) {
+		value, found := strings.CutPrefix(line, "MemTotal:")
+		if !found {
+			continue
 		}
+		value = strings.TrimSuffix(strings.TrimSpace(value), "kB")
+		kib, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
+		return kib * 1024, err
 	}
-	return 0, fmt.Errorf("/proc/meminfo: MemTotal: is missing")
+	return 0, ErrNoMemTotal
 }
 
 // LimitError says that a size doesn't fit the tool's limits.
@@ -55,14 +60,24 @@
 	return fmt.Sprintf("%s: needs %s, the limit is %s; %s", e.What, e.Needs, e.Limit, e.Fits)
 }
 
-// allows tells whether so many things of so many bytes fit, and how many would.
+// countLimitError is the LimitError of a count over a limit.
+func countLimitError(what, unit string, count, limit int) *LimitError {
+	return &LimitError{
+		What:  what,
+		Needs: fmt.Sprintf("%d %s", count, unit),
+		Limit: fmt.Sprint(limit),
+		Fits:  fmt.Sprintf("%d fit", limit),
+	}
+}
+
+// checkFits checks that so many things of so many bytes each fit. A LimitError says how many would.
 func (m Memory) checkFits(what string, bytesEach float64, things int) error {
 	needs := garbageFactor * bytesEach * float64(things)
 	if needs <= m.Bytes {
 		return nil
 	}
-	return &LimitError{What: what, Needs: megabytes(needs), Limit: megabytes(m.Bytes),
-		Fits: fmt.Sprintf("%d fit", int(m.Bytes/(garbageFactor*bytesEach)))}
+	fit := int(m.Bytes / (garbageFactor * bytesEach))
+	return &LimitError{What: what, Needs: megabytes(needs), Limit: megabytes(m.Bytes), Fits: fmt.Sprintf("%d fit", fit)}
 }
 
 func megabytes(n float64) string { return fmt.Sprintf("%.0f MB of memory", n/mib) }
@@ -77,17 +92,17 @@
 	bytesOfHollow   = 512 << 10 // a manager in the smallest state; what it really holds is looked at once some are open
 )
 
-// estimate is an upper bound of the bytes that measuring a scenario holds.
+// estimate is an upper bound of the bytes that are held while a scenario is measured.
 func (s Scenario) estimate() float64 {
 	spans := (warmSpan + busySpan).Seconds()
-	// each change is answered by proxies whose tables it moves
+	// each change is acknowledged by the proxies whose tables it alters
 	changes := spans * s.ListChanges * (bytesOfChange + float64(s.Proxies)*bytesOfAck)
 	return bytesOfScenario + float64(s.Servers)*bytesOfServer + float64(s.Proxies)*bytesOfProxy + spans*s.Reports*bytesOfReport + changes
 }
 
 const bytesOfAck = 128 // bytes of an answer to a mark
 
-// allowsScenario tells whether a scenario fits, and what size along an axis would.
+// checkScenarioFits checks that a scenario fits. A LimitError says which size along an axis would.
 func (m Memory) checkScenarioFits(axis Axis, size float64, scenario Scenario) error {
 	needs := garbageFactor * scenario.estimate()
 	if needs <= m.Bytes {
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -7,7 +7,7 @@
 	"tamarindshore/internal/node"
 )
 
-// sample is what one run at one size gave, by cost.
+// sample is what one run at one size measured, by cost.
 type sample map[Cost]float64
 
 // measure records a scenario once and plays it so many times.
@@ -30,17 +30,19 @@
 		if err != nil {
 			return nil, fmt.Errorf("%+v: quiet: %w", scenario, err)
 		}
-		one := processorCosts(busyCosts, quietCosts)
-		trafficCosts(busy, one)
-		samples = append(samples, one)
+		measured := processorCosts(busyCosts, quietCosts)
+		addTrafficCosts(busy, measured)
+		samples = append(samples, measured)
 	}
 	return samples, nil
 }
 
-// processorCosts are the figures of the phases' processor time and memory.
+// processorCosts are the costs in processor time and memory, from the phases of a busy and of a quiet script.
 func processorCosts(busy, quiet map[Phase]phaseCost) sample {
-	list, inputs, changes := busy[PhaseList], busy[PhaseInputs], busy[PhaseChanges]
-	one := sample{
+	list := busy[PhaseList]
+	inputs := busy[PhaseInputs]
+	changes := busy[PhaseChanges]
+	measured := sample{
 		CPUPerListRead:    list.cpu.Seconds(),
 		CPUPerOpening:     list.cpu.Seconds() + busy[PhaseJoin].cpu.Seconds(),
 		CPUPerInput:       inputs.reportCPU.Seconds() / float64(inputs.reports),
@@ -50,29 +52,30 @@
 		HeapBytes:         busy[PhaseBusy].heapBytes,
 	}
 	for _, phase := range busy {
-		one[LongestDecision] = max(one[LongestDecision], phase.longestDecision.Seconds())
+		measured[LongestDecision] = max(measured[LongestDecision], phase.longestDecision.Seconds())
 	}
-	return one
+	return measured
 }
 
-// trafficCosts are the figures of a script's bytes and counts, which are the same in each run.
-func trafficCosts(s *script, into sample) {
-	list, join, busy, changes := s.phase(PhaseList), s.phase(PhaseJoin), s.phase(PhaseBusy), s.phase(PhaseChanges)
-	into[BytesOfOpening] = perMessage(list.traffic[node.EndpointListMessage])
-	into[BytesOfListChange] = perMessage(changes.traffic[node.EndpointListMessage])
+// addTrafficCosts adds the bytes and counts of a script, which are the same in each run.
+func addTrafficCosts(s *script, into sample) {
+	busy := s.phase(PhaseBusy)
+	into[BytesOfOpening] = perMessage(s.phase(PhaseList).traffic[node.EndpointListMessage])
+	into[BytesOfListChange] = perMessage(s.phase(PhaseChanges).traffic[node.EndpointListMessage])
 	into[BytesOfReport] = perMessage(busy.traffic[node.LoadReportMessage])
 	into[BytesOfUsage] = perMessage(busy.traffic[node.UsageReportMessage])
-	into[BytesOfRelayEvent] = perMessage(join.traffic[node.ProxyEventMessage])
+	into[BytesOfRelayEvent] = perMessage(s.phase(PhaseJoin).traffic[node.ProxyEventMessage])
 	into[BytesOfCalls] = perSecond(busy.traffic[node.RelayCallMessage])
 	into[BytesOfHeartbeat] = perSecond(busy.traffic[node.HeartbeatMessage])
-	probe := node.HealthCheckTraffic(s.scenario.endpoint(s.site, 0, "up").HostPort)
-	into[BytesOfHealthCheck] = float64(probe.In + probe.Out)
+	check := node.HealthCheckTraffic(s.scenario.endpoint(s.site, 0, "up").HostPort)
+	into[BytesOfHealthCheck] = float64(check.In + check.Out)
 	into[HealthChecksPerSecond] = float64(busy.traffic[node.HealthCheckMessage].Messages) / busySpan.Seconds()
 	into[RelayEventsPerSecond] = float64(busy.traffic[node.ProxyEventMessage].Messages) / busySpan.Seconds()
 	into[ProxiesAssigned] = float64(s.assignedProxies)
 	into[CommandsPerSecond] = float64(busy.commands) / busySpan.Seconds()
 }
 
+// perMessage is the bytes of a message; 0 where there was none.
 func perMessage(t node.Traffic) float64 {
 	if t.Messages == 0 {
 		return 0
@@ -80,4 +83,5 @@
 	return float64(t.In+t.Out) / float64(t.Messages)
 }
 
+// perSecond is the bytes a second of a busy phase.
 func perSecond(t node.Traffic) float64 { return float64(t.In+t.Out) / busySpan.Seconds() }
--- a/internal/scale/messages.go
+++ b/internal/scale/messages.go
@@ -85,7 +85,7 @@
 	s.changesSent++
 	for i := range servers {
 		server := s.serverOrder[(s.nextServer+i)%len(s.serverOrder)]
-		list.Endpoints = append(list.Endpoints, s.changedEndpoint(server, drain, now))
+		list.Endpoints = append(list.Endpoints, s.endpointAfter(server, drain, now))
 	}
 	if !drain {
 		s.nextServer += servers // those that drained have come back
@@ -93,7 +93,7 @@
 	return node.Message{Kind: node.EndpointListMessage, Text: encodeList(list)}
 }
 
-func (s *messageSource) changedEndpoint(server int, drain bool, now time.Duration) fakes.Endpoint {
+func (s *messageSource) endpointAfter(server int, drain bool, now time.Duration) fakes.Endpoint {
 	if drain {
 		return s.scenario.endpoint(s.site, server, "draining")
 	}
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -44,7 +44,7 @@
 		}
 		all := map[Cost][]Point{}
 		for _, s := range report.Slopes {
-			if s.Unit == perSecondUnit || s.Unit == bytesUnit && s.Cost != HeapBytes {
+			if s.Unit == unitPerSecond || s.Unit == unitBytes && s.Cost != HeapBytes {
 				all[s.Cost] = s.Points
 			}
 		}
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -118,6 +118,9 @@
 	Runs []float64 `json:"runs"`
 }
 
+// Median is that of the runs.
+func (p Point) Median() float64 { return Median(p.Runs) }
+
 // Slope is how one cost grows along one axis, all other axes at the report's reference: Base + PerUnit*Shape.Of(size).
 type Slope struct {
 	Cost       Cost    `json:"cost"`
@@ -128,7 +131,7 @@
 	PerUnit    float64 `json:"perUnit"`
 	WorstError float64 `json:"worstError"` // largest relative distance of a point's median from the curve
 	Spread     float64 `json:"spread"`     // largest relative spread of runs at one size
-	Fits       bool    `json:"fits"`       // WorstError is within FitBound; else no tried shape fits, and this is the nearest
+	Fits       bool    `json:"fits"`       // WorstError is within MaxFitError; else no tried shape fits, and this is the nearest
 	Hollow     bool    `json:"hollow"`     // measured on hollow managers, not on real processes
 	Points     []Point `json:"points"`
 }
--- a/internal/scale/withdrawals_test.go
+++ b/internal/scale/withdrawals_test.go
@@ -24,7 +24,7 @@
 	default:
 		t.Fatal("not over though both withdrew it")
 	}
-	if times := orders.since(told); len(times) != 2 || times[0] != 1 || times[1] != 3 {
+	if times := orders.secondsSince(told); len(times) != 2 || times[0] != 1 || times[1] != 3 {
 		t.Errorf("%v", times)
 	}
 }
