--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -73,6 +73,16 @@
 	return n
 }
 
+// seed reads a whole number of 64 bits.
+func (f *fieldReader) seed(field string) uint64 {
+	value := f.text(field)
+	n, err := strconv.ParseUint(value, 10, 64)
+	if err != nil {
+		f.fail(field, value, "is not a whole number")
+	}
+	return n
+}
+
 // count reads a number of requests or attempts.
 func (f *fieldReader) count(field string) int { return int(f.integer(field, 0, math.MaxInt32)) }
 
--- a/internal/simprotocol/serve.go
+++ b/internal/simprotocol/serve.go
@@ -10,7 +10,6 @@
 	"fmt"
 	"io"
 	"math"
-	"strconv"
 	"strings"
 	"time"
 
@@ -162,15 +161,11 @@
 
 // startInstance makes a manager by the settings of the event, in place of one of the same number.
 func (h *host) startInstance(id int64, f *fieldReader, clock time.Duration) error {
-	seedText := f.text(fieldSeed)
+	seed := f.seed(fieldSeed)
 	settingsText := f.text(fieldSettings)
 	if f.err != nil {
 		return f.err
 	}
-	seed, err := parseSeed(seedText)
-	if err != nil {
-		return err
-	}
 	settings, err := platformsettings.Parse([]byte(settingsText))
 	if err != nil {
 		return fmt.Errorf("%s: %w", fieldSettings, err)
@@ -184,15 +179,7 @@
 	return nil
 }
 
-// parseSeed reads the seed of a new instance.
-func parseSeed(text string) (uint64, error) {
-	seed, err := strconv.ParseUint(text, 10, 64)
-	if err != nil {
-		return 0, &FieldError{Field: fieldSeed, Value: text, Problem: "is not a whole number"}
-	}
-	return seed, nil
-}
-
+// stopInstance forgets an instance.
 func (h *host) stopInstance(id int64, f *fieldReader) error {
 	if err := f.end(); err != nil {
 		return err
--- a/internal/simprotocol/serve_test.go
+++ b/internal/simprotocol/serve_test.go
@@ -65,7 +65,9 @@
 		{"REMINDER\t3\tx", `line 8: REMINDER: label: "x" is not a whole number`, nil, "label"},
 		{"NEW_INSTANCE\t3\t99\t{", "setup:", nil, ""},
 		{"NEW_INSTANCE\t3\t99", "setup is missing", ErrTooFewValues, ""},
-		{"NEW_INSTANCE\t3\tx\t" + setup, "salt", nil, "salt"},
+		{"NEW_INSTANCE\t3", "salt is missing", ErrTooFewValues, ""},
+		{"NEW_INSTANCE\t3\tx", `salt: "x" is not a whole number`, nil, "salt"},
+		{"NEW_INSTANCE\t3\tx\t" + setup, `salt: "x" is not a whole number`, nil, "salt"},
 		{"SING\t3", "no such message", ErrUnknownMessage, ""},
 	} {
 		_, err := serve(started + "BATCH\t2000\n" + bad.line + "\nEOF_BATCH\n")
