--- a/internal/node/decoder_pool.go
+++ b/internal/node/decoder_pool.go
@@ -78,7 +78,7 @@
 			go h.endConn(conn, errors.Join(errUnreadable, errors.New("lanes failed over it")))
 		}
 	}
-	for _, note := range acts.LogRecords {
+	for _, note := range acts.LogTexts {
 		h.receiver.metrics.logEvent("shard", "note", note)
 	}
 }
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -71,7 +71,7 @@
 
 // applySubsetUpdate tells the module what changed in the subset.
 func (r *router) applySubsetUpdate(u subset.Update) {
-	for _, n := range u.LogRecords {
+	for _, n := range u.LogTexts {
 		r.metrics.logEvent("subset", "note", n)
 	}
 	if u.IsEmpty() {
--- a/internal/sharding/assigner.go
+++ b/internal/sharding/assigner.go
@@ -65,7 +65,7 @@
 }
 
 func (a *Assigner) log(format string, figures ...any) {
-	a.actions.LogRecords = append(a.actions.LogRecords, fmt.Sprintf(format, figures...))
+	a.actions.LogTexts = append(a.actions.LogTexts, fmt.Sprintf(format, figures...))
 }
 
 // HandleConnOpened gives a connection its first owner: the shard that has least to do.
--- a/internal/sharding/assigner_test.go
+++ b/internal/sharding/assigner_test.go
@@ -184,31 +184,31 @@
 func TestLogRecordsNameShardsAndFigures(t *testing.T) {
 	for want, records := range map[string]func() []string{
 		"connection 1 moves from shard 0 to 1: 0.30 of 0.60 cores, 0.02 there": func() []string {
-			return newLoaded(2, 2, 0.3).repeatLoad(time.Second).LogRecords
+			return newLoaded(2, 2, 0.3).repeatLoad(time.Second).LogTexts
 		},
 		"connection 1 stays with shard 0: not drained within 0.20s": func() []string {
 			a := newLoaded(2, 2, 0.3)
 			a.repeatLoad(time.Second)
-			return a.HandleWorkerCheck(time.Second+a.settings.DrainTimeout, []time.Duration{-1, -1}).LogRecords
+			return a.HandleWorkerCheck(time.Second+a.settings.DrainTimeout, []time.Duration{-1, -1}).LogTexts
 		},
 		"shard 0 restarted: 2 connections moved to others": func() []string {
-			return newLoaded(2, 2, 0.3).HandleWorkerFailed(0, 0, 99).LogRecords
+			return newLoaded(2, 2, 0.3).HandleWorkerFailed(0, 0, 99).LogTexts
 		},
 		"connection 1 closed: shards failed over it 2 times": func() []string {
 			a := newLoaded(3, 1, 0.1)
 			a.HandleWorkerFailed(0, 0, 1)
-			return a.HandleWorkerFailed(0, 1, 1).LogRecords
+			return a.HandleWorkerFailed(0, 1, 1).LogTexts
 		},
 		"shard 0 quarantined for 60s after 3 failures": func() []string {
 			a := newLoaded(2, 1, 0.1)
 			a.HandleWorkerFailed(0, 0, 99)
 			a.HandleWorkerFailed(0, 0, 99)
-			return a.HandleWorkerFailed(0, 0, 99).LogRecords
+			return a.HandleWorkerFailed(0, 0, 99).LogTexts
 		},
 		"shard 1 back in service": func() []string {
 			a := newLoaded(2, 1, 0.1)
 			a.shards[1].quarantinedUntil = time.Second
-			return a.HandleWorkerCheck(time.Second, []time.Duration{-1, -1}).LogRecords
+			return a.HandleWorkerCheck(time.Second, []time.Duration{-1, -1}).LogTexts
 		},
 		"shard 0 stalled: 0.75s at one task": func() []string {
 			a := newLoaded(2, 1, 0.1)
@@ -216,7 +216,7 @@
 			for check := range 2 {
 				a.HandleWorkerCheck(time.Duration(check)*a.settings.CheckInterval, stalled)
 			}
-			return a.HandleWorkerCheck(2*a.settings.CheckInterval, stalled).LogRecords
+			return a.HandleWorkerCheck(2*a.settings.CheckInterval, stalled).LogTexts
 		},
 	} {
 		if got := records(); !slices.Contains(got, want) {
--- a/internal/sharding/types.go
+++ b/internal/sharding/types.go
@@ -73,5 +73,5 @@
 	Release        []Assignment // a former owner may forget the connection
 	Close          []ConnID     // shards failed over it
 	RestartWorkers []ShardID    // the shard's worker is given up, and another one begins
-	LogRecords     []string
+	LogTexts       []string
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -44,10 +44,10 @@
 
 // Update is what the balancer has to be told, in the order of the fields.
 type Update struct {
-	Restore    []balancer.ServerID // withdrawals to lift: these servers left, and the balancer has forgotten them
-	Complete   bool                // Servers are the whole list; servers that are not among them are removed
-	Servers    []Server            // by id
-	LogRecords []string
+	Restore  []balancer.ServerID // withdrawals to lift: these servers left, and the balancer has forgotten them
+	Complete bool                // Servers are the whole list; servers that are not among them are removed
+	Servers  []Server            // by id
+	LogTexts []string
 }
 
 // IsEmpty tells whether there is nothing to publish.
--- a/internal/subset/update.go
+++ b/internal/subset/update.go
@@ -20,7 +20,7 @@
 // logWidened records that the subset was widened.
 func (s *Subset) logWidened(now time.Duration) {
 	text := fmt.Sprintf("subset widened %.1f times at %.1fs", s.width.factor, now.Seconds())
-	s.pending.LogRecords = append(s.pending.LogRecords, text)
+	s.pending.LogTexts = append(s.pending.LogTexts, text)
 }
 
 // takeUpdate ends an input: each server that was queued is published once, in its latest state.
