--- a/internal/sharding/assigner.go
+++ b/internal/sharding/assigner.go
@@ -64,7 +64,7 @@
 	return false
 }
 
-func (a *Assigner) log(format string, figures ...any) {
+func (a *Assigner) logText(format string, figures ...any) {
 	a.actions.LogTexts = append(a.actions.LogTexts, fmt.Sprintf(format, figures...))
 }
 
@@ -150,7 +150,8 @@
 		c.failures++
 		if c.failures >= maxConnFailures {
 			a.actions.Close = append(a.actions.Close, by)
-			a.log("connection %d closed: shards failed over it %d times", by, c.failures)
+			a.log(EventConnClosed, connField(by), field("failures", c.failures))
+			a.logText("connection %d closed: shards failed over it %d times", by, c.failures)
 		}
 	}
 	a.failed = append(a.failed, id)
--- a/internal/sharding/assigner_test.go
+++ b/internal/sharding/assigner_test.go
@@ -180,46 +180,50 @@
 	}
 }
 
-// The records of the log, each in the words that the operator's pages give.
+// The records of the log, each with the names that the operator's pages give.
 func TestLogRecordsNameShardsAndFigures(t *testing.T) {
-	for want, records := range map[string]func() []string{
-		"connection 1 moves from shard 0 to 1: 0.30 of 0.60 cores, 0.02 there": func() []string {
-			return newLoaded(2, 2, 0.3).repeatLoad(time.Second).LogTexts
+	for want, input := range map[string]func() Actions{
+		"event=conn_moving conn=1 from=0 to=1 conn_cores=0.30 from_cores=0.60 to_cores=0.02": func() Actions {
+			return newLoaded(2, 2, 0.3).repeatLoad(time.Second)
 		},
-		"connection 1 stays with shard 0: not drained within 0.20s": func() []string {
+		"event=conn_move_cancelled conn=1 shard=0 timeout_seconds=0.20": func() Actions {
 			a := newLoaded(2, 2, 0.3)
 			a.repeatLoad(time.Second)
-			return a.HandleWorkerCheck(time.Second+a.settings.DrainTimeout, []time.Duration{-1, -1}).LogTexts
+			return a.HandleWorkerCheck(time.Second+a.settings.DrainTimeout, []time.Duration{-1, -1})
 		},
-		"shard 0 restarted: 2 connections moved to others": func() []string {
-			return newLoaded(2, 2, 0.3).HandleWorkerFailed(0, 0, 99).LogTexts
+		"event=shard_restarted shard=0 conns=2": func() Actions {
+			return newLoaded(2, 2, 0.3).HandleWorkerFailed(0, 0, 99)
 		},
-		"connection 1 closed: shards failed over it 2 times": func() []string {
+		"event=conn_closed conn=1 failures=2": func() Actions {
 			a := newLoaded(3, 1, 0.1)
 			a.HandleWorkerFailed(0, 0, 1)
-			return a.HandleWorkerFailed(0, 1, 1).LogTexts
+			return a.HandleWorkerFailed(0, 1, 1)
 		},
-		"shard 0 quarantined for 60s after 3 failures": func() []string {
+		"event=shard_quarantined shard=0 seconds=60 failures=3": func() Actions {
 			a := newLoaded(2, 1, 0.1)
 			a.HandleWorkerFailed(0, 0, 99)
 			a.HandleWorkerFailed(0, 0, 99)
-			return a.HandleWorkerFailed(0, 0, 99).LogTexts
+			return a.HandleWorkerFailed(0, 0, 99)
 		},
-		"shard 1 back in service": func() []string {
+		"event=shard_restored shard=1": func() Actions {
 			a := newLoaded(2, 1, 0.1)
 			a.shards[1].quarantinedUntil = time.Second
-			return a.HandleWorkerCheck(time.Second, []time.Duration{-1, -1}).LogTexts
+			return a.HandleWorkerCheck(time.Second, []time.Duration{-1, -1})
 		},
-		"shard 0 stalled: 0.75s at one task": func() []string {
+		"event=shard_stalled shard=0 task_seconds=0.75": func() Actions {
 			a := newLoaded(2, 1, 0.1)
 			stalled := []time.Duration{750 * time.Millisecond, -1}
 			for check := range 2 {
 				a.HandleWorkerCheck(time.Duration(check)*a.settings.CheckInterval, stalled)
 			}
-			return a.HandleWorkerCheck(2*a.settings.CheckInterval, stalled).LogTexts
+			return a.HandleWorkerCheck(2*a.settings.CheckInterval, stalled)
 		},
 	} {
-		if got := records(); !slices.Contains(got, want) {
+		var got []string
+		for _, record := range input().LogRecords {
+			got = append(got, record.String())
+		}
+		if !slices.Contains(got, want) {
 			t.Errorf("%q, not %q", got, want)
 		}
 	}
--- a/internal/sharding/failure.go
+++ b/internal/sharding/failure.go
@@ -21,7 +21,8 @@
 			s.stalledChecks++
 		}
 		if s.stalledChecks >= stalledChecksToFail {
-			a.log("shard %d stalled: %.2fs at one task", i, taskTimes[i].Seconds())
+			a.log(EventShardStalled, shardField(ShardID(i)), seconds("task_seconds", taskTimes[i], 2))
+			a.logText("shard %d stalled: %.2fs at one task", i, taskTimes[i].Seconds())
 			a.failed = append(a.failed, ShardID(i))
 			s.stalledChecks = 0
 		}
@@ -41,7 +42,8 @@
 	for _, c := range conns {
 		a.assign(c, a.leastLoaded(id))
 	}
-	a.log("shard %d restarted: %d connections moved to others", id, len(conns))
+	a.log(EventShardRestarted, shardField(id), field("conns", len(conns)))
+	a.logText("shard %d restarted: %d connections moved to others", id, len(conns))
 }
 
 // quarantineIfRepeated keeps connections from a shard that fails often, unless no other works.
@@ -55,7 +57,8 @@
 	}
 	s.quarantinedUntil = a.now + s.nextQuarantine
 	s.failures = nil
-	a.log("shard %d quarantined for %.0fs after %d failures", id, s.nextQuarantine.Seconds(), a.settings.MaxFailures)
+	a.log(EventShardQuarantined, shardField(id), seconds("seconds", s.nextQuarantine, 0), field("failures", a.settings.MaxFailures))
+	a.logText("shard %d quarantined for %.0fs after %d failures", id, s.nextQuarantine.Seconds(), a.settings.MaxFailures)
 	s.nextQuarantine = min(2*s.nextQuarantine, maxQuarantineFactor*a.settings.QuarantineDuration)
 }
 
@@ -70,7 +73,8 @@
 	for i, s := range a.shards {
 		if a.isQuarantineOver(s) {
 			s.quarantinedUntil = 0
-			a.log("shard %d back in service", i)
+			a.log(EventShardRestored, shardField(ShardID(i)))
+			a.logText("shard %d back in service", i)
 		}
 	}
 }
--- a/internal/sharding/types.go
+++ b/internal/sharding/types.go
@@ -8,10 +8,15 @@
 // the first step: what it still brings has an older epoch.
 //
 // The files: types.go has the ids and plain data, assigner.go the inputs and the ordered rules, connection.go and
-// shard.go the state, failure.go what follows a failed shard, rebalance.go how work is spread, mailbox.go the samples.
+// shard.go the state, failure.go what follows a failed shard, rebalance.go how work is spread, log_record.go the
+// log, mailbox.go the samples.
 package sharding
 
-import "time"
+import (
+	"time"
+
+	"tamarindshore/balancer"
+)
 
 type (
 	// ShardID is the number of a shard, from 0.
@@ -73,5 +78,6 @@
 	Release        []Assignment // a former owner may forget the connection
 	Close          []ConnID     // shards failed over it
 	RestartWorkers []ShardID    // the shard's worker is given up, and another one begins
-	LogTexts       []string
+	LogRecords     []balancer.LogRecord
+	LogTexts       []string // the records as texts, until all that read them take LogRecords
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -44,12 +44,16 @@
 
 // Update is what the balancer has to be told, in the order of the fields.
 type Update struct {
-	Restore  []balancer.ServerID // withdrawals to lift: these servers left, and the balancer has forgotten them
-	Complete bool                // Servers are the whole list; servers that are not among them are removed
-	Servers  []Server            // by id
-	LogTexts []string
+	Restore    []balancer.ServerID // withdrawals to lift: these servers left, and the balancer has forgotten them
+	Complete   bool                // Servers are the whole list; servers that are not among them are removed
+	Servers    []Server            // by id
+	LogRecords []balancer.LogRecord
+	LogTexts   []string // the records as texts, until all that read them take LogRecords
 }
 
+// EventSubsetWidened has factor: on the stated number of spill servers.
+const EventSubsetWidened balancer.LogEvent = "subset_widened"
+
 // IsEmpty tells whether there is nothing to publish.
 func (u Update) IsEmpty() bool { return !u.Complete && len(u.Servers)+len(u.Restore) == 0 }
 
--- a/internal/subset/update.go
+++ b/internal/subset/update.go
@@ -19,6 +19,9 @@
 
 // logWidened records that the subset was widened.
 func (s *Subset) logWidened(now time.Duration) {
+	factor := balancer.LogField{Name: "factor", Value: fmt.Sprintf("%.1f", s.width.factor)}
+	record := balancer.LogRecord{Event: EventSubsetWidened, Fields: []balancer.LogField{factor}}
+	s.pending.LogRecords = append(s.pending.LogRecords, record)
 	text := fmt.Sprintf("subset widened %.1f times at %.1fs", s.width.factor, now.Seconds())
 	s.pending.LogTexts = append(s.pending.LogTexts, text)
 }
--- a/internal/subset/width_test.go
+++ b/internal/subset/width_test.go
@@ -14,7 +14,10 @@
 	r := steadyState(servers, 100)
 	before := r.members()
 	r.fail(ofZone(servers, 0)...)
-	r.seconds(1)
+	update := r.tick()
+	if records := update.LogRecords; len(records) != 1 || records[0].String() != "event=subset_widened factor=4.0" {
+		t.Errorf("log records %v", records)
+	}
 	if n := r.servingOutside(0); n < 260 || n > 800 {
 		t.Errorf("%d servers of other zones serve in the second after 273 were lost", n)
 	}
