--- a/client/examples/relay/main.go
+++ b/client/examples/relay/main.go
@@ -1,4 +1,4 @@
-// Relay shows how a relay or proxy embeds a holder of versioned tables: it follows a manager, keeps the last good
+// Relay shows how a relay or proxy embeds a replica of versioned tables: it follows a manager, keeps the last valid
 // version while the manager is away, and picks servers by weight from it.
 //
 //	go run ./client/examples/relay 127.0.0.1:9802 KEYFILE TABLE
@@ -12,7 +12,6 @@
 	"net"
 	"os"
 	"os/signal"
-	"slices"
 	"strconv"
 	"strings"
 	"sync/atomic"
@@ -22,81 +21,76 @@
 	"tamarindshore/client/tables"
 )
 
-// table is what a proxy picks from: made once for each version, read by all its flows.
-type table struct {
-	servers []string
-	upTo    []float64 // sums of weights
-}
+// Exit codes.
+const (
+	exitFailure = 1
+	exitUsage   = 2
+)
 
-func made(s *tables.State, id uint32) *table {
-	t := &table{}
-	lines, sum := s.Table(id).Weights, 0.0
-	for server := range lines {
-		if !s.IsWithdrawn(server) {
-			t.servers = append(t.servers, server)
-		}
+func main() {
+	if len(os.Args) != 4 {
+		fail(exitUsage, "usage: relay ADDRESS KEYFILE TABLE")
 	}
-	slices.Sort(t.servers)
-	for _, server := range t.servers {
-		sum += lines[server]
-		t.upTo = append(t.upTo, sum)
+	address, keyFile := os.Args[1], os.Args[2]
+	keys, err := readKeys(keyFile)
+	if err != nil {
+		fail(exitFailure, err)
 	}
-	return t
+	table, err := strconv.ParseUint(os.Args[3], 10, 32)
+	if err != nil {
+		fail(exitUsage, "TABLE:", err)
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
+	defer stop()
+	newFollower(address, keys, uint32(table)).Run(ctx)
 }
 
-// pick gives a server by weight; false where there is none.
-func (t *table) pick() (string, bool) {
-	if t == nil || len(t.servers) == 0 {
-		return "", false
-	}
-	x := rand.Float64() * t.upTo[len(t.upTo)-1]
-	i, _ := slices.BinarySearch(t.upTo, x)
-	return t.servers[min(i, len(t.servers)-1)], true
+func fail(code int, message ...any) {
+	fmt.Fprintln(os.Stderr, message...)
+	os.Exit(code)
 }
 
-func main() {
-	if len(os.Args) != 4 {
-		fmt.Fprintln(os.Stderr, "usage: relay ADDRESS KEYFILE TABLE")
-		os.Exit(2)
-	}
-	text, err := os.ReadFile(os.Args[2])
+// readKeys reads a file with the 64 hex digits of a key in each line.
+func readKeys(path string) (tables.Keys, error) {
+	text, err := os.ReadFile(path)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, err)
-		os.Exit(1)
+		return nil, err
 	}
 	var keys tables.Keys
 	for line := range strings.Lines(string(text)) {
 		secret, err := hex.DecodeString(strings.TrimSpace(line))
-		if err == nil {
-			var k tables.Key
-			if k, err = tables.NewKey(secret); err == nil {
-				keys = append(keys, k)
-			}
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", path, err)
 		}
+		key, err := tables.NewKey(secret)
 		if err != nil {
-			fmt.Fprintln(os.Stderr, os.Args[2]+":", err)
-			os.Exit(1)
+			return nil, fmt.Errorf("%s: %w", path, err)
 		}
+		keys = append(keys, key)
 	}
-	id, err := strconv.ParseUint(os.Args[3], 10, 32)
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "TABLE:", err)
-		os.Exit(2)
-	}
-	var now atomic.Pointer[table]
-	f := &follow.Follower{
-		Name: "example", Keys: keys, Replica: tables.NewReplica(keys, tables.RetrySettings{InitialInterval: time.Second, MaxInterval: time.Minute}, rand.Uint64()),
+	return keys, nil
+}
+
+// newFollower follows a manager and prints each version that takes effect or is rejected.
+func newFollower(address string, keys tables.Keys, table uint32) *follow.Follower {
+	retries := tables.RetrySettings{InitialInterval: time.Second, MaxInterval: time.Minute}
+	dialer := &net.Dialer{Timeout: time.Second}
+	var current atomic.Pointer[picker] // read by all requests of a proxy
+	return &follow.Follower{
+		Name:    "example",
+		Keys:    keys,
+		Replica: tables.NewReplica(keys, retries, rand.Uint64()),
 		Dial: func(ctx context.Context) (net.Conn, error) {
-			return (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "tcp", os.Args[1])
+			return dialer.DialContext(ctx, "tcp", address)
+		},
+		OnApplied: func(version tables.VersionRef, state *tables.State) {
+			p := newPicker(state, table)
+			current.Store(p)
+			server, found := current.Load().pick(rand.Float64())
+			fmt.Printf("version %v %v: %d servers to pick from, such as %q %v\n", version.ID, version.Digest, len(p.servers), server, found)
 		},
-		OnApplied: func(held tables.VersionRef, s *tables.State) {
-			now.Store(made(s, uint32(id)))
-			server, some := now.Load().pick()
-			fmt.Printf("version %v %v: %d servers to pick from, such as %q %v\n", held.ID, held.Digest, len(now.Load().servers), server, some)
+		OnRejected: func(outcome tables.Outcome, err error) {
+			fmt.Printf("rejected: %v: %v\n", outcome, err)
 		},
-		OnRejected: func(o tables.Outcome, err error) { fmt.Printf("refused: %v: %v\n", o, err) },
 	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
-	defer stop()
-	f.Run(ctx)
 }
--- a/client/follow/fixture_test.go
+++ b/client/follow/fixture_test.go
@@ -2,15 +2,10 @@
 
 import (
 	"bytes"
-	"context"
 	"encoding/hex"
-	"errors"
-	"io"
-	"net"
 	"os"
 	"strings"
 	"testing"
-	"time"
 
 	"tamarindshore/client/tables"
 )
@@ -130,91 +125,3 @@
 		}
 	}
 }
-
-// manager plays the manager's end of a connection from recorded frames.
-type manager struct {
-	t      *testing.T
-	conn   net.Conn
-	frames map[string][]byte
-}
-
-func (m manager) send(name string) {
-	m.t.Helper()
-	if _, err := m.conn.Write(m.frames[name]); err != nil {
-		m.t.Fatalf("sending %s: %v", name, err)
-	}
-}
-
-func (m manager) expect(name string) {
-	m.t.Helper()
-	got := make([]byte, len(m.frames[name]))
-	if _, err := io.ReadFull(m.conn, got); err != nil {
-		m.t.Fatalf("waiting for %s: %v", name, err)
-	}
-	if !bytes.Equal(got, m.frames[name]) {
-		m.t.Errorf("%s: %x, want %x", name, got, m.frames[name])
-	}
-}
-
-func TestAFollowerAnswersAsAnEarlierRelease(t *testing.T) {
-	keys := testKeys(t)
-	dialled := make(chan net.Conn)
-	versions := make(chan tables.VersionRef, 2)
-	rejections := make(chan tables.Outcome, 2)
-	retries := tables.RetrySettings{InitialInterval: 20 * time.Millisecond, MaxInterval: 20 * time.Millisecond}
-	follower := &Follower{
-		Name:    "proxy-1",
-		Keys:    keys,
-		Replica: tables.NewReplica(keys, retries, 1),
-		Dial: func(ctx context.Context) (net.Conn, error) {
-			ours, theirs := net.Pipe()
-			select {
-			case dialled <- theirs:
-				return ours, nil
-			case <-ctx.Done():
-				return nil, ctx.Err()
-			}
-		},
-		OnApplied:      func(version tables.VersionRef, _ *tables.State) { versions <- version },
-		OnRejected:     func(outcome tables.Outcome, _ error) { rejections <- outcome },
-		InitialBackoff: time.Millisecond,
-		MaxBackoff:     time.Millisecond,
-	}
-	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan error)
-	go func() { ended <- follower.Run(ctx) }()
-	connect := func() manager {
-		conn := <-dialled
-		conn.SetDeadline(time.Now().Add(10 * time.Second))
-		return manager{t, conn, readFrames(t)}
-	}
-
-	first := connect()
-	first.send("nonce")
-	first.expect("hello-empty")
-	first.send("snapshot")
-	first.expect("ack-snapshot")
-	first.conn.Close()
-
-	second := connect()
-	second.send("nonce")
-	second.expect("hello-snapshot")
-	second.send("delta")
-	second.expect("ack-delta")
-	second.send("older-epoch")
-	second.expect("refused-older-epoch")
-	second.send("unreadable")
-	second.expect("refused-unreadable")
-	second.expect("whole")
-
-	cancel()
-	if err := <-ended; !errors.Is(err, context.Canceled) {
-		t.Errorf("the follower ended with %v", err)
-	}
-	if one, two := <-versions, <-versions; one != snapshotVersion(t) || two != deltaVersion(t) {
-		t.Errorf("applied %v and %v", one, two)
-	}
-	if one, two := <-rejections, <-rejections; one != tables.OlderEpoch || two != tables.Malformed {
-		t.Errorf("rejected as %v and %v", one, two)
-	}
-}
--- /dev/null
+++ b/client/follow/follower_test.go
@@ -0,0 +1,223 @@
+package follow
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"tamarindshore/client/tables"
+)
+
+// testTimeout bounds each step of a test: it passes only where something hangs.
+const testTimeout = 10 * time.Second
+
+// runningFollower is a follower whose connections end at the test.
+type runningFollower struct {
+	t        *testing.T
+	frames   map[string][]byte
+	dialed   chan net.Conn
+	applied  chan tables.VersionRef
+	rejected chan tables.Outcome
+	stop     func() error // returns what Run returned
+}
+
+// startFollower runs a follower until the test ends. It starts with some failed dials.
+func startFollower(t *testing.T, failedDials int) *runningFollower {
+	t.Helper()
+	keys := testKeys(t)
+	f := &runningFollower{
+		t:        t,
+		frames:   readFrames(t),
+		dialed:   make(chan net.Conn),
+		applied:  make(chan tables.VersionRef, 8),
+		rejected: make(chan tables.Outcome, 8),
+	}
+	retries := tables.RetrySettings{InitialInterval: 20 * time.Millisecond, MaxInterval: 20 * time.Millisecond}
+	follower := &Follower{
+		Name:    "proxy-1",
+		Keys:    keys,
+		Replica: tables.NewReplica(keys, retries, 1),
+		Dial: func(ctx context.Context) (net.Conn, error) {
+			if failedDials > 0 {
+				failedDials--
+				return nil, errors.New("no route")
+			}
+			ours, theirs := net.Pipe()
+			select {
+			case f.dialed <- theirs:
+				return ours, nil
+			case <-ctx.Done():
+				return nil, ctx.Err()
+			}
+		},
+		OnApplied:      func(version tables.VersionRef, _ *tables.State) { f.applied <- version },
+		OnRejected:     func(outcome tables.Outcome, _ error) { f.rejected <- outcome },
+		InitialBackoff: time.Millisecond,
+		MaxBackoff:     time.Millisecond,
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan struct{})
+	var runErr error
+	go func() {
+		defer close(ended)
+		runErr = follower.Run(ctx)
+	}()
+	f.stop = func() error {
+		cancel()
+		<-ended
+		return runErr
+	}
+	t.Cleanup(func() { f.stop() })
+	return f
+}
+
+// managerConn is the manager's end of a connection, played from recorded frames.
+type managerConn struct {
+	t      *testing.T
+	conn   net.Conn
+	frames map[string][]byte
+}
+
+// connect waits for the next connection of the follower.
+func (f *runningFollower) connect() managerConn {
+	f.t.Helper()
+	select {
+	case conn := <-f.dialed:
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		f.t.Cleanup(func() { conn.Close() })
+		return managerConn{f.t, conn, f.frames}
+	case <-time.After(testTimeout):
+		f.t.Fatal("the follower does not dial")
+		return managerConn{}
+	}
+}
+
+func (m managerConn) send(name string) {
+	m.t.Helper()
+	if _, err := m.conn.Write(m.frames[name]); err != nil {
+		m.t.Fatalf("sending %s: %v", name, err)
+	}
+}
+
+func (m managerConn) sendFrame(kind byte, body string) {
+	m.t.Helper()
+	if err := WriteFrame(m.conn, kind, []byte(body)); err != nil {
+		m.t.Fatalf("sending %q: %v", kind, err)
+	}
+}
+
+func (m managerConn) expect(name string) {
+	m.t.Helper()
+	got := make([]byte, len(m.frames[name]))
+	if _, err := io.ReadFull(m.conn, got); err != nil {
+		m.t.Fatalf("waiting for %s: %v", name, err)
+	}
+	if !bytes.Equal(got, m.frames[name]) {
+		m.t.Errorf("%s: %x, want %x", name, got, m.frames[name])
+	}
+}
+
+func (m managerConn) expectClosed() {
+	m.t.Helper()
+	if _, err := m.conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		m.t.Errorf("error %v, want %v", err, io.EOF)
+	}
+}
+
+func TestAFollowerAnswersAsAnEarlierRelease(t *testing.T) {
+	follower := startFollower(t, 0)
+	first := follower.connect()
+	first.send("nonce")
+	first.expect("hello-empty")
+	first.send("snapshot")
+	first.expect("ack-snapshot")
+	first.conn.Close()
+
+	second := follower.connect()
+	second.send("nonce")
+	second.expect("hello-snapshot")
+	second.send("delta")
+	second.expect("ack-delta")
+	second.send("older-epoch")
+	second.expect("refused-older-epoch")
+	second.send("unreadable")
+	second.expect("refused-unreadable")
+	second.expect("whole")
+
+	if err := follower.stop(); !errors.Is(err, context.Canceled) {
+		t.Errorf("the follower ended with %v", err)
+	}
+	if one, two := <-follower.applied, <-follower.applied; one != snapshotVersion(t) || two != deltaVersion(t) {
+		t.Errorf("applied %v and %v", one, two)
+	}
+	if one, two := <-follower.rejected, <-follower.rejected; one != tables.OlderEpoch || two != tables.Malformed {
+		t.Errorf("rejected as %v and %v", one, two)
+	}
+}
+
+func TestAFollowerDialsAgainAfterFailures(t *testing.T) {
+	follower := startFollower(t, 3)
+	conn := follower.connect()
+	conn.send("nonce")
+	conn.expect("hello-empty")
+}
+
+func TestAFollowerEndsAConnectionWithoutAValidNonce(t *testing.T) {
+	follower := startFollower(t, 0)
+	for _, one := range []struct {
+		name string
+		kind byte
+		body string
+	}{
+		{"other kind", FrameDelta, "0123456789abcdef"},
+		{"short nonce", FrameNonce, "0123456789abcde"},
+	} {
+		t.Run(one.name, func(t *testing.T) {
+			conn := follower.connect()
+			conn.sendFrame(one.kind, one.body)
+			conn.expectClosed()
+		})
+	}
+	conn := follower.connect()
+	conn.send("nonce")
+	conn.expect("hello-empty")
+}
+
+func TestAFollowerIgnoresFramesOfALaterRelease(t *testing.T) {
+	follower := startFollower(t, 0)
+	conn := follower.connect()
+	conn.send("nonce")
+	conn.expect("hello-empty")
+	conn.sendFrame('Z', "of a later release")
+	conn.send("snapshot")
+	conn.expect("ack-snapshot")
+}
+
+func TestAFollowerWithoutKeysDoesNotGreet(t *testing.T) {
+	ours, theirs := net.Pipe()
+	defer theirs.Close()
+	follower := &Follower{Dial: func(context.Context) (net.Conn, error) { return ours, nil }}
+	if err := follower.followOnce(t.Context(), time.Now()); !errors.Is(err, tables.ErrNoKey) {
+		t.Errorf("error %v, want %v", err, tables.ErrNoKey)
+	}
+}
+
+func TestDefaultsReplaceUnusableSettings(t *testing.T) {
+	defaults := tables.RetrySettings{InitialInterval: defaultInitialBackoff, MaxInterval: defaultMaxBackoff}
+	if got := (&Follower{}).backoff(); got != defaults {
+		t.Errorf("%+v, want %+v", got, defaults)
+	}
+	if got := (&Follower{InitialBackoff: time.Second, MaxBackoff: time.Millisecond}).backoff(); got != defaults {
+		t.Errorf("%+v, want %+v", got, defaults)
+	}
+	if got := (&Follower{}).ioTimeout(); got != defaultIOTimeout {
+		t.Errorf("%v, want %v", got, defaultIOTimeout)
+	}
+	if got := (&Follower{IOTimeout: time.Second}).ioTimeout(); got != time.Second {
+		t.Errorf("%v, want 1s", got)
+	}
+}
--- a/client/follow/frames.go
+++ b/client/follow/frames.go
@@ -1,6 +1,5 @@
-// Package follow keeps a tables.Holder up to date from a manager, over a connection that the user dials. It owns the
-// frames of that connection and when to dial again; what a version is worth is the Holder's to say. It must never
-// apply anything itself.
+// Package follow keeps a tables.Replica up to date from a manager, over connections that the user dials. It owns the
+// frames of such a connection and when to dial again; the Replica decides what becomes of a version.
 package follow
 
 import (
@@ -14,81 +13,112 @@
 	"tamarindshore/client/tables"
 )
 
-// Kinds of frames, by their first byte; docs/tables-format.md specifies them.
+// Kinds of frames, the first byte of each; docs/tables-format.md specifies their bodies.
 const (
-	FrameNonce           = 'N' // from the manager: 16 bytes that the greeting must answer
-	FrameHello           = 'H' // from the holder: who it is and what it holds, authenticated
+	FrameNonce           = 'N' // from the manager: random bytes that the hello must answer
+	FrameHello           = 'H' // from the replica: its name and version, authenticated
 	FrameDelta           = 'D' // from the manager: an encoded delta
-	FrameAck             = 'A' // from the holder: what it runs now
-	FrameRejection       = 'R' // from the holder: why, and what it runs
-	FrameSnapshotRequest = 'W' // from the holder: it wants a whole table; what it runs
+	FrameAck             = 'A' // from the replica: it applied a delta; its version
+	FrameRejection       = 'R' // from the replica: the outcome of a delta that it rejected; its version
+	FrameSnapshotRequest = 'W' // from the replica: its version
 )
 
-const heldLen = 8 + 8 + 32
+const (
+	frameHeaderLen = 1 + 4 // kind, length of the body
+	nonceLen       = 16
+	maxNonceFrame  = 64
+	versionRefLen  = 8 + 8 + 32
+	maxNameLen     = 64
+	keyIDLen       = len(tables.KeyID{})
+	signatureLen   = 32
+
+	// helloDomain keeps what a hello signs apart from other signed content.
+	helloDomain = "TSHello1"
+)
+
+// Errors of frames. Each is wrapped with what was found.
+var (
+	ErrTooLong    = errors.New("frame too long")
+	ErrMalformed  = errors.New("malformed frame")
+	ErrUnexpected = errors.New("unexpected frame")
+)
 
-// Write writes one frame.
+// WriteFrame writes one frame, by one call of Write.
 func WriteFrame(w io.Writer, kind byte, body []byte) error {
-	b := append(make([]byte, 0, 5+len(body)), kind)
-	b = append(binary.BigEndian.AppendUint32(b, uint32(len(body))), body...)
-	_, err := w.Write(b)
+	frame := make([]byte, 0, frameHeaderLen+len(body))
+	frame = append(frame, kind)
+	frame = binary.BigEndian.AppendUint32(frame, uint32(len(body)))
+	frame = append(frame, body...)
+	_, err := w.Write(frame)
 	return err
 }
 
-// Read reads one frame of at most so many bytes.
-func ReadFrame(r io.Reader, most int) (kind byte, body []byte, err error) {
-	var head [5]byte
-	if _, err = io.ReadFull(r, head[:]); err != nil {
+// ReadFrame reads one frame with a body of up to maxBody bytes. Errors wrap ErrTooLong, or are those of the reader.
+func ReadFrame(r io.Reader, maxBody int) (kind byte, body []byte, err error) {
+	var header [frameHeaderLen]byte
+	if _, err = io.ReadFull(r, header[:]); err != nil {
 		return 0, nil, err
 	}
-	n := binary.BigEndian.Uint32(head[1:])
-	if int64(n) > int64(most) {
-		return 0, nil, fmt.Errorf("a frame of %d bytes is longer than %d", n, most)
+	length := binary.BigEndian.Uint32(header[1:])
+	if int64(length) > int64(maxBody) {
+		return 0, nil, fmt.Errorf("%w: a frame of %d bytes is longer than %d", ErrTooLong, length, maxBody)
 	}
-	body = make([]byte, n)
+	body = make([]byte, length)
 	_, err = io.ReadFull(r, body)
-	return head[0], body, err
+	return header[0], body, err
 }
 
-// AppendHeld adds what a holder runs.
-func AppendVersionRef(b []byte, h tables.VersionRef) []byte {
-	b = binary.BigEndian.AppendUint64(b, h.ID.Epoch)
-	b = binary.BigEndian.AppendUint64(b, h.ID.Number)
-	return append(b, h.Digest[:]...)
+// AppendVersionRef appends the bytes of a version's ID and digest.
+func AppendVersionRef(b []byte, version tables.VersionRef) []byte {
+	b = binary.BigEndian.AppendUint64(b, version.ID.Epoch)
+	b = binary.BigEndian.AppendUint64(b, version.ID.Number)
+	return append(b, version.Digest[:]...)
 }
 
-// ReadHeld takes it apart.
-func ParseVersionRef(b []byte) (h tables.VersionRef, rest []byte, err error) {
-	if len(b) < heldLen {
-		return h, nil, errors.New("what is held is cut off")
+// ParseVersionRef reads what AppendVersionRef wrote, and returns the bytes behind it. Errors wrap ErrMalformed.
+func ParseVersionRef(b []byte) (version tables.VersionRef, rest []byte, err error) {
+	if len(b) < versionRefLen {
+		return version, nil, fmt.Errorf("%w: a version has %d bytes, expected %d", ErrMalformed, len(b), versionRefLen)
 	}
-	h.ID = tables.ID{Epoch: binary.BigEndian.Uint64(b), Number: binary.BigEndian.Uint64(b[8:])}
-	h.Digest = tables.Digest(b[16:heldLen])
-	return h, b[heldLen:], nil
+	version.ID.Epoch = binary.BigEndian.Uint64(b)
+	version.ID.Number = binary.BigEndian.Uint64(b[8:])
+	version.Digest = tables.Digest(b[16:versionRefLen])
+	return version, b[versionRefLen:], nil
 }
 
-// Greet is a greeting's body: what is held, a name, and the proof by a key that answers the nonce.
-func EncodeHello(nonce []byte, key tables.Key, name string, h tables.VersionRef) []byte {
-	b := append(AppendVersionRef(nil, h), name...)
-	b = append(b, key.ID[:]...)
-	sum := key.Sign(proof(nonce, b))
-	return append(b, sum[:]...)
+// EncodeHello returns the body of a hello: the version that the replica runs, its name of up to 64 bytes, and a signature
+// that answers the manager's nonce.
+func EncodeHello(nonce []byte, key tables.Key, name string, version tables.VersionRef) []byte {
+	body := AppendVersionRef(nil, version)
+	body = append(body, name...)
+	body = append(body, key.ID[:]...)
+	signature := key.Sign(helloDigest(nonce, body))
+	return append(body, signature[:]...)
 }
 
-func proof(nonce, body []byte) []byte {
-	sum := blake3.Sum256(append(append([]byte("TSHello1"), nonce...), body...))
-	return sum[:]
+// helloDigest is what a hello signs.
+func helloDigest(nonce, body []byte) []byte {
+	message := append([]byte(helloDomain), nonce...)
+	message = append(message, body...)
+	digest := blake3.Sum256(message)
+	return digest[:]
 }
 
-// Greeted checks a greeting.
-func VerifyHello(nonce []byte, keys tables.Keys, b []byte) (name string, h tables.VersionRef, err error) {
-	if len(b) < heldLen+4+32 || len(b) > heldLen+64+4+32 {
-		return "", h, errors.New("a greeting is too short or too long")
+// VerifyHello reads the body of a hello and verifies that one of the keys signed it for this nonce. Errors wrap
+// ErrMalformed or tables.ErrUnauthenticated.
+func VerifyHello(nonce []byte, keys tables.Keys, hello []byte) (name string, version tables.VersionRef, err error) {
+	const minLen = versionRefLen + keyIDLen + signatureLen
+	const maxLen = minLen + maxNameLen
+	if len(hello) < minLen || len(hello) > maxLen {
+		return "", version, fmt.Errorf("%w: a hello has %d bytes, expected %d to %d", ErrMalformed, len(hello), minLen, maxLen)
 	}
-	body, sum := b[:len(b)-32], [32]byte(b[len(b)-32:])
-	id := tables.KeyID(body[len(body)-4:])
-	if !keys.Verify(id, proof(nonce, body), sum) {
-		return "", h, fmt.Errorf("key %x is not valid here, or its proof is wrong", id)
+	signed := hello[:len(hello)-signatureLen]
+	signature := [signatureLen]byte(hello[len(hello)-signatureLen:])
+	content := signed[:len(signed)-keyIDLen]
+	keyID := tables.KeyID(signed[len(signed)-keyIDLen:])
+	if !keys.Verify(keyID, helloDigest(nonce, signed), signature) {
+		return "", version, fmt.Errorf("%w: key %x is not valid here, or its signature is wrong", tables.ErrUnauthenticated, keyID)
 	}
-	h, rest, err := ParseVersionRef(body[:len(body)-4])
-	return string(rest), h, err
+	version, rest, err := ParseVersionRef(content)
+	return string(rest), version, err
 }
--- /dev/null
+++ b/client/tables/delta_test.go
@@ -0,0 +1,172 @@
+package tables
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"math"
+	"strings"
+	"testing"
+)
+
+// The vectors of docs/tables-format.md.
+func TestVectors(t *testing.T) {
+	state := exampleState(t)
+	keyID := testKey(t, 7).ID
+	for name, pair := range map[string][2]string{
+		"empty state": {toHex(EmptyState().Digest()), "c296e466d3a3c04967adaefc7f3585e50555b18e960678bdc1fc3c921c68e2f2"},
+		"state":       {toHex(state.Digest()), "829320f60405661aa54ec2a155fa64ea8b842c451118548d044d68ea36394535"},
+		"table 0": {hex.EncodeToString(state.Table(0).appendCanonical([]byte(tableDomain))),
+			"54535462310203732d31405900000000000003732d32404f40000000000001023fe800000000000001"},
+		"key": {hex.EncodeToString(keyID[:]), "01e90df8"},
+		"delta": {hex.EncodeToString(encodeSnapshot(t, ID{3, 1}, state, testKeys(t))),
+			"545344310301000080d8c1a28c34c296e466d3a3c04967adaefc7f3585e50555b18e960678bdc1fc3c921c68e2f2" +
+				"829320f60405661aa54ec2a155fa64ea8b842c451118548d044d68ea36394535046c697374050303732d33010003732d3140590000" +
+				"00000000010003732d32404f4000000000000200023fe80000000000000101ac0203732d313ff000000000000001e90df8d191ced5" +
+				"1563ef110805014a5b9c9fb837e6ec5e98867b1af510c4a31a04fd75"},
+	} {
+		if got, want := pair[0], pair[1]; got != want {
+			t.Errorf("%s: %s, want %s", name, got, want)
+		}
+	}
+}
+
+// signed is a body with the signature that fits it, whatever it holds.
+func signed(t testing.TB, body []byte) []byte {
+	t.Helper()
+	key := testKey(t, 7)
+	b := append([]byte(magic), body...)
+	b = append(b, key.ID[:]...)
+	mac := key.mac(b)
+	return append(b, mac[:]...)
+}
+
+// deltaBody is the body of a delta with one operation, given by its bytes.
+func deltaBody(cause string, op ...byte) []byte {
+	body := []byte{3, 1, 0, 0, 0}
+	body = append(body, make([]byte, 2*digestLen)...)
+	body = appendText(body, cause)
+	body = append(body, 1)
+	return append(body, op...)
+}
+
+func TestMalformedDeltasAreRejected(t *testing.T) {
+	withdrawX := []byte{byte(Withdraw), 1, 'x'}
+	valid := deltaBody("", withdrawX...)
+	if _, err := Decode(signed(t, valid), testKeys(t)); err != nil {
+		t.Fatalf("the delta that the others differ from: %v", err)
+	}
+	setWeight := func(table uint64, weight float64) []byte {
+		op := binary.AppendUvarint([]byte{byte(SetWeight)}, table)
+		return appendNumber(append(op, 1, 'x'), weight)
+	}
+	replaced := func(index int, bytes ...byte) []byte {
+		return append(append(append([]byte{}, valid[:index]...), bytes...), valid[index+1:]...)
+	}
+	for _, one := range []struct {
+		name   string
+		body   []byte
+		reason string
+	}{
+		{"too short", valid[:20], "are no delta"},
+		{"longer form of a number", replaced(0, 0x83, 0), "a number is cut off or too long"},
+		{"number of 11 bytes", replaced(0, bytes.Repeat([]byte{0xff}, 11)...), "a number is cut off or too long"},
+		{"long cause", deltaBody(strings.Repeat("x", maxCauseLen+1), withdrawX...), "a text has 4097 bytes, expected up to 4096"},
+		{"more operations than bytes", replaced(len(valid)-4, 4), "4 operations in 3 bytes"},
+		{"cut operation", valid[:len(valid)-1], "it ends 1 bytes too early"},
+		{"cut weight", deltaBody("", setWeight(0, 1)[:11]...), "it ends 1 bytes too early"},
+		{"bytes left over", append(append([]byte{}, valid...), 0), "1 bytes are left over"},
+		{"unknown kind", deltaBody("", 6, 1, 'x'), "kind 6 of an operation is unknown"},
+		{"no server", deltaBody("", byte(Withdraw), 0), "a server's ID has 0 bytes"},
+		{"infinite weight", deltaBody("", setWeight(0, math.Inf(1))...), "weight +Inf of x is not finite"},
+		{"table above 32 bits", deltaBody("", setWeight(1<<32, 1)...), "table 4294967296 is above 4294967295"},
+	} {
+		t.Run(one.name, func(t *testing.T) {
+			delta, err := Decode(signed(t, one.body), testKeys(t))
+			if delta != nil || !errors.Is(err, ErrMalformed) || !strings.Contains(err.Error(), one.reason) {
+				t.Errorf("delta %v, error %v, want %s", delta, err, one.reason)
+			}
+		})
+	}
+	t.Run("other magic", func(t *testing.T) {
+		encoded := signed(t, valid)
+		encoded[0] = 'X'
+		if _, err := Decode(encoded, testKeys(t)); !errors.Is(err, ErrMalformed) {
+			t.Errorf("error %v", err)
+		}
+	})
+	t.Run("too long", func(t *testing.T) {
+		if _, err := Decode(make([]byte, MaxDeltaBytes+1), testKeys(t)); !errors.Is(err, ErrMalformed) {
+			t.Errorf("error %v", err)
+		}
+	})
+}
+
+func TestDeltasThatCantBeEncodedAreReported(t *testing.T) {
+	large := Delta{Cause: strings.Repeat("x", MaxDeltaBytes)}
+	if _, err := large.Encode(testKeys(t)); !errors.Is(err, ErrTooLarge) {
+		t.Errorf("error %v, want %v", err, ErrTooLarge)
+	}
+	if _, err := new(Delta).Encode(nil); !errors.Is(err, ErrNoKey) {
+		t.Errorf("error %v, want %v", err, ErrNoKey)
+	}
+}
+
+func TestAKeyHas32Bytes(t *testing.T) {
+	for _, length := range []int{0, 31, 33} {
+		if _, err := NewKey(make([]byte, length)); !errors.Is(err, ErrKeyLength) {
+			t.Errorf("%d bytes: error %v", length, err)
+		}
+	}
+}
+
+func FuzzDecode(f *testing.F) {
+	keys := testKeys(f)
+	f.Add(encodeSnapshot(f, ID{3, 1}, exampleState(f), keys)[len(magic):])
+	f.Fuzz(func(t *testing.T, body []byte) {
+		encoded := signed(t, body)
+		delta, err := Decode(encoded, keys)
+		if err != nil {
+			if !errors.Is(err, ErrMalformed) {
+				t.Error(err)
+			}
+			return
+		}
+		again, err := delta.Encode(keys)
+		if err != nil || !bytes.Equal(again, encoded) {
+			t.Errorf("a delta has two forms, error %v", err)
+		}
+	})
+}
+
+func BenchmarkDelta(b *testing.B) {
+	keys := testKeys(b)
+	for _, servers := range []int{50, 500, 5000} {
+		var all, moved []Op
+		for i := range servers {
+			name := "s-" + hex.EncodeToString([]byte{byte(i >> 8), byte(i), 3})
+			all = append(all, Op{Kind: SetWeight, Table: uint32(i / 50), Server: name, Weight: 100 + float64(i%9)})
+			if i%100 == 7 {
+				moved = append(moved, Op{Kind: SetWeight, Table: uint32(i / 50), Server: name, Weight: 50})
+			}
+		}
+		base := apply(b, EmptyState(), all...)
+		next := apply(b, base, moved...)
+		for name, encoded := range map[string][]byte{
+			"whole": encodeSnapshot(b, ID{1, 2}, next, keys),
+			"delta": encodeBetween(b, ID{1, 2}, ID{1, 1}, base, next, keys),
+		} {
+			b.Run(fmt.Sprintf("%s/%d", name, servers), func(b *testing.B) {
+				for b.Loop() {
+					replica := &Replica{keys: keys, state: base, version: VersionRef{ID{1, 1}, base.Digest()}}
+					if outcome, err := replica.Receive(0, encoded); outcome != Applied {
+						b.Fatal(outcome, err)
+					}
+				}
+				b.ReportMetric(float64(len(encoded)), "bytes")
+			})
+		}
+	}
+}
--- a/client/tables/fixture_test.go
+++ b/client/tables/fixture_test.go
@@ -30,7 +30,7 @@
 
 func TestDeltasOfAnEarlierReleaseAreRead(t *testing.T) {
 	fixtures := readFixtures(t, "testdata/deltas.txt")
-	keys := Keys{key(t, 7)}
+	keys := testKeys(t)
 	snapshotDigest := Digest(fixtures["snapshot-digest"])
 	deltaDigest := Digest(fixtures["delta-digest"])
 	want := []struct {
@@ -49,7 +49,7 @@
 				{Kind: Withdraw, Server: "s-3"},
 				{Kind: SetWeight, Table: 0, Server: "s-1", Weight: 100},
 				{Kind: SetWeight, Table: 0, Server: "s-2", Weight: 62.5},
-				{Kind: SetAdmissionLevel, Table: 0, Classes: 2, AdmissionLevel: AdmissionLevel{0.75, 1}},
+				{Kind: SetAdmissionLevel, Table: 0, Classes: 2, AdmissionLevel: AdmissionLevel{Amount: 0.75, Retry: 1}},
 				{Kind: SetWeight, Table: 7, Server: "s-4", Weight: 5},
 				{Kind: SetWeight, Table: 300, Server: "s-1", Weight: 1},
 			},
--- a/internal/versions/peer.go
+++ b/internal/versions/peer.go
@@ -80,15 +80,10 @@
 
 // fail gives up what is in flight and sets the time of the next attempt.
 func (p *Peer) fail(now time.Duration) {
+	backoff := tables.RetrySettings{InitialInterval: p.settings.InitialBackoff, MaxInterval: p.settings.MaxBackoff}
 	p.inFlight = nil
+	p.notBefore = now + backoff.Delay(p.failures, p.rng.next())
 	p.failures++
-	const maxDoublings = 20
-	backoff := p.settings.InitialBackoff << min(p.failures-1, maxDoublings)
-	if backoff <= 0 || backoff > p.settings.MaxBackoff {
-		backoff = p.settings.MaxBackoff
-	}
-	half := backoff / 2
-	p.notBefore = now + half + time.Duration(float64(half)*p.rng.next())
 }
 
 // HandleAck tells that the replica runs a version.
--- a/internal/versions/peer_faults_test.go
+++ b/internal/versions/peer_faults_test.go
@@ -139,7 +139,7 @@
 func (n *faultyNetwork) deliver(t *testing.T, now time.Duration, r *testReplica, fault deliveryFault) bool {
 	t.Helper()
 	delta, _ := r.peer.NextDelta(now, n.chain.View())
-	if due, _ := r.replica.Ask(now); due {
+	if r.replica.SnapshotRequestDue(now) {
 		r.peer.HandleSnapshotRequest(r.replica.Version())
 	}
 	if delta == nil {
