--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -9,6 +9,7 @@
 	"io"
 	"net"
 	"os/exec"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -21,78 +22,92 @@
 // ControlFlag is the hidden flag with which a program runs ServeControl for a list of so many servers.
 const ControlFlag = "--control-of"
 
-// Requests that a control process takes, a line each.
+// Requests that a control process takes, a line each. It answers each with a controlUsage.
 const (
-	requestUse    = "use"    // answered by its controlUse
-	requestTime   = "time"   // answered by its controlUse without the heap, which takes a collection to tell
-	requestChange = "change" // a server drains, or comes back; answered by its controlUse
+	requestUsage  = "use"    // all of it
+	requestTime   = "time"   // without the heap, which takes a garbage collection to measure
+	requestChange = "change" // a server drains, or comes back
 )
 
-// controlUse is what a control process has used so far.
-type controlUse struct {
+// controlUsage is what a control process has used so far.
+type controlUsage struct {
 	Address   string  `json:"address"`
 	CPU       float64 `json:"cpu"`  // seconds
-	HeapBytes float64 `json:"heap"` // held after a collection, the stacks of its goroutines included
+	HeapBytes float64 `json:"heap"` // in use after a garbage collection, the goroutines' stacks included
 }
 
-// ServeControl runs discovery's stand-in with a list of so many servers, and answers requests until they end.
+// ServeControl runs discovery's stand-in with a list of so many servers, and answers requests until they end. It is the
+// control process that measureControl starts.
 func ServeControl(servers int, requests io.Reader, answers io.Writer) error {
 	scenario := Reference().With(Servers, float64(servers))
 	site := scenario.site()
-	var entries []fakes.Endpoint
+	var endpoints []fakes.Endpoint
 	for server := range servers {
-		entries = append(entries, scenario.entry(site, server, "up"))
+		endpoints = append(endpoints, scenario.endpoint(site, server, "up"))
 	}
-	discovery, err := fakes.NewDiscovery("127.0.0.1:0", entries)
+	discovery, err := fakes.NewDiscovery(loopbackAnyPort, endpoints)
 	if err != nil {
 		return err
 	}
 	defer discovery.Close()
 	out := json.NewEncoder(answers)
-	if err := out.Encode(controlUse{Address: discovery.Address}); err != nil {
+	if err := out.Encode(controlUsage{Address: discovery.Address}); err != nil {
 		return err
 	}
 	lines := bufio.NewScanner(requests)
-	for changed := 0; lines.Scan(); {
-		if lines.Text() == requestChange {
-			discovery.Publish(scenario.entry(site, changed/2%servers, []string{"draining", "up"}[changed%2]))
-			changed++
+	changes := 0
+	for lines.Scan() {
+		request := lines.Text()
+		if request == requestChange {
+			server := changes / 2 % servers
+			discovery.Publish(scenario.endpoint(site, server, lifecycleAfter(changes)))
+			changes++
 		}
-		use := controlUse{Address: discovery.Address, CPU: processCPU().Seconds()}
-		if lines.Text() == requestUse {
-			use.HeapBytes = heldBytes() + stackBytes()
-			use.CPU = processCPU().Seconds()
-		}
-		if err := out.Encode(use); err != nil {
+		if err := out.Encode(usageOfControl(discovery.Address, request)); err != nil {
 			return err
 		}
 	}
 	return lines.Err()
 }
 
-// control is a control process that serves readers of this one.
-type control struct {
+func usageOfControl(address, request string) controlUsage {
+	usage := controlUsage{Address: address}
+	if request == requestUsage {
+		usage.HeapBytes = heapInUse() + stackInUse()
+	}
+	usage.CPU = processCPU().Seconds()
+	return usage
+}
+
+// controlProcess is a process that runs ServeControl for readers of this one.
+type controlProcess struct {
 	command *exec.Cmd
 	in      io.WriteCloser
 	answers *json.Decoder
 	address string
 }
 
-func startControl(ctx context.Context, program string, servers int) (c *control, err error) {
-	c = &control{command: exec.CommandContext(ctx, program, append(controlArguments, ControlFlag, strconv.Itoa(servers))...)}
-	c.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if c.in, err = c.command.StdinPipe(); err != nil {
+// controlArguments stand before the flag that makes a program the control process.
+var controlArguments = []string{"scale"}
+
+// startControl starts a control process, which ends with the context, or with this process.
+func startControl(ctx context.Context, program string, servers int) (*controlProcess, error) {
+	arguments := slices.Concat(controlArguments, []string{ControlFlag, strconv.Itoa(servers)})
+	command := exec.CommandContext(ctx, program, arguments...)
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	in, err := command.StdinPipe()
+	if err != nil {
 		return nil, err
 	}
-	out, err := c.command.StdoutPipe()
+	out, err := command.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	if err := c.command.Start(); err != nil {
+	if err := command.Start(); err != nil {
 		return nil, err
 	}
-	c.answers = json.NewDecoder(out)
-	var first controlUse
+	c := &controlProcess{command: command, in: in, answers: json.NewDecoder(out)}
+	var first controlUsage
 	if err := c.answers.Decode(&first); err != nil {
 		c.stop()
 		return nil, fmt.Errorf("the control process did not begin: %w", err)
@@ -101,38 +116,38 @@
 	return c, nil
 }
 
-// controlArguments stand before the flag that makes a program the control process.
-var controlArguments = []string{"scale"}
-
-func (c *control) ask(request string) (use controlUse, err error) {
+// request sends a request and waits for its answer.
+func (c *controlProcess) request(request string) (controlUsage, error) {
+	var usage controlUsage
 	if _, err := io.WriteString(c.in, request+"\n"); err != nil {
-		return use, err
+		return usage, err
 	}
-	return use, c.answers.Decode(&use)
+	err := c.answers.Decode(&usage)
+	return usage, err
 }
 
-// stop ends the control process.
-func (c *control) stop() {
+// stop kills the control process.
+func (c *controlProcess) stop() {
 	c.in.Close()
 	c.command.Process.Kill()
 	c.command.Wait()
 }
 
-// reader is a manager as discovery sees it: a connection that watches the list.
-type reader struct {
+// listReader is a manager as discovery sees it: a connection that watches the list.
+type listReader struct {
 	connection net.Conn
 	in         *bufio.Reader
-	bytes      int
+	bytes      int // read so far
 }
 
 // openReader asks for the list and its changes.
-func openReader(address string) (*reader, error) {
+func openReader(address string) (*listReader, error) {
 	connection, err := net.DialTimeout("tcp", address, controlTimeout)
 	if err != nil {
 		return nil, err
 	}
 	connection.SetDeadline(time.Now().Add(controlTimeout))
-	r := &reader{connection: connection, in: bufio.NewReader(connection)}
+	r := &listReader{connection: connection, in: bufio.NewReader(connection)}
 	request := "GET /discovery/hosts?watch=1&after=0 HTTP/1.1\r\nHost: " + address + "\r\n\r\n"
 	if _, err := io.WriteString(connection, request); err != nil {
 		return nil, errors.Join(err, connection.Close())
@@ -140,125 +155,133 @@
 	return r, nil
 }
 
-// until reads to the end of the first line that holds a word.
-func (r *reader) until(word string) error {
+// readUntil reads to the end of the first line that holds a text.
+func (r *listReader) readUntil(text string) error {
 	for {
 		line, err := r.in.ReadString('\n')
 		r.bytes += len(line)
 		if err != nil {
 			return err
 		}
-		if strings.Contains(line, word) {
+		if strings.Contains(line, text) {
 			return nil
 		}
 	}
 }
 
 const (
-	controlTimeout = 60 * time.Second
-	controlChanges = 20
-	controlServers = 600
-	controlReaders = 20              // where the list grows
-	controlQuiet   = 4 * time.Second // two signs of life for each reader
+	controlTimeout   = 60 * time.Second
+	controlChanges   = 20 // that are measured
+	controlServers   = 600
+	controlReaders   = 20              // while the list grows
+	controlQuietSpan = 4 * time.Second // two heartbeats for each reader
 )
 
-// measureControl measures the control side of one list for so many readers, and how it does while nothing changes
-// for a time; 0: that isn't measured.
-func measureControl(ctx context.Context, program string, servers, readers int, quiet time.Duration) (sample, error) {
-	c, err := startControl(ctx, program, servers)
+// measureControl measures the control side of one list for so many readers, and what it costs while nothing changes for
+// a span; 0: that isn't measured.
+func measureControl(ctx context.Context, program string, servers, readers int, quietSpan time.Duration) (sample, error) {
+	process, err := startControl(ctx, program, servers)
 	if err != nil {
 		return nil, err
 	}
-	defer c.stop()
-	before, err := c.ask(requestUse)
+	defer process.stop()
+	measured := sample{}
+	opened, err := measureOpening(process, readers, measured)
+	defer closeReaders(opened)
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
-	all, err := openReaders(c.address, readers)
-	defer func() {
-		for _, r := range all {
-			r.connection.Close()
-		}
-	}()
+	measured[ControlCPUPerChange], err = controlChangeCost(process, opened)
+	if err != nil || quietSpan == 0 {
+		return measured, err
+	}
+	measured[ControlCPUPerQuietSecond], err = quietControlCost(ctx, process, readers, quietSpan)
+	return measured, err
+}
+
+// measureOpening opens so many readers at once. It returns those that were opened also where it returns an error.
+func measureOpening(process *controlProcess, readers int, into sample) ([]*listReader, error) {
+	before, err := process.request(requestUsage)
 	if err != nil {
 		return nil, err
 	}
-	opened := time.Since(began)
-	after, err := c.ask(requestUse)
+	began := time.Now()
+	opened, err := openReaders(process.address, readers)
 	if err != nil {
-		return nil, err
+		return opened, err
+	}
+	took := time.Since(began)
+	after, err := process.request(requestUsage)
+	if err != nil {
+		return opened, err
 	}
-	n := float64(readers)
 	bytes := 0
-	for _, r := range all {
+	for _, r := range opened {
 		bytes += r.bytes
 	}
-	one := sample{
-		ControlCPUPerManager:   (after.CPU - before.CPU) / n,
-		ControlHeapPerManager:  max(0, after.HeapBytes-before.HeapBytes) / n,
-		ControlBytesPerManager: float64(bytes) / n,
-		ControlConnections:     n,
-		OpeningLast:            opened.Seconds(),
-	}
-	if one[ControlCPUPerChange], err = changeCost(c, all); err != nil || quiet == 0 {
-		return one, err
+	into[ControlCPUPerManager] = (after.CPU - before.CPU) / float64(readers)
+	into[ControlHeapPerManager] = max(0, after.HeapBytes-before.HeapBytes) / float64(readers)
+	into[ControlBytesPerManager] = float64(bytes) / float64(readers)
+	into[ControlConnections] = float64(readers)
+	into[OpeningLast] = took.Seconds()
+	return opened, nil
+}
+
+func closeReaders(readers []*listReader) {
+	for _, r := range readers {
+		r.connection.Close()
 	}
-	one[ControlCPUPerQuietSecond], err = quietCost(ctx, c, len(all), quiet)
-	return one, err
 }
 
-// quietCost is the control side's processor time in a second for each reader, while nothing changes.
-func quietCost(ctx context.Context, c *control, readers int, span time.Duration) (float64, error) {
-	before, err := c.ask(requestUse)
+// quietControlCost is the control side's processor time in a second for each reader, while nothing changes.
+func quietControlCost(ctx context.Context, process *controlProcess, readers int, span time.Duration) (float64, error) {
+	before, err := process.request(requestUsage)
 	if err != nil {
 		return 0, err
 	}
-	if err := wait(ctx, span); err != nil {
+	if err := sleep(ctx, span); err != nil {
 		return 0, err
 	}
-	after, err := c.ask(requestTime)
+	after, err := process.request(requestTime)
 	return (after.CPU - before.CPU) / span.Seconds() / float64(readers), err
 }
 
-// openReaders opens all readers at once and waits until each has the whole list.
-func openReaders(address string, readers int) ([]*reader, error) {
-	all, errs := make([]*reader, readers), make([]error, readers)
-	var group sync.WaitGroup
-	for i := range readers {
-		group.Go(func() {
-			if all[i], errs[i] = openReader(address); errs[i] == nil {
-				errs[i] = all[i].until(`"instances"`)
+// openReaders opens so many readers at once, and waits until each has the complete list. It returns those that were opened
+// also where it returns an error.
+func openReaders(address string, count int) ([]*listReader, error) {
+	readers := make([]*listReader, count)
+	errs := make([]error, count)
+	var workers sync.WaitGroup
+	for i := range count {
+		workers.Go(func() {
+			readers[i], errs[i] = openReader(address)
+			if errs[i] == nil {
+				errs[i] = readers[i].readUntil(`"instances"`)
 			}
 		})
 	}
-	group.Wait()
-	var opened []*reader
-	for _, r := range all {
-		if r != nil {
-			opened = append(opened, r)
-		}
-	}
+	workers.Wait()
+	opened := slices.DeleteFunc(readers, func(r *listReader) bool { return r == nil })
 	return opened, errors.Join(errs...)
 }
 
-// changeCost is the control side's processor time for telling one change to one reader.
-func changeCost(c *control, readers []*reader) (float64, error) {
-	before, err := c.ask(requestUse)
+// controlChangeCost is the control side's processor time for one change and one reader.
+func controlChangeCost(process *controlProcess, readers []*listReader) (float64, error) {
+	before, err := process.request(requestUsage)
 	if err != nil {
 		return 0, err
 	}
 	for change := range controlChanges {
-		if _, err := c.ask(requestChange); err != nil {
+		if _, err := process.request(requestChange); err != nil {
 			return 0, err
 		}
-		word := fmt.Sprintf(`"generation":%d,`, firstVersion+1+change)
+		version := fmt.Sprintf(`"generation":%d,`, firstVersion+1+change)
 		for _, r := range readers {
-			if err := r.until(word); err != nil {
+			if err := r.readUntil(version); err != nil {
 				return 0, err
 			}
 		}
 	}
-	after, err := c.ask(requestUse)
+	after, err := process.request(requestUsage)
 	return (after.CPU - before.CPU) / controlChanges / float64(len(readers)), err
 }
--- /dev/null
+++ b/internal/scale/process_fleet.go
@@ -0,0 +1,374 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"os"
+	"path/filepath"
+	"runtime"
+	"slices"
+	"sync"
+	"time"
+
+	"tamarindshore/balancer"
+	"tamarindshore/internal/fakes"
+)
+
+// Limits of a fleet of real processes.
+const (
+	maxProcesses     = 300
+	bytesOfProcess   = 48 * mib // resident, the stand-ins that it needs included
+	maxFleetRuns     = 10       // each run drains two servers for good
+	concurrentStarts = 8        // while the fleet is started first
+	fleetDescriptors = 512      // told to each process
+	readyTimeout     = 60 * time.Second
+	assignTimeout    = 30 * time.Second
+	assignPolling    = 10 * time.Millisecond
+	fleetQuietSpan   = 3 * time.Second
+	loopbackAnyPort  = "127.0.0.1:0"
+	usageInterval    = time.Second // that the one usage report of a process tells of
+	privateDirectory = 0o700
+)
+
+// checkProcessesFit checks that so many processes fit the limits.
+func checkProcessesFit(memory Memory, processes int) error {
+	what := fmt.Sprintf("%d real processes", processes)
+	if processes > maxProcesses {
+		return countLimitError(what, "processes", processes, maxProcesses)
+	}
+	return memory.checkFits(what, bytesOfProcess/garbageFactor, processes)
+}
+
+// processFleet is many managers as processes of their own, each with a relay and proxies of its own, that read one list.
+type processFleet struct {
+	site        fakes.Site
+	program     string
+	dir         string
+	servers     []*fakes.Server
+	discovery   *fakes.Discovery
+	managers    []*managerProcess
+	starts      uint64 // of the whole fleet
+	drained     int    // servers so far
+	withdrawals withdrawals
+}
+
+// managerProcess is one process and its relay.
+type managerProcess struct {
+	name          string
+	dir           string
+	address       string
+	statusAddress string
+	relay         *fakes.Relay
+	process       fakes.Manager
+	collector     net.Conn
+}
+
+// processCosts are measured on fleets of real processes.
+var processCosts = []Cost{
+	ProcessPropagationMedian, ProcessPropagationLast, HollowPropagationMedian, HollowPropagationLast, ProcessReadyMedian,
+	ProcessReadyLast, ProcessPropagationDuringOpeningsLast, ProcessCPUPerQuietSecond, ProcessMemory,
+}
+
+// measureProcessFleet starts a fleet of real processes on loopback and measures it, and as many hollow managers beside
+// it.
+func measureProcessFleet(ctx context.Context, options Options, changeWriteTime time.Duration, size int) ([]sample, error) {
+	fleet, err := startProcessFleet(ctx, options.Program, propagationScenario(options.Seed), size)
+	defer fleet.close()
+	if err != nil {
+		return nil, err
+	}
+	var samples []sample
+	for run := range min(options.Runs, maxFleetRuns) {
+		measured := sample{}
+		if err := fleet.measureRun(ctx, measured); err != nil {
+			return nil, err
+		}
+		if err := measureHollowFleet(ctx, options, changeWriteTime, run, size, measured); err != nil {
+			return nil, err
+		}
+		samples = append(samples, measured)
+	}
+	return samples, nil
+}
+
+// startProcessFleet starts the stand-ins and all processes, and waits until their proxies are assigned. The fleet has to
+// be closed also where it returns an error.
+func startProcessFleet(ctx context.Context, program string, scenario Scenario, size int) (*processFleet, error) {
+	f := &processFleet{site: scenario.site(), program: program}
+	endpoints, err := f.startServers()
+	if err != nil {
+		return f, err
+	}
+	if err := f.addManagers(size, endpoints); err != nil {
+		return f, err
+	}
+	if _, err := f.startAll(ctx, concurrentStarts); err != nil {
+		return f, err
+	}
+	return f, f.awaitAssigned(ctx)
+}
+
+// startServers starts the servers and discovery, which lists them.
+func (f *processFleet) startServers() (endpoints []fakes.Endpoint, err error) {
+	if f.dir, err = os.MkdirTemp("", "tamarindshore-fleet-"); err != nil {
+		return nil, err
+	}
+	if f.servers, err = fakes.NewServers(f.site); err != nil {
+		return nil, err
+	}
+	for _, server := range f.servers {
+		endpoints = append(endpoints, server.Entry("up"))
+	}
+	f.discovery, err = fakes.NewDiscovery(loopbackAnyPort, endpoints)
+	return endpoints, err
+}
+
+// addManagers prepares managers and their relays; the processes aren't started.
+func (f *processFleet) addManagers(size int, endpoints []fakes.Endpoint) error {
+	addresses, err := fakes.FreeAddresses(2 * size)
+	if err != nil {
+		return err
+	}
+	for number := range size {
+		manager, err := f.newManager(number, endpoints)
+		if err != nil {
+			return err
+		}
+		manager.address = addresses[2*number]
+		manager.statusAddress = addresses[2*number+1]
+		f.managers = append(f.managers, manager)
+	}
+	return nil
+}
+
+func (f *processFleet) newManager(number int, endpoints []fakes.Endpoint) (*managerProcess, error) {
+	m := &managerProcess{name: fmt.Sprintf("n%03d", number)}
+	m.dir = filepath.Join(f.dir, m.name)
+	if err := os.Mkdir(m.dir, privateDirectory); err != nil {
+		return nil, err
+	}
+	relay, err := fakes.NewRelay(loopbackAnyPort, f.site)
+	if err != nil {
+		return nil, err
+	}
+	m.relay = relay
+	relay.RegisterServers(endpoints...)
+	relay.Configure(func(r *fakes.Relay) {
+		r.OnCommand = func(at time.Time, kind, subject string) { f.withdrawals.onCommand(m.name, at, kind, subject) }
+	})
+	for proxy := range f.site.Proxies {
+		relay.ConnectProxies(proxy)
+	}
+	return m, nil
+}
+
+// startAll starts all processes, so many at once, and returns, sorted, the seconds until each was ready.
+func (f *processFleet) startAll(ctx context.Context, concurrent int) ([]float64, error) {
+	f.starts++
+	list := f.discovery.Snapshot()
+	times := make([]float64, len(f.managers))
+	errs := make([]error, len(f.managers))
+	slots := make(chan struct{}, concurrent)
+	var workers sync.WaitGroup
+	for i, manager := range f.managers {
+		workers.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			if errs[i] = ctx.Err(); errs[i] != nil {
+				return
+			}
+			began := time.Now()
+			errs[i] = f.startOne(ctx, manager, list, uint64(i))
+			times[i] = time.Since(began).Seconds()
+		})
+	}
+	workers.Wait()
+	slices.Sort(times)
+	return times, errors.Join(errs...)
+}
+
+// startOne starts one process, waits until it is ready, and reports to it once that there are no requests. The process
+// ends with the context while it is waited for.
+func (f *processFleet) startOne(ctx context.Context, m *managerProcess, list fakes.EndpointList, seed uint64) error {
+	process, err := f.site.StartManager(f.managerConfig(m, list, seed), fakes.ProcessStarter(f.program, filepath.Join(m.dir, "log")))
+	if err != nil {
+		return err
+	}
+	m.process = process
+	defer context.AfterFunc(ctx, func() { process.Stop(true) })()
+	if err := fakes.AwaitReady(process, m.address, readyTimeout); err != nil {
+		return fmt.Errorf("%s: %w", m.name, err)
+	}
+	collector, err := net.Dial("tcp", m.address)
+	if err != nil {
+		return err
+	}
+	m.collector = collector
+	noRequests := usageReport(0, f.site.TrafficClasses[0].Name, 0, usageInterval)
+	return writeMessages(collector, []string{collectorGreeting(f.site), noRequests.Text})
+}
+
+func (f *processFleet) managerConfig(m *managerProcess, list fakes.EndpointList, seed uint64) fakes.ManagerConfig {
+	return fakes.ManagerConfig{
+		Dir:              m.dir,
+		Name:             m.name,
+		ListenAddress:    m.address,
+		StatusAddress:    m.statusAddress,
+		DiscoveryAddress: f.discovery.Address,
+		RelayAddress:     m.relay.Address,
+		Endpoints:        list,
+		Options: fakes.ManagerOptions{
+			Cores:          processCores,
+			MemoryMB:       processMemoryMB,
+			MaxDescriptors: fleetDescriptors,
+			Seed:           seed + f.starts,
+		},
+	}
+}
+
+// awaitAssigned waits until all proxies of all managers have a table.
+func (f *processFleet) awaitAssigned(ctx context.Context) error {
+	deadline := time.Now().Add(assignTimeout)
+	for _, manager := range f.managers {
+		for manager.relay.Counts().AssignedProxies < f.site.Proxies {
+			if time.Now().After(deadline) {
+				return fmt.Errorf("%s: its proxies are not bound after %v", manager.name, assignTimeout)
+			}
+			if err := sleep(ctx, assignPolling); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// stopAll kills all processes.
+func (f *processFleet) stopAll() {
+	var workers sync.WaitGroup
+	for _, manager := range f.managers {
+		workers.Go(func() {
+			if manager.collector != nil {
+				manager.collector.Close()
+			}
+			if manager.process != nil {
+				manager.process.Stop(true)
+			}
+		})
+	}
+	workers.Wait()
+}
+
+func (f *processFleet) close() {
+	f.stopAll()
+	for _, manager := range f.managers {
+		manager.relay.Close()
+	}
+	if f.discovery != nil {
+		f.discovery.Close()
+	}
+	for _, server := range f.servers {
+		server.Close()
+	}
+	os.RemoveAll(f.dir)
+}
+
+// measureRun measures a quiet span, a change in quiet, and a change while all processes start at once.
+func (f *processFleet) measureRun(ctx context.Context, into sample) error {
+	if err := f.measureQuietSpan(ctx, into); err != nil {
+		return err
+	}
+	quiet, err := f.drainServer(ctx, func() error { return nil })
+	if err != nil {
+		return err
+	}
+	into[ProcessPropagationMedian] = quantile(quiet, 0.5)
+	into[ProcessPropagationLast] = quiet[len(quiet)-1]
+
+	f.stopAll()
+	var ready []float64
+	duringOpenings, err := f.drainServer(ctx, func() (err error) {
+		ready, err = f.startAll(ctx, len(f.managers))
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	into[ProcessReadyMedian] = quantile(ready, 0.5)
+	into[ProcessReadyLast] = ready[len(ready)-1]
+	into[ProcessPropagationDuringOpeningsLast] = duringOpenings[len(duringOpenings)-1]
+	return f.awaitAssigned(ctx)
+}
+
+// measureQuietSpan measures what the processes use while nothing happens.
+func (f *processFleet) measureQuietSpan(ctx context.Context, into sample) error {
+	cpuBefore, _ := childrenUsage()
+	began := time.Now()
+	if err := sleep(ctx, fleetQuietSpan); err != nil {
+		return err
+	}
+	cpuAfter, _ := childrenUsage()
+	into[ProcessCPUPerQuietSecond] = (cpuAfter - cpuBefore) / time.Since(began).Seconds() / float64(len(f.managers))
+	into[ProcessMemory] = f.maxResidentBytes()
+	return nil
+}
+
+// maxResidentBytes is the largest resident set of a process so far.
+func (f *processFleet) maxResidentBytes() float64 {
+	most := 0.0
+	for _, manager := range f.managers {
+		_, megabytes := fakes.ResourceUsage(manager.process)
+		most = max(most, megabytes*mib)
+	}
+	return most
+}
+
+// drainServer lets discovery tell that a server drains, does something meanwhile, and returns, sorted, the seconds until
+// the relay of each manager was told of the withdrawal.
+func (f *processFleet) drainServer(ctx context.Context, meanwhile func() error) ([]float64, error) {
+	server := f.servers[f.drained]
+	f.drained++
+	allWithdrew := f.withdrawals.expect(balancer.ServerID(server.ID), len(f.managers))
+	ended := make(chan error, 1)
+	go func() { ended <- meanwhile() }()
+	published := time.Now()
+	f.discovery.Publish(server.Entry("draining"))
+	if err := <-ended; err != nil {
+		return nil, err
+	}
+	select {
+	case <-allWithdrew:
+		return f.withdrawals.secondsSince(published), nil
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	case <-time.After(propagationTimeout):
+		withdrew := len(f.withdrawals.secondsSince(published))
+		return nil, fmt.Errorf("%d of %d managers withdrew %s within %v", withdrew, len(f.managers), server.ID, propagationTimeout)
+	}
+}
+
+// measureHollowFleet measures as many hollow managers, each on a core of its own and without a network between, as the
+// real processes of one machine have it.
+func measureHollowFleet(ctx context.Context, options Options, changeWriteTime time.Duration, run, managers int, into sample) error {
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	fleet, err := newHollowFleet(propagationScenario(options.Seed), 1)
+	if err != nil {
+		return err
+	}
+	defer fleet.close()
+	control := controlSide{changeWriteTime: changeWriteTime, local: true, rng: rand.New(rand.NewPCG(options.Seed, uint64(run)))}
+	r := &propagationRun{fleet: fleet, control: control, version: firstVersion}
+	if _, err := r.duringOpenings(ctx, options.Memory, managers); err != nil {
+		return err
+	}
+	times, err := r.drain(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
+	if err != nil {
+		return err
+	}
+	into[HollowPropagationMedian] = quantile(times, 0.5)
+	into[HollowPropagationLast] = times[len(times)-1]
+	return nil
+}
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -11,7 +11,7 @@
 
 func sound() Report {
 	return Report{Version: ReportVersion, Seed: 7, Cores: 8, GoVersion: "go", Reference: map[Axis]float64{Servers: 600},
-		Slopes: []Slope{fitted(Slope{Cost: HeapBytes, Axis: Servers, Unit: bytesUnit, Hollow: true,
+		Slopes: []Slope{fitted(Slope{Cost: HeapBytes, Axis: Servers, Unit: unitBytes, Hollow: true,
 			Points: []Point{{1, []float64{10, 11}}, {100, []float64{1000, 1100}}}})}}
 }
 
@@ -87,7 +87,7 @@
 	} {
 		report := sound()
 		spoil(&report.Slopes[0])
-		if got, what := report.fault(); got != "slopes[0]."+field || what == "" {
+		if got, what := report.invalidField(); got != "slopes[0]."+field || what == "" {
 			t.Errorf("%s: %q %s", field, got, what)
 		}
 	}
