--- a/internal/subset/update.go
+++ b/internal/subset/update.go
@@ -19,8 +19,11 @@
 
 // logWidened records that the subset was widened.
 func (s *Subset) logWidened(now time.Duration) {
+	factor := balancer.LogField{Name: "factor", Value: fmt.Sprintf("%.1f", s.width.factor)}
+	record := balancer.LogRecord{Event: EventSubsetWidened, Fields: []balancer.LogField{factor}}
+	s.pending.LogRecords = append(s.pending.LogRecords, record)
 	text := fmt.Sprintf("subset widened %.1f times at %.1fs", s.width.factor, now.Seconds())
-	s.pending.LogRecords = append(s.pending.LogRecords, text)
+	s.pending.LogTexts = append(s.pending.LogTexts, text)
 }
 
 // takeUpdate ends an input: each server that was queued is published once, in its latest state.
