--- a/internal/capacity/cases.go
+++ b/internal/capacity/cases.go
@@ -13,7 +13,7 @@
 	scale.HeapBytes, scale.RelayEventsPerSecond, scale.ProxiesAssigned}
 
 // axesOfManager are the axes along which those costs are summed.
-var axesOfManager = []scale.Axis{scale.Servers, scale.Proxies, scale.Zones, scale.TrafficGroups, scale.ListChanges, scale.Reports, scale.RestartsAtOnce}
+var axesOfManager = []scale.Axis{scale.Servers, scale.Proxies, scale.Zones, scale.TrafficClasses, scale.ListChanges, scale.Reports, scale.RestartsAtOnce}
 
 // writePlanSize holds the sums of slopes against managers that were measured at the plan's size.
 func (m *Model) writePlanSize(w io.Writer) {
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -68,10 +68,10 @@
 // managerSizes is the fleet as one manager sees it.
 func (m *Model) managerSizes(h serverCounts) Sizes {
 	return Sizes{
-		scale.Servers:       h.held,
-		scale.Proxies:       float64(m.Plan.Managers.Proxies),
-		scale.Zones:         float64(m.Plan.Fleet.Zones),
-		scale.TrafficGroups: float64(m.Plan.Managers.TrafficClasses),
+		scale.Servers:        h.held,
+		scale.Proxies:        float64(m.Plan.Managers.Proxies),
+		scale.Zones:          float64(m.Plan.Fleet.Zones),
+		scale.TrafficClasses: float64(m.Plan.Managers.TrafficClasses),
 	}
 }
 
--- a/internal/scale/format_test.go
+++ b/internal/scale/format_test.go
@@ -99,7 +99,7 @@
 		}
 	}
 	axes := map[Axis]string{
-		Servers: "servers", Proxies: "proxies", Zones: "zones", TrafficGroups: "traffic-groups", Managers: "managers",
+		Servers: "servers", Proxies: "proxies", Zones: "zones", TrafficClasses: "traffic-groups", Managers: "managers",
 		Processes: "real-processes", Connections: "connections", ListChanges: "list-changes-per-second",
 		Reports: "reports-per-second", RestartsAtOnce: "restarts-at-once", OpeningListSize: "opening-list-size",
 	}
--- a/internal/scale/limits.go
+++ b/internal/scale/limits.go
@@ -11,7 +11,7 @@
 const (
 	mib       = 1 << 20
 	maxMemory = 12 << 10 * mib // bytes that a run may hold, or half of the machine's memory where that is less
-	// ReadersMost is the largest number of connections that a run opens at once: what a control machine of the plan
+	// MaxReaders is the largest number of connections that a run opens at once: what a control machine of the plan
 	// serves while two of seven are lost, and some more.
 	MaxReaders    = 1200
 	garbageFactor = 2 // times what is held: the heap between two collections
--- a/internal/scale/plansize.go
+++ b/internal/scale/plansize.go
@@ -7,62 +7,83 @@
 
 // The plan's size for one manager, and the list of one that holds a subset of it.
 const (
-	planServers   = 24_000
-	planZones     = 88
-	planProxies   = 480
-	planZoneShare = 273 // servers of a zone, 24,000 over 88
-	subsetServers = 400 // the home zone's and some of each other zone
-	blockServers  = 190 // of a zone that is one block: a server with less than 0.005 of a table gets no line in it
+	planServers        = 24_000
+	planZones          = 88
+	planProxies        = 480
+	planServersPerZone = 273 // 24,000 over 88
+	subsetServers      = 400 // the home zone's and some of each other zone
+	oneShardServers    = 190 // of a zone that is one shard: a server with less than 0.005 of a table gets no weight in it
 )
 
-// planCases are the scenarios that show what the length of a manager's list costs at the plan's size.
+// planCase is a scenario at the plan's size, by name.
+type planCase struct {
+	name     string
+	scenario Scenario
+}
+
+// planCases show what the length of a manager's list costs at the plan's size.
 func planCases(seed uint64) []planCase {
-	whole := Reference()
-	whole.Seed, whole.Servers, whole.Zones, whole.Proxies = seed, planServers, planZones, planProxies
-	home := whole
-	home.HomeServers, home.HomeProxies = planZoneShare, true
-	twoBlocks := whole
-	twoBlocks.Proxies = 2 * planProxies
-	subset := home
+	completeList := Reference()
+	completeList.Seed = seed
+	completeList.Servers = planServers
+	completeList.Zones = planZones
+	completeList.Proxies = planProxies
+
+	oneProxyZone := completeList
+	oneProxyZone.HomeServers = planServersPerZone
+	oneProxyZone.HomeProxies = true
+
+	twiceTheProxies := completeList
+	twiceTheProxies.Proxies = 2 * planProxies
+
+	subset := oneProxyZone
 	subset.Servers = subsetServers
-	oneBlock := subset
-	oneBlock.HomeServers = blockServers
-	oneZone := oneBlock
-	oneZone.Servers, oneZone.Zones, oneZone.HomeServers = planZoneShare, 1, 0
+
+	oneShard := subset
+	oneShard.HomeServers = oneShardServers
+
+	oneZone := oneShard
+	oneZone.Servers = planServersPerZone
+	oneZone.Zones = 1
+	oneZone.HomeServers = 0
+
 	return []planCase{
-		{"whole list, 480 proxies in all zones", whole},
-		{"whole list, 480 proxies in one zone", home},
-		{"whole list, 960 proxies in all zones", twoBlocks},
+		{"whole list, 480 proxies in all zones", completeList},
+		{"whole list, 480 proxies in one zone", oneProxyZone},
+		{"whole list, 960 proxies in all zones", twiceTheProxies},
 		{"subset of 400 with a home zone of 273, 480 proxies", subset},
-		{"subset of 400 with a home zone of 190, 480 proxies", oneBlock},
+		{"subset of 400 with a home zone of 190, 480 proxies", oneShard},
 		{"subset of 273 in one zone alone, 480 proxies", oneZone},
 	}
 }
 
-type planCase struct {
-	name     string
-	scenario Scenario
-}
-
+// measurePlanSize measures hollow managers at the plan's size.
 func measurePlanSize(ctx context.Context, options Options) ([]PlanSizeCase, error) {
 	var cases []PlanSizeCase
-	for _, one := range planCases(options.Seed) {
-		fmt.Fprintf(options.Progress, "plan's size: %s: %d runs\n", one.name, options.Runs)
-		samples, err := measure(ctx, one.scenario, options.Runs)
+	for _, c := range planCases(options.Seed) {
+		fmt.Fprintf(options.Progress, "plan's size: %s: %d runs\n", c.name, options.Runs)
+		samples, err := measure(ctx, c.scenario, options.Runs)
 		if err != nil {
 			return nil, err
 		}
-		cases = append(cases, caseOf(one, samples))
+		cases = append(cases, c.result(samples))
 	}
 	return cases, nil
 }
 
-func caseOf(one planCase, samples []sample) PlanSizeCase {
-	result := PlanSizeCase{Name: one.name, Sizes: one.scenario.sizes(), HomeServers: one.scenario.HomeServers, Costs: map[Cost]float64{},
-		Spread: map[Cost]float64{}}
+// result is the median and the spread of each cost.
+func (c planCase) result(samples []sample) PlanSizeCase {
+	result := PlanSizeCase{
+		Name:        c.name,
+		Sizes:       c.scenario.sizes(),
+		HomeServers: c.scenario.HomeServers,
+		Costs:       map[Cost]float64{},
+		Spread:      map[Cost]float64{},
+	}
 	for cost := range samples[0] {
 		point := pointOf(0, cost, samples)
-		result.Costs[cost], result.Spread[cost] = Median(point.Runs), spread([]Point{point})
+		result.Costs[cost] = point.Median()
+		result.Spread[cost] = spread([]Point{point})
 	}
 	return result
 }
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -34,7 +34,8 @@
 func writePlot(path string, slope Slope) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %s, worst %.0f%% off", slope.Cost, slope.Shape, 100*slope.WorstError)
-	p.X.Label.Text, p.Y.Label.Text = string(slope.Axis), slope.Unit
+	p.X.Label.Text = string(slope.Axis)
+	p.Y.Label.Text = slope.Unit
 	points, err := plotter.NewScatter(runsOf(slope))
 	if err != nil {
 		return err
@@ -58,12 +59,10 @@
 }
 
 func curveOf(slope Slope) (points plotter.XYs) {
-	least, most := slope.Points[0].Size, slope.Points[0].Size
-	for _, point := range slope.Points {
-		least, most = min(least, point.Size), max(most, point.Size)
-	}
+	smallest := slope.SmallestSize()
+	largest := slope.LargestSize()
 	for i := range curvePoints {
-		size := least + (most-least)*float64(i)/(curvePoints-1)
+		size := smallest + (largest-smallest)*float64(i)/(curvePoints-1)
 		points = append(points, plotter.XY{X: size, Y: slope.At(size)})
 	}
 	return points
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -35,7 +35,7 @@
 	scenario.Servers = servers
 	scenario.Proxies = proxies
 	scenario.Zones = 3
-	scenario.TrafficGroups = 2
+	scenario.TrafficClasses = 2
 	scenario.ListChanges = 0
 	return scenario
 }
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -1,6 +1,8 @@
 package scale
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -72,11 +74,31 @@
 			t.Errorf("%s: %v, %q is due", name, err, one.want)
 		}
 	}
-	if _, err := ReadReport(filepath.Join(dir, "none.json")); err == nil || !strings.Contains(err.Error(), "none.json") {
+	if _, err := ReadReport(filepath.Join(dir, "none.json")); !errors.Is(err, fs.ErrNotExist) || !strings.Contains(err.Error(), "none.json") {
 		t.Errorf("no file: %v", err)
 	}
 }
 
+func TestErrorsOfReportsAreTyped(t *testing.T) {
+	for _, one := range []struct {
+		name, text string
+		want       error
+		key        string
+	}{
+		{"cut short", `{"version": 1, "seed"`, ErrTruncated, "version"},
+		{"no version", `{}`, ErrMissing, "version"},
+		{"no slopes", `{"version": 1, "reference": {"servers": 1}}`, ErrMissing, "slopes"},
+		{"out of range", `{"version": 1, "reference": {"servers": 1}, "slopes": [{"cost": "c", "axis": "servers", "shape": "linear", "base": -1}]}`,
+			ErrOutOfRange, "slopes[0].base"},
+	} {
+		_, err := ParseReport("f", []byte(one.text))
+		var report *ReportError
+		if !errors.Is(err, one.want) || !errors.As(err, &report) || report.File != "f" || report.Line != 1 || report.Key != one.key {
+			t.Errorf("%s: %v", one.name, err)
+		}
+	}
+}
+
 func TestEachFieldOfASlopeIsChecked(t *testing.T) {
 	for field, spoil := range map[string]func(*Slope){
 		"base":           func(s *Slope) { s.Base = -1 },
@@ -87,8 +109,8 @@
 	} {
 		report := sound()
 		spoil(&report.Slopes[0])
-		if got, what := report.invalidField(); got != "slopes[0]."+field || what == "" {
-			t.Errorf("%s: %q %s", field, got, what)
+		if got, err := report.problem(); got != "slopes[0]."+field || err == nil {
+			t.Errorf("%s: %q %v", field, got, err)
 		}
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -14,15 +14,15 @@
 type Options struct {
 	Axes     []Axis    // none: all
 	Sizes    []float64 // in place of the usual ones, on one axis of hollow managers or of real processes
-	Seed     uint64
-	Runs     int
-	Small    bool
-	Memory   Memory
-	Progress io.Writer
-	Program  string // started as a real manager and as the control side; none: neither is measured
+	Seed     uint64    // settles all that is drawn
+	Runs     int       // at each size
+	Small    bool      // fewer and smaller sizes
+	Memory   Memory    // limit of what may be held
+	Progress io.Writer // gets a line for each size
+	Program  string    // started as a real manager and as the control side; none: neither is measured
 }
 
-// Validate tells what of the options can't be.
+// Validate returns an error that names the first option that is out of range.
 func (o Options) Validate() error {
 	for _, axis := range o.Axes {
 		if !slices.Contains(Axes(), axis) {
@@ -45,14 +45,20 @@
 
 const maxSize = 1e9
 
-// Run measures what the options ask for. A size that doesn't fit the limits is an error before anything is begun.
+// Run measures what the options ask for. A size that doesn't fit the limits is a LimitError before anything is begun.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if err := options.Validate(); err != nil {
 		return Report{}, err
 	}
 	reference := Reference()
 	reference.Seed = options.Seed
-	report := Report{Version: ReportVersion, Seed: options.Seed, Cores: runtime.NumCPU(), GoVersion: runtime.Version(), Reference: reference.sizes()}
+	report := Report{
+		Version:   ReportVersion,
+		Seed:      options.Seed,
+		Cores:     runtime.NumCPU(),
+		GoVersion: runtime.Version(),
+		Reference: reference.sizes(),
+	}
 	run := &session{options: options, reference: reference}
 	wanted := run.wanted()
 	for _, s := range wanted {
@@ -90,7 +96,7 @@
 	return all
 }
 
-// survey measures one cost after the other along an axis, size by size.
+// measureSurvey measures all costs along an axis, size by size, and fits a slope to each.
 func (r *session) measureSurvey(ctx context.Context, s survey) ([]Slope, error) {
 	points := map[Cost][]Point{}
 	for _, size := range s.sizes {
@@ -114,7 +120,7 @@
 	return slopes, nil
 }
 
-// beside measures what is no slope, in a whole run: the plan's size, and real processes.
+// measureBeside measures what is no slope, in a full run: the plan's size, and real processes.
 func (r *session) measureBeside(ctx context.Context, report *Report) (err error) {
 	if len(r.options.Axes) > 0 || r.options.Small {
 		return nil
@@ -128,6 +134,7 @@
 	return err
 }
 
+// pointOf is a cost at a size, with all runs.
 func pointOf(size float64, cost Cost, samples []sample) Point {
 	point := Point{Size: size}
 	for _, one := range samples {
@@ -138,7 +145,17 @@
 
 // sizes are a scenario's by axis.
 func (s Scenario) sizes() map[Axis]float64 {
-	return map[Axis]float64{Servers: float64(s.Servers), Proxies: float64(s.Proxies), Zones: float64(s.Zones),
-		TrafficGroups: float64(s.TrafficGroups), ListChanges: s.ListChanges, Reports: s.Reports, RestartsAtOnce: float64(s.RestartsAtOnce),
-		OpeningListSize: float64(s.Servers), Managers: 1, Processes: 1, Connections: 1}
+	return map[Axis]float64{
+		Servers:         float64(s.Servers),
+		Proxies:         float64(s.Proxies),
+		Zones:           float64(s.Zones),
+		TrafficClasses:  float64(s.TrafficClasses),
+		ListChanges:     s.ListChanges,
+		Reports:         s.Reports,
+		RestartsAtOnce:  float64(s.RestartsAtOnce),
+		OpeningListSize: float64(s.Servers),
+		Managers:        1,
+		Processes:       1,
+		Connections:     1,
+	}
 }
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -14,9 +14,9 @@
 // Scenario is the size of a fleet and of what happens in it, as one manager sees it.
 type Scenario struct {
 	Servers        int
-	Proxies        int // that this manager steers
+	Proxies        int // of this manager
 	Zones          int
-	TrafficGroups  int
+	TrafficClasses int
 	ListChanges    float64 // a second, of one server each
 	Reports        float64 // a second: half on servers, half on proxies
 	RestartsAtOnce int     // servers in one change of the list
@@ -25,13 +25,22 @@
 	HomeProxies    bool // all proxies are in the first zone, else they are spread evenly
 }
 
-// Reference is the scenario whose figures stand while one axis grows.
+// Reference is the scenario whose sizes stay while one axis grows.
 func Reference() Scenario {
-	return Scenario{Servers: 600, Proxies: 1000, Zones: 8, TrafficGroups: 3, ListChanges: 1, Reports: 200, RestartsAtOnce: 1, Seed: 1}
+	return Scenario{
+		Servers:        600,
+		Proxies:        1000,
+		Zones:          8,
+		TrafficClasses: 3,
+		ListChanges:    1,
+		Reports:        200,
+		RestartsAtOnce: 1,
+		Seed:           1,
+	}
 }
 
 const (
-	requestsPerReport = 3    // that each collector's line tells of: so few that no server is missed between two lines on it
+	requestsPerReport = 3    // so few that no server is missed between two reports on it
 	memoryMB          = 4096 // told to each manager: far above what it needs, so that it changes nothing
 	maxSockets        = 4096
 	firstVersion      = 41
@@ -46,8 +55,8 @@
 		s.Proxies = int(size)
 	case Zones:
 		s.Zones = int(size)
-	case TrafficGroups:
-		s.TrafficGroups = int(size)
+	case TrafficClasses:
+		s.TrafficClasses = int(size)
 	case ListChanges:
 		s.ListChanges = size
 	case Reports:
@@ -58,7 +67,7 @@
 	return s
 }
 
-// flows is how many a second come to all proxies: as many as the reports tell of.
+// requestRate is how many requests a second come to all proxies: as many as the reports tell of.
 func (s Scenario) requestRate() float64 { return requestsPerReport * s.Reports / 2 }
 
 // site is the deployment that a scenario stands for, in the words of the platform's configuration.
@@ -70,17 +79,28 @@
 		site.Zones = append(site.Zones, fmt.Sprintf("z-%02d", zone))
 	}
 	site.TrafficClasses = nil
-	for group := range s.TrafficGroups {
-		site.TrafficClasses = append(site.TrafficClasses, fakes.TrafficClass{Name: fmt.Sprintf("g-%02d", group), LatencyObjective: 2 * time.Second,
-			Deadline: 6 * time.Second, PriorityWeight: float64(1 + group), Idempotency: "idempotent", TrafficShare: 1 / float64(s.TrafficGroups)})
+	for class := range s.TrafficClasses {
+		site.TrafficClasses = append(site.TrafficClasses, fakes.TrafficClass{
+			Name:             fmt.Sprintf("g-%02d", class),
+			LatencyObjective: 2 * time.Second,
+			Deadline:         6 * time.Second,
+			PriorityWeight:   float64(1 + class),
+			Idempotency:      "idempotent",
+			TrafficShare:     1 / float64(s.TrafficClasses),
+		})
 	}
 	return site
 }
 
-// entry is a server's line of the list.
+// endpoint is a server's entry of the list.
 func (s Scenario) endpoint(site fakes.Site, server int, lifecycle string) fakes.Endpoint {
-	return fakes.Endpoint{ID: fakes.ServerID(server), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", server>>16, server>>8&255, server&255),
-		Zone: s.zoneOfServer(site, server), Lifecycle: lifecycle, Weight: 1}
+	return fakes.Endpoint{
+		ID:        fakes.ServerID(server),
+		HostPort:  fmt.Sprintf("10.%d.%d.%d:8080", server>>16, server>>8&255, server&255),
+		Zone:      s.zoneOfServer(site, server),
+		Lifecycle: lifecycle,
+		Weight:    1,
+	}
 }
 
 func (s Scenario) zoneOfServer(site fakes.Site, server int) string {
@@ -100,7 +120,7 @@
 	return site.Zone(proxy)
 }
 
-// wholeList is the list that tells all servers.
+// completeList is the list that holds all servers.
 func (s Scenario) completeList(site fakes.Site, version int) string {
 	list := fakes.EndpointList{Version: version, Complete: true}
 	for server := range s.Servers {
@@ -117,7 +137,7 @@
 	return string(text)
 }
 
-// start is what the manager of a scenario is told at its start: no server is known before the list is read.
+// managerConfig is what the manager of a scenario is told at its start: no server is known before the list is read.
 func (s Scenario) managerConfig(site fakes.Site) (config.Config, error) {
 	dir, err := os.MkdirTemp("", "tamarindshore-scale-")
 	if err != nil {
@@ -125,8 +145,8 @@
 	}
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "start.json")
-	text := site.Start("n1", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", fakes.EndpointList{Complete: true, Endpoints: []fakes.Endpoint{}}, s.Seed, 1,
-		memoryMB, maxSockets)
+	noEndpoints := fakes.EndpointList{Complete: true, Endpoints: []fakes.Endpoint{}}
+	text := site.Start("n1", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", noEndpoints, s.Seed, 1, memoryMB, maxSockets)
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return config.Config{}, err
 	}
--- a/internal/scale/scripts_test.go
+++ b/internal/scale/scripts_test.go
@@ -40,8 +40,8 @@
 		name     string
 		scenario Scenario
 	}{
-		{"spread", Scenario{Servers: 24, Proxies: 40, Zones: 3, TrafficGroups: 2, ListChanges: 3, Reports: 60, RestartsAtOnce: 2, Seed: 7}},
-		{"home", Scenario{Servers: 60, Proxies: 20, Zones: 4, TrafficGroups: 1, ListChanges: 1, Reports: 40, RestartsAtOnce: 1, Seed: 3,
+		{"spread", Scenario{Servers: 24, Proxies: 40, Zones: 3, TrafficClasses: 2, ListChanges: 3, Reports: 60, RestartsAtOnce: 2, Seed: 7}},
+		{"home", Scenario{Servers: 60, Proxies: 20, Zones: 4, TrafficClasses: 1, ListChanges: 1, Reports: 40, RestartsAtOnce: 1, Seed: 3,
 			HomeServers: 30, HomeProxies: true}},
 	} {
 		for _, quiet := range []bool{false, true} {
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -15,7 +15,7 @@
 	Servers         Axis = "servers"
 	Proxies         Axis = "proxies"
 	Zones           Axis = "zones"
-	TrafficGroups   Axis = "traffic-groups"
+	TrafficClasses  Axis = "traffic-groups"
 	Managers        Axis = "managers"       // that read one list
 	Processes       Axis = "real-processes" // managers as processes of their own, on loopback, that read one list
 	Connections     Axis = "connections"    // to one real process
@@ -136,6 +136,24 @@
 	Points     []Point `json:"points"`
 }
 
+// SmallestSize is the smallest size that was measured; +Inf where none was.
+func (s Slope) SmallestSize() float64 {
+	smallest := math.Inf(1)
+	for _, p := range s.Points {
+		smallest = min(smallest, p.Size)
+	}
+	return smallest
+}
+
+// LargestSize is the largest size that was measured; 0 where none was.
+func (s Slope) LargestSize() float64 {
+	largest := 0.0
+	for _, p := range s.Points {
+		largest = max(largest, p.Size)
+	}
+	return largest
+}
+
 // At is the fitted cost at a size.
 func (s Slope) At(size float64) float64 { return s.Base + s.PerUnit*s.Shape.Of(size) }
 
--- a/internal/scale/subset_read.go
+++ b/internal/scale/subset_read.go
@@ -8,7 +8,7 @@
 	"tamarindshore/internal/node"
 )
 
-// spillServers is how many servers of other zones the manager holds whose reading of a whole list is measured.
+// spillOfSubset is how many servers of other zones the manager holds whose reading of a whole list is measured.
 const spillOfSubset = 100
 
 // subsetScenario is a fleet of so many servers in the plan's zones, of which a manager needs one zone and some others.
@@ -22,8 +22,9 @@
 }
 
 // measureSubsetRead measures the processor time in which a manager reads a whole list and takes its subset of it: the
-// list is decoded, the first proxy joins, and the decisions hear of the servers that it needs.
-func measureSubsetRead(ctx context.Context, scenario Scenario, runs int) (samples []sample, err error) {
+// list is decoded, the first proxy connects, and the decisions are told the servers that it needs.
+func measureSubsetRead(ctx context.Context, scenario Scenario, runs int) ([]sample, error) {
+	var samples []sample
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for range runs {
@@ -41,12 +42,12 @@
 
 func subsetRead(scenario Scenario) (time.Duration, error) {
 	site := scenario.site()
-	start, err := scenario.managerConfig(site)
+	config, err := scenario.managerConfig(site)
 	if err != nil {
 		return 0, err
 	}
-	start.Spill = spillOfSubset
-	manager, err := node.NewHollowManager(start, scriptEpoch)
+	config.Spill = spillOfSubset
+	manager, err := node.NewHollowManager(config, scriptEpoch)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/scale/surveys.go
+++ b/internal/scale/surveys.go
@@ -41,7 +41,7 @@
 	managerSurvey(Servers, []float64{60, 240, 600, 2400, 6000, 24000}, []float64{60, 240, 600, 2400}, managerCosts),
 	managerSurvey(Proxies, []float64{40, 200, 1000, 4000}, []float64{40, 200, 1000, 2000}, managerCosts),
 	managerSurvey(Zones, []float64{1, 4, 8, 24, 100}, []float64{1, 4, 8, 24}, managerCosts),
-	managerSurvey(TrafficGroups, []float64{1, 3, 10, 60}, []float64{1, 3, 10, 30}, managerCosts),
+	managerSurvey(TrafficClasses, []float64{1, 3, 10, 60}, []float64{1, 3, 10, 30}, managerCosts),
 	managerSurvey(ListChanges, []float64{1, 3, 10, 30, 100}, []float64{1, 3, 10, 30}, busyCosts),
 	managerSurvey(Reports, []float64{20, 200, 2000, 20000}, []float64{20, 60, 200, 2000}, busyCosts),
 	managerSurvey(RestartsAtOnce, []float64{1, 10, 30, 100, 300}, []float64{1, 3, 10, 30},
