--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -18,7 +18,7 @@
 	Propagation            Resource = "change in force"
 )
 
-// Check holds one role's load in one situation against one budget.
+// Check compares one role's load in one situation with one budget.
 type Check struct {
 	Situation string
 	Role      Role
@@ -32,7 +32,7 @@
 
 const bytesPerMB = 1 << 20
 
-// Checks holds all roles that have a budget against it, in the order of the situations.
+// Checks compares all roles that have a budget with it, in the order of the situations.
 func (m *Model) Checks() []Check {
 	situations := m.Plan.situations()
 	all := []Check{m.check(Manager, Memory, situations[0])} // it is the same in all
@@ -73,24 +73,36 @@
 }
 
 func (m *Model) budget(role Role, resource Resource) float64 {
-	b, c := m.Plan.Budgets, m.Plan.Control
-	switch {
-	case role == ControlMachine && resource == CoreStrict:
+	if role == ControlMachine {
+		return m.Plan.Control.budget(resource)
+	}
+	return m.Plan.Budgets.budget(resource)
+}
+
+// budget is what one control machine has of a resource.
+func (c ControlMachines) budget(resource Resource) float64 {
+	switch resource {
+	case CoreStrict:
 		return float64(c.Cores)
-	case role == ControlMachine && resource == Memory:
+	case Memory:
 		return c.MemoryMB * bytesPerMB
-	case role == ControlMachine:
-		return c.BytesPerSecond
-	case resource == CoreStrict, resource == CoreWithoutCollectors:
+	}
+	return c.BytesPerSecond
+}
+
+// budget is what one manager may spend of a resource.
+func (b Budgets) budget(resource Resource) float64 {
+	switch resource {
+	case CoreStrict, CoreWithoutCollectors:
 		return b.Core
-	case resource == Memory:
+	case Memory:
 		return b.MemoryMB * bytesPerMB
 	}
 	return b.BytesPerSecond
 }
 
-// Ranking is the checks whose mechanism is missing, the worst first by what is spent with the whole list. It chooses the
-// mechanism that is built first.
+// Ranking is the checks whose mechanism is missing, the worst first by what is spent with the whole list. The mechanism
+// of the first is built first.
 func Ranking(all []Check) []Check {
 	var ranked []Check
 	for _, c := range all {
@@ -98,9 +110,7 @@
 			ranked = append(ranked, c)
 		}
 	}
-	slices.SortStableFunc(ranked, func(a, b Check) int {
-		return cmp.Compare(b.Ratio[WholeList].Value, a.Ratio[WholeList].Value)
-	})
+	sortWorstFirst(ranked)
 	return ranked
 }
 
@@ -113,10 +123,15 @@
 			passed = append(passed, c)
 		}
 	}
-	slices.SortStableFunc(passed, func(a, b Check) int {
+	sortWorstFirst(passed)
+	return passed
+}
+
+// sortWorstFirst sorts checks by what is spent with the whole list.
+func sortWorstFirst(checks []Check) {
+	slices.SortStableFunc(checks, func(a, b Check) int {
 		return cmp.Compare(b.Ratio[WholeList].Value, a.Ratio[WholeList].Value)
 	})
-	return passed
 }
 
 // ExceededBudgets are the checks that exceed their budget in a scope.
--- a/internal/capacity/cases.go
+++ b/internal/capacity/cases.go
@@ -94,5 +94,5 @@
 	if len(runs) == 0 {
 		return unmeasured
 	}
-	return how(median(runs))
+	return how(scale.Median(runs))
 }
--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -7,13 +7,17 @@
 	return (float64(m.Plan.Fleet.Managers) - s.LostManagers) / s.ControlMachines
 }
 
-// controlMachine is a machine that tells the list to its part of all managers.
+// controlMachine is a machine that serves the list to its part of all managers.
 func (m *Model) controlMachine(s Situation, scope Scope) Load {
-	p, readers, h := m.Plan, m.readers(s), m.Plan.normalServerCounts(scope)
-	told := s // the machine itself hears each change, and tells what changes; what was missed is told apart
-	told.MissedEntries = 0
-	heard, changes := p.listChanges(told, 1), p.listChanges(told, h.sentShare(false))
-	opens, resumes := s.OpeningManagers/s.ControlMachines/s.Window, s.ResumingManagers/s.ControlMachines/s.Window
+	p := m.Plan
+	readers := m.readers(s)
+	h := p.normalServerCounts(scope)
+	live := s // the machine itself hears each change, and tells it; what readers missed is counted apart
+	live.MissedEntries = 0
+	heard := p.listChanges(live, 1)
+	changes := p.listChanges(live, h.sentShare(false))
+	opens := s.OpeningManagers / s.ControlMachines / s.Window
+	resumes := s.ResumingManagers / s.ControlMachines / s.Window
 	load := Load{
 		State:       stateOf(float64(p.Fleet.Servers), "servers") + ", " + stateOf(readers, "readers"),
 		MessagesIn:  known(heard.lines/s.Window + opens + resumes),
@@ -33,8 +37,8 @@
 	return load
 }
 
-// controlCore is what a control machine spends: what its readers' openings cost, the changes that it tells them, and its
-// signs of life. Where these were not measured it is the least.
+// controlCore is what a control machine spends: its readers' openings, the changes that it tells them, and its heartbeats.
+// Where some of these were not measured it is a lower bound.
 func (m *Model) controlCore(s Situation, h serverCounts, opens, changes float64) Figure {
 	opening := m.cost(scale.ControlCPUPerManager, m.controlSizes(scale.ControlCPUPerManager, s, h))
 	telling := m.cost(scale.ControlCPUPerChange, m.controlSizes(scale.ControlCPUPerChange, s, h))
@@ -49,7 +53,7 @@
 	return sizes
 }
 
-// agent passes on what discovery tells to the manager beside it. There is none in this repository, so its own costs are
+// agent forwards what discovery tells to the manager beside it. There is none in this repository, so its own costs are
 // not measured.
 func (m *Model) agent(s Situation, scope Scope) Load {
 	h := m.Plan.serverCounts(s, scope)
--- a/internal/capacity/list_change.go
+++ b/internal/capacity/list_change.go
@@ -22,7 +22,7 @@
 	return listChanges{lines, entries / lines}
 }
 
-// bytesOfChanges is what changes of the list come to on the wire.
+// listChangeBytes is what changes of the list come to on the wire.
 func (m *Model) listChangeBytes(c listChanges) Figure {
 	if c.lines == 0 {
 		return known(0)
@@ -31,14 +31,14 @@
 	return m.recordSource(source).times(c.lines)
 }
 
-// coreOfChange is what one line of changes costs a manager. A line of more entries than were measured is counted as no
+// listChangeCore is what one line of changes costs a manager. A line of more entries than were measured is counted as no
 // dearer than an opening, which takes all entries that the manager holds.
 func (m *Model) listChangeCore(h serverCounts, entries float64) Figure {
 	sizes := m.managerSizes(h)
 	sizes[scale.RestartsAtOnce] = entries
 	change := m.cost(scale.CPUPerListChange, sizes)
 	measured, found := m.Costs.report.Find(scale.CPUPerListChange, scale.RestartsAtOnce)
-	if !found || entries <= largest(measured) {
+	if !found || entries <= measured.LargestSize() {
 		return change
 	}
 	if opening := m.cost(scale.CPUPerOpening, m.openingSizes(h)); opening.Known && opening.Value < change.Value {
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -9,9 +9,13 @@
 	standingConnections = 3 // watch, news, the call under way
 )
 
-// inputs are the messages that a manager takes in, a second.
+// inputs are the messages that come to a manager, by kind, a second.
 type inputs struct {
-	loadReports, usageReports, relayEvents, listLines, healthChecks float64
+	loadReports  float64
+	usageReports float64
+	relayEvents  float64
+	listLines    float64
+	healthChecks float64 // answers
 }
 
 // decisions is how many of them the decisions hear, beside the list.
@@ -37,7 +41,8 @@
 	return in
 }
 
-// newsPerSecond is how many events of the relay come: mostly answers to marks, more where tables change more.
+// relayEvents is how many events of the relay come a second: mostly acknowledgements of barriers, more where tables
+// change more.
 func (m *Model) relayEvents(h serverCounts, in inputs) float64 {
 	if !m.Costs.measured(scale.RelayEventsPerSecond) {
 		return callsPerSecond
@@ -46,7 +51,8 @@
 }
 
 func (m *Model) manager(s Situation, scope Scope) Load {
-	p, h := m.Plan, m.Plan.serverCounts(s, scope)
+	p := m.Plan
+	h := p.serverCounts(s, scope)
 	in := m.managerInputs(s, h)
 	load := Load{
 		State:       stateOf(h.held, "servers") + ", " + stateOf(float64(p.Managers.Proxies), "proxies"),
@@ -170,7 +176,7 @@
 	return m.bytesAt(scale.BytesOfCalls, m.busySizes(h, in, changes), m.Plan.Messages.Calls)
 }
 
-// probeBytes counts a silent server's probe as the packet that opens its connection, which nobody answers.
+// healthCheckBytes counts a silent server's probe as the packet that opens its connection, which nobody answers.
 func (m *Model) healthCheckBytes(s Situation, in inputs) Figure {
 	if s.RecoveringServers > 0 {
 		return m.bytesOf(scale.BytesOfHealthCheck, m.Plan.Messages.HealthCheck).times(in.healthChecks)
@@ -182,7 +188,7 @@
 	return min(float64(m.Plan.Managers.MaxHealthChecks), perSecond*m.Plan.Managers.HealthCheckTimeout.Seconds())
 }
 
-// openingOrders is what a manager that starts tells its proxies: the tables of their zones, and a binding for each.
+// openingCommands is what a manager that starts tells its proxies: the tables of their zones, and a binding for each.
 func (m *Model) openingCommands(s Situation, h serverCounts) Figure {
 	if !s.Opens {
 		return known(0)
--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -8,8 +8,9 @@
 	"strings"
 )
 
-// WriteTables writes all tables of the page as Markdown, and tells which budgets are passed in the scope that is judged.
-func (m *Model) WriteTables(w io.Writer) (passed []Check) {
+// WriteTables writes all tables of the page as Markdown. It returns the checks that exceed their budget in the scope that
+// the plan judges.
+func (m *Model) WriteTables(w io.Writer) (exceeded []Check) {
 	checks := m.Checks()
 	m.writeAssumptions(w)
 	m.writeTail(w)
@@ -27,9 +28,9 @@
 	m.writeProcesses(w)
 	m.writePropagation(w)
 	m.writeFleets(w)
-	passed = ExceededBudgets(checks, m.Plan.Judged)
-	m.writeVerdict(w, passed)
-	return passed
+	exceeded = ExceededBudgets(checks, m.Plan.Judged)
+	m.writeVerdict(w, exceeded)
+	return exceeded
 }
 
 func writeHeading(w io.Writer, title string) { fmt.Fprintf(w, "\n### %s\n\n", title) }
@@ -147,9 +148,15 @@
 
 func (m *Model) loadCells(role Role, s Situation, scope Scope) []string {
 	l := m.Load(role, s, scope)
-	return []string{l.State, formatFigure(l.MessagesIn, formatNumber) + " / " + formatFigure(l.MessagesOut, formatNumber),
-		formatFigure(l.BytesIn, formatBytes) + " / " + formatFigure(l.BytesOut, formatBytes), formatFigure(l.Core, formatPercent), formatFigure(l.Memory, formatBytes),
-		formatFigure(l.Connections, formatNumber), m.worst(role, l)}
+	return []string{
+		l.State,
+		formatFigure(l.MessagesIn, formatNumber) + " / " + formatFigure(l.MessagesOut, formatNumber),
+		formatFigure(l.BytesIn, formatBytes) + " / " + formatFigure(l.BytesOut, formatBytes),
+		formatFigure(l.Core, formatPercent),
+		formatFigure(l.Memory, formatBytes),
+		formatFigure(l.Connections, formatNumber),
+		m.worst(role, l),
+	}
 }
 
 // worst is the largest ratio of a load to a budget of its role, and which.
@@ -157,13 +164,16 @@
 	if role != Manager && role != ControlMachine {
 		return "no budget"
 	}
-	most, name := 0.0, ""
+	worst := 0.0
+	var worstResource Resource
 	for _, resource := range []Resource{CoreStrict, Memory, BytesStrict} {
-		if f := m.spending(l, resource); f.Value/m.budget(role, resource) >= most {
-			most, name = f.Value/m.budget(role, resource), string(resource)
+		ratio := m.spending(l, resource).Value / m.budget(role, resource)
+		if ratio >= worst {
+			worst = ratio
+			worstResource = resource
 		}
 	}
-	return formatNumber(most) + " (" + name + ")"
+	return fmt.Sprintf("%s (%s)", formatNumber(worst), worstResource)
 }
 
 // writeProxies shows the assumption that weighs most at a third and at three times.
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -10,7 +10,7 @@
 	Missing Status = "missing"
 )
 
-// Mechanism is what carries a load, by its standard name.
+// Mechanism is what makes a load bearable, by its standard name.
 type Mechanism struct {
 	Name   string
 	Status Status
@@ -30,7 +30,7 @@
 	delta      = Mechanism{"delta with resume", Stands, "`watchState` in `internal/node`: after the opening only changes come", false}
 )
 
-// carryingStrict is the mechanism that carries all bytes of a manager: that of collectors' lines where they are most.
+// mechanismForAllBytes is the mechanism that carries all bytes of a manager: that of collectors' lines where they are most.
 func mechanismForAllBytes(l Load, s Situation) Mechanism {
 	if l.CollectorBytes.Value > l.bytes().Value/2 {
 		return aggregate
@@ -38,7 +38,7 @@
 	return mechanismFor(Manager, BytesWithoutCollectors, s)
 }
 
-// carrying is the mechanism that carries a resource of a role in a situation.
+// mechanismFor is the mechanism that carries a resource of a role in a situation.
 func mechanismFor(role Role, resource Resource, s Situation) Mechanism {
 	if role == ControlMachine {
 		return mechanismForControl(resource, s)
--- a/internal/capacity/other_roles.go
+++ b/internal/capacity/other_roles.go
@@ -8,7 +8,8 @@
 // relay carries the calls of the managers of its zone to their proxies.
 func (m *Model) relay(s Situation, scope Scope) Load {
 	p := m.Plan
-	managers, h := p.perRelay(), p.serverCounts(s, scope)
+	managers := p.perRelay()
+	h := p.serverCounts(s, scope)
 	in := m.managerInputs(s, h)
 	calls := m.callBytes(h, in, p.listChanges(s, h.share(s.OutsideHome)).lines/s.Window).plus(m.openingCommands(s, h))
 	return Load{
--- a/internal/capacity/process.go
+++ b/internal/capacity/process.go
@@ -42,5 +42,5 @@
 }
 
 func overheadOf(c scale.ProcessCase) float64 {
-	return max(0, median(c.CPU)-median(c.HollowCPU))
+	return max(0, scale.Median(c.CPU)-scale.Median(c.HollowCPU))
 }
--- a/internal/capacity/propagation.go
+++ b/internal/capacity/propagation.go
@@ -2,30 +2,29 @@
 
 import "tamarindshore/internal/scale"
 
-// inForce holds the time until a change is in force at the last manager against its budget: alone, beside the openings
-// of all managers, and while two control machines are lost.
+// propagationChecks compare the time until a change is in force at the last manager with its budget: alone, during the
+// openings of all managers, and while two control machines are lost.
 func (m *Model) propagationChecks() []Check {
-	check := func(situation string, carried Mechanism, time func(Scope) Figure) Check {
-		c := Check{Situation: situation, Role: Manager, Resource: Propagation, Ratio: map[Scope]Figure{}, Mechanism: carried}
-		for _, scope := range Scopes {
-			c.Ratio[scope] = time(scope).times(1 / m.Plan.Budgets.MaxPropagation.Seconds())
-		}
-		return c
-	}
 	return []Check{
-		check("a change in a quiet second", subsetting, m.propagation),
-		check("a change beside all managers' openings", watchCache, m.propagationDuringOpenings),
-		check("a change as two control machines are lost", resume, m.propagationDuringControlLoss),
+		m.propagationCheck("a change in a quiet second", subsetting, m.propagation),
+		m.propagationCheck("a change beside all managers' openings", watchCache, m.propagationDuringOpenings),
+		m.propagationCheck("a change as two control machines are lost", resume, m.propagationDuringControlLoss),
 	}
 }
 
-// changeInForce is when the last manager's orders carry a change: as measured with managers of the smallest useful state,
+func (m *Model) propagationCheck(situation string, mechanism Mechanism, seconds func(Scope) Figure) Check {
+	budget := m.Plan.Budgets.MaxPropagation.Seconds()
+	ratio := perScope(func(scope Scope) Figure { return seconds(scope).times(1 / budget) })
+	return Check{Situation: situation, Role: Manager, Resource: Propagation, Ratio: ratio, Mechanism: mechanism}
+}
+
+// propagation is the seconds until the last manager's commands carry a change: as measured with managers of the smallest useful state,
 // and the longest decision of a manager of the plan's size, for which a change may wait, on its share of a core.
 func (m *Model) propagation(scope Scope) Figure {
 	return m.allManagers(scale.PropagationLast).plus(m.waitForDecision(scope))
 }
 
-// changeBesideOpenings is the same where all managers open as the change is told: as measured, or else the change alone
+// propagationDuringOpenings is the same where all managers open as the change is told: as measured, or else the change alone
 // and what a control machine needs for its openings.
 func (m *Model) propagationDuringOpenings(scope Scope) Figure {
 	if !m.Costs.measured(scale.PropagationDuringOpeningsLast) {
@@ -34,19 +33,19 @@
 	return m.afterListRead(scale.PropagationDuringOpeningsLast, scope)
 }
 
-// changeMachinesLost is the same where two control machines are lost as the change is told.
+// propagationDuringControlLoss is the same where two control machines are lost as the change is told.
 func (m *Model) propagationDuringControlLoss(scope Scope) Figure {
 	return m.afterListRead(scale.PropagationDuringControlLossLast, scope)
 }
 
-// afterReading is a time that was measured with managers that read a whole list of the plan's size and take a subset of
-// it, with the reading of another scope in its place.
+// afterListRead is a time that was measured with managers that read a complete list of the plan's size and take a subset
+// of it; the reading of a scope takes the place of theirs.
 func (m *Model) afterListRead(cost scale.Cost, scope Scope) Figure {
 	other := m.listReadTime(scope).plus(m.listReadTime(Subset).times(-1))
 	return m.allManagers(cost).plus(other.times(1 / m.Plan.Budgets.Core)).plus(m.waitForDecision(scope))
 }
 
-// reading is the processor time in which a manager reads the list that it is sent at an opening.
+// listReadTime is the processor time in which a manager reads the list that it is sent at an opening.
 func (m *Model) listReadTime(scope Scope) Figure {
 	h := m.Plan.normalServerCounts(scope)
 	if scope == Subset {
--- a/internal/capacity/propagation_page.go
+++ b/internal/capacity/propagation_page.go
@@ -6,10 +6,12 @@
 	"tamarindshore/internal/scale"
 )
 
-// circumstance is what happens as a change is told, and the costs that were measured of it.
+// propagationCase is what happens as a change is told, and the costs that were measured of it.
 type propagationCase struct {
-	name               string
-	median, tail, last scale.Cost
+	name   string
+	median scale.Cost
+	tail   scale.Cost
+	last   scale.Cost
 }
 
 var propagationCases = []propagationCase{
@@ -18,7 +20,7 @@
 	{"two of seven machines are lost", scale.PropagationDuringControlLossMedian, scale.PropagationDuringControlLossTail, scale.PropagationDuringControlLossLast},
 }
 
-// writeInForce shows the times until a change is in force, as measured.
+// writePropagation shows the times until a change is in force, as measured.
 func (m *Model) writePropagation(w io.Writer) {
 	writeHeading(w, "A change in force at hollow managers, as measured")
 	writeHeader(w, "as the change is told", "managers", "half of them", "99 in 100", "the last", "spread of runs of the last")
@@ -29,13 +31,14 @@
 			continue
 		}
 		for _, point := range last.Points {
-			writeRow(w, c.name, formatNumber(point.Size), m.measuredAt(c.median, scale.Managers, point.Size), m.measuredAt(c.tail, scale.Managers, point.Size),
-				formatSeconds(median(point.Runs)), formatPercent(last.Spread))
+			median := m.measuredAt(c.median, scale.Managers, point.Size)
+			tail := m.measuredAt(c.tail, scale.Managers, point.Size)
+			writeRow(w, c.name, formatNumber(point.Size), median, tail, formatSeconds(point.Median()), formatPercent(last.Spread))
 		}
 	}
 }
 
-// fleetCosts are shown of fleets of real processes, with the heading of each.
+// processFleetCosts are shown of fleets of real processes, with the heading of each.
 var processFleetCosts = []struct {
 	cost    scale.Cost
 	heading string
@@ -81,7 +84,7 @@
 	}
 	for _, point := range slope.Points {
 		if point.Size == size {
-			return formatCost(Source{Slopes: []scale.Slope{slope}, Value: known(median(point.Runs))})
+			return formatCost(Source{Slopes: []scale.Slope{slope}, Value: known(point.Median())})
 		}
 	}
 	return unmeasured
@@ -96,8 +99,9 @@
 		other.Plan.Managers.ReadInterval = interval
 		quiet := other.Plan.situations()[0]
 		for _, scope := range []Scope{WholeList, Subset} {
-			writeRow(w, intervalCell(interval.Seconds()), string(scope), formatFigure(other.check(Manager, CoreStrict, quiet).Ratio[scope], formatNumber),
-				formatFigure(other.check(Manager, CoreWithoutCollectors, quiet).Ratio[scope], formatNumber))
+			strict := other.check(Manager, CoreStrict, quiet).Ratio[scope]
+			withoutCollectors := other.check(Manager, CoreWithoutCollectors, quiet).Ratio[scope]
+			writeRow(w, intervalCell(interval.Seconds()), string(scope), formatFigure(strict, formatNumber), formatFigure(withoutCollectors, formatNumber))
 		}
 	}
 }
--- a/internal/capacity/scope.go
+++ b/internal/capacity/scope.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// holding is how many servers a manager holds in a situation, and how many it is sent.
+// serverCounts is how many servers a manager holds in a situation, and how many it is sent.
 type serverCounts struct {
 	fleet float64 // servers of the fleet
 	home  float64 // servers of the manager's home zones
@@ -12,9 +12,10 @@
 	filtered bool
 }
 
-// holding works out what a manager holds.
+// serverCounts works out what a manager holds.
 func (p Plan) serverCounts(s Situation, scope Scope) serverCounts {
-	all, home := float64(p.Fleet.Servers), p.home()
+	all := float64(p.Fleet.Servers)
+	home := p.home()
 	h := serverCounts{fleet: all, home: home, held: all, sent: all}
 	if scope == WholeList {
 		return h
@@ -32,7 +33,7 @@
 	return h
 }
 
-// usual is what a manager holds while nothing is lost.
+// normalServerCounts is what a manager holds while nothing is lost.
 func (p Plan) normalServerCounts(scope Scope) serverCounts { return p.serverCounts(Situation{}, scope) }
 
 // home is how many servers stand in a manager's home zones.
@@ -42,7 +43,8 @@
 
 // widened is how many servers of other zones a subset holds: it doubles while too few of them can be reached.
 func (p Plan) widened(s Situation) float64 {
-	others, elsewhere := float64(p.Subset.Others), float64(p.Fleet.Servers)-p.home()
+	others := float64(p.Subset.Others)
+	elsewhere := float64(p.Fleet.Servers) - p.home()
 	if elsewhere <= 0 || others == 0 {
 		return 0
 	}
@@ -78,22 +80,23 @@
 	return p.Fleet.RequestsPerSecond / float64(p.Fleet.Managers)
 }
 
-// reports is how many collectors' lines on servers a manager hears a second: one for each zone of its proxies and each
+// loadReports is how many collectors' lines on servers a manager hears a second: one for each zone of its proxies and each
 // server that a request met within the interval, were requests spread evenly over all servers that it holds.
 func (p Plan) loadReports(h serverCounts) float64 {
-	zones, interval := float64(p.Managers.ProxyZones), p.Managers.ReportInterval.Seconds()
+	zones := float64(p.Managers.ProxyZones)
+	interval := p.Managers.ReportInterval.Seconds()
 	tries := p.requestsPerManager() * p.Managers.AttemptsPerRequest * interval
 	return zones * expectedOccupied(h.held, tries/zones) / interval
 }
 
-// usages is how many collectors' lines on proxies a manager hears a second: one for each proxy and traffic group that a
+// usageReports is how many collectors' lines on proxies a manager hears a second: one for each proxy and traffic group that a
 // request came to within the interval.
 func (p Plan) usageReports() float64 {
 	interval := p.Managers.ReportInterval.Seconds()
 	return expectedOccupied(float64(p.Managers.Proxies*p.Managers.TrafficClasses), p.requestsPerManager()*interval) / interval
 }
 
-// probes is how many probes a manager sends a second while so many of the servers that it holds are silent.
+// healthChecks is how many health checks a manager sends a second while so many of the servers that it holds are silent.
 func (p Plan) healthChecks(silent float64) float64 {
 	most := float64(p.Managers.MaxHealthChecks) / p.Managers.HealthCheckTimeout.Seconds()
 	return min(silent/p.Managers.HealthCheckInterval.Seconds(), most)
--- a/internal/capacity/situation.go
+++ b/internal/capacity/situation.go
@@ -94,7 +94,8 @@
 	if term == 0 { // a mean of hundreds: the normal distribution
 		return int(math.Ceil(mean + math.Sqrt2*math.Erfinv(2*probability-1)*math.Sqrt(mean)))
 	}
-	sum, n := term, 0
+	sum := term
+	n := 0
 	for sum < probability {
 		n++
 		term *= mean / float64(n)
@@ -103,7 +104,7 @@
 	return n
 }
 
-// occupied is how many of some cells are hit at least once, where so many hits fall on them evenly.
+// expectedOccupied is how many of some cells are hit at least once, where so many hits fall on them evenly.
 func expectedOccupied(cells, hits float64) float64 {
 	if cells == 0 {
 		return 0
--- a/internal/capacity/slopes.go
+++ b/internal/capacity/slopes.go
@@ -2,14 +2,13 @@
 
 import (
 	"cmp"
-	"math"
 	"slices"
 
 	"tamarindshore/internal/scale"
 )
 
-// Figure is a value worked out from slopes and the plan. Where something in it was not measured it is not known, and
-// the value is what the rest comes to: the least that it can be.
+// Figure is a value that was worked out from slopes and the plan. It is not known where a part of it was not measured; the
+// value is then the sum of the other parts: a lower bound.
 type Figure struct {
 	Value float64
 	Known bool
@@ -41,7 +40,8 @@
 	Assumed          bool          // the plan's own figure stands in
 }
 
-// Costs gives costs at a size: the reference's cost, and for each axis the slope's rise from the reference to the size.
+// Costs works out costs at a size: the cost at the reference, and for each axis the slope's rise from the reference to the
+// size.
 type Costs struct {
 	report scale.Report
 }
@@ -59,7 +59,7 @@
 		s.Sizes[axis] = sizes[axis]
 		s.Slopes = append(s.Slopes, slope)
 		references = append(references, costAt(slope, c.report.Reference[axis]))
-		if sizes[axis] > largest(slope) {
+		if sizes[axis] > slope.LargestSize() {
 			s.ExtrapolatedAxes = append(s.ExtrapolatedAxes, axis)
 		}
 	}
@@ -91,11 +91,12 @@
 	return known(max(0, mean(references))), along
 }
 
-// OrPlan is a cost, or the plan's own figure where it was not measured.
+// OrPlan is a cost, or an assumed figure of the plan where it was not measured.
 func (c Costs) OrPlan(cost scale.Cost, sizes Sizes, assumed float64) Source {
 	s := c.At(cost, sizes)
 	if !s.Value.Known {
-		s.Value, s.Assumed = known(assumed), true
+		s.Value = known(assumed)
+		s.Assumed = true
 	}
 	return s
 }
@@ -124,43 +125,18 @@
 
 // interpolated tells whether a cost at a size comes from the measured points and not from the curve.
 func interpolated(s scale.Slope, size float64) bool {
-	return !s.Fits && len(s.Points) > 1 && size >= smallest(s) && size <= largest(s)
+	return !s.Fits && len(s.Points) > 1 && size >= s.SmallestSize() && size <= s.LargestSize()
 }
 
 func between(points []scale.Point, size float64) float64 {
 	points = slices.SortedFunc(slices.Values(points), func(a, b scale.Point) int { return cmp.Compare(a.Size, b.Size) })
 	i, found := slices.BinarySearchFunc(points, size, func(p scale.Point, size float64) int { return cmp.Compare(p.Size, size) })
 	if found || i == 0 {
-		return median(points[i].Runs)
+		return points[i].Median()
 	}
 	low, high := points[i-1], points[i]
 	part := (size - low.Size) / (high.Size - low.Size)
-	return median(low.Runs) + part*(median(high.Runs)-median(low.Runs))
-}
-
-func median(runs []float64) float64 {
-	sorted := slices.Sorted(slices.Values(runs))
-	middle := len(sorted) / 2
-	if len(sorted)%2 == 0 {
-		return (sorted[middle-1] + sorted[middle]) / 2
-	}
-	return sorted[middle]
-}
-
-func smallest(s scale.Slope) float64 {
-	least := math.Inf(1)
-	for _, p := range s.Points {
-		least = min(least, p.Size)
-	}
-	return least
-}
-
-func largest(s scale.Slope) float64 {
-	most := 0.0
-	for _, p := range s.Points {
-		most = max(most, p.Size)
-	}
-	return most
+	return low.Median() + part*(high.Median()-low.Median())
 }
 
 func mean(values []float64) float64 {
--- a/internal/capacity/sources.go
+++ b/internal/capacity/sources.go
@@ -44,13 +44,15 @@
 func rangesOf(group []Source) string {
 	var at []string
 	for _, axis := range sortedAxes(group[0].Sizes) {
-		least, most := group[0].Sizes[axis], group[0].Sizes[axis]
+		smallest := group[0].Sizes[axis]
+		largest := smallest
 		for _, s := range group {
-			least, most = min(least, s.Sizes[axis]), max(most, s.Sizes[axis])
+			smallest = min(smallest, s.Sizes[axis])
+			largest = max(largest, s.Sizes[axis])
 		}
-		text := fmt.Sprintf("%s %s", axis, formatNumber(least))
-		if most > least {
-			text += " to " + formatNumber(most)
+		text := fmt.Sprintf("%s %s", axis, formatNumber(smallest))
+		if largest > smallest {
+			text += " to " + formatNumber(largest)
 		}
 		at = append(at, text)
 	}
@@ -74,14 +76,15 @@
 }
 
 func slopeCells(s scale.Slope) []string {
-	shape, managers := string(s.Shape), "real"
+	shape := string(s.Shape)
+	managers := "real"
 	if !s.Fits {
 		shape += ", does not fit"
 	}
 	if s.Hollow {
 		managers = "hollow"
 	}
-	sizes := formatNumber(smallest(s)) + " to " + formatNumber(largest(s))
+	sizes := formatNumber(s.SmallestSize()) + " to " + formatNumber(s.LargestSize())
 	return []string{string(s.Cost), string(s.Axis), shape, formatPercent(s.WorstError), formatPercent(s.Spread), sizes, managers}
 }
 
@@ -108,7 +111,7 @@
 	return formatNumber(s.Value.Value)
 }
 
-// reckoned says how a cost was worked out beyond what was measured.
+// origin says how a cost was worked out beyond what was measured.
 func origin(s Source) string {
 	var notes []string
 	switch {
@@ -129,7 +132,7 @@
 	return orNone(notes, "within what was measured")
 }
 
-// misfits are the axes along which a cost comes from measured points.
+// interpolatedAxes are the axes along which a cost comes from measured points.
 func interpolatedAxes(s Source) []scale.Axis {
 	var axes []scale.Axis
 	for _, slope := range s.Slopes {
