--- a/client/tables/delta_test.go
+++ b/client/tables/delta_test.go
@@ -52,12 +52,14 @@
 	return append(body, op...)
 }
 
-func TestMalformedDeltasAreRejected(t *testing.T) {
-	withdrawX := []byte{byte(Withdraw), 1, 'x'}
-	valid := deltaBody("", withdrawX...)
-	if _, err := Decode(signed(t, valid), testKeys(t)); err != nil {
-		t.Fatalf("the delta that the others differ from: %v", err)
-	}
+// malformedBody is the body of a delta that must be rejected for a reason.
+type malformedBody struct {
+	name   string
+	body   []byte
+	reason string
+}
+
+func malformedBodies(valid []byte, withdrawX []byte) []malformedBody {
 	setWeight := func(table uint64, weight float64) []byte {
 		op := binary.AppendUvarint([]byte{byte(SetWeight)}, table)
 		return appendNumber(append(op, 1, 'x'), weight)
@@ -65,11 +67,7 @@
 	replaced := func(index int, bytes ...byte) []byte {
 		return append(append(append([]byte{}, valid[:index]...), bytes...), valid[index+1:]...)
 	}
-	for _, one := range []struct {
-		name   string
-		body   []byte
-		reason string
-	}{
+	return []malformedBody{
 		{"too short", valid[:20], "are no delta"},
 		{"longer form of a number", replaced(0, 0x83, 0), "a number is cut off or too long"},
 		{"number of 11 bytes", replaced(0, bytes.Repeat([]byte{0xff}, 11)...), "a number is cut off or too long"},
@@ -82,26 +80,33 @@
 		{"no server", deltaBody("", byte(Withdraw), 0), "a server's ID has 0 bytes"},
 		{"infinite weight", deltaBody("", setWeight(0, math.Inf(1))...), "weight +Inf of x is not finite"},
 		{"table above 32 bits", deltaBody("", setWeight(1<<32, 1)...), "table 4294967296 is above 4294967295"},
-	} {
+	}
+}
+
+func TestMalformedDeltasAreRejected(t *testing.T) {
+	keys := testKeys(t)
+	withdrawX := []byte{byte(Withdraw), 1, 'x'}
+	valid := deltaBody("", withdrawX...)
+	if _, err := Decode(signed(t, valid), keys); err != nil {
+		t.Fatalf("the delta that the others differ from: %v", err)
+	}
+	for _, one := range malformedBodies(valid, withdrawX) {
 		t.Run(one.name, func(t *testing.T) {
-			delta, err := Decode(signed(t, one.body), testKeys(t))
+			delta, err := Decode(signed(t, one.body), keys)
 			if delta != nil || !errors.Is(err, ErrMalformed) || !strings.Contains(err.Error(), one.reason) {
 				t.Errorf("delta %v, error %v, want %s", delta, err, one.reason)
 			}
 		})
 	}
-	t.Run("other magic", func(t *testing.T) {
-		encoded := signed(t, valid)
-		encoded[0] = 'X'
-		if _, err := Decode(encoded, testKeys(t)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("error %v", err)
-		}
-	})
-	t.Run("too long", func(t *testing.T) {
-		if _, err := Decode(make([]byte, MaxDeltaBytes+1), testKeys(t)); !errors.Is(err, ErrMalformed) {
-			t.Errorf("error %v", err)
-		}
-	})
+	otherMagic := signed(t, valid)
+	otherMagic[0] = 'X'
+	for name, encoded := range map[string][]byte{"other magic": otherMagic, "too long": make([]byte, MaxDeltaBytes+1)} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := Decode(encoded, keys); !errors.Is(err, ErrMalformed) {
+				t.Errorf("error %v", err)
+			}
+		})
+	}
 }
 
 func TestDeltasThatCantBeEncodedAreReported(t *testing.T) {
--- a/client/tables/fixture_test.go
+++ b/client/tables/fixture_test.go
@@ -28,66 +28,76 @@
 	return fixtures
 }
 
+// deltaFixture is what an encoded delta of testdata/deltas.txt says, and the tables that it leads to.
+type deltaFixture struct {
+	name  string
+	delta Delta
+	state *State // without digests
+}
+
+func snapshotFixture(keyID KeyID, snapshotDigest Digest) deltaFixture {
+	return deltaFixture{"snapshot", Delta{
+		ID:          ID{41, 1},
+		BaseDigest:  EmptyState().Digest(),
+		Digest:      snapshotDigest,
+		CreatedAtMs: 1_790_000_000_000,
+		Cause:       "list",
+		KeyID:       keyID,
+		Ops: []Op{
+			{Kind: Withdraw, Server: "s-3"},
+			{Kind: SetWeight, Table: 0, Server: "s-1", Weight: 100},
+			{Kind: SetWeight, Table: 0, Server: "s-2", Weight: 62.5},
+			{Kind: SetAdmissionLevel, Table: 0, Classes: 2, AdmissionLevel: AdmissionLevel{Amount: 0.75, Retry: 1}},
+			{Kind: SetWeight, Table: 7, Server: "s-4", Weight: 5},
+			{Kind: SetWeight, Table: 300, Server: "s-1", Weight: 1},
+		},
+	}, &State{
+		tables: map[uint32]*Table{
+			0:   {Weights: map[string]float64{"s-1": 100, "s-2": 62.5}, AdmissionLevels: map[uint64]AdmissionLevel{2: {0.75, 1}}},
+			7:   {Weights: map[string]float64{"s-4": 5}, AdmissionLevels: map[uint64]AdmissionLevel{}},
+			300: {Weights: map[string]float64{"s-1": 1}, AdmissionLevels: map[uint64]AdmissionLevel{}},
+		},
+		withdrawn: map[string]bool{"s-3": true},
+	}}
+}
+
+func followingFixture(keyID KeyID, snapshotDigest, deltaDigest Digest) deltaFixture {
+	return deltaFixture{"delta", Delta{
+		ID:          ID{41, 2},
+		Base:        ID{41, 1},
+		BaseDigest:  snapshotDigest,
+		Digest:      deltaDigest,
+		CreatedAtMs: 1_790_000_001_000,
+		Cause:       "1 withdrawn, 2 lines, 2 levels, 1 let back in",
+		KeyID:       keyID,
+		Ops: []Op{
+			{Kind: Withdraw, Server: "s-4"},
+			{Kind: SetWeight, Table: 0, Server: "s-1", Weight: 0},
+			{Kind: SetWeight, Table: 0, Server: "s-5", Weight: 33.25},
+			{Kind: SetAdmissionLevel, Table: 0, Classes: 2, AdmissionLevel: AdmissionLevel{0.5, 2}},
+			{Kind: SetAdmissionLevel, Table: 300, Classes: 5, AdmissionLevel: AdmissionLevel{120, 0}},
+			{Kind: ClearTable, Table: 7},
+			{Kind: Restore, Server: "s-3"},
+		},
+	}, &State{
+		tables: map[uint32]*Table{
+			0:   {Weights: map[string]float64{"s-2": 62.5, "s-5": 33.25}, AdmissionLevels: map[uint64]AdmissionLevel{2: {0.5, 2}}},
+			300: {Weights: map[string]float64{"s-1": 1}, AdmissionLevels: map[uint64]AdmissionLevel{5: {120, 0}}},
+		},
+		withdrawn: map[string]bool{"s-4": true},
+	}}
+}
+
 func TestDeltasOfAnEarlierReleaseAreRead(t *testing.T) {
 	fixtures := readFixtures(t, "testdata/deltas.txt")
 	keys := testKeys(t)
+	replica := NewReplica(keys, RetrySettings{}, 1)
 	snapshotDigest := Digest(fixtures["snapshot-digest"])
 	deltaDigest := Digest(fixtures["delta-digest"])
-	want := []struct {
-		name  string
-		delta Delta
-		state *State
-	}{
-		{"snapshot", Delta{
-			ID:          ID{41, 1},
-			BaseDigest:  EmptyState().Digest(),
-			Digest:      snapshotDigest,
-			CreatedAtMs: 1_790_000_000_000,
-			Cause:       "list",
-			KeyID:       keys[0].ID,
-			Ops: []Op{
-				{Kind: Withdraw, Server: "s-3"},
-				{Kind: SetWeight, Table: 0, Server: "s-1", Weight: 100},
-				{Kind: SetWeight, Table: 0, Server: "s-2", Weight: 62.5},
-				{Kind: SetAdmissionLevel, Table: 0, Classes: 2, AdmissionLevel: AdmissionLevel{Amount: 0.75, Retry: 1}},
-				{Kind: SetWeight, Table: 7, Server: "s-4", Weight: 5},
-				{Kind: SetWeight, Table: 300, Server: "s-1", Weight: 1},
-			},
-		}, &State{
-			tables: map[uint32]*Table{
-				0:   {Weights: map[string]float64{"s-1": 100, "s-2": 62.5}, AdmissionLevels: map[uint64]AdmissionLevel{2: {0.75, 1}}},
-				7:   {Weights: map[string]float64{"s-4": 5}, AdmissionLevels: map[uint64]AdmissionLevel{}},
-				300: {Weights: map[string]float64{"s-1": 1}, AdmissionLevels: map[uint64]AdmissionLevel{}},
-			},
-			withdrawn: map[string]bool{"s-3": true},
-		}},
-		{"delta", Delta{
-			ID:          ID{41, 2},
-			Base:        ID{41, 1},
-			BaseDigest:  snapshotDigest,
-			Digest:      deltaDigest,
-			CreatedAtMs: 1_790_000_001_000,
-			Cause:       "1 withdrawn, 2 lines, 2 levels, 1 let back in",
-			KeyID:       keys[0].ID,
-			Ops: []Op{
-				{Kind: Withdraw, Server: "s-4"},
-				{Kind: SetWeight, Table: 0, Server: "s-1", Weight: 0},
-				{Kind: SetWeight, Table: 0, Server: "s-5", Weight: 33.25},
-				{Kind: SetAdmissionLevel, Table: 0, Classes: 2, AdmissionLevel: AdmissionLevel{0.5, 2}},
-				{Kind: SetAdmissionLevel, Table: 300, Classes: 5, AdmissionLevel: AdmissionLevel{120, 0}},
-				{Kind: ClearTable, Table: 7},
-				{Kind: Restore, Server: "s-3"},
-			},
-		}, &State{
-			tables: map[uint32]*Table{
-				0:   {Weights: map[string]float64{"s-2": 62.5, "s-5": 33.25}, AdmissionLevels: map[uint64]AdmissionLevel{2: {0.5, 2}}},
-				300: {Weights: map[string]float64{"s-1": 1}, AdmissionLevels: map[uint64]AdmissionLevel{5: {120, 0}}},
-			},
-			withdrawn: map[string]bool{"s-4": true},
-		}},
-	}
-	replica := NewReplica(keys, RetrySettings{}, 1)
-	for _, one := range want {
+	for _, one := range []deltaFixture{
+		snapshotFixture(keys[0].ID, snapshotDigest),
+		followingFixture(keys[0].ID, snapshotDigest, deltaDigest),
+	} {
 		encoded := fixtures[one.name]
 		decoded, err := Decode(encoded, keys)
 		if err != nil {
--- a/internal/store/encoding.go
+++ b/internal/store/encoding.go
@@ -73,6 +73,18 @@
 	return nil
 }
 
+// eachSealed calls a function with each value of a bucket whose keys are text. Errors name the key.
+func eachSealed[T any](bucket *bbolt.Bucket, kind string, use func(key string, value T)) error {
+	return bucket.ForEach(func(key, sealed []byte) error {
+		var value T
+		if err := unseal(sealed, &value); err != nil {
+			return fmt.Errorf("%s %q: %w", kind, key, err)
+		}
+		use(string(key), value)
+		return nil
+	})
+}
+
 func putSealed(bucket *bbolt.Bucket, key []byte, value any) error {
 	sealed, err := seal(value)
 	if err != nil {
--- a/internal/store/helpers_test.go
+++ b/internal/store/helpers_test.go
@@ -91,6 +91,17 @@
 	}
 }
 
+// filledStore makes a store of some versions, closes it, and returns its path and the digest of its last state.
+func filledStore(t testing.TB, limits Limits, versions int) (path string, digest tables.Digest) {
+	t.Helper()
+	path = storePath(t)
+	s, _ := openWithLimits(t, path, limits)
+	saveVersions(t, s, versions)
+	digest = s.head.state.Digest()
+	closeStore(t, s)
+	return path, digest
+}
+
 func listEntry(id, lifecycle string) ListEntry {
 	return ListEntry{ID: id, Zone: "a", Lifecycle: lifecycle}
 }
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -72,23 +72,13 @@
 }
 
 func (c *Contents) loadDrains(tx *bbolt.Tx) error {
-	return tx.Bucket(drainsBucket).ForEach(func(key, value []byte) error {
-		var since time.Time
-		if err := unseal(value, &since); err != nil {
-			return fmt.Errorf("drain of %q: %w", key, err)
-		}
-		c.Drains[string(key)] = since
-		return nil
+	return eachSealed(tx.Bucket(drainsBucket), "drain of", func(server string, since time.Time) {
+		c.Drains[server] = since
 	})
 }
 
 func (c *Contents) loadCommands(tx *bbolt.Tx) error {
-	return tx.Bucket(commandsBucket).ForEach(func(key, value []byte) error {
-		var command CompletedCommand
-		if err := unseal(value, &command); err != nil {
-			return fmt.Errorf("command %q: %w", key, err)
-		}
+	return eachSealed(tx.Bucket(commandsBucket), "command", func(_ string, command CompletedCommand) {
 		c.CompletedCommands = append(c.CompletedCommands, command)
-		return nil
 	})
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -57,13 +57,9 @@
 }
 
 func TestRetentionKeepsTheNewestVersionsAndTheirState(t *testing.T) {
-	path := storePath(t)
 	limits := DefaultLimits()
 	limits.MaxVersions = 40
-	s, _ := openWithLimits(t, path, limits)
-	saveVersions(t, s, 200)
-	digest := s.head.state.Digest()
-	closeStore(t, s)
+	path, digest := filledStore(t, limits, 200)
 	contents := checkStore(t, path, limits)
 	if n := len(contents.Versions); n > 45 || n < 40 || !contents.Versions[0].Snapshot {
 		t.Errorf("%d versions, the first is a snapshot: %v", n, contents.Versions[0].Snapshot)
@@ -74,13 +70,9 @@
 }
 
 func TestCompactingKeepsTheContentsAndDoesNotGrowTheFile(t *testing.T) {
-	path := storePath(t)
 	limits := DefaultLimits()
 	limits.MaxVersions = 20
-	s, _ := openWithLimits(t, path, limits)
-	saveVersions(t, s, 300)
-	digest := s.head.state.Digest()
-	closeStore(t, s)
+	path, digest := filledStore(t, limits, 300)
 	before := fileSize(t, path)
 	if err := Compact(path, limits); err != nil {
 		t.Fatal(err)
@@ -95,11 +87,7 @@
 }
 
 func TestALargeFileIsCompactedWhenItIsOpened(t *testing.T) {
-	path := storePath(t)
-	s, _ := openStore(t, path)
-	saveVersions(t, s, 30)
-	digest := s.head.state.Digest()
-	closeStore(t, s)
+	path, digest := filledStore(t, DefaultLimits(), 30)
 	before := fileInfo(t, path)
 	limits := DefaultLimits()
 	limits.CompactAboveBytes = before.Size() - 1
--- a/internal/versions/propose.go
+++ b/internal/versions/propose.go
@@ -133,15 +133,15 @@
 func (p *proposal) keepUrgent(found violation) (onlyPart bool) {
 	commands := p.commands
 	before := commands.Count()
-	whole := found.affectsAll()
+	all := found.affectsAll()
 	commands.Weights = slices.DeleteFunc(commands.Weights, func(weight balancer.EndpointWeight) bool {
 		return found.affects(weight) && !p.isUrgent(weight)
 	})
 	commands.Restore = slices.DeleteFunc(slices.Clone(commands.Restore), func(server balancer.ServerID) bool {
-		return whole || server == found.server
+		return all || server == found.server
 	})
-	if whole {
+	if all {
 		commands.AdmissionLevels = nil
 	}
-	return !whole && commands.Count() < before
+	return !all && commands.Count() < before
 }
--- a/internal/versions/propose_test.go
+++ b/internal/versions/propose_test.go
@@ -10,15 +10,17 @@
 	"tamarindshore/balancer"
 )
 
-// One server or table that fails a check must not hold up the tables of the whole fleet.
-func TestWhatFailsACheckIsHeldBackAndTheRestIsSent(t *testing.T) {
-	for _, one := range []struct {
-		check    string
-		weights  []balancer.EndpointWeight
-		fleet    fleet
-		sent     int // of the weight and the admission level of another table
-		recorded string
-	}{
+// failingCheck is a proposal that fails a check.
+type failingCheck struct {
+	check   string
+	weights []balancer.EndpointWeight
+	fleet   fleet
+	sent    int    // of the weight and the admission level of another table
+	record  string // that is logged
+}
+
+func failingChecks() []failingCheck {
+	return []failingCheck{
 		{"invalid_number", []balancer.EndpointWeight{weight(0, "a0", math.NaN())}, allReady, 0,
 			"event=version_check_failed check=invalid_number table=0 server=a0 weight=NaN"},
 		{"unknown_server", []balancer.EndpointWeight{weight(0, "ghost", 5)}, fleet{"ghost": {}}, 2,
@@ -29,7 +31,12 @@
 			"event=version_check_failed check=empty_table table=0 server=a0"},
 		{"warming_server", []balancer.EndpointWeight{weight(0, "a0", 400)}, fleet{"a0": warming(0.1)}, 2,
 			"event=version_check_failed check=warming_server server=a0 warm_fraction=0.10 request_rate=32.0 total_request_rate=80.0 servers=4"},
-	} {
+	}
+}
+
+// One server or table that fails a check must not hold up the tables of the whole fleet.
+func TestWhatFailsACheckIsHeldBackAndTheRestIsSent(t *testing.T) {
+	for _, one := range failingChecks() {
 		t.Run(one.check, func(t *testing.T) {
 			chain := newTestChain(t)
 			before := chain.State().Digest()
@@ -46,24 +53,28 @@
 				t.Errorf("%+v", result)
 			}
 			expectWeight(t, chain, 0, "a0", 100)
-			if len(result.LogRecords) != 1 || result.LogRecords[0].String() != one.recorded {
-				t.Errorf("log records %v, want %s", result.LogRecords, one.recorded)
-			}
 			if len(result.Commands.Assign) != 1 || result.Commands.Barrier != 2 {
 				t.Errorf("a proxy waits for a server: %+v", result.Commands)
 			}
-			again := chain.Propose(3*time.Second, commands, "health", one.fleet)
-			if len(again.LogRecords) > 0 {
-				t.Errorf("logged again: %v", again.LogRecords)
-			}
-			valid := chain.Propose(4*time.Second, weights(weight(1, "b0", 80)), "health", allReady)
-			if len(valid.LogRecords) != 1 || valid.LogRecords[0].String() != "event=version_check_passed check="+one.check {
-				t.Errorf("log records %v", valid.LogRecords)
-			}
+			expectRecords(t, result, one.record)
+			expectRecords(t, chain.Propose(3*time.Second, commands, "health", one.fleet)) // the same check: not again
+			valid := weights(weight(1, "b0", 80))
+			expectRecords(t, chain.Propose(4*time.Second, valid, "health", allReady), "event=version_check_passed check="+one.check)
 		})
 	}
 }
 
+func expectRecords(t *testing.T, result Result, want ...string) {
+	t.Helper()
+	var got []string
+	for _, record := range result.LogRecords {
+		got = append(got, record.String())
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("log records %q, want %q", got, want)
+	}
+}
+
 func TestTooManyCommandsAreHeldBack(t *testing.T) {
 	chain := newTestChain(t)
 	chain.settings.MaxCommands = 1
