--- a/internal/capacity/cases.go
+++ b/internal/capacity/cases.go
@@ -9,13 +9,17 @@
 )
 
 // caseCosts are the costs that are shown of each case measured at the plan's size.
-var caseCosts = []scale.Cost{scale.CPUPerBusySecond, scale.CPUPerQuietSecond, scale.CPUPerOpening, scale.CPUPerListChange, scale.LongestDecision,
-	scale.HeapBytes, scale.RelayEventsPerSecond, scale.ProxiesAssigned}
+var caseCosts = []scale.Cost{
+	scale.CPUPerBusySecond, scale.CPUPerQuietSecond, scale.CPUPerOpening, scale.CPUPerListChange, scale.LongestDecision,
+	scale.HeapBytes, scale.RelayEventsPerSecond, scale.ProxiesAssigned,
+}
 
-// axesOfManager are the axes along which those costs are summed.
-var axesOfManager = []scale.Axis{scale.Servers, scale.Proxies, scale.Zones, scale.TrafficClasses, scale.ListChanges, scale.Reports, scale.RestartsAtOnce}
+// managerAxes are the axes along which those costs are summed.
+var managerAxes = []scale.Axis{
+	scale.Servers, scale.Proxies, scale.Zones, scale.TrafficClasses, scale.ListChanges, scale.Reports, scale.RestartsAtOnce,
+}
 
-// writePlanSize holds the sums of slopes against managers that were measured at the plan's size.
+// writePlanSize compares the sums of slopes with managers that were measured at the plan's size.
 func (m *Model) writePlanSize(w io.Writer) {
 	writeHeading(w, "Managers measured at the plan's size, and what the sum of the slopes says of them")
 	cases := m.Costs.report.PlanSize
@@ -35,31 +39,31 @@
 
 func (m *Model) caseCells(c scale.PlanSizeCase, cost scale.Cost) []string {
 	sum := m.Costs.At(cost, m.Costs.sizesAlong(cost, c.Sizes))
-	show := func(value float64) string {
+	inUnit := func(value float64) string {
 		return formatCost(Source{Slopes: sum.Slopes, Value: known(value)})
 	}
-	cells := []string{c.Name, string(cost), show(c.Costs[cost]), formatPercent(c.Spread[cost])}
+	cells := []string{c.Name, string(cost), inUnit(c.Costs[cost]), formatPercent(c.Spread[cost])}
 	switch {
 	case !sum.Value.Known:
 		return append(cells, unmeasured, "none")
 	case sum.Value.Value == 0:
-		return append(cells, show(0), "none")
+		return append(cells, inUnit(0), "none")
 	}
-	return append(cells, show(sum.Value.Value), formatNumber(c.Costs[cost]/sum.Value.Value))
+	return append(cells, inUnit(sum.Value.Value), formatNumber(c.Costs[cost]/sum.Value.Value))
 }
 
 // sizesAlong are the sizes of a case along the axes that a cost was measured along.
 func (c Costs) sizesAlong(cost scale.Cost, sizes Sizes) Sizes {
 	along := Sizes{}
 	for axis, size := range sizes {
-		if _, measured := c.report.Find(cost, axis); measured && slices.Contains(axesOfManager, axis) {
+		if _, measured := c.report.Find(cost, axis); measured && slices.Contains(managerAxes, axis) {
 			along[axis] = size
 		}
 	}
 	return along
 }
 
-// writeReal holds hollow managers against real processes.
+// writeProcesses compares hollow managers with real processes.
 func (m *Model) writeProcesses(w io.Writer) {
 	r := m.Costs.report
 	writeHeading(w, "Real processes, and hollow managers of the same size")
@@ -67,15 +71,31 @@
 		fmt.Fprintln(w, "The slopes' file has none: not measured.")
 		return
 	}
-	writeHeader(w, "state", "between reads", "servers", "proxies", "collectors' lines a second", "core, real", "core, hollow", "the process alone", "largest resident set", "hollow heap", "context switches a second")
+	writeHeader(w, "state", "between reads", "servers", "proxies", "collectors' lines a second", "core, real", "core, hollow",
+		"the process alone", "largest resident set", "hollow heap", "context switches a second")
 	for _, c := range r.Processes {
-		writeRow(w, c.Name, intervalCell(c.ReadInterval), formatNumber(float64(c.Servers)), formatNumber(float64(c.Proxies)), formatNumber(c.ReportsPerSecond), medianOrNone(c.CPU, formatPercent),
-			medianOrNone(c.HollowCPU, formatPercent), overheadCell(c), formatNumber(c.MemoryMB)+" MB", formatNumber(c.HollowHeapMB)+" MB", medianOrNone(c.ContextSwitches, formatNumber))
+		writeRow(w, processCells(c)...)
 	}
 	fmt.Fprintf(w, "\nCounted to a manager's core beside the slopes: %s in the strict reading (state \"%s\"), %s without collectors' lines (state \"%s\").\n",
 		formatFigure(m.processOverhead(busyState), formatPercent), busyState, formatFigure(m.processOverhead(quietState), formatPercent), quietState)
 }
 
+func processCells(c scale.ProcessCase) []string {
+	return []string{
+		c.Name,
+		intervalCell(c.ReadInterval),
+		formatNumber(float64(c.Servers)),
+		formatNumber(float64(c.Proxies)),
+		formatNumber(c.ReportsPerSecond),
+		medianOrNone(c.CPU, formatPercent),
+		medianOrNone(c.HollowCPU, formatPercent),
+		overheadCell(c),
+		formatNumber(c.MemoryMB) + " MB",
+		formatNumber(c.HollowHeapMB) + " MB",
+		medianOrNone(c.ContextSwitches, formatNumber),
+	}
+}
+
 func intervalCell(seconds float64) string {
 	if seconds == 0 {
 		return "as it comes"
--- a/internal/capacity/format_test.go
+++ b/internal/capacity/format_test.go
@@ -1,6 +1,10 @@
 package capacity
 
 import (
+	"crypto/sha256"
+	"fmt"
+	"regexp"
+	"strings"
 	"testing"
 	"time"
 )
@@ -33,3 +37,41 @@
 		t.Errorf("read %+v, want %+v", got, want)
 	}
 }
+
+// codeName is a name of the code within a table, which changes with the code.
+var codeName = regexp.MustCompile("`[^`]*`")
+
+// sectionDigests are a digest of each section of tables, by heading, without names of the code.
+func sectionDigests(tables string) []string {
+	var digests []string
+	for _, section := range strings.Split(tables, "\n### ")[1:] {
+		heading, _, _ := strings.Cut(section, "\n")
+		sum := sha256.Sum256([]byte(codeName.ReplaceAllString(section, "``")))
+		digests = append(digests, fmt.Sprintf("%x %s", sum[:12], heading))
+	}
+	return digests
+}
+
+// TestTablesOfTheFixturesAreAsRecorded works out the tables of the plan and the slopes under testdata, and compares each
+// section with what the program wrote before its names were changed.
+func TestTablesOfTheFixturesAreAsRecorded(t *testing.T) {
+	plan, err := ReadPlan("testdata/plan.sexp")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var tables strings.Builder
+	exceeded := NewModel(plan, madeUp(t)).WriteTables(&tables)
+	if len(exceeded) != 24 {
+		t.Errorf("%d budgets are exceeded, not 24", len(exceeded))
+	}
+	got := sectionDigests("\n" + tables.String())
+	want := strings.Split(strings.TrimSpace(read(t, "testdata/tables.txt")), "\n")
+	if len(got) != len(want) {
+		t.Fatalf("%d sections, %d are recorded", len(got), len(want))
+	}
+	for i := range got {
+		if got[i] != want[i] {
+			t.Errorf("got %s, want %s", got[i], want[i])
+		}
+	}
+}
--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -16,8 +16,8 @@
 	What   string
 	Bound  float64
 	Wanted map[Scope]Figure
-	Effect string
-	Where  string
+	Effect string // of exceeding it
+	Where  string // in the code
 }
 
 // Exceeded reports whether the plan exceeds the limit in a scope.
@@ -25,15 +25,17 @@
 	return l.Wanted[scope].Known && l.Wanted[scope].Value > l.Bound
 }
 
-// Limits are the fixed bounds of today's code that a fleet's size may pass.
+// Limits are the fixed bounds of today's code that a fleet's size may exceed.
 func (m *Model) Limits() []Limit {
+	return append(m.listLimits(), m.fleetLimits()...)
+}
+
+// listLimits are those of the length of a list or a table.
+func (m *Model) listLimits() []Limit {
 	p := m.Plan
 	listBytes := func(s Scope) Figure { return m.openingBytes(p.normalServerCounts(s)) }
 	listSeconds := func(s Scope) Figure { return listBytes(s).times(1 / p.Budgets.BytesPerSecond) }
 	tableWeights := func(s Scope) Figure { return known(m.tableWeights(p.normalServerCounts(s))) }
-	allProxies := func(Scope) Figure { return known(float64(p.Managers.Proxies) * float64(p.Fleet.Managers)) }
-	heldServers := func(s Scope) Figure { return known(p.normalServerCounts(s).held) }
-	classes := func(Scope) Figure { return known(float64(p.Managers.TrafficClasses)) }
 	return []Limit{
 		{
 			What:   "bytes of a whole list, which is one line",
@@ -56,6 +58,16 @@
 			Effect: "no binding fits the queue, so no proxy is bound",
 			Where:  "`queueShareUrgent` in `balancer/flow_control.go`, partitions by `partitionZones` in `balancer/partitioning.go`",
 		},
+	}
+}
+
+// fleetLimits are those of numbers of proxies, servers and classes.
+func (m *Model) fleetLimits() []Limit {
+	p := m.Plan
+	allProxies := func(Scope) Figure { return known(float64(p.Managers.Proxies) * float64(p.Fleet.Managers)) }
+	heldServers := func(s Scope) Figure { return known(p.normalServerCounts(s).held) }
+	classes := func(Scope) Figure { return known(float64(p.Managers.TrafficClasses)) }
+	return []Limit{
 		{
 			What:   "proxies of all managers, and their numbers",
 			Bound:  maxProxyNumber,
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -31,11 +31,11 @@
 	if s.RecoveringServers > 0 {
 		in.healthChecks += s.RecoveringServers * h.share(s.OutsideHome) / s.Window
 	}
-	if s.Opens {
+	if s.Opening != NoOpening {
 		in.relayEvents += float64(p.Managers.Proxies) / s.Window
-		if !s.FromStore {
-			in.listLines = 1 / s.Window
-		}
+	}
+	if s.Opening.sendsCompleteList() {
+		in.listLines = 1 / s.Window
 	}
 	in.listLines += p.listChanges(s, h.sentShare(s.OutsideHome)).lines / s.Window
 	return in
@@ -117,7 +117,7 @@
 // probes' answers, an opening.
 func (m *Model) eventCore(s Situation, h serverCounts, in inputs) Figure {
 	core := m.cost(scale.CPUPerInput, m.managerSizes(h)).times(in.relayEvents + in.healthChecks)
-	if s.Opens {
+	if s.Opening != NoOpening {
 		core = core.plus(m.openingCore(h).times(1 / s.Window))
 	}
 	return core
@@ -153,7 +153,7 @@
 		return known(0)
 	}
 	bytes := m.listChangeBytes(m.Plan.listChanges(s, h.sentShare(s.OutsideHome))).times(1 / s.Window)
-	if s.Opens && !s.FromStore {
+	if s.Opening.sendsCompleteList() {
 		bytes = bytes.plus(m.openingBytes(h).times(1 / s.Window))
 	}
 	return bytes
@@ -190,7 +190,7 @@
 
 // openingCommands is what a manager that starts tells its proxies: the tables of their zones, and a binding for each.
 func (m *Model) openingCommands(s Situation, h serverCounts) Figure {
-	if !s.Opens {
+	if s.Opening == NoOpening {
 		return known(0)
 	}
 	p := m.Plan
--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"io"
 	"slices"
-	"strconv"
 	"strings"
 )
 
@@ -42,32 +41,58 @@
 	writeRow(w, slices.Repeat([]string{"---"}, len(cells))...)
 }
 
+// derivedFigure is a figure that follows from the plan alone.
+type derivedFigure struct {
+	what  string
+	value float64
+	from  string
+}
+
 func (m *Model) writeAssumptions(w io.Writer) {
-	p := m.Plan
 	writeHeading(w, "What follows from the plan")
 	writeHeader(w, "what", "figure", "from")
-	writeRow(w, "managers in a zone", formatNumber(float64(p.Fleet.Managers)/float64(p.Fleet.Zones)), "plan")
-	writeRow(w, "servers in a zone", formatNumber(float64(p.Fleet.Servers)/float64(p.Fleet.Zones)), "plan")
-	writeRow(w, "servers of a service", formatNumber(float64(p.Fleet.Servers)/float64(p.Fleet.Services)), "plan")
-	writeRow(w, "requests a second at a manager's proxies", formatNumber(p.requestsPerManager()), "plan")
-	writeRow(w, "requests a second at a server", formatNumber(p.Fleet.RequestsPerSecond/float64(p.Fleet.Servers)), "plan")
-	writeRow(w, "proxies in all", formatNumber(float64(p.Fleet.Managers)*float64(p.Managers.Proxies)), "plan, assumed proxies of a manager")
-	writeRow(w, "changed entries of the list a day", formatNumber(p.entriesPerDay()), "plan, assumed entries of a failure, restart and change")
-	writeRow(w, "changed entries in the busiest second", formatNumber(p.busiestSecond()), "plan, batches at random within the busiest hour")
-	writeRow(w, "servers that a manager holds, whole list", formatNumber(p.normalServerCounts(WholeList).held), "plan")
-	writeRow(w, "servers that a manager holds, subset", formatNumber(p.normalServerCounts(Subset).held), "plan, size of the subset")
-	writeRow(w, "servers that a manager holds, subset, while its region is cut off", formatNumber(p.serverCounts(p.regionCut(), Subset).held), "plan: it doubles while too few can be reached")
-	writeRow(w, "managers that hold a server, subset", formatNumber(p.holders(p.normalServerCounts(Subset))), "plan, size of the subset")
-	for _, scope := range []Scope{WholeList, Subset} {
-		writeRow(w, "collectors' lines on servers a second at a manager, "+string(scope), formatNumber(p.loadReports(p.normalServerCounts(scope))), "plan, requests spread evenly over what it holds")
+	for _, f := range append(m.Plan.fleetFigures(), m.Plan.managerFigures()...) {
+		writeRow(w, f.what, formatNumber(f.value), f.from)
+	}
+}
+
+func (p Plan) fleetFigures() []derivedFigure {
+	managers := float64(p.Fleet.Managers)
+	servers := float64(p.Fleet.Servers)
+	zones := float64(p.Fleet.Zones)
+	return []derivedFigure{
+		{"managers in a zone", managers / zones, "plan"},
+		{"servers in a zone", servers / zones, "plan"},
+		{"servers of a service", servers / float64(p.Fleet.Services), "plan"},
+		{"requests a second at a manager's proxies", p.requestsPerManager(), "plan"},
+		{"requests a second at a server", p.Fleet.RequestsPerSecond / servers, "plan"},
+		{"proxies in all", managers * float64(p.Managers.Proxies), "plan, assumed proxies of a manager"},
+		{"changed entries of the list a day", p.entriesPerDay(), "plan, assumed entries of a failure, restart and change"},
+		{"changed entries in the busiest second", p.busiestSecond(), "plan, batches at random within the busiest hour"},
+	}
+}
+
+func (p Plan) managerFigures() []derivedFigure {
+	complete := p.normalServerCounts(WholeList)
+	subset := p.normalServerCounts(Subset)
+	cutOff := p.serverCounts(p.regionCut(), Subset)
+	const reportsOf = "collectors' lines on servers a second at a manager, "
+	const spreadOverHeld = "plan, requests spread evenly over what it holds"
+	return []derivedFigure{
+		{"servers that a manager holds, whole list", complete.held, "plan"},
+		{"servers that a manager holds, subset", subset.held, "plan, size of the subset"},
+		{"servers that a manager holds, subset, while its region is cut off", cutOff.held, "plan: it doubles while too few can be reached"},
+		{"managers that hold a server, subset", p.holders(subset), "plan, size of the subset"},
+		{reportsOf + string(WholeList), p.loadReports(complete), spreadOverHeld},
+		{reportsOf + string(Subset), p.loadReports(subset), spreadOverHeld},
+		{"collectors' lines on proxies a second at a manager", p.usageReports(), "plan, requests spread evenly"},
 	}
-	writeRow(w, "collectors' lines on proxies a second at a manager", formatNumber(p.usageReports()), "plan, requests spread evenly")
 }
 
 // tailPart is the part of requests that a tail of 99 in 100 leaves out.
 const tailPart = 0.01
 
-// writeTail shows what part of all requests a table can send to a server that is gone, until a change is in force.
+// writeTail shows which part of all requests a table can send to a server that is gone, until a change is in force.
 func (m *Model) writeTail(w io.Writer) {
 	p := m.Plan
 	writeHeading(w, "Requests that a late table can touch")
@@ -176,7 +201,7 @@
 	return fmt.Sprintf("%s (%s)", formatNumber(worst), worstResource)
 }
 
-// writeProxies shows the assumption that weighs most at a third and at three times.
+// writeProxies shows the most influential assumption at a third and at three times its value.
 func (m *Model) writeProxies(w io.Writer) {
 	writeHeading(w, "A manager in a quiet second, by the proxies that it steers")
 	resources := []Resource{CoreStrict, CoreWithoutCollectors, Memory, BytesStrict, BytesWithoutCollectors}
@@ -193,85 +218,9 @@
 		for _, scope := range []Scope{WholeList, Subset} {
 			cells := []string{formatNumber(float64(proxies)), string(scope)}
 			for _, r := range resources {
-				cells = append(cells, formatFigure(other.check(Manager, r, quiet).Ratio[scope], formatNumber))
+				cells = append(cells, other.check(Manager, r, quiet).ratio(scope))
 			}
 			writeRow(w, cells...)
 		}
 	}
 }
-
-func writeChecks(w io.Writer, checks []Check) {
-	writeHeading(w, "Against the budgets, as ratios")
-	writeHeader(w, "situation", "role", "budget", "whole list", "subset", "subset at a watch cache", "carried by", "status")
-	for _, c := range checks {
-		writeRow(w, c.Situation, string(c.Role), string(c.Resource), formatFigure(c.Ratio[WholeList], formatNumber), formatFigure(c.Ratio[Subset], formatNumber),
-			formatFigure(c.Ratio[CachedSubset], formatNumber), c.Mechanism.Name, string(c.Mechanism.Status))
-	}
-	writeHeading(w, "The mechanisms, and where they stand")
-	writeHeader(w, "mechanism", "status", "where")
-	var told []string
-	for _, c := range checks {
-		if key := c.Mechanism.Name + string(c.Mechanism.Status); !slices.Contains(told, key) {
-			told = append(told, key)
-			writeRow(w, c.Mechanism.Name, string(c.Mechanism.Status), c.Mechanism.Where)
-		}
-	}
-}
-
-func (m *Model) writeLimits(w io.Writer) {
-	writeHeading(w, "Fixed limits of today's code")
-	writeHeader(w, "limit", "bound", "whole list", "subset", "subset at a watch cache", "what happens past it", "where")
-	for _, l := range m.Limits() {
-		cells := []string{l.What, formatNumber(l.Bound)}
-		for _, scope := range Scopes {
-			cell := formatFigure(l.Wanted[scope], formatNumber)
-			if l.Exceeded(scope) {
-				cell += ", **passed**"
-			}
-			cells = append(cells, cell)
-		}
-		writeRow(w, append(cells, l.Effect, l.Where)...)
-	}
-}
-
-// rankedRows is how many rows the ranking shows at most.
-const rankedRows = 20
-
-func writeRanking(w io.Writer, checks []Check) {
-	writeHeading(w, "The rows whose mechanism is missing, the worst first")
-	writeHeader(w, "rank", "ratio, whole list", "ratio, with its mechanism", "situation", "role", "budget", "missing mechanism")
-	for i, c := range Ranking(checks) {
-		if i == rankedRows {
-			break
-		}
-		writeRow(w, strconv.Itoa(i+1), formatFigure(c.Ratio[WholeList], formatNumber), formatFigure(c.Ratio[scopeMadeBy(c.Mechanism)], formatNumber),
-			c.Situation, string(c.Role), string(c.Resource), c.Mechanism.Name)
-	}
-	fmt.Fprintln(w)
-	for i, s := range MechanismRanks(checks) {
-		fmt.Fprintf(w, "%d. **%s**: its worst row is %s of the budget (%s, %s, %s). It has %d rows over budget and brings %d of them under.\n",
-			i+1, s.Mechanism.Name, formatFigure(s.Worst.Ratio[WholeList], formatNumber), s.Worst.Situation, s.Worst.Role, s.Worst.Resource, s.ExceededRows, s.MendedRows)
-	}
-}
-
-func writePartly(w io.Writer, checks []Check) {
-	writeHeading(w, "Rows over budget whose mechanism stands, or partly stands")
-	writeHeader(w, "ratio, whole list", "subset", "subset at a watch cache", "situation", "role", "budget", "mechanism", "status")
-	for _, c := range ExceededThoughBuilt(checks) {
-		writeRow(w, formatFigure(c.Ratio[WholeList], formatNumber), formatFigure(c.Ratio[Subset], formatNumber), formatFigure(c.Ratio[CachedSubset], formatNumber),
-			c.Situation, string(c.Role), string(c.Resource), c.Mechanism.Name, string(c.Mechanism.Status))
-	}
-}
-
-func (m *Model) writeVerdict(w io.Writer, passed []Check) {
-	writeHeading(w, "Verdict")
-	if len(passed) == 0 {
-		fmt.Fprintf(w, "No budget is passed in the scope that the plan judges, `%s`.\n", m.Plan.Judged)
-		return
-	}
-	fmt.Fprintf(w, "Budgets passed in the scope that the plan judges, `%s`:\n\n", m.Plan.Judged)
-	for _, c := range passed {
-		fmt.Fprintf(w, "- %s, %s: %s, %s times the budget (%s, %s)\n", c.Situation, c.Role, c.Resource,
-			formatFigure(c.Ratio[m.Plan.Judged], formatNumber), c.Mechanism.Name, c.Mechanism.Status)
-	}
-}
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -20,14 +20,53 @@
 
 // Mechanisms, with what the code has of each.
 var (
-	subsetting = Mechanism{"subsetting", Stands, "`internal/subset`, off unless the operator's settings say `(subset (spill N))`: `balancer` is handed the members alone", true}
-	watchCache = Mechanism{"watch cache", Missing, "nowhere: each manager's watch is served by discovery itself, whole", false}
-	aggregate  = Mechanism{"aggregation", Partly, "collectors sum an interval for each zone and server, and for each proxy and traffic group; nothing sums over proxies or thins out lines by the bytes that they take", false}
-	resume     = Mechanism{"delta with resume", Partly, "`watchState` in `internal/node` asks from the generation that it holds, and takes what changed or all; how far back discovery goes is its own matter, and a second control machine's generations are not settled", false}
-	snapshot   = Mechanism{"snapshot", Partly, "`known` in the start's file gives the list that a restart begins with, written by the platform; the manager keeps none of its own", false}
-	storedList = Mechanism{"snapshot", Stands, "`internal/store` keeps the list as last held, off unless the operator's settings say `(store (path FILE))`: a restart begins with it and asks for what changed since", false}
-	jitter     = Mechanism{"jittered restart", Partly, "`waitBackoff` in `internal/node` waits 50 to 200 ms by chance between tries, which spreads a few managers and not thousands", false}
-	delta      = Mechanism{"delta with resume", Stands, "`watchState` in `internal/node`: after the opening only changes come", false}
+	subsetting = Mechanism{
+		Name:   "subsetting",
+		Status: Stands,
+		Where: "`internal/subset`, off unless the operator's settings say `(subset (spill N))`: " +
+			"`balancer` is handed the members alone",
+		Chosen: true,
+	}
+	watchCache = Mechanism{
+		Name:   "watch cache",
+		Status: Missing,
+		Where:  "nowhere: each manager's watch is served by discovery itself, whole",
+	}
+	aggregate = Mechanism{
+		Name:   "aggregation",
+		Status: Partly,
+		Where: "collectors sum an interval for each zone and server, and for each proxy and traffic group; " +
+			"nothing sums over proxies or thins out lines by the bytes that they take",
+	}
+	resume = Mechanism{
+		Name:   "delta with resume",
+		Status: Partly,
+		Where: "`watchState` in `internal/node` asks from the generation that it holds, and takes what changed or all; " +
+			"how far back discovery goes is its own matter, and a second control machine's generations are not settled",
+	}
+	snapshot = Mechanism{
+		Name:   "snapshot",
+		Status: Partly,
+		Where: "`known` in the start's file gives the list that a restart begins with, written by the platform; " +
+			"the manager keeps none of its own",
+	}
+	storedList = Mechanism{
+		Name:   "snapshot",
+		Status: Stands,
+		Where: "`internal/store` keeps the list as last held, off unless the operator's settings say " +
+			"`(store (path FILE))`: a restart begins with it and asks for what changed since",
+	}
+	jitter = Mechanism{
+		Name:   "jittered restart",
+		Status: Partly,
+		Where: "`waitBackoff` in `internal/node` waits 50 to 200 ms by chance between tries, " +
+			"which spreads a few managers and not thousands",
+	}
+	delta = Mechanism{
+		Name:   "delta with resume",
+		Status: Stands,
+		Where:  "`watchState` in `internal/node`: after the opening only changes come",
+	}
 )
 
 // mechanismForAllBytes is the mechanism that carries all bytes of a manager: that of collectors' lines where they are most.
@@ -46,13 +85,13 @@
 	switch {
 	case resource == CoreStrict, resource == CoreWithoutCollectors, resource == Memory:
 		return subsetting
-	case s.FromStore:
+	case s.Opening == OpenFromStore:
 		return storedList
 	case s.MissedEntries > 0:
 		return resume
-	case s.Reopens:
+	case s.Opening == OpenAgain:
 		return resume
-	case s.Opens:
+	case s.Opening == OpenComplete:
 		return snapshot
 	case s.NoList:
 		return subsetting // probes of servers that do not answer, of all that the manager holds
--- a/internal/capacity/other_roles.go
+++ b/internal/capacity/other_roles.go
@@ -49,7 +49,7 @@
 	h := p.serverCounts(s, scope)
 	requests := p.requestsPerManager() / float64(p.Managers.Proxies)
 	orders := known(0)
-	if s.Opens {
+	if s.Opening != NoOpening {
 		orders = known((m.tableWeights(h) + 1) * p.Messages.Command / s.Window)
 	}
 	return Load{
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -28,21 +28,25 @@
 	Managers Managers
 	Subset   SubsetSize
 	Messages MessageBytes
-	Judged   Scope // whose passed budgets make the verdict
+	Judged   Scope // whose exceeded budgets make the verdict
 }
 
 // Fleet is the size that is planned for.
 type Fleet struct {
-	Managers, Servers, Services int
-	RequestsPerSecond           float64 // at the peak
-	Routes, Tenants             int
-	Regions, Zones              int
+	Managers          int
+	Servers           int
+	Services          int
+	RequestsPerSecond float64 // at the peak
+	Routes            int
+	Tenants           int
+	Regions           int
+	Zones             int
 }
 
-// Budgets are the most that may be spent. Those on a core, memory and bytes hold for one manager.
+// Budgets are the most that may be spent. Core, memory and bytes are those of one manager.
 type Budgets struct {
-	RequestTail    time.Duration // added to a request, 99 in 100
-	MaxPropagation time.Duration // from a change told until the last manager's orders carry it
+	RequestTail    time.Duration // added to a request, 99th percentile
+	MaxPropagation time.Duration // from a change of the list until the last manager has commanded it
 	Core           float64       // part of one core
 	MemoryMB       float64
 	BytesPerSecond float64
@@ -50,12 +54,14 @@
 
 // Day is an ordinary day: how much happens, and how unevenly.
 type Day struct {
-	Failures, Restarts, Changes int
-	EntriesPerFailure           float64 // changes of the list that one failure brings
-	EntriesPerRestart           float64
-	EntriesPerChange            float64
-	BusyHour                    float64 // part of the day's list changes that its busiest hour holds
-	Batch                       int     // list changes that come together
+	Failures          int
+	Restarts          int
+	Changes           int     // of configuration
+	EntriesPerFailure float64 // that one failure changes on the list
+	EntriesPerRestart float64
+	EntriesPerChange  float64
+	BusyHour          float64 // part of the day's changed entries that fall into its busiest hour
+	Batch             int     // changed entries that come together
 }
 
 // Events are the failures beyond an ordinary day.
@@ -73,16 +79,16 @@
 
 // Managers holds what is assumed of one manager and of those around it.
 type Managers struct {
-	Proxies             int // that one manager steers
-	ProxyZones          int // zones in which they stand
+	Proxies             int // of one manager
+	ProxyZones          int // in which they are
 	TrafficClasses      int
 	AttemptsPerRequest  float64
-	ListStored          bool          // each keeps the list as last held in its store
-	ReadInterval        time.Duration // between reads of what collectors and the relay tell; 0: each is made at once
+	ListStored          bool          // each keeps the last endpoint list in its store
+	ReadInterval        time.Duration // between reads of the connections of collectors and the relay; 0: each is read at once
 	ReportInterval      time.Duration // over which a collector sums
 	CollectorsPerZone   int
 	RelaysPerZone       int
-	QueueCapacity       int // lines that may wait in a manager's channel
+	QueueCapacity       int // commands that may wait in a manager's channel
 	HealthCheckInterval time.Duration
 	HealthCheckTimeout  time.Duration
 	MaxHealthChecks     int
@@ -90,12 +96,20 @@
 
 // SubsetSize is the division of the list that subsetting makes.
 type SubsetSize struct {
-	HomeZones  int     // zones whose servers a manager holds whole
+	HomeZones  int     // zones of which a manager holds all servers
 	Others     int     // servers of other zones, spread evenly
-	WidenBelow float64 // of them: with fewer in reach the subset doubles
+	WidenBelow float64 // part of the others: while fewer can be reached the subset doubles
 }
 
-// MessageBytes are sizes that stand in where no slope tells of them.
+// MessageBytes are sizes of messages that are assumed where no slope has them.
 type MessageBytes struct {
-	Report, Usage, RelayEvent, ListEntry, HealthCheck, UnansweredHealthCheck, Heartbeat, Calls, Command float64
+	Report                float64
+	Usage                 float64
+	RelayEvent            float64
+	ListEntry             float64
+	HealthCheck           float64 // with its answer
+	UnansweredHealthCheck float64
+	Heartbeat             float64 // of a second
+	Calls                 float64 // of a second
+	Command               float64 // within a call
 }
--- a/internal/capacity/plan_read.go
+++ b/internal/capacity/plan_file.go
@@ -9,7 +9,7 @@
 	"tamarindshore/internal/sexp"
 )
 
-// Bounds of the plan's figures.
+// Bounds of the plan's values.
 const (
 	maxCount    = 10_000_000
 	maxRate     = 1e12
@@ -20,7 +20,8 @@
 	planForm    = "capacity"
 )
 
-// ReadPlan reads and checks a whole plan. An error names the file, the line and the key.
+// ReadPlan reads and checks the file of a plan. What is wrong with its content is a sexp.Error, which names the file, the
+// line and the key.
 func ReadPlan(path string) (Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -29,7 +30,8 @@
 	return ParsePlan(filepath.Base(path), text)
 }
 
-// ParsePlan reads a plan of the form (capacity (fleet (managers 5600) ...) ...). Each key has to be there.
+// ParsePlan reads a plan of the form (capacity (fleet (managers 5600) ...) ...). All keys are required; errors call the
+// file by name.
 func ParsePlan(name string, text []byte) (Plan, error) {
 	var p Plan
 	nodes, err := sexp.Parse(name, text)
@@ -37,12 +39,13 @@
 		return p, err
 	}
 	if len(nodes) != 1 || nodes[0].Head() != planForm {
-		return p, fmt.Errorf("%s:1: one form (%s ...) is due", name, planForm)
+		return p, &sexp.Error{File: name, Line: 1, Problem: fmt.Sprintf("one form (%s ...) is due", planForm)}
 	}
-	if err := sexp.Read(nodes[0], nodes[0].Args(), p.sections()...); err != nil {
+	form := nodes[0]
+	if err := sexp.Read(form, form.Args(), p.sections()...); err != nil {
 		return p, err
 	}
-	return p, p.consistent(nodes[0])
+	return p, p.checkConsistent(form)
 }
 
 func (p *Plan) sections() []sexp.Key {
@@ -148,13 +151,15 @@
 	return nil
 }
 
-// consistent checks what several keys say together; the error stands at the key that is too large.
-func (p *Plan) consistent(root *sexp.Node) error {
+// checkConsistent checks keys against one another; the error is at the key that is too large.
+func (p *Plan) checkConsistent(root *sexp.Node) error {
 	f := p.Fleet
-	for _, one := range []struct {
-		section, key string
-		value, most  int
-		of           string
+	for _, c := range []struct {
+		section string
+		key     string
+		value   int
+		limit   int
+		of      string // what the limit counts
 	}{
 		{"fleet", "services", f.Services, f.Servers, "servers"},
 		{"fleet", "zones", f.Zones, f.Servers, "servers"},
@@ -163,18 +168,19 @@
 		{"subset", "home-zones", p.Subset.HomeZones, f.Zones, "zones"},
 		{"subset", "others", p.Subset.Others, f.Servers, "servers"},
 	} {
-		if one.value > one.most {
-			at := childNode(childNode(root, one.section), one.key)
-			return at.Errorf("%s: %d is more than the %d %s", one.key, one.value, one.most, one.of)
+		if c.value > c.limit {
+			node := childNode(childNode(root, c.section), c.key)
+			return node.Errorf("%s: %d is more than the %d %s", c.key, c.value, c.limit, c.of)
 		}
 	}
 	return nil
 }
 
+// childNode is the list with a head within another; that one where there is none.
 func childNode(n *sexp.Node, head string) *sexp.Node {
-	for _, one := range n.Args() {
-		if one.Head() == head {
-			return one
+	for _, child := range n.Args() {
+		if child.Head() == head {
+			return child
 		}
 	}
 	return n
@@ -201,7 +207,7 @@
 	}}
 }
 
-// spanOrNone is a time that may be 0s.
+// durationOrZeroKey is a duration that may be 0s.
 func durationOrZeroKey(name string, to *time.Duration) sexp.Key {
 	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error { return n.Duration(to, 0, maxDuration) }}
 }
--- a/internal/capacity/propagation_page.go
+++ b/internal/capacity/propagation_page.go
@@ -99,9 +99,9 @@
 		other.Plan.Managers.ReadInterval = interval
 		quiet := other.Plan.situations()[0]
 		for _, scope := range []Scope{WholeList, Subset} {
-			strict := other.check(Manager, CoreStrict, quiet).Ratio[scope]
-			withoutCollectors := other.check(Manager, CoreWithoutCollectors, quiet).Ratio[scope]
-			writeRow(w, intervalCell(interval.Seconds()), string(scope), formatFigure(strict, formatNumber), formatFigure(withoutCollectors, formatNumber))
+			strict := other.check(Manager, CoreStrict, quiet)
+			withoutCollectors := other.check(Manager, CoreWithoutCollectors, quiet)
+			writeRow(w, intervalCell(interval.Seconds()), string(scope), strict.ratio(scope), withoutCollectors.ratio(scope))
 		}
 	}
 }
--- a/internal/faultsim/bad_input_test.go
+++ b/internal/faultsim/bad_input_test.go
@@ -7,6 +7,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"tamarindshore/internal/sexp"
 )
 
 func TestBadScenariosNameFileLineAndKey(t *testing.T) {
@@ -57,13 +59,24 @@
 	}
 }
 
-func TestAnotherFormIsAFormError(t *testing.T) {
-	var form *FormError
-	if _, err := ParseScenario("f", []byte("(other)")); !errors.As(err, &form) || form.File != "f" || form.Head != "scenario" {
-		t.Errorf("scenario: %v", err)
+func TestErrorsOfFilesAreTyped(t *testing.T) {
+	for _, one := range []struct {
+		text string
+		line int
+	}{{"(other)", 1}, {"(scenario\n (zones 17))", 2}, {"(scenario (faults (least 5) (most 4)))", 1}} {
+		var file *sexp.Error
+		if _, err := ParseScenario("f", []byte(one.text)); !errors.As(err, &file) || file.File != "f" || file.Line != one.line {
+			t.Errorf("scenario %q: %v", one.text, err)
+		}
 	}
-	if _, err := ParseScript("g", []byte("(other)")); !errors.As(err, &form) || form.File != "g" || form.Head != "replay" {
-		t.Errorf("replay: %v", err)
+	for _, one := range []struct {
+		text string
+		line int
+	}{{"(other)", 1}, {"(replay (seed 1)\n (fire))", 2}} {
+		var file *sexp.Error
+		if _, err := ParseScript("g", []byte(one.text)); !errors.As(err, &file) || file.File != "g" || file.Line != one.line {
+			t.Errorf("replay %q: %v", one.text, err)
+		}
 	}
 	if _, err := ReadScenario(filepath.Join(t.TempDir(), "none.sexp")); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("no file: %v", err)
--- a/internal/faultsim/script_file.go
+++ b/internal/faultsim/script_file.go
@@ -68,18 +68,7 @@
 		return nil, err
 	}
 	if len(nodes) != 1 || nodes[0].Head() != head {
-		return nil, &FormError{File: name, Head: head}
+		return nil, &sexp.Error{File: name, Line: 1, Problem: fmt.Sprintf("one form (%s ...) is due", head)}
 	}
 	return nodes[0], nil
 }
-
-// FormError is that of a file which is not one list with the head that its format has.
-type FormError struct {
-	File string
-	Head string
-}
-
-// Error names the file, the line and what the format has.
-func (e *FormError) Error() string {
-	return fmt.Sprintf("%s:1: one form (%s ...) is due", e.File, e.Head)
-}
