--- a/client/tables/op.go
+++ b/client/tables/op.go
@@ -43,6 +43,7 @@
 	Reason string
 }
 
+// Error returns the reason.
 func (e *InvalidOpError) Error() string { return e.Reason }
 
 // validate returns an *InvalidOpError where an operation is wrong by itself.
--- a/internal/store/save.go
+++ b/internal/store/save.go
@@ -16,6 +16,7 @@
 	Want    tables.Digest // that the version names
 }
 
+// Error names the version and both digests.
 func (e *DigestError) Error() string {
 	return fmt.Sprintf("version %v leads to %v, not to %v", e.Version, e.Got, e.Want)
 }
