--- a/cmd/tamarindshore/serve_test.go
+++ b/cmd/tamarindshore/serve_test.go
@@ -31,8 +31,9 @@
 
 // deployment is discovery and a relay on loopback, and the file of a manager that they serve.
 type deployment struct {
-	config, manager string
-	text            []byte
+	configPath     string
+	configText     []byte
+	managerAddress string
 }
 
 func newDeployment(t *testing.T) deployment {
@@ -48,23 +49,35 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(discovery.Close)
-	d := deployment{config: filepath.Join(t.TempDir(), "config.json")}
-	if d.manager, err = fakes.FreeAddress(); err != nil {
+	address, err := fakes.FreeAddress()
+	if err != nil {
 		t.Fatal(err)
 	}
-	d.text = site.Start("n1", d.manager, discovery.Address, relay.Address, discovery.Snapshot(), 1, 1, 192, 1024)
-	if err := os.WriteFile(d.config, d.text, 0o600); err != nil {
+	d := deployment{
+		configPath:     filepath.Join(t.TempDir(), "config.json"),
+		managerAddress: address,
+		configText: site.ConfigFile(fakes.ManagerConfig{
+			Name:             "n1",
+			ListenAddress:    address,
+			DiscoveryAddress: discovery.Address,
+			RelayAddress:     relay.Address,
+			Endpoints:        discovery.Snapshot(),
+			Options:          fakes.ManagerOptions{Seed: 1, Cores: 1, MemoryMB: 192, MaxDescriptors: 1024},
+		}),
+	}
+	if err := os.WriteFile(d.configPath, d.configText, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-// program is the manager as a process, by a shell line in which $0 is the program.
+// start runs the manager as a process, by a shell line in which $0 is the program.
 func (d deployment) start(t *testing.T, line string, log *os.File) *exec.Cmd {
 	t.Helper()
 	cmd := exec.Command("/bin/sh", "-c", line, os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1", "PROXY_CONFIG="+d.config)
-	cmd.Stderr, cmd.SysProcAttr = log, &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	cmd.Env = append(os.Environ(), asProgram+"=1", "PROXY_CONFIG="+d.configPath)
+	cmd.Stderr = log
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -72,11 +85,11 @@
 	return cmd
 }
 
-// ready waits for the first pong.
+// waitUntilReady waits for the first pong.
 func (d deployment) waitUntilReady(t *testing.T) {
 	t.Helper()
 	for late := time.Now().Add(10 * time.Second); time.Now().Before(late); time.Sleep(5 * time.Millisecond) {
-		c, err := net.Dial("tcp", d.manager)
+		c, err := net.Dial("tcp", d.managerAddress)
 		if err != nil {
 			continue
 		}
@@ -91,7 +104,7 @@
 	t.Fatal("not ready within 10 s")
 }
 
-// end sends SIGTERM and looks at how the process ends.
+// requireCleanEnd sends SIGTERM and looks at how the process ends.
 func requireCleanEnd(t *testing.T, cmd *exec.Cmd) {
 	t.Helper()
 	cmd.Process.Signal(syscall.SIGTERM)
@@ -108,6 +121,7 @@
 }
 
 func newPipe(t *testing.T) (read, write *os.File) {
+	t.Helper()
 	read, write, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -116,7 +130,7 @@
 	return read, write
 }
 
-// Guards against a SIGHUP that comes before the program heeds it and ends the process: the deploy file's line has it
+// Guards against a SIGHUP that comes before the program takes it and ends the process: the deploy file's line has it
 // ignored until then, and the file is read after that.
 func TestASignalBeforeTheStart(t *testing.T) {
 	d := newDeployment(t)
@@ -141,14 +155,14 @@
 // Guards against signals that end the process while its file is being read: the file is a pipe, half written.
 func TestSignalsDuringTheStart(t *testing.T) {
 	d := newDeployment(t)
-	os.Remove(d.config)
-	if err := syscall.Mkfifo(d.config, 0o600); err != nil {
+	os.Remove(d.configPath)
+	if err := syscall.Mkfifo(d.configPath, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	read, write := newPipe(t)
 	cmd := d.start(t, `exec "$0"`, write)
 	write.Close()
-	file, err := os.OpenFile(d.config, os.O_WRONLY, 0) // goes on once the program opens it
+	file, err := os.OpenFile(d.configPath, os.O_WRONLY, 0) // goes on once the program opens it
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +174,7 @@
 		cmd.Process.Signal(syscall.SIGUSR1)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
-	file.Write(d.text)
+	file.Write(d.configText)
 	file.Close()
 	requireCleanEnd(t, cmd)
 	if log, _ := io.ReadAll(read); bytes.Contains(log, []byte("panic")) {
@@ -168,7 +182,7 @@
 	}
 }
 
-// Guards against an end that waits for a reader of the log that stands still.
+// Guards against an end that waits for a reader of the log that is stalled.
 func TestAnEndWithTheLogStuck(t *testing.T) {
 	d := newDeployment(t)
 	_, write := newPipe(t)
