--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Simulator-adapter runs the decision module on the simulator's lines, from standard input
+// Simulator-adapter runs the balancer on the lines of the simulator, from standard input
 // to standard output.
 package main
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,16 +11,16 @@
 	"tamarindshore/internal/platformsettings"
 )
 
-const told = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
+const validPlatformFile = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.2:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"store":{"address":"127.0.0.3:6400"},
 "known":{"generation":41,"reset":true,"instances":[]},"unknown":{"key":1},
 "settings":{"zones":["a"],"classes":[{"name":"lookup","aimUs":2000000,"hardLimitUs":6000000,"worth":1}],
 "domain":{"egressPerS":8600,"queueCap":8600,"usualHow":1},"report":{"how":"piggyback"},"rules":{"warmAfterUs":16000000}}}`
 
-func none(string) string { return "" }
+func emptyEnvironment(string) string { return "" }
 
 func TestParseFillsSettingsAndLimits(t *testing.T) {
-	s, err := parse(none, []byte(told), false)
+	s, err := parse(emptyEnvironment, []byte(validPlatformFile), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 func TestParseLetsTheEnvironmentWin(t *testing.T) {
 	s, err := parse(func(key string) string {
 		return map[string]string{"PROXY_LISTEN": "127.0.0.9:1", "PROXY_NAME": "n4"}[key]
-	}, []byte(told), false)
+	}, []byte(validPlatformFile), false)
 	if err != nil || s.Listen != "127.0.0.9:1" || s.Name != "n4" || s.Discovery != "127.0.0.2:8500" {
 		t.Errorf("%+v %v", s, err)
 	}
@@ -61,17 +61,17 @@
 	env := func(key string) string {
 		return map[string]string{"PROXY_LISTEN": "127.0.0.9:1", "PROXY_DISCOVERY": "127.0.0.9:2"}[key]
 	}
-	s, err := parse(env, []byte(told), true)
+	s, err := parse(env, []byte(validPlatformFile), true)
 	if err != nil || s.Discovery != "127.0.0.2:8500" || s.Listen != "127.0.0.9:1" {
 		t.Errorf("%+v %v", s, err)
 	}
-	silent := strings.Replace(told, `"discovery":"127.0.0.2:8500",`, "", 1)
+	silent := strings.Replace(validPlatformFile, `"discovery":"127.0.0.2:8500",`, "", 1)
 	if s, err = parse(env, []byte(silent), true); err != nil || s.Discovery != "127.0.0.9:2" {
 		t.Errorf("%+v %v", s, err)
 	}
 }
 
-func TestParseNamesTheFaultyKey(t *testing.T) {
+func TestParseNamesTheInvalidKey(t *testing.T) {
 	for _, c := range []struct{ was, is, want string }{
 		{`"name":"n3",`, ``, "name: is missing"},
 		{`"listen":"127.0.0.1:8443"`, `"listen":"127.0.0.1"`, `listen: "127.0.0.1" is no address`},
@@ -97,11 +97,11 @@
 		{`"settings":{"zones"`, `"settings":[],"other":{"zones"`, "settings: json: cannot unmarshal array"},
 		{`{"name"`, `"name"`, "PROXY_CONFIG: "},
 	} {
-		text := strings.Replace(told, c.was, c.is, 1)
-		if text == told {
+		text := strings.Replace(validPlatformFile, c.was, c.is, 1)
+		if text == validPlatformFile {
 			t.Fatalf("%s is not in the text", c.was)
 		}
-		_, err := parse(none, []byte(text), false)
+		_, err := parse(emptyEnvironment, []byte(text), false)
 		var fault *platformsettings.KeyError
 		if syntax := strings.HasPrefix(c.want, "PROXY_CONFIG"); !syntax && !errors.As(err, &fault) {
 			t.Errorf("%s: %v names no key", c.is, err)
@@ -115,7 +115,7 @@
 }
 
 func TestReadNeedsAFile(t *testing.T) {
-	if _, err := Read(none); err == nil || err.Error() != "PROXY_CONFIG: is missing" {
+	if _, err := Read(emptyEnvironment); err == nil || err.Error() != "PROXY_CONFIG: is missing" {
 		t.Error(err)
 	}
 	for _, read := range []func(func(string) string) (Config, error){Read, Reread} {
@@ -126,7 +126,7 @@
 	}
 }
 
-// Guards against a fleet of which only the first few hundred servers are probed when all are lost at once.
+// Guards against a fleet of which only the first few hundred servers are checked when all are lost at once.
 func TestTheSmallestMachineHasRoomForAThousandServers(t *testing.T) {
 	l := limitsFor(machine{cores: 0.01, memoryMB: 32, sockets: 64})
 	if l.MaxQueuedHealthChecks < 1024 || l.MaxQueuedInputs < 1024 || l.MaxEndpointListBytes < 1024*200 {
@@ -145,7 +145,7 @@
 		{`"unknown":{"key":1}`, `"unknown":{]`}:    "PROXY_CONFIG: invalid character ']' looking for beginning of object key string (line 3)",
 		{`"warmAfterUs":16000000}}}`, ``}:          "PROXY_CONFIG: unexpected end of JSON input (line 5)",
 	} {
-		text := strings.Replace(told, was[0], was[1], 1)
+		text := strings.Replace(validPlatformFile, was[0], was[1], 1)
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -162,7 +162,7 @@
 }
 
 // A list of 24,000 servers, at 200 bytes each, fits a manager with 256 MB; a small one keeps 1 MiB.
-func TestTheBoundOfAWholeListFollowsTheMemory(t *testing.T) {
+func TestBoundOfAWholeListFollowsTheMemory(t *testing.T) {
 	if most := limitsFor(machine{cores: 1, memoryMB: 256, sockets: 1024}).MaxEndpointListBytes; most < 24000*200 {
 		t.Errorf("%d bytes with 256 MB", most)
 	}
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -12,12 +12,12 @@
 	"tamarindshore/internal/sexp"
 )
 
-func TestOperatorsSettingsAreTakenWholeWithDefaults(t *testing.T) {
+func TestOperatorSettingsHaveDefaults(t *testing.T) {
 	o, err := ParseOperatorSettings("f", []byte(`(tamarindshore (cores 4) (log (form json)) (listen (status "127.0.0.1:9801")))`))
 	if err != nil || o.Shards != 4 || o.LogFormat != logging.JSON || o.LogLevel != "info" || o.StatusAddress != "127.0.0.1:9801" {
 		t.Errorf("%+v %v", o, err)
 	}
-	s, err := parse(none, []byte(told), false)
+	s, err := parse(emptyEnvironment, []byte(validPlatformFile), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	}
 }
 
-func TestFaultyOperatorsSettingsNameTheirKey(t *testing.T) {
+func TestInvalidOperatorSettingsNameTheirKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"(tamarindshore\n (cores 0))":                         "f:2: cores: 0 is no whole number from 1 to 64",
 		"(tamarindshore\n (log (level loud)))":                "f:2: level: loud is none of debug, info, warn, error",
@@ -67,14 +67,14 @@
 	}
 }
 
-// withSettings is a configuration joined to the operator's settings.
-func withSettings(t *testing.T, settings string) Config {
+// newConfig is a configuration joined to the operator's settings.
+func newConfig(t *testing.T, settings string) Config {
 	t.Helper()
 	operator, err := ParseOperatorSettings("f", []byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	start, err := parse(none, []byte(told), false)
+	start, err := parse(emptyEnvironment, []byte(validPlatformFile), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,17 +84,17 @@
 	return start
 }
 
-func TestASubsetIsOffUnlessItIsAskedFor(t *testing.T) {
+func TestSubsetIsOffUnlessItIsStated(t *testing.T) {
 	for text, want := range map[string]int{"(tamarindshore)": 0, "(tamarindshore (subset (spill 100)))": 100} {
-		if s := withSettings(t, text); s.Spill != want {
+		if s := newConfig(t, text); s.Spill != want {
 			t.Errorf("%s: %d", text, s.Spill)
 		}
 	}
 }
 
-func TestReadsAreSpacedWhereItIsAskedFor(t *testing.T) {
+func TestReadIntervalIsOffUnlessItIsStated(t *testing.T) {
 	for text, want := range map[string]time.Duration{"(tamarindshore)": 0, "(tamarindshore (read-interval 50ms))": 50 * time.Millisecond} {
-		if s := withSettings(t, text); s.Limits.ReadInterval != want {
+		if s := newConfig(t, text); s.Limits.ReadInterval != want {
 			t.Errorf("%s: %v", text, s.Limits.ReadInterval)
 		}
 	}
--- a/internal/platformsettings/parse_test.go
+++ b/internal/platformsettings/parse_test.go
@@ -11,13 +11,13 @@
 	"tamarindshore/balancer"
 )
 
-const usual = `{"zones":["a","b"],"classes":[{"name":"lookup","aimUs":2000000,"hardLimitUs":6000000,"worth":1,"repeat":"idempotent","group":"all","windowUs":5000000},
+const validSettings = `{"zones":["a","b"],"classes":[{"name":"lookup","aimUs":2000000,"hardLimitUs":6000000,"worth":1,"repeat":"idempotent","group":"all","windowUs":5000000},
 {"name":"book","aimUs":1000000,"hardLimitUs":4000000,"worth":3,"repeat":"at_most_once"}],"membershipMode":"push","peersTotal":5,"weightSource":"rough",
 "domain":{"admit":"share","egressPerS":8600,"queueCap":8600,"envelope":4,"proxies":9,"usualHow":1,"messagesMost":20,"reloadSpanUs":10000000,"lineFee":0.02},
 "limits":{"probing":true,"connIdleUs":15000000},"rules":{"coldFrom":0.15,"warmAfterUs":16000000}}`
 
-// check looks that what passes is within the bounds that the module may rely on.
-func check(t *testing.T, text string) {
+// checkParsed looks that what passes is within the bounds that the balancer may rely on.
+func checkParsed(t *testing.T, text string) {
 	t.Helper()
 	settings, err := Parse([]byte(text))
 	got, names := settings.Balancer, settings.ClassNames
@@ -39,26 +39,26 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(usual)
-	f.Add(strings.ReplaceAll(usual, "1", "-1"))
+	f.Add(validSettings)
+	f.Add(strings.ReplaceAll(validSettings, "1", "-1"))
 	f.Add(`{"classes":[{}]}`)
-	f.Fuzz(check)
+	f.Fuzz(checkParsed)
 }
 
 func TestParseOnNoise(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 6))
-	words := strings.FieldsFunc(usual, func(r rune) bool { return strings.ContainsRune(",:", r) })
+	words := strings.FieldsFunc(validSettings, func(r rune) bool { return strings.ContainsRune(",:", r) })
 	for range 20_000 {
-		text := usual
+		text := validSettings
 		for range 1 + rng.IntN(3) {
 			i, j := rng.IntN(len(text)), rng.IntN(len(words))
 			text = text[:i] + []string{"", words[j], "-", "9", "e9"}[rng.IntN(5)] + text[min(len(text), i+rng.IntN(3)):]
 		}
-		check(t, text)
+		checkParsed(t, text)
 	}
 }
 
-func TestParseNamesTheFaultyKey(t *testing.T) {
+func TestParseNamesTheInvalidKey(t *testing.T) {
 	for was, bad := range map[string]struct{ is, key, problem string }{
 		`"queueCap":8600`:          {`"queueCap":-1`, "domain.queueCap", "-1 is not from 1e-06 to 1e+12"},
 		`"coldFrom":0.15`:          {`"coldFrom":0.15,"drainGraceUs":-1`, "rules.drainGraceUs", "-1 is not from 0 to 1e+15"},
@@ -74,10 +74,10 @@
 		`"hardLimitUs":4000000`:    {`"hardLimitUs":1.5`, "classes.hardLimitUs", "a number 1.5 stands where int64 is due"},
 		`"reloadSpanUs":10000000,`: {`"reloadSpanUs":-1,`, "domain.reloadSpanUs", "-1 is not from 0 to 1e+15"},
 	} {
-		if !strings.Contains(usual, was) {
+		if !strings.Contains(validSettings, was) {
 			t.Fatalf("no %s", was)
 		}
-		_, err := Parse([]byte(strings.Replace(usual, was, bad.is, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, was, bad.is, 1)))
 		var fault *KeyError
 		if errors.As(err, &fault) && fault.Within("settings").Error() != "settings."+err.Error() {
 			t.Errorf("%s: within settings %v", bad.is, fault.Within("settings"))
@@ -105,23 +105,23 @@
 
 // Guards against one customer's settings that show in another's: what is read twice is equal, whatever came between.
 func TestParseKeepsNothing(t *testing.T) {
-	first, err := Parse([]byte(usual))
+	first, err := Parse([]byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := strings.NewReplacer(`["a","b"]`, `["hall"]`, `"idempotent"`, `"deduplicated"`, `"lookup"`, `"read"`, `"share"`, `"rate"`).Replace(usual)
+	other := strings.NewReplacer(`["a","b"]`, `["hall"]`, `"idempotent"`, `"deduplicated"`, `"lookup"`, `"read"`, `"share"`, `"rate"`).Replace(validSettings)
 	theirs, err := Parse([]byte(other))
 	if err != nil || len(theirs.Balancer.Zones) != 1 || theirs.Balancer.AdmissionUnit != balancer.AdmitRate ||
 		theirs.Balancer.Classes[0].Idempotency != balancer.IdempotencyKeyed {
 		t.Fatalf("%+v %v", theirs, err)
 	}
-	if again, err := Parse([]byte(usual)); err != nil || !reflect.DeepEqual(first, again) {
+	if again, err := Parse([]byte(validSettings)); err != nil || !reflect.DeepEqual(first, again) {
 		t.Errorf("%+v, then %+v %v", first, again, err)
 	}
 }
 
 func TestParseTakesTheGraceOfADrain(t *testing.T) {
-	settings, err := Parse([]byte(strings.Replace(usual, `"coldFrom":0.15`, `"coldFrom":0.15,"drainGraceUs":3200000`, 1)))
+	settings, err := Parse([]byte(strings.Replace(validSettings, `"coldFrom":0.15`, `"coldFrom":0.15,"drainGraceUs":3200000`, 1)))
 	if grace := settings.Balancer.DrainGrace; err != nil || grace != 3200*time.Millisecond {
 		t.Errorf("%v %v", grace, err)
 	}
--- a/internal/subset/testhelpers_test.go
+++ b/internal/subset/testhelpers_test.go
@@ -138,7 +138,7 @@
 	return r.apply(r.subset.HandleTick(r.now, r.fleet))
 }
 
-// members are the servers that the fleet may send flows to, but for failures.
+// members are the servers that the fleet may send requests to, but for failures.
 func (r *simulation) members() map[balancer.ServerID]bool {
 	ids := map[balancer.ServerID]bool{}
 	for id, e := range r.fleet.entries {
--- a/internal/subset/width_test.go
+++ b/internal/subset/width_test.go
@@ -66,14 +66,14 @@
 	r.join(zoneName(0))
 	r.seconds(5)
 	if width := r.subset.Counts().Width; width != 1 {
-		t.Errorf("%.1f times as wide while the first members are probed", width)
+		t.Errorf("%.1f times as wide while the first members are checked", width)
 	}
 	r.fail(ofZone(servers, 0)...)
 	r.tick()
 	width := r.subset.Counts().Width
 	r.seconds(10)
 	if later := r.subset.Counts().Width; width < 1.5 || later != width {
-		t.Errorf("%.1f times as wide after the loss, %.1f while new members were probed", width, later)
+		t.Errorf("%.1f times as wide after the loss, %.1f while new members were checked", width, later)
 	}
 }
 
