--- a/internal/simprotocol/events.go
+++ b/internal/simprotocol/events.go
@@ -63,12 +63,14 @@
 		return nil, err
 	}
 	entries := []balancer.Endpoint{}
+	var row fieldReader
 	for range count {
 		line, ok := context.nextLine()
 		if !ok {
 			return nil, ErrTruncatedList
 		}
-		entry, err := parseEndpoint(line, context.startedAt)
+		row.reset(line)
+		entry, err := readEndpoint(&row, context.startedAt)
 		if err != nil {
 			return nil, err
 		}
@@ -82,9 +84,8 @@
 	}, nil
 }
 
-// parseEndpoint reads one line of a list. A start that is 0 or not told is long ago.
-func parseEndpoint(line string, startedAt time.Duration) (balancer.Endpoint, error) {
-	f := splitFields(line)
+// readEndpoint reads one line of a list. A start that is 0 or not told is long ago.
+func readEndpoint(f *fieldReader, startedAt time.Duration) (balancer.Endpoint, error) {
 	if f.text(fieldMessage) != messageEndpoint {
 		return balancer.Endpoint{}, ErrEndpointExpected
 	}
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -23,7 +23,21 @@
 	err    error
 }
 
-func splitFields(line string) *fieldReader { return &fieldReader{values: strings.Split(line, "\t")} }
+func splitFields(line string) *fieldReader {
+	f := &fieldReader{}
+	f.reset(line)
+	return f
+}
+
+// reset begins another line, in the memory of the one before.
+func (f *fieldReader) reset(line string) {
+	f.values = f.values[:0]
+	for value := range strings.SplitSeq(line, "\t") {
+		f.values = append(f.values, value)
+	}
+	f.next = 0
+	f.err = nil
+}
 
 func (f *fieldReader) fail(field, value, problem string) {
 	if f.err == nil {
--- a/internal/simprotocol/serve.go
+++ b/internal/simprotocol/serve.go
@@ -37,6 +37,8 @@
 	instances  map[int64]*instance
 	lines      *bufio.Scanner
 	linesRead  int
+	readLine   func() (string, bool) // nextLine, kept so that an event allocates no function value
+	fields     fieldReader           // of the event that is read, kept for the same reason
 	out        *bufio.Writer
 	newManager func(seed uint64, settings balancer.Settings) manager
 }
@@ -44,7 +46,7 @@
 func newHost(in io.Reader, out io.Writer) *host {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(make([]byte, bufferBytes), maxLineBytes)
-	return &host{
+	h := &host{
 		instances: map[int64]*instance{},
 		lines:     lines,
 		out:       bufio.NewWriterSize(out, bufferBytes),
@@ -52,6 +54,8 @@
 			return balancer.New(seed, settings)
 		},
 	}
+	h.readLine = h.nextLine
+	return h
 }
 
 // Serve answers batches until the input ends. An error in the input is a *LineError; one of reading or writing is
@@ -124,7 +128,8 @@
 
 // serveEvent reads one event and carries it out.
 func (h *host) serveEvent(name, line string, clock time.Duration) error {
-	f := splitFields(line)
+	f := &h.fields
+	f.reset(line)
 	if name == eventInstanceStarted {
 		f.values = strings.SplitN(line, "\t", settingsMessage)
 	}
@@ -148,7 +153,7 @@
 		return ErrUnknownMessage
 	}
 	one.now = clock - one.startedAt
-	apply, err := read(f, eventContext{startedAt: one.startedAt, classNames: one.classNames, nextLine: h.nextLine})
+	apply, err := read(f, eventContext{startedAt: one.startedAt, classNames: one.classNames, nextLine: h.readLine})
 	if err != nil {
 		return err
 	}
