--- a/internal/capacity/cases.go
+++ b/internal/capacity/cases.go
@@ -13,7 +13,7 @@
 	scale.HeapBytes, scale.RelayEventsPerSecond, scale.ProxiesAssigned}
 
 // axesOfManager are the axes along which those costs are summed.
-var axesOfManager = []scale.Axis{scale.Servers, scale.Proxies, scale.Zones, scale.TrafficGroups, scale.ListChanges, scale.Reports, scale.RestartsAtOnce}
+var axesOfManager = []scale.Axis{scale.Servers, scale.Proxies, scale.Zones, scale.TrafficClasses, scale.ListChanges, scale.Reports, scale.RestartsAtOnce}
 
 // writePlanSize holds the sums of slopes against managers that were measured at the plan's size.
 func (m *Model) writePlanSize(w io.Writer) {
@@ -94,5 +94,5 @@
 	if len(runs) == 0 {
 		return unmeasured
 	}
-	return how(median(runs))
+	return how(scale.Median(runs))
 }
