--- a/internal/versions/peer.go
+++ b/internal/versions/peer.go
@@ -1,7 +1,6 @@
 package versions
 
 import (
-	"slices"
 	"time"
 
 	"tamarindshore/client/tables"
@@ -10,18 +9,14 @@
 // RetrySettings say how often something is sent to a replica that does not answer or rejects it.
 type RetrySettings struct {
 	AckTimeout time.Duration // from a delta sent until it counts as lost
-
-	// Backoff between two attempts: doubled each time up to the most, then spread at random from half of it to all.
-	InitialBackoff time.Duration
-	MaxBackoff     time.Duration
+	Backoff    tables.RetrySettings
 }
 
 // DefaultRetrySettings are for replicas on a network of one's own.
 func DefaultRetrySettings() RetrySettings {
 	return RetrySettings{
-		AckTimeout:     2 * time.Second,
-		InitialBackoff: 250 * time.Millisecond,
-		MaxBackoff:     30 * time.Second,
+		AckTimeout: 2 * time.Second,
+		Backoff:    tables.RetrySettings{InitialInterval: 250 * time.Millisecond, MaxInterval: 30 * time.Second},
 	}
 }
 
@@ -80,9 +75,8 @@
 
 // fail gives up what is in flight and sets the time of the next attempt.
 func (p *Peer) fail(now time.Duration) {
-	backoff := tables.RetrySettings{InitialInterval: p.settings.InitialBackoff, MaxInterval: p.settings.MaxBackoff}
 	p.inFlight = nil
-	p.notBefore = now + backoff.Delay(p.failures, p.rng.next())
+	p.notBefore = now + p.settings.Backoff.Delay(p.failures, p.rng.next())
 	p.failures++
 }
 
@@ -121,44 +115,6 @@
 	p.inFlight = nil
 }
 
-// View is the versions that a chain keeps at one time. It never changes, so it is safe for use by several goroutines.
-type View struct {
-	versions []*Version
-	head     *Version
-}
-
-// View returns the versions that are kept now.
-func (c *Chain) View() View { return View{versions: slices.Clone(c.versions), head: c.Head()} }
-
-// Head returns the newest version; nil before the first.
-func (v View) Head() *Version { return v.head }
-
-// deltaFrom returns the delta that leads a replica to the newest version: from its own version if that is kept and no
-// snapshot is needed, else from the empty state.
-func (v View) deltaFrom(version tables.VersionRef, needsSnapshot bool) *tables.Delta {
-	base := tables.EmptyState()
-	delta := &tables.Delta{
-		ID:          v.head.ID,
-		BaseDigest:  base.Digest(),
-		Digest:      v.head.Digest,
-		CreatedAtMs: uint64(v.head.CreatedAt.UnixMilli()),
-		Cause:       v.head.Cause,
-	}
-	for _, kept := range v.versions {
-		if !needsSnapshot && refOf(kept) == version {
-			base = kept.State
-			delta.Base = kept.ID
-			delta.BaseDigest = kept.Digest
-		}
-	}
-	delta.Ops = tables.Diff(base, v.head.State)
-	return delta
-}
-
-func refOf(version *Version) tables.VersionRef {
-	return tables.VersionRef{ID: version.ID, Digest: version.Digest}
-}
-
 // jitter is a linear congruential generator: as cheap as it is predictable, which is enough to spread attempts.
 type jitter uint64
 
