--- a/internal/capacity/format_test.go
+++ b/internal/capacity/format_test.go
@@ -41,11 +41,20 @@
 // codeName is a name of the code within a table, which changes with the code.
 var codeName = regexp.MustCompile("`[^`]*`")
 
-// sectionDigests are a digest of each section of tables, by heading, without names of the code.
+// limitsHeading is the section whose last column says where in the code a limit stands.
+const limitsHeading = "Fixed limits of today's code"
+
+// lastCell is the last cell of a row.
+var lastCell = regexp.MustCompile(`(?m)\| [^|]* \|$`)
+
+// sectionDigests are a digest of each section of tables, by heading, without names and places of the code.
 func sectionDigests(tables string) []string {
 	var digests []string
 	for _, section := range strings.Split(tables, "\n### ")[1:] {
 		heading, _, _ := strings.Cut(section, "\n")
+		if heading == limitsHeading {
+			section = lastCell.ReplaceAllString(section, "|")
+		}
 		sum := sha256.Sum256([]byte(codeName.ReplaceAllString(section, "``")))
 		digests = append(digests, fmt.Sprintf("%x %s", sum[:12], heading))
 	}
