--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -8,7 +8,7 @@
 // Resource is what a budget bounds.
 type Resource string
 
-// Resources. In the strict reading all that is no request counts; beside it stands the reading without collectors' lines.
+// Resources. In the strict reading all counts that is no request; the other leaves out what collectors send.
 const (
 	CoreStrict             Resource = "core, strict"
 	CoreWithoutCollectors  Resource = "core, without collectors' lines"
--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -12,7 +12,7 @@
 	p := m.Plan
 	readers := m.readers(s)
 	h := p.normalServerCounts(scope)
-	live := s // the machine itself hears each change, and tells it; what readers missed is counted apart
+	live := s // the machine gets each change, and forwards it; what readers missed is counted apart
 	live.MissedEntries = 0
 	heard := p.listChanges(live, 1)
 	changes := p.listChanges(live, h.sentShare(false))
@@ -37,7 +37,7 @@
 	return load
 }
 
-// controlCore is what a control machine spends: its readers' openings, the changes that it tells them, and its heartbeats.
+// controlCore is what a control machine spends: its readers' openings, the changes that it writes to them, and its heartbeats.
 // Where some of these were not measured it is a lower bound.
 func (m *Model) controlCore(s Situation, h serverCounts, opens, changes float64) Figure {
 	opening := m.cost(scale.ControlCPUPerManager, m.controlSizes(scale.ControlCPUPerManager, s, h))
@@ -53,7 +53,7 @@
 	return sizes
 }
 
-// agent forwards what discovery tells to the manager beside it. There is none in this repository, so its own costs are
+// agent forwards the endpoint list to the manager beside it. There is none in this repository, so its own costs are
 // not measured.
 func (m *Model) agent(s Situation, scope Scope) Load {
 	h := m.Plan.serverCounts(s, scope)
--- a/internal/capacity/costs.go
+++ b/internal/capacity/costs.go
@@ -37,7 +37,7 @@
 	Slopes           []scale.Slope // the slopes that it was worked out from
 	UnmeasuredAxes   []scale.Axis  // wanted sizes along which no slope was measured: counted at the reference
 	ExtrapolatedAxes []scale.Axis  // along which the wanted size is beyond the largest measured
-	Assumed          bool          // the plan's own figure stands in
+	Assumed          bool          // by a figure of the plan
 }
 
 // Costs works out costs at a size: the cost at the reference, and for each axis the slope's rise from the reference to the
@@ -101,7 +101,7 @@
 	return s
 }
 
-// measured tells whether a cost has any slope.
+// measured reports whether a cost has any slope.
 func (c Costs) measured(cost scale.Cost) bool {
 	return slices.ContainsFunc(c.report.Slopes, func(s scale.Slope) bool { return s.Cost == cost })
 }
@@ -123,7 +123,7 @@
 	return s.At(size)
 }
 
-// interpolated tells whether a cost at a size comes from the measured points and not from the curve.
+// interpolated reports whether a cost at a size comes from the measured points and not from the curve.
 func interpolated(s scale.Slope, size float64) bool {
 	return !s.Fits && len(s.Points) > 1 && size >= s.SmallestSize() && size <= s.LargestSize()
 }
--- a/internal/capacity/list_change.go
+++ b/internal/capacity/list_change.go
@@ -2,13 +2,13 @@
 
 import "tamarindshore/internal/scale"
 
-// listChanges are changes of the list as they reach one reader, within a situation's window: lines of some entries each.
+// listChanges are changes of the list as they reach one reader, within a situation's window: messages of some entries each.
 type listChanges struct {
 	lines   float64
 	entries float64 // of each line
 }
 
-// listChanges is what a part of a situation's changes comes to. Entries that change together stand in one line, as does
+// listChanges is what a part of a situation's changes comes to. Entries that change together are in one message, as is
 // all that a reader missed.
 func (p Plan) listChanges(s Situation, share float64) listChanges {
 	if s.MissedEntries > 0 {
--- a/internal/capacity/load.go
+++ b/internal/capacity/load.go
@@ -29,7 +29,7 @@
 	MessagesIn            Figure
 	MessagesOut           Figure
 	BytesIn, BytesOut     Figure
-	CollectorBytes        Figure // of BytesIn, collectors' lines
+	CollectorBytes        Figure // of BytesIn, those from collectors
 	Core                  Figure // part of a core
 	CoreWithoutCollectors Figure
 	Memory                Figure // bytes
@@ -39,7 +39,7 @@
 // bytes is all that a role sends and receives.
 func (l Load) bytes() Figure { return l.BytesIn.plus(l.BytesOut) }
 
-// bytesWithoutCollectors leaves out collectors' lines.
+// bytesWithoutCollectors leaves out what collectors send.
 func (l Load) bytesWithoutCollectors() Figure { return l.bytes().plus(l.CollectorBytes.times(-1)) }
 
 // Model works loads out from a plan and measured costs.
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -4,9 +4,9 @@
 
 // Messages and connections that a manager has whatever the size.
 const (
-	heartbeatsPerSecond = 2 // of the list's watch and the relay's news
+	heartbeatsPerSecond = 2 // of the list's watch and the relay's events
 	callsPerSecond      = 1 // a batch a second
-	standingConnections = 3 // watch, news, the call under way
+	standingConnections = 3 // watch, events, the call in progress
 )
 
 // inputs are the messages that come to a manager, by kind, a second.
@@ -18,7 +18,7 @@
 	healthChecks float64 // answers
 }
 
-// decisions is how many of them the decisions hear, beside the list.
+// decisions is how many of them the balancer takes, beside the list.
 func (in inputs) decisions() float64 {
 	return in.loadReports + in.usageReports + in.relayEvents + in.healthChecks
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-// busySizes adds what comes in a second: collectors' lines, and changes of the list. A busy second was measured with
+// busySizes adds what comes in a second: reports, and changes of the list. A busy second was measured with
 // the reference's changes, which are counted at least.
 func (m *Model) busySizes(h serverCounts, in inputs, changes float64) Sizes {
 	sizes := m.managerSizes(h)
@@ -90,7 +90,7 @@
 	return sizes
 }
 
-// quietCore is a second without collectors' lines, with changes of the list.
+// quietCore is a second without reports, with changes of the list.
 func (m *Model) quietCore(s Situation, h serverCounts, changes listChanges) Figure {
 	quiet := m.cost(scale.CPUPerQuietSecond, m.managerSizes(h))
 	if changes.lines == 0 {
@@ -99,7 +99,7 @@
 	return quiet.plus(m.listChangeCore(h, changes.entries).times(changes.lines / s.Window))
 }
 
-// busyCore is a second in which collectors' lines come too: as measured, or the quiet second and each line's cost. It
+// busyCore is a second in which reports come too: as measured, or the quiet second and each report's cost. It
 // was measured with changes of one entry each; what further entries of a change cost is added.
 func (m *Model) busyCore(s Situation, h serverCounts, in inputs, changes listChanges) Figure {
 	if m.Costs.measured(scale.CPUPerBusySecond) {
@@ -113,8 +113,8 @@
 	return m.quietCore(s, h, changes).plus(m.cost(scale.CPUPerInput, m.managerSizes(h)).times(in.loadReports + in.usageReports))
 }
 
-// eventCore is what comes beside the second's own work, collectors' lines and changes of the list: the relay's news,
-// probes' answers, an opening.
+// eventCore is what comes beside the second's own work, reports and changes of the list: the relay's events, answers to
+// health checks, an opening.
 func (m *Model) eventCore(s Situation, h serverCounts, in inputs) Figure {
 	core := m.cost(scale.CPUPerInput, m.managerSizes(h)).times(in.relayEvents + in.healthChecks)
 	if s.Opening != NoOpening {
@@ -124,7 +124,7 @@
 }
 
 // openingCore is the processor time of an opening. What is sent beyond what is held is decoded, and dropped there. A list
-// from the store is counted as dear as one on the wire.
+// from the store is counted like one from the wire.
 func (m *Model) openingCore(h serverCounts) Figure {
 	opening := m.cost(scale.CPUPerOpening, m.openingSizes(h))
 	if h.sent <= h.held {
@@ -176,7 +176,8 @@
 	return m.bytesAt(scale.BytesOfCalls, m.busySizes(h, in, changes), m.Plan.Messages.Calls)
 }
 
-// healthCheckBytes counts a silent server's probe as the packet that opens its connection, which nobody answers.
+// healthCheckBytes counts a health check of an unresponsive server as the packet that opens its connection, which nobody
+// answers.
 func (m *Model) healthCheckBytes(s Situation, in inputs) Figure {
 	if s.RecoveringServers > 0 {
 		return m.bytesOf(scale.BytesOfHealthCheck, m.Plan.Messages.HealthCheck).times(in.healthChecks)
@@ -188,7 +189,7 @@
 	return min(float64(m.Plan.Managers.MaxHealthChecks), perSecond*m.Plan.Managers.HealthCheckTimeout.Seconds())
 }
 
-// openingCommands is what a manager that starts tells its proxies: the tables of their zones, and a binding for each.
+// openingCommands is what a manager that starts sends its proxies: the tables of their zones, and an assignment for each.
 func (m *Model) openingCommands(s Situation, h serverCounts) Figure {
 	if s.Opening == NoOpening {
 		return known(0)
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Status says how far a mechanism stands in the code.
+// Status says how far the code has a mechanism.
 type Status string
 
 // Statuses of a mechanism.
@@ -69,7 +69,7 @@
 	}
 )
 
-// mechanismForAllBytes is the mechanism that carries all bytes of a manager: that of collectors' lines where they are most.
+// mechanismForAllBytes is the mechanism for all bytes of a manager: that for reports where most of them are these.
 func mechanismForAllBytes(l Load, s Situation) Mechanism {
 	if l.CollectorBytes.Value > l.bytes().Value/2 {
 		return aggregate
@@ -77,7 +77,7 @@
 	return mechanismFor(Manager, BytesWithoutCollectors, s)
 }
 
-// mechanismFor is the mechanism that carries a resource of a role in a situation.
+// mechanismFor is the mechanism that bounds a resource of a role in a situation.
 func mechanismFor(role Role, resource Resource, s Situation) Mechanism {
 	if role == ControlMachine {
 		return mechanismForControl(resource, s)
@@ -94,7 +94,7 @@
 	case s.Opening == OpenComplete:
 		return snapshot
 	case s.NoList:
-		return subsetting // probes of servers that do not answer, of all that the manager holds
+		return subsetting // health checks of all servers that the manager holds and that do not answer
 	case s.ListChanges > 0:
 		return watchCache
 	}
--- a/internal/capacity/numbers.go
+++ b/internal/capacity/numbers.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// unmeasured stands for a figure that no slope tells.
+// unmeasured takes the place of a figure without a slope.
 const unmeasured = "not measured"
 
-// tooSmall stands for a number that three places don't show.
+// tooSmall takes the place of a number that three places don't show.
 const tooSmall = "under 0.001"
 
 func formatFigure(f Figure, how func(float64) string) string {
--- a/internal/capacity/other_roles.go
+++ b/internal/capacity/other_roles.go
@@ -26,7 +26,7 @@
 	return float64(p.Fleet.Managers) / float64(p.Fleet.Zones*p.Managers.RelaysPerZone)
 }
 
-// collector tells the managers of its zone what their proxies met.
+// collector reports to the managers of its zone what their proxies met.
 func (m *Model) collector(s Situation, scope Scope) Load {
 	p := m.Plan
 	managers := float64(p.Fleet.Managers*p.Managers.ProxyZones) / float64(p.Fleet.Zones)
@@ -62,7 +62,7 @@
 	}
 }
 
-// server answers requests, and the probes of all managers that hold it and take it for silent or back.
+// server answers requests, and the health checks of all managers that hold it and find it unresponsive, or back.
 func (m *Model) server(s Situation, scope Scope) Load {
 	p := m.Plan
 	holders := p.holders(p.normalServerCounts(scope))
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -18,7 +18,7 @@
 // Scopes are all scopes in the order of the tables.
 var Scopes = []Scope{WholeList, Subset, CachedSubset}
 
-// Plan is the size of a fleet, its budgets, and what is assumed where neither a slope nor the fleet's owner tells.
+// Plan is the size of a fleet, its budgets, and what is assumed where it is neither measured nor given.
 type Plan struct {
 	Fleet    Fleet
 	Budgets  Budgets
--- a/internal/capacity/process.go
+++ b/internal/capacity/process.go
@@ -7,7 +7,7 @@
 	"tamarindshore/internal/scale"
 )
 
-// States in which real processes are measured, that stand for a second without collectors' lines and for a busy one.
+// States of real processes, as scale names them, that represent a second without reports and a busy one.
 const (
 	quietState = "proxies joined, nothing reported"
 	busyState  = "200 reports and one list change a second"
--- a/internal/capacity/propagation.go
+++ b/internal/capacity/propagation.go
@@ -24,7 +24,7 @@
 	return m.allManagers(scale.PropagationLast).plus(m.waitForDecision(scope))
 }
 
-// propagationDuringOpenings is the same where all managers open as the change is told: as measured, or else the change alone
+// propagationDuringOpenings is the same where all managers open as the change comes: as measured, or else the change alone
 // and what a control machine needs for its openings.
 func (m *Model) propagationDuringOpenings(scope Scope) Figure {
 	if !m.Costs.measured(scale.PropagationDuringOpeningsLast) {
@@ -33,7 +33,7 @@
 	return m.afterListRead(scale.PropagationDuringOpeningsLast, scope)
 }
 
-// propagationDuringControlLoss is the same where two control machines are lost as the change is told.
+// propagationDuringControlLoss is the same where two control machines are lost as the change comes.
 func (m *Model) propagationDuringControlLoss(scope Scope) Figure {
 	return m.afterListRead(scale.PropagationDuringControlLossLast, scope)
 }
--- a/internal/capacity/propagation_page.go
+++ b/internal/capacity/propagation_page.go
@@ -6,7 +6,7 @@
 	"tamarindshore/internal/scale"
 )
 
-// propagationCase is what happens as a change is told, and the costs that were measured of it.
+// propagationCase is what happens as a change comes, and the costs that were measured of it.
 type propagationCase struct {
 	name   string
 	median scale.Cost
--- a/internal/capacity/scope.go
+++ b/internal/capacity/scope.go
@@ -36,7 +36,7 @@
 // normalServerCounts is what a manager holds while nothing is lost.
 func (p Plan) normalServerCounts(scope Scope) serverCounts { return p.serverCounts(Situation{}, scope) }
 
-// home is how many servers stand in a manager's home zones.
+// home is how many servers are in a manager's home zones.
 func (p Plan) home() float64 { return p.perZone() * float64(p.Subset.HomeZones) }
 
 func (p Plan) perZone() float64 { return float64(p.Fleet.Servers) / float64(p.Fleet.Zones) }
@@ -56,7 +56,7 @@
 	return min(others, elsewhere)
 }
 
-// share is the part of some servers that a manager holds; elsewhere says that none of them stands in its home.
+// share is the part of some servers that a manager holds; elsewhere says that none of them is in its home zones.
 func (h serverCounts) share(elsewhere bool) float64 {
 	if h.held >= h.fleet || !elsewhere {
 		return h.held / h.fleet
@@ -80,7 +80,7 @@
 	return p.Fleet.RequestsPerSecond / float64(p.Fleet.Managers)
 }
 
-// loadReports is how many collectors' lines on servers a manager hears a second: one for each zone of its proxies and each
+// loadReports is how many load reports a manager gets a second: one for each zone of its proxies and each
 // server that a request met within the interval, were requests spread evenly over all servers that it holds.
 func (p Plan) loadReports(h serverCounts) float64 {
 	zones := float64(p.Managers.ProxyZones)
@@ -89,7 +89,7 @@
 	return zones * expectedOccupied(h.held, tries/zones) / interval
 }
 
-// usageReports is how many collectors' lines on proxies a manager hears a second: one for each proxy and traffic group that a
+// usageReports is how many usage reports a manager gets a second: one for each proxy and traffic class that a
 // request came to within the interval.
 func (p Plan) usageReports() float64 {
 	interval := p.Managers.ReportInterval.Seconds()
--- a/internal/capacity/sources.go
+++ b/internal/capacity/sources.go
@@ -40,7 +40,7 @@
 	return groups
 }
 
-// rangesOf tells the sizes of a group along each axis.
+// rangesOf gives the sizes of a group along each axis.
 func rangesOf(group []Source) string {
 	var at []string
 	for _, axis := range sortedAxes(group[0].Sizes) {
@@ -59,17 +59,17 @@
 	return orNone(at, "reference")
 }
 
-// writeSlopes tells each slope that a cost was worked out from, once.
+// writeSlopes shows each slope that a cost was worked out from, once.
 func (m *Model) writeSlopes(w io.Writer, sources []Source) {
 	writeHeader(w, "cost", "along", "shape", "worst distance of a size from the curve", "worst spread of runs", "sizes measured", "managers")
-	told := map[string]bool{}
+	written := map[string]bool{}
 	for _, s := range sources {
 		for _, slope := range s.Slopes {
 			key := string(slope.Cost) + " " + string(slope.Axis)
-			if told[key] {
+			if written[key] {
 				continue
 			}
-			told[key] = true
+			written[key] = true
 			writeRow(w, slopeCells(slope)...)
 		}
 	}
--- a/internal/faultsim/clock.go
+++ b/internal/faultsim/clock.go
@@ -38,7 +38,7 @@
 	return next
 }
 
-// clock is the virtual time of a run and all that is due later. Its zero value stands at the start of a run.
+// clock is the virtual time of a run and all that is due later. Its zero value is at the start of a run.
 type clock struct {
 	now      time.Duration
 	queue    eventQueue
--- a/internal/faultsim/fleet.go
+++ b/internal/faultsim/fleet.go
@@ -44,7 +44,7 @@
 	return false
 }
 
-// connect opens a proxy's stream. The proxy goes on with the table that it holds until it is told another.
+// connect opens a proxy's stream. The proxy keeps its table until it receives another.
 func (s *Simulation) connect(p *proxy) {
 	if p.connected {
 		return
@@ -64,7 +64,7 @@
 	})
 }
 
-// disconnect ends a proxy's stream; the manager hears of it or not.
+// disconnect ends a proxy's stream, and notifies the manager or not.
 func (s *Simulation) disconnect(p *proxy, notifyManager bool) {
 	if !p.connected {
 		return
@@ -104,14 +104,14 @@
 	delay := s.scenario.ListDelay.draw(s.rng) + s.faults.extraListDelay
 	s.scheduleAfter(delay, func() {
 		if startedAt < s.manager.endpoints[server.id].startedAt {
-			return // news of a later process came first
+			return // the list shows a later process already
 		}
 		s.record("list %s %d", server.id, state)
 		s.whenNotStalled(func() { s.updateEndpoint(server, state, startedAt) })
 	})
 }
 
-// updateEndpoint tells the manager a changed entry of the endpoint list.
+// updateEndpoint delivers a changed entry of the endpoint list.
 func (s *Simulation) updateEndpoint(server *server, state balancer.ServerState, startedAt time.Duration) {
 	before := s.manager.endpoints[server.id]
 	entry := listedServer{state: state, toldAt: s.now, startedAt: startedAt}
--- a/internal/faultsim/manager.go
+++ b/internal/faultsim/manager.go
@@ -29,7 +29,7 @@
 	chain        *versions.Chain
 	incarnation  int
 	startedAt    time.Duration
-	clock        time.Duration // the last time that the manager was told, since its start
+	clock        time.Duration // of the last input, since the manager's start
 	stalledUntil time.Duration
 	nextTimer    time.Duration // 0: none is set
 	endpoints    map[balancer.ServerID]listedServer
@@ -37,15 +37,15 @@
 	calling      bool                // a call to the relay is in progress
 }
 
-// listedServer is a server as the endpoint list told the manager last.
+// listedServer is a server's last entry of the endpoint list, as the manager got it.
 type listedServer struct {
 	state     balancer.ServerState
-	toldAt    time.Duration // when it was told that the server is ready, or that it is not
+	toldAt    time.Duration // when the manager got that the server is ready, or that it is not
 	startedAt time.Duration
 }
 
-// startManager starts a manager, in place of one that runs, with the endpoint list as last told. The proxies reconnect to
-// it one after another.
+// startManager starts a manager, in place of one that runs, with the endpoint list as it was last. The proxies reconnect
+// to it one after another.
 func (s *Simulation) startManager() {
 	s.resetManager()
 	s.relay.reset()
@@ -181,7 +181,7 @@
 	s.callNext()
 }
 
-// applyPin tells the manager the tables that the operator pinned, or that there are none.
+// applyPin delivers the tables that the operator pinned, or none.
 func (s *Simulation) applyPin() {
 	pin, pinned := s.manager.chain.Pinned()
 	if !pinned {
--- a/internal/faultsim/outages.go
+++ b/internal/faultsim/outages.go
@@ -7,8 +7,8 @@
 	from, to time.Duration
 }
 
-// outages remembers when the relay, its channel or the manager did not work as the scenario states. The time limits of
-// rules stand still meanwhile.
+// outages remembers when the relay, its channel or the manager did not work as the scenario states. Outages do not
+// count towards the time limits of rules.
 type outages struct {
 	total     time.Duration
 	intervals []interval // by time
--- a/internal/faultsim/relay.go
+++ b/internal/faultsim/relay.go
@@ -185,8 +185,8 @@
 	e.messages[p] = m
 }
 
-// setWithdrawn withdraws a server from all tables, or restores it. All assigned proxies are told; it costs a command for
-// those whose table names the server.
+// setWithdrawn withdraws a server from all tables, or restores it. All assigned proxies get it; it costs a command for
+// those whose table has the server.
 func (e *execution) setWithdrawn(server balancer.ServerID, withdrawn bool) {
 	relay := &e.simulation.relay
 	e.begin(fmt.Sprintf("pull %s %t", server, withdrawn), relay.withdrawn[server] != withdrawn)
--- a/internal/faultsim/rules.go
+++ b/internal/faultsim/rules.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// hasWarmServer reports whether some server is listed ready, as the manager was told, and warm.
+// hasWarmServer reports whether some server is on the manager's list as ready, and warm.
 func (r *rules) hasWarmServer() bool {
 	s := r.simulation
 	for _, server := range s.servers {
@@ -130,8 +130,8 @@
 	}
 }
 
-// checkDrains checks that a proxy sends nothing to a server for longer than the grace period after the manager was told
-// that the server drains or is gone. Of several such servers the first by name is reported.
+// checkDrains checks that a proxy sends nothing to a server for longer than the grace period after the manager
+// learned that the server drains or is gone. Of several such servers the first by name is reported.
 func (r *rules) checkDrains(p *proxy) {
 	s := r.simulation
 	grace := s.scenario.DrainGracePeriod
@@ -198,7 +198,7 @@
 // maxMessageTime is how long a message may take once there are no faults, its wait in the channel included.
 const maxMessageTime = 5 * time.Second
 
-// checkProgress judges the end of a run: nothing waits, and all connected proxies hold the tables that stand.
+// checkProgress judges the end of a run: nothing waits, and all connected proxies hold their tables of the relay.
 func (r *rules) checkProgress() {
 	s := r.simulation
 	if s.manager.calling || len(s.manager.backlog) > 0 {
--- a/internal/faultsim/script.go
+++ b/internal/faultsim/script.go
@@ -22,7 +22,7 @@
 	RelayUnreachable                     // the relay takes no calls
 	ResponsesLost                        // calls are carried out or not, without a response
 	SlowChannel                          // the relay sends slower
-	ManagerRestart                       // the manager restarts with the endpoint list as last told
+	ManagerRestart                       // the manager restarts with the last endpoint list
 	ManagerStall                         // the manager does nothing for a while
 	ProxyReconnect                       // proxies lose their streams and connect again
 	WrongEndpointList                    // the endpoint list has running servers removed, then ready again
--- a/internal/faultsim/search_test.go
+++ b/internal/faultsim/search_test.go
@@ -79,7 +79,7 @@
 
 func TestShrinkKeepsWhatBreaks(t *testing.T) {
 	s := DefaultScenario()
-	s.QueueCapacity = 40 // far too few for what the module is told: it is told so too, and then has no room to bind
+	s.QueueCapacity = 40 // far too few to assign all proxies
 	s.FaultCount = CountRange{4, 4}
 	for seed := uint64(1); seed < 40; seed++ {
 		script := GenerateScript(s, seed)
--- a/internal/fleetmodel/fleet.go
+++ b/internal/fleetmodel/fleet.go
@@ -8,7 +8,7 @@
 	"tamarindshore/balancer"
 )
 
-// Balancer is what the fleet tells its manager: the inputs of *balancer.Manager, or of what stands in its place.
+// Balancer takes the inputs of a fleet's manager: *balancer.Manager, or what replaces it.
 type Balancer interface {
 	HandleEndpointList(now time.Duration, whole bool, entries []balancer.Endpoint) balancer.Commands
 	HandleProxyConnected(now time.Duration, id balancer.ProxyID, zone balancer.ZoneID, rate float64) balancer.Commands
@@ -103,7 +103,7 @@
 	f.serverByID[added.id] = added
 }
 
-// Start tells the manager the complete endpoint list, and then all proxies, one by one.
+// Start delivers the complete endpoint list, then connects all proxies, one by one.
 func (f *Fleet) Start() {
 	var endpoints []balancer.Endpoint
 	for _, s := range f.servers {
@@ -128,7 +128,7 @@
 	}
 }
 
-// setState changes a server's state, and tells the manager by the endpoint list.
+// setState changes a server's state, and its entry of the endpoint list.
 func (f *Fleet) setState(s *server, state balancer.ServerState) {
 	s.state = state
 	if state == balancer.Ready {
--- a/internal/fleetmodel/scenario.go
+++ b/internal/fleetmodel/scenario.go
@@ -1,6 +1,6 @@
 // Package fleetmodel is a small fleet without sockets: servers, proxies and a relay as rates and delays, driven by the
-// commands of the load balancing decisions on a clock of its own. It owns what a manager would hear, and what its
-// commands do. The same scenario, seed and decisions give the same run. It must never decide anything, nor be imported
+// commands of the load balancing decisions on a clock of its own. It owns the inputs of a manager, and the effects
+// of its commands. The same scenario, seed and decisions give the same run. It must never decide anything, nor be imported
 // by the daemon.
 package fleetmodel
 
--- a/internal/fleetmodel/subset_test.go
+++ b/internal/fleetmodel/subset_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-// returnZone starts them again, and the list tells it.
+// returnZone starts them again, with entries of the endpoint list.
 func (f *Fleet) returnZone(zone int) {
 	for _, s := range f.servers {
 		if s.zone == zone {
--- a/internal/scale/arrivals.go
+++ b/internal/scale/arrivals.go
@@ -19,13 +19,13 @@
 
 // controlSide is the control machines of a fleet, and the time that they take for what they write.
 type controlSide struct {
-	changeWriteTime time.Duration // processor time of one change told to one reader
-	listWriteTime   time.Duration // processor time of a complete list told to one reader
+	changeWriteTime time.Duration // processor time to write one change to one reader
+	listWriteTime   time.Duration // processor time to write a complete list to one reader
 	local           bool          // the managers are on the same machine: nothing crosses a network
 	rng             *rand.Rand
 }
 
-// arrival is when something reaches one manager, since a change was told to the control side.
+// arrival is when something reaches one manager, since the control side got a change.
 type arrival struct {
 	list   time.Duration // a complete list; 0: none comes
 	change time.Duration // the change in a message of its own; 0: the list holds it
@@ -41,7 +41,7 @@
 // listWriteInterval is the time between two complete lists that a machine writes.
 func (c controlSide) listWriteInterval() time.Duration { return c.listWriteTime / controlMachineCores }
 
-// quietArrivals are those of a change that one machine tells all managers.
+// quietArrivals are those of a change that one machine writes to all managers.
 func (c controlSide) quietArrivals(managers int) []arrival {
 	arrivals := make([]arrival, managers)
 	for rank, manager := range c.rng.Perm(managers) {
@@ -50,8 +50,8 @@
 	return arrivals
 }
 
-// arrivalsDuringOpenings are those of a change that is told just as all managers have asked for the complete list. The
-// machines write what was asked for first, without a priority for changes: the worst order.
+// arrivalsDuringOpenings are those of a change that comes just as all managers have requested the complete list. The
+// machines write the lists first, without a priority for changes: the worst order.
 func (c controlSide) arrivalsDuringOpenings(managers int) []arrival {
 	arrivals := make([]arrival, managers)
 	managersPerMachine := (managers + controlMachines - 1) / controlMachines
@@ -74,8 +74,8 @@
 	maxBackoff   time.Duration
 }
 
-// arrivalsDuringControlLoss are those of a change that is told just as two machines are lost. Their managers come to the
-// others, which write each of them the complete list: the generation that it held is not known there.
+// arrivalsDuringControlLoss are those of a change that comes just as two machines are lost. Their managers reconnect to
+// the others, which write each of them the complete list: they don't know the version that it holds.
 func (c controlSide) arrivalsDuringControlLoss(managers int, settings reconnectSettings) []arrival {
 	arrivals := make([]arrival, managers)
 	remaining := controlMachines - lostControlMachines
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -87,7 +87,7 @@
 	address string
 }
 
-// controlArguments stand before the flag that makes a program the control process.
+// controlArguments come before the flag that makes a program the control process.
 var controlArguments = []string{"scale"}
 
 // startControl starts a control process, which ends with the context, or with this process.
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -47,8 +47,8 @@
 	return s
 }
 
-// minRelativePart is the part of the largest point that a point counts as at least: relative to a cost of zero no distance
-// can be told.
+// minRelativePart is the part of the largest point that a point counts as at least: there is no distance relative to
+// a cost of zero.
 const minRelativePart = 1e-3
 
 // largestMedian is the largest median of a point; no cost is below zero.
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -8,11 +8,11 @@
 
 // pointsOf are three runs at each size of a curve, each off by up to a part.
 func pointsOf(curve func(float64) float64, off float64) (points []Point) {
-	chance := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	for _, size := range []float64{60, 240, 600, 2400, 6000} {
 		p := Point{Size: size}
 		for range 3 {
-			p.Runs = append(p.Runs, curve(size)*(1+off*(2*chance.Float64()-1)))
+			p.Runs = append(p.Runs, curve(size)*(1+off*(2*rng.Float64()-1)))
 		}
 		points = append(points, p)
 	}
@@ -40,8 +40,8 @@
 	}
 }
 
-// A straight line may pass for n log n over these sizes, so that each shape is also laid by itself.
-func TestAShapeLaidByItselfIsExact(t *testing.T) {
+// A straight line may pass for n log n over these sizes, so that each shape is also fitted alone.
+func TestEachShapeFitsItsOwnCurve(t *testing.T) {
 	for _, shape := range shapes {
 		want := Slope{Shape: shape, Base: 2, PerUnit: 0.5}
 		got := fitShape(Slope{Points: pointsOf(want.At, 0)}, shape)
@@ -63,14 +63,14 @@
 	}
 }
 
-func TestACostThatFallsIsNeverForetoldBelowZero(t *testing.T) {
+func TestAFallingCostIsNeverPredictedBelowZero(t *testing.T) {
 	got := fitted(Slope{Points: pointsOf(func(size float64) float64 { return 100 / size }, 0)})
 	if got.PerUnit < 0 || got.At(1e6) < 0 {
 		t.Errorf("%+v", got)
 	}
 }
 
-func TestACostOfNothing(t *testing.T) {
+func TestACostOfZeroIsConstant(t *testing.T) {
 	got := fitted(Slope{Points: pointsOf(func(float64) float64 { return 0 }, 0)})
 	if got.Shape != Constant || got.Base != 0 || !got.Fits || got.Spread != 0 {
 		t.Errorf("%+v", got)
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -24,7 +24,7 @@
 	site            fakes.Site
 	config          config.Config
 	list            string         // the complete list at the first version
-	opening         []node.Message // what the relay tells a manager that starts
+	opening         []node.Message // what the relay sends a manager that starts
 	coreShare       float64        // part of a core that each manager has
 	managers        []*pacedManager
 	bytesPerManager float64 // of the heap
@@ -47,7 +47,7 @@
 	}, nil
 }
 
-// openingMessages are what the relay tells a manager that starts: all proxies, which have no requests.
+// openingMessages are what the relay sends a manager that starts: all proxies, which have no requests.
 func openingMessages(scenario Scenario, site fakes.Site) []node.Message {
 	source := newMessageSource(scenario, site)
 	messages := []node.Message{{Kind: node.ProxyEventsOpened}}
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// openManager tells a manager that starts the complete list and the relay's events. Reading the list takes it a given
-// processor time beside what it does here.
+// openManager delivers the complete list and the relay's events to a manager that starts. Reading the list takes a given
+// processor time beside the time of the step.
 func (f *hollowFleet) openManager(m *pacedManager, at, listReadTime time.Duration) error {
 	if _, err := m.advance(at, ""); err != nil {
 		return err
@@ -128,7 +128,7 @@
 	return time.Duration(float64(cpu) / m.coreShare)
 }
 
-// step tells a manager messages, once it is done with what came before, and returns the servers that it withdraws. The
+// step delivers messages once the manager is done with earlier ones, and returns the servers that it withdraws. The
 // calling goroutine must be locked to its thread.
 func (m *pacedManager) step(at time.Duration, messages ...node.Message) ([]balancer.ServerID, error) {
 	m.now = max(m.now, at, m.busyUntil)
@@ -184,7 +184,7 @@
 // NotWithdrawnError says that a manager did not withdraw a server in time.
 type NotWithdrawnError struct {
 	Server  balancer.ServerID
-	Timeout time.Duration // since the manager was told that the server drains
+	Timeout time.Duration // since the manager got that the server drains
 }
 
 // Error names the server and the time.
@@ -192,7 +192,7 @@
 	return fmt.Sprintf("%s is not withdrawn %v after its drain was told", e.Server, e.Timeout)
 }
 
-// withdrawalTime tells a manager a message, and returns the time at which it has withdrawn a server.
+// withdrawalTime delivers a message, and returns the time at which the manager has withdrawn a server.
 func (m *pacedManager) withdrawalTime(at time.Duration, message node.Message, server balancer.ServerID) (time.Duration, error) {
 	if withdrawn, err := m.advance(at, server); err != nil || withdrawn {
 		return m.busyUntil, err
--- a/internal/scale/limits.go
+++ b/internal/scale/limits.go
@@ -100,7 +100,7 @@
 	return bytesOfScenario + float64(s.Servers)*bytesOfServer + float64(s.Proxies)*bytesOfProxy + spans*s.Reports*bytesOfReport + changes
 }
 
-const bytesOfAck = 128 // bytes of an answer to a mark
+const bytesOfAck = 128 // of a barrier
 
 // checkScenarioFits checks that a scenario fits. A LimitError says which size along an axis would.
 func (m Memory) checkScenarioFits(axis Axis, size float64, scenario Scenario) error {
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -67,7 +67,7 @@
 
 const (
 	processCores        = 1
-	processMemoryMB     = 512 // told to each process
+	processMemoryMB     = 512 // limit in the configuration
 	processSettleTime   = 2 * time.Second
 	processSpan         = 3 * time.Second
 	processRuns         = 3
@@ -196,7 +196,7 @@
 	}
 }
 
-// reportToProcess tells a real manager what a recorder would tell a hollow one, on a collector's connection and on
+// reportToProcess sends a real manager what a recorder delivers to a hollow one, on a collector's connection and on
 // discovery's watch, until the context ends.
 func reportToProcess(ctx context.Context, deployment *fakes.Deployment, scenario Scenario, writeInterval time.Duration) error {
 	if scenario.Reports == 0 {
--- a/internal/scale/process_fleet.go
+++ b/internal/scale/process_fleet.go
@@ -23,13 +23,13 @@
 	bytesOfProcess   = 48 * mib // resident, the stand-ins that it needs included
 	maxFleetRuns     = 10       // each run drains two servers for good
 	concurrentStarts = 8        // while the fleet is started first
-	fleetDescriptors = 512      // told to each process
+	fleetDescriptors = 512      // limit in the configuration
 	readyTimeout     = 60 * time.Second
 	assignTimeout    = 30 * time.Second
 	assignPolling    = 10 * time.Millisecond
 	fleetQuietSpan   = 3 * time.Second
 	loopbackAnyPort  = "127.0.0.1:0"
-	usageInterval    = time.Second // that the one usage report of a process tells of
+	usageInterval    = time.Second // of the only usage report to a process
 	privateDirectory = 0o700
 )
 
@@ -325,8 +325,8 @@
 	return most
 }
 
-// drainServer lets discovery tell that a server drains, does something meanwhile, and returns, sorted, the seconds until
-// the relay of each manager was told of the withdrawal.
+// drainServer publishes that a server drains, does something meanwhile, and returns, sorted, the seconds until
+// the relay of each manager got the withdrawal.
 func (f *processFleet) drainServer(ctx context.Context, meanwhile func() error) ([]float64, error) {
 	server := f.servers[f.drained]
 	f.drained++
--- a/internal/scale/propagation.go
+++ b/internal/scale/propagation.go
@@ -50,7 +50,7 @@
 	listReadTime    time.Duration // of a manager, for a complete list of the plan's size
 }
 
-// propagationRun is one run: a fleet that opens, and the changes that are told it.
+// propagationRun is one run: a fleet that opens, and the changes that are delivered to it.
 type propagationRun struct {
 	fleet        *hollowFleet
 	control      controlSide
@@ -119,7 +119,7 @@
 	return reconnectSettings{watchTimeout: limits.EndpointWatchIdleTimeout, minBackoff: limits.MinBackoff, maxBackoff: limits.MaxBackoff}
 }
 
-// duringOpenings starts all managers at once and tells a change meanwhile. It returns, sorted, the seconds until each has
+// duringOpenings starts all managers at once and delivers a change meanwhile. It returns, sorted, the seconds until each has
 // withdrawn the server.
 func (r *propagationRun) duringOpenings(ctx context.Context, memory Memory, managers int) ([]float64, error) {
 	emptyHeap := heapInUse()
@@ -158,7 +158,7 @@
 	return manager.withdrawalTime(arrival.change, change.message, change.server)
 }
 
-// drain tells managers that run a change at a time. It returns, sorted, the seconds until each has withdrawn the server.
+// drain delivers a change to managers that run. It returns, sorted, the seconds until each has withdrawn the server.
 func (r *propagationRun) drain(ctx context.Context, at time.Duration, arrivals []arrival) ([]float64, error) {
 	if err := r.fleet.advanceAll(ctx, at); err != nil {
 		return nil, err
@@ -180,7 +180,7 @@
 	return times, nil
 }
 
-// withdraw tells a manager a change, alone or within a complete list, and returns when it has carried it out.
+// withdraw delivers a change, alone or within a complete list, and returns when it has carried it out.
 func (r *propagationRun) withdraw(manager *pacedManager, at time.Duration, arrival arrival, change drainChange) (time.Duration, error) {
 	if arrival.change > 0 {
 		return manager.withdrawalTime(at+arrival.change, change.message, change.server)
@@ -211,7 +211,7 @@
 	}
 }
 
-// completeList is the list as it stands after the changes that were told.
+// completeList is the list after the changes so far.
 func (r *propagationRun) completeList() node.Message {
 	list := fakes.EndpointList{Version: r.version, Complete: true}
 	for server := range r.fleet.scenario.Servers {
--- a/internal/scale/propagation_test.go
+++ b/internal/scale/propagation_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Two lists of 10 ms stand before the change, and reading one takes 1 ms at a part of a core.
+	// Two lists of 10 ms are written before the change, and reading one takes 1 ms at a part of a core.
 	least := 20*time.Millisecond + time.Millisecond + minTransit
 	expectTimes(t, "beside openings", opening, managers, least)
 	quiet, err := r.drain(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
@@ -36,14 +36,14 @@
 		t.Fatal(err)
 	}
 	expectTimes(t, "quiet", quiet, managers, time.Millisecond+minTransit)
-	again := reconnectSettings{watchTimeout: 2 * time.Second, minBackoff: 50 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
-	lost, err := r.drain(ctx, 4*propagationInterval, r.control.arrivalsDuringControlLoss(managers, again))
+	reconnect := reconnectSettings{watchTimeout: 2 * time.Second, minBackoff: 50 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
+	lost, err := r.drain(ctx, 4*propagationInterval, r.control.arrivalsDuringControlLoss(managers, reconnect))
 	if err != nil {
 		t.Fatal(err)
 	}
 	expectTimes(t, "machines lost", lost, managers, time.Millisecond+minTransit)
-	late := slices.IndexFunc(lost, func(seconds float64) bool { return seconds > again.watchTimeout.Seconds() })
-	if came := managers - late; late < 0 || came < 2 || came > 4 { // those of two machines in seven
+	late := slices.IndexFunc(lost, func(seconds float64) bool { return seconds > reconnect.watchTimeout.Seconds() })
+	if reopened := managers - late; late < 0 || reopened < 2 || reopened > 4 { // those of two machines in seven
 		t.Errorf("machines lost: %v", lost)
 	}
 }
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestAManagerThatReadsALongListHearsTheChangeLater(t *testing.T) {
+func TestAManagerThatReadsALongListCarriesOutTheChangeLater(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	const managers = 3
@@ -81,10 +81,10 @@
 func TestOpeningsAreWrittenBeforeTheChange(t *testing.T) {
 	control := testControl()
 	const managers = 70
-	for place, reached := range control.arrivalsDuringOpenings(managers) {
+	for manager, arrival := range control.arrivalsDuringOpenings(managers) {
 		written := managers / controlMachines * control.listWriteInterval()
-		if reached.list < control.listWriteInterval() || reached.change <= written || reached.change < reached.list {
-			t.Errorf("manager %d: %+v", place, reached)
+		if arrival.list < control.listWriteInterval() || arrival.change <= written || arrival.change < arrival.list {
+			t.Errorf("manager %d: %+v", manager, arrival)
 		}
 	}
 }
@@ -92,25 +92,25 @@
 func TestManagersOfLostMachinesGetTheListFromTheOthers(t *testing.T) {
 	control := testControl()
 	const managers = 700
-	again := reconnectSettings{watchTimeout: 2 * time.Second, minBackoff: 50 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
+	reconnect := reconnectSettings{watchTimeout: 2 * time.Second, minBackoff: 50 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
 	var lists []time.Duration
-	for place, reached := range control.arrivalsDuringControlLoss(managers, again) {
-		if (reached.list == 0) == (reached.change == 0) {
-			t.Errorf("manager %d gets both or neither: %+v", place, reached)
+	for manager, arrival := range control.arrivalsDuringControlLoss(managers, reconnect) {
+		if (arrival.list == 0) == (arrival.change == 0) {
+			t.Errorf("manager %d gets both or neither: %+v", manager, arrival)
 		}
-		if reached.list > 0 {
-			lists = append(lists, reached.list)
+		if arrival.list > 0 {
+			lists = append(lists, arrival.list)
 		}
 	}
 	if len(lists) != managers*lostControlMachines/controlMachines {
 		t.Errorf("%d managers reopen", len(lists))
 	}
 	slices.Sort(lists)
-	if first := again.watchTimeout + again.minBackoff + control.listWriteInterval(); lists[0] < first {
+	if first := reconnect.watchTimeout + reconnect.minBackoff + control.listWriteInterval(); lists[0] < first {
 		t.Errorf("the first list comes after %v, before %v", lists[0], first)
 	}
 	// Each of five machines writes forty lists one after another.
-	if last, least := lists[len(lists)-1], again.watchTimeout+again.minBackoff+40*control.listWriteInterval(); last < least {
+	if last, least := lists[len(lists)-1], reconnect.watchTimeout+reconnect.minBackoff+40*control.listWriteInterval(); last < least {
 		t.Errorf("the last list comes after %v, before %v", last, least)
 	}
 }
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -11,7 +11,7 @@
 	"tamarindshore/internal/node"
 )
 
-// recorder drives one hollow manager through a scenario and writes down what it is told.
+// recorder drives one hollow manager through a scenario and writes down the messages that it is sent.
 type recorder struct {
 	messageSource
 	ctx     context.Context
@@ -96,7 +96,7 @@
 	return traffic
 }
 
-// step tells the manager messages, and schedules the answers to what it does.
+// step delivers messages, and schedules the answers to what it does.
 func (r *recorder) step(at time.Duration, messages ...node.Message) error {
 	if err := r.ctx.Err(); err != nil {
 		return err
@@ -220,7 +220,7 @@
 	return r.advance(r.now + warmSpan)
 }
 
-// playInputs tells many reports right after one of the manager's timers.
+// playInputs delivers many reports right after one of the manager's timers.
 func (r *recorder) playInputs() error {
 	if err := r.advance(max(r.manager.NextWake(), r.now) + ackDelay + time.Millisecond); err != nil {
 		return err
@@ -237,7 +237,7 @@
 	return nil
 }
 
-// playListChanges tells changes of the list, each alone, with time for the proxies' acknowledgements between them.
+// playListChanges delivers changes of the list, each alone, with time for the proxies' acknowledgements between them.
 func (r *recorder) playListChanges() error {
 	for range measuredChanges {
 		if err := r.advance(r.now + listChangeSpacing); err != nil {
--- a/internal/scale/replay.go
+++ b/internal/scale/replay.go
@@ -12,9 +12,9 @@
 // phaseCost is what one phase cost when a script was replayed.
 type phaseCost struct {
 	cpu             time.Duration // of the process
-	changeCPU       time.Duration // of the thread, in the steps that tell changes of the list
+	changeCPU       time.Duration // of the thread, in the steps with changes of the list
 	changes         int
-	reportCPU       time.Duration // of the process, in the steps that tell reports
+	reportCPU       time.Duration // of the process, in the steps with reports
 	reports         int
 	longestDecision time.Duration // of the thread, in the longest single call of the router
 	commands        int
@@ -115,12 +115,12 @@
 	return nil
 }
 
-// changesList reports whether a step tells a change of the endpoint list.
+// changesList reports whether a step holds a change of the endpoint list.
 func (s step) changesList() bool {
 	return len(s.messages) > 0 && s.messages[0].Kind == node.EndpointListMessage
 }
 
-// reports reports whether a step tells load or usage reports.
+// reports reports whether a step holds load or usage reports.
 func (s step) reports() bool {
 	if len(s.messages) == 0 {
 		return false
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -144,7 +144,7 @@
 	return 1 + bytes.Count(f.text[:min(int(offset), len(f.text))], []byte("\n"))
 }
 
-// lineOfField is the line of a field of the report. One of a slope has the line at which that slope's cost stands.
+// lineOfField is the line of a field of the report. One of a slope has the line of that slope's cost.
 func (f reportFile) lineOfField(field string) int {
 	slope := -1
 	if _, err := fmt.Sscanf(field, "slopes[%d]", &slope); err == nil {
@@ -153,7 +153,7 @@
 	return f.lineOfKey(field, 0)
 }
 
-// lineOfKey is the line on which a key stands for the n-th time, counted from 0; the first line where it doesn't.
+// lineOfKey is the line of the n-th occurrence of a key, counted from 0; the first line where there is none.
 func (f reportFile) lineOfKey(key string, n int) int {
 	found := regexp.MustCompile(`"`+regexp.QuoteMeta(key)+`"\s*:`).FindAllIndex(f.text, -1)
 	if n >= len(found) {
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -56,17 +56,17 @@
 	}
 }
 
-func TestProxiesAreBoundInEachScenario(t *testing.T) {
+func TestProxiesAreAssignedInAScenario(t *testing.T) {
 	samples, err := measure(context.Background(), smaller(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if bound := samples[0][ProxiesAssigned]; int(bound) != smaller().Proxies {
-		t.Errorf("%g bound", bound)
+	if assigned := samples[0][ProxiesAssigned]; int(assigned) != smaller().Proxies {
+		t.Errorf("%g proxies are assigned", assigned)
 	}
 }
 
-func TestOptionsThatCannotBe(t *testing.T) {
+func TestInvalidOptionsAreNamed(t *testing.T) {
 	for want, spoil := range map[string]func(*Options){
 		"--axis":  func(o *Options) { o.Axes = []Axis{"height"} },
 		"--runs":  func(o *Options) { o.Runs = 0 },
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestASizeBeyondTheLimitIsSaidBeforeAnythingBegins(t *testing.T) {
+func TestASizeBeyondTheLimitIsRefusedBeforeAnythingIsMeasured(t *testing.T) {
 	for _, axis := range []Axis{Servers, Proxies, Reports, ListChanges, Managers} {
 		o := options(axis)
 		progress := bytes.Buffer{}
@@ -155,8 +155,8 @@
 	if got, err := totalMemory([]byte("MemFree: 1 kB\nMemTotal:       2048 kB\n")); err != nil || got != 2<<20 {
 		t.Errorf("%g, %v", got, err)
 	}
-	if _, err := totalMemory([]byte("MemFree: 1 kB\n")); err == nil {
-		t.Error("no total is taken for one")
+	if _, err := totalMemory([]byte("MemFree: 1 kB\n")); !errors.Is(err, ErrNoMemTotal) {
+		t.Errorf("without a total: %v", err)
 	}
 	if limit, err := MemoryLimit(); err != nil || limit.Bytes <= 0 || limit.Bytes > maxMemory {
 		t.Errorf("%v, %v", limit, err)
@@ -170,7 +170,10 @@
 	}
 	for _, axis := range []Axis{Servers, Managers, OpeningListSize} {
 		o := options(axis)
-		o.Small, o.Runs, o.Program, o.Memory = false, 100, program, Memory{maxMemory}
+		o.Small = false
+		o.Runs = 100
+		o.Program = program
+		o.Memory = Memory{maxMemory}
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(500*time.Millisecond, cancel)
 		began := time.Now()
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -41,7 +41,7 @@
 
 const (
 	requestsPerReport = 3    // so few that no server is missed between two reports on it
-	memoryMB          = 4096 // told to each manager: far above what it needs, so that it changes nothing
+	memoryMB          = 4096 // limit in the configuration: far above what a manager needs, so that it has no effect
 	maxSockets        = 4096
 	firstVersion      = 41
 )
@@ -70,7 +70,7 @@
 // requestRate is how many requests a second come to all proxies: as many as the reports tell of.
 func (s Scenario) requestRate() float64 { return requestsPerReport * s.Reports / 2 }
 
-// site is the deployment that a scenario stands for, in the words of the platform's configuration.
+// site is the deployment of a scenario.
 func (s Scenario) site() fakes.Site {
 	site := fakes.DefaultSite(s.Servers, s.Proxies)
 	site.RequestRate = s.requestRate() / float64(s.Proxies)
@@ -137,7 +137,7 @@
 	return string(text)
 }
 
-// managerConfig is what the manager of a scenario is told at its start: no server is known before the list is read.
+// managerConfig is the configuration of a scenario's manager, without servers: these come with the endpoint list.
 func (s Scenario) managerConfig(site fakes.Site) (config.Config, error) {
 	dir, err := os.MkdirTemp("", "tamarindshore-scale-")
 	if err != nil {
--- a/internal/scale/script.go
+++ b/internal/scale/script.go
@@ -80,7 +80,7 @@
 	commands int
 }
 
-// script is what one manager is told, step by step. Replayed on a fresh manager it causes the same work, so that this
+// script is the messages that one manager is sent, step by step. Replayed on a fresh manager it causes the same work, so that this
 // can be measured without the cost of the fleet around the manager.
 type script struct {
 	scenario        Scenario
--- a/internal/scale/subset_read.go
+++ b/internal/scale/subset_read.go
@@ -22,7 +22,7 @@
 }
 
 // measureSubsetRead measures the processor time in which a manager reads a whole list and takes its subset of it: the
-// list is decoded, the first proxy connects, and the decisions are told the servers that it needs.
+// list is decoded, the first proxy connects, and the decisions get the servers that it needs.
 func measureSubsetRead(ctx context.Context, scenario Scenario, runs int) ([]sample, error) {
 	var samples []sample
 	runtime.LockOSThread()
--- a/internal/scale/work_test.go
+++ b/internal/scale/work_test.go
@@ -1,6 +1,6 @@
 package scale
 
-// Tests that fail where a cost grows with the wrong axis. They count allocations, bytes and orders, which are the same
+// Tests that fail where a cost grows with the wrong axis. They count allocations, bytes and commands, which are the same
 // on each machine and in each run, and no times.
 
 import (
@@ -15,13 +15,13 @@
 	"tamarindshore/internal/node"
 )
 
-// opened is a manager whose list is read and whose proxies are bound, within one second's decision.
-type opened struct {
+// openedManager is a manager that has read its list and assigned its proxies, between two timers.
+type openedManager struct {
 	*recorder
 	t *testing.T
 }
 
-func open(t *testing.T, scenario Scenario) opened {
+func open(t *testing.T, scenario Scenario) openedManager {
 	t.Helper()
 	site := scenario.site()
 	start, err := scenario.managerConfig(site)
@@ -49,11 +49,11 @@
 	if bound := len(r.proxies.tableOf); bound != scenario.Proxies {
 		t.Fatalf("%d of %d proxies are bound", bound, scenario.Proxies)
 	}
-	return opened{r, t}
+	return openedManager{r, t}
 }
 
 // tell steps the manager at the next instant.
-func (o opened) tell(messages ...node.Message) node.StepResult {
+func (o openedManager) tell(messages ...node.Message) node.StepResult {
 	o.now += time.Microsecond
 	result, err := o.manager.Step(o.now, messages...)
 	if err != nil {
@@ -71,7 +71,7 @@
 const inputsCounted = 400
 
 // inputWork is what a collector's line takes, on the average of many.
-func (o opened) inputWork(input func(node.Message)) (w work) {
+func (o openedManager) inputWork(input func(node.Message)) (w work) {
 	var messages []node.Message
 	for range 2 * inputsCounted {
 		messages = append(messages, o.nextReport())
@@ -101,7 +101,7 @@
 	bytesDiffer       = 256
 )
 
-// grows tells how the work of one input differs between two sizes; empty where it doesn't.
+// grows says how the work of one input differs between two sizes; empty where it doesn't.
 func grows(small, large work) string {
 	switch {
 	case math.Abs(large.allocations-small.allocations) > allocationsDiffer:
@@ -115,7 +115,9 @@
 // smaller is a scenario small enough for each CI run.
 func smaller() Scenario {
 	scenario := Reference()
-	scenario.Servers, scenario.Proxies, scenario.ListChanges = 240, 200, 0
+	scenario.Servers = 240
+	scenario.Proxies = 200
+	scenario.ListChanges = 0
 	return scenario
 }
 
@@ -125,7 +127,8 @@
 		small, large float64
 	}{{Servers, 60, 6000}, {Proxies, 40, 2000}, {Zones, 2, 40}} {
 		t.Run(string(one.axis), func(t *testing.T) {
-			few, many := open(t, smaller().With(one.axis, one.small)), open(t, smaller().With(one.axis, one.large))
+			few := open(t, smaller().With(one.axis, one.small))
+			many := open(t, smaller().With(one.axis, one.large))
 			least := few.inputWork(func(m node.Message) { few.tell(m) })
 			most := many.inputWork(func(m node.Message) { many.tell(m) })
 			if grown := grows(least, most); grown != "" {
@@ -137,7 +140,7 @@
 
 // The check above must be able to fail: here each input walks over all servers first, as a rule without an index would.
 func TestAWalkOverAllServersIsFound(t *testing.T) {
-	walking := func(o opened) work {
+	walking := func(o openedManager) work {
 		return o.inputWork(func(m node.Message) {
 			var known []string
 			for server := range o.scenario.Servers {
@@ -149,7 +152,8 @@
 			o.tell(m)
 		})
 	}
-	few, many := open(t, smaller().With(Servers, 60)), open(t, smaller().With(Servers, 6000))
+	few := open(t, smaller().With(Servers, 60))
+	many := open(t, smaller().With(Servers, 6000))
 	if grows(walking(few), walking(many)) == "" {
 		t.Error("a walk over all servers with each input is not found")
 	}
