--- a/internal/node/router_test.go
+++ b/internal/node/router_test.go
@@ -29,10 +29,10 @@
 
 // testRouter knows proxies 1 and 2 and the servers s-1 and s-2; its clock stands at 10 s.
 func testRouter(t *testing.T) *router {
-	r := &router{limits: testLimits, startedAt: time.Now(), manager: balancer.New(1, testSettings), inputs: make(chan input, testLimits.MaxQueuedInputs),
-		healthChecks: make(chan healthCheckTarget, testLimits.MaxQueuedHealthChecks), listRequested: make(chan struct{}, 1), onProxyEventsOpened: func() {}, metrics: newMetrics(time.Hour, zerolog.Nop()),
-		proxies: map[balancer.ProxyID]bool{}, unconfirmed: map[balancer.ProxyID]bool{}, addresses: map[balancer.ServerID]string{}}
-	r.backlog = newBacklog(testLimits.MaxQueuedCalls, r.metrics)
+	t.Helper()
+	start := config.Config{Limits: testLimits, Seed: 1, Balancer: testSettings}
+	r := newRouter(start, time.Now(), newMetrics(time.Hour, zerolog.Nop()))
+	r.onProxyEventsOpened = func() {}
 	r.handle(endpointList{generation: 1, snapshot: true, entries: []balancer.Endpoint{{Server: "s-1", Zone: "a", Weight: 1}, {Server: "s-2", Zone: "b", Weight: 1}},
 		addresses: map[balancer.ServerID]string{"s-1": "127.0.0.1:1", "s-2": "127.0.0.1:2"}})
 	for p := range balancer.ProxyID(2) {
