--- a/internal/node/decoder_pool.go
+++ b/internal/node/decoder_pool.go
@@ -8,18 +8,18 @@
 	"tamarindshore/internal/sharding"
 )
 
-// decoderPool decodes the connections of collectors on several cores: each connection's bytes are read by a goroutine of its
-// own, its lines are decoded by the worker of the lane that owns it, and the samples wait in one queue for the router.
-// Package lanes decides who owns what. The hub owns the workers, the pieces that were read and not yet delivered, and
-// the keeper's clock; it must never deliver a piece twice, out of order, or under an epoch that is over, nor delay the
-// decisions.
+// decoderPool decodes the connections of collectors on several cores: each connection's bytes are read by a goroutine of
+// its own, its lines are decoded by the worker of the shard that owns it, and the samples wait in one queue for the
+// router. Package sharding decides which shard owns a connection. The pool owns the workers, the chunks that were read
+// and not yet delivered, and the assigner's clock; it must never deliver a chunk twice, out of order, or under an epoch
+// that is over, nor delay the decisions. Its goroutines end with the receiver's stop.
 type decoderPool struct {
 	receiver  *receiver
 	samples   *sampleQueue
 	startedAt time.Time
 	decode    func(line string) decodedLine
 
-	mu         sync.Mutex // of all below; taken before that of a laneConn
+	mu         sync.Mutex // of all below; locked before that of a shardConn
 	assigner   *sharding.Assigner
 	settings   sharding.Settings
 	conns      map[sharding.ConnID]*shardConn
@@ -27,195 +27,201 @@
 	lastConnID sharding.ConnID
 }
 
-func newDecoderPool(r *receiver, samples *sampleQueue, terms sharding.Settings) *decoderPool {
-	h := &decoderPool{
+func newDecoderPool(r *receiver, samples *sampleQueue, settings sharding.Settings) *decoderPool {
+	p := &decoderPool{
 		receiver:  r,
 		samples:   samples,
 		startedAt: time.Now(),
-		settings:  terms,
-		assigner:  sharding.NewAssigner(terms),
+		settings:  settings,
+		assigner:  sharding.NewAssigner(settings),
 		conns:     map[sharding.ConnID]*shardConn{},
 		decode:    r.decodeLine,
 	}
-	for lane := range terms.Shards {
-		h.workers = append(h.workers, h.startWorker(sharding.ShardID(lane)))
+	for shard := range settings.Shards {
+		p.workers = append(p.workers, p.startWorker(sharding.ShardID(shard)))
 	}
-	return h
+	return p
 }
 
-func (h *decoderPool) startWorker(lane sharding.ShardID) *worker {
-	w := newWorker(lane)
-	go h.runWorker(w)
+func (p *decoderPool) startWorker(shard sharding.ShardID) *worker {
+	w := newWorker(shard)
+	go p.runWorker(w)
 	return w
 }
 
-func (h *decoderPool) now() time.Duration { return time.Since(h.startedAt) }
+func (p *decoderPool) now() time.Duration { return time.Since(p.startedAt) }
 
-// notifyAssigner gives the keeper one input and carries out what it decides.
-func (h *decoderPool) notifyAssigner(input func(now time.Duration) sharding.Actions) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.apply(input)
+// notifyAssigner gives the assigner one input and carries out what it decides.
+func (p *decoderPool) notifyAssigner(input func(now time.Duration) sharding.Actions) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.apply(input)
 }
 
-// apply carries out what the keeper decides on one input. mu is held.
-func (h *decoderPool) apply(input func(now time.Duration) sharding.Actions) {
-	acts := input(h.now())
-	for _, place := range acts.Drain {
-		h.schedule(place, true)
+// apply carries out what the assigner decides on one input. mu is held.
+func (p *decoderPool) apply(input func(now time.Duration) sharding.Actions) {
+	actions := input(p.now())
+	for _, assignment := range actions.Drain {
+		p.schedule(assignment, true)
 	}
-	for _, lane := range acts.RestartWorkers {
-		close(h.workers[lane].replaced)
-		h.workers[lane] = h.startWorker(lane)
-		h.receiver.metrics.add(shardRestarts, 1)
+	for _, shard := range actions.RestartWorkers {
+		close(p.workers[shard].replaced)
+		p.workers[shard] = p.startWorker(shard)
+		p.receiver.metrics.add(shardRestarts, 1)
 	}
-	for _, place := range acts.Assign {
-		h.assign(place)
+	for _, assignment := range actions.Assign {
+		p.assign(assignment)
 	}
-	for _, id := range acts.Close {
-		if conn := h.conns[id]; conn != nil {
+	for _, id := range actions.Close {
+		if conn := p.conns[id]; conn != nil {
 			conn.collector.Close()
-			go h.endConn(conn, errors.Join(errUnreadable, errors.New("lanes failed over it")))
+			go p.endConn(conn, errors.Join(errUnreadable, errShardsFailed)) // it locks mu
 		}
 	}
-	for _, note := range acts.LogRecords {
-		h.receiver.metrics.logEvent("shard", "note", note)
+	for _, record := range actions.LogRecords {
+		p.receiver.metrics.logEvent("shard", "note", record)
 	}
 }
 
-// assign gives a connection to the owner named. mu is held.
-func (h *decoderPool) assign(place sharding.Assignment) {
-	if place.Owner.Epoch > 1 {
-		h.receiver.metrics.add(shardMoves, 1)
+// errShardsFailed ends a connection whose lines made the workers of several shards panic.
+var errShardsFailed = errors.New("several shards failed on it")
+
+// assign gives a connection to an owner. mu is held.
+func (p *decoderPool) assign(assignment sharding.Assignment) {
+	if assignment.Owner.Epoch > 1 {
+		p.receiver.metrics.add(shardMoves, 1)
 	}
-	if conn := h.conns[place.Conn]; conn != nil {
-		conn.assign(place.Owner)
-		h.schedule(place, false)
+	if conn := p.conns[assignment.Conn]; conn != nil {
+		conn.assign(assignment.Owner)
+		p.schedule(assignment, false)
 	}
 }
 
-// schedule queues a connection for its owner's worker, if that is still the owner named. mu is held.
-func (h *decoderPool) schedule(place sharding.Assignment, hold bool) {
-	conn := h.conns[place.Conn]
+// schedule queues a connection for its owner's worker, unless it has another owner by now. With release the owner is to
+// release it. mu is held.
+func (p *decoderPool) schedule(assignment sharding.Assignment, release bool) {
+	conn := p.conns[assignment.Conn]
 	if conn == nil {
 		return
 	}
-	if conn.queueFor(place.Owner, hold) {
-		h.workers[place.Owner.Shard].enqueue(conn)
+	if conn.queueFor(assignment.Owner, release) {
+		p.workers[assignment.Owner.Shard].enqueue(conn)
 	}
 }
 
-// wake queues a connection for its owner, whoever that is by now.
-func (h *decoderPool) wake(conn *shardConn) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.schedule(sharding.Assignment{Conn: conn.id, Owner: conn.currentOwner()}, false)
+// wake queues a connection for the worker of its present owner.
+func (p *decoderPool) wake(conn *shardConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.schedule(sharding.Assignment{Conn: conn.id, Owner: conn.currentOwner()}, false)
 }
 
-// serveConn reads a connection's bytes until it ends; the owner of its laneConn does the rest.
-func (h *decoderPool) serveConn(collector *collectorConn) {
-	conn := h.register(collector)
-	size := h.receiver.limits.ReadChunkBytes / 4
+// readConn reads a connection's bytes until it ends; the owner of its shardConn does the rest.
+func (p *decoderPool) readConn(collector *collectorConn) {
+	conn := p.register(collector)
+	size := p.receiver.limits.ReadChunkBytes / 4 // until a read shows that the connection sends more
 	for {
-		piece := make([]byte, size)
-		n, err := collector.Read(piece)
-		if n > 0 && !h.pushPiece(conn, piece[:n]) {
+		chunk := make([]byte, size)
+		n, err := collector.Read(chunk)
+		if n > 0 && !p.pushChunk(conn, chunk[:n]) {
 			err = errStopped
 		}
 		if n == size {
-			size = h.receiver.limits.ReadChunkBytes
+			size = p.receiver.limits.ReadChunkBytes
 		}
 		if err != nil {
-			h.endConn(conn, err)
+			p.endConn(conn, err)
 			return
 		}
 	}
 }
 
-// register gives a connection its number and an owner.
-func (h *decoderPool) register(collector *collectorConn) *shardConn {
-	conn := &shardConn{collector: collector, pieceDone: make(chan struct{}, 1)}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.lastConnID++
-	conn.id = h.lastConnID
-	h.conns[conn.id] = conn
-	h.apply(func(now time.Duration) sharding.Actions { return h.assigner.HandleConnOpened(now, conn.id) })
+// register gives a connection its number and its first owner.
+func (p *decoderPool) register(collector *collectorConn) *shardConn {
+	conn := &shardConn{collector: collector, chunkDone: make(chan struct{}, 1)}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastConnID++
+	conn.id = p.lastConnID
+	p.conns[conn.id] = conn
+	p.apply(func(now time.Duration) sharding.Actions { return p.assigner.HandleConnOpened(now, conn.id) })
 	return conn
 }
 
-// pushPiece appends a piece that was read; it waits while there are too many. False once nothing more is wanted.
-func (h *decoderPool) pushPiece(conn *shardConn, piece []byte) bool {
+// pushChunk appends a chunk that was read; it waits while there are too many. False once nothing more is wanted.
+func (p *decoderPool) pushChunk(conn *shardConn, chunk []byte) bool {
 	for {
-		switch conn.tryPush(piece, h.receiver.limits.MaxQueuedChunks) {
+		switch conn.tryPush(chunk, p.receiver.limits.MaxQueuedChunks) {
 		case pushEnded:
 			return false
 		case pushWake:
-			h.wake(conn)
+			p.wake(conn)
 			return true
-		case pushQueued:
+		case pushAccepted:
 			return true
 		case pushFull:
 		}
 		select {
-		case <-conn.pieceDone:
-		case <-h.receiver.stop:
+		case <-conn.chunkDone:
+		case <-p.receiver.stop:
 			return false
 		}
 	}
 }
 
-// endConn notes that nothing more is read of a connection; its owner closes it.
-func (h *decoderPool) endConn(conn *shardConn, err error) {
+// endConn notes that nothing more is read of a connection, and why; its owner closes it.
+func (p *decoderPool) endConn(conn *shardConn, err error) {
 	conn.markEnded(err)
-	h.wake(conn)
+	p.wake(conn)
 }
 
-// runAssignerClock is the keeper's clock: it checks the workers, and once in a window tells the work that each connection
-// took.
-func (h *decoderPool) runAssignerClock() {
-	ticker := time.NewTicker(h.settings.CheckInterval)
+// runAssignerClock is the assigner's clock: it checks the workers, and once in a window reports the load of each
+// connection. It ends with the receiver's stop.
+func (p *decoderPool) runAssignerClock() {
+	ticker := time.NewTicker(p.settings.CheckInterval)
 	defer ticker.Stop()
-	windowBegan := h.now()
+	windowStart := p.now()
 	for {
 		select {
-		case <-h.receiver.stop:
+		case <-p.receiver.stop:
 			return
 		case <-ticker.C:
 		}
-		h.checkWorkers()
-		if now := h.now(); now-windowBegan >= h.settings.RebalanceInterval {
-			h.reportWork(now - windowBegan)
-			windowBegan = now
+		p.checkWorkers()
+		if now := p.now(); now-windowStart >= p.settings.RebalanceInterval {
+			p.reportLoad(now - windowStart)
+			windowStart = now
 		}
 	}
 }
 
-// idleWorker is what the keeper is told of a worker that waits.
-const idleWorker = time.Duration(-1)
+// workerIdle stands for a worker that waits, in place of how long it has been busy.
+const workerIdle = time.Duration(-1)
 
-func (h *decoderPool) checkWorkers() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// checkWorkers tells the assigner for how long each worker has been busy with one chunk.
+func (p *decoderPool) checkWorkers() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var busyFor []time.Duration
-	for _, w := range h.workers {
-		busy, working := w.busyFor(h.now())
+	for _, w := range p.workers {
+		busy, working := w.busyFor(p.now())
 		if !working {
-			busy = idleWorker
+			busy = workerIdle
 		}
 		busyFor = append(busyFor, busy)
 	}
-	h.apply(func(now time.Duration) sharding.Actions { return h.assigner.HandleWorkerCheck(now, busyFor) })
+	p.apply(func(now time.Duration) sharding.Actions { return p.assigner.HandleWorkerCheck(now, busyFor) })
 }
 
-func (h *decoderPool) reportWork(window time.Duration) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+// reportLoad tells the assigner how many cores each connection took in a window.
+func (p *decoderPool) reportLoad(window time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	cores := map[sharding.ConnID]float64{}
-	for id, conn := range h.conns {
+	for id, conn := range p.conns {
 		if work := conn.workNanos.Swap(0); work > 0 {
 			cores[id] = float64(work) / float64(window)
 		}
 	}
-	h.apply(func(now time.Duration) sharding.Actions { return h.assigner.HandleLoad(now, cores) })
+	p.apply(func(now time.Duration) sharding.Actions { return p.assigner.HandleLoad(now, cores) })
 }
--- a/internal/node/decoder_pool_test.go
+++ b/internal/node/decoder_pool_test.go
@@ -41,7 +41,7 @@
 	return in.decoderPool, at.Addr().String()
 }
 
-// rebalanceFrom makes the keeper spread work as if lane 0's connections, or else another's, took all their time.
+// rebalanceFrom makes the assigner spread work as if one shard's connections took all their time.
 func (h *decoderPool) rebalanceFrom(heavy sharding.ShardID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -163,7 +163,7 @@
 		t.Errorf("brought twice: %v", late)
 	}
 	if n := h.receiver.metrics.counts[shardRestarts].Load(); n < 1 {
-		t.Errorf("%d lanes renewed", n)
+		t.Errorf("%d shards restarted", n)
 	}
 }
 
@@ -266,10 +266,10 @@
 	t.Errorf("%d connections are still known", known)
 }
 
-// BenchmarkIntake is what a line costs from the connection to the post, with one core or lanes.
+// BenchmarkIntake is what a line costs from the connection to the sample queue, by the number of shards.
 func BenchmarkIntake(b *testing.B) {
 	for _, n := range []int{1, 2, 4, 8} {
-		b.Run(fmt.Sprint("lanes=", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("shards=", n), func(b *testing.B) {
 			l := testLimits
 			l.MaxQueuedInputs, l.ReadChunkBytes, l.MaxQueuedChunks, l.MaxEmptyMessages = 1<<16, 16<<10, 4, 1<<30
 			in := testReceiver(make(chan struct{}), l)
@@ -282,7 +282,7 @@
 				g := &collectorConn{named: true, reported: true, zone: "a"}
 				g.Conn, g.deadline, g.lastReport = ours, time.Now().Add(time.Hour), time.Now()
 				in.conns = append(in.conns, g)
-				go in.decoderPool.serveConn(g)
+				go in.decoderPool.readConn(g)
 				all.Go(func() {
 					for at := i; at < b.N; at += 16 * 300 {
 						theirs.Write(text)
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -50,7 +50,7 @@
 		default:
 		}
 		if r.decoderPool != nil {
-			go r.decoderPool.serveConn(conn)
+			go r.decoderPool.readConn(conn)
 		} else {
 			go r.serveConn(conn)
 		}
--- a/internal/node/shard_conn.go
+++ b/internal/node/shard_conn.go
@@ -8,43 +8,51 @@
 	"tamarindshore/internal/sharding"
 )
 
-// shardConn is one connection on its way through a lane. All that must go along when it moves stands here; nothing of it
-// is in a worker.
+// shardConn is one connection on its way through a shard. All that must go along when the connection moves to another
+// shard is here; nothing of it is in a worker. Any goroutine may call its methods.
 type shardConn struct {
 	id        sharding.ConnID
 	collector *collectorConn
-	workNanos atomic.Int64  // nanoseconds in this window
-	pieceDone chan struct{} // there may be room for another piece
+	workNanos atomic.Int64  // in this window
+	chunkDone chan struct{} // there may be room for another chunk
 
-	mu               sync.Mutex
+	mu               sync.Mutex // of all below
+	phase            connPhase
+	err              error // why the phase is no longer connReading
 	owner            sharding.Owner
-	acquired         bool     // the owner has taken it over
+	acquired         bool     // the owner has begun
 	releaseRequested bool     // the owner is to stop, and to say so
-	queued           bool     // for its owner
-	pieces           [][]byte // that were read, oldest first
-	partial          []byte   // the half line before them
-	ended            bool     // nothing more is read
-	err              error    // why
-	closed           bool
-	isolateLines     bool // a worker failed over it: each line is decoded by itself
+	queued           bool     // for its owner's worker
+	isolateLines     bool     // a worker panicked on it: each line is decoded by itself
+	chunks           [][]byte // that were read and not delivered, oldest first
+	partial          []byte   // the partial line before them
 }
 
+// connPhase says how far a connection has come.
+type connPhase int
+
+const (
+	connReading connPhase = iota // its bytes are read
+	connEnded                    // nothing more is read; chunks may still be queued
+	connClosed                   // all of it was delivered
+)
+
 // shardTask is what is due next for a connection, by an owner.
 type shardTask struct {
 	epoch        sharding.Epoch
-	acquired     bool // the owner had taken it over before
+	acquired     bool // the owner had begun before
 	release      bool
 	isolateLines bool
 	partial      []byte
-	piece        []byte // nil: none waits
+	chunk        []byte // nil: none is queued
 	last         bool   // nothing more will come
 }
 
-// nextTask is what is due next for the connection; false where it is not the lane's.
-func (c *shardConn) nextTask(lane sharding.ShardID) (task shardTask, ok bool) {
+// nextTask gives what is due next for the connection; false where it is not the shard's.
+func (c *shardConn) nextTask(shard sharding.ShardID) (task shardTask, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.owner.Shard != lane || c.closed || !c.queued {
+	if c.owner.Shard != shard || c.phase == connClosed || !c.queued {
 		return shardTask{}, false
 	}
 	task = shardTask{
@@ -57,11 +65,13 @@
 	c.queued = false
 	c.acquired = true
 	c.releaseRequested = false
-	if len(c.pieces) > 0 {
-		task.piece = c.pieces[0]
+	if len(c.chunks) > 0 {
+		task.chunk = c.chunks[0]
+	}
+	task.last = c.phase == connEnded && task.chunk == nil
+	if task.last && !task.release {
+		c.phase = connClosed
 	}
-	task.last = c.ended && task.piece == nil
-	c.closed = task.last && !task.release
 	return task, true
 }
 
@@ -75,15 +85,15 @@
 	c.queued = false
 }
 
-// queueFor notes that the connection is to be queued for an owner; false where it is queued already, or has another
-// owner.
-func (c *shardConn) queueFor(owner sharding.Owner, hold bool) bool {
+// queueFor notes that the connection is to be queued for an owner, with release to be released by it; false where it is
+// queued already, or has another owner.
+func (c *shardConn) queueFor(owner sharding.Owner, release bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.owner != owner {
 		return false
 	}
-	if hold {
+	if release {
 		c.releaseRequested = true
 	}
 	wasQueued := c.queued
@@ -97,24 +107,26 @@
 	return c.owner
 }
 
-// markEnded notes that nothing more is read, and why.
+// markEnded notes that nothing more is read, and why. The first reason counts.
 func (c *shardConn) markEnded(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.ended {
-		c.ended = true
+	if c.phase == connReading {
+		c.phase = connEnded
 		c.err = err
 	}
 }
 
-// abort ends the connection, whatever was read and not yet delivered.
+// abort ends the connection and drops what was read and not delivered.
 func (c *shardConn) abort(err error) {
 	c.collector.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ended = true
+	if c.phase == connReading {
+		c.phase = connEnded
+	}
 	c.err = err
-	c.pieces = nil
+	c.chunks = nil
 }
 
 // isolate has each line decoded by itself from now on.
@@ -124,29 +136,29 @@
 	c.isolateLines = true
 }
 
-// pushResult is what became of a piece that was read.
+// pushResult is what became of a chunk that was read.
 type pushResult int
 
 const (
-	pushFull   pushResult = iota // it has to wait
-	pushEnded                    // nothing more is wanted
-	pushWake                     // it was appended, and the owner is to be woken
-	pushQueued                   // it was appended, and the owner will see it
+	pushFull     pushResult = iota // too many chunks are queued
+	pushEnded                      // nothing more is wanted
+	pushWake                       // it was appended, and the owner is to be woken
+	pushAccepted                   // it was appended, and the owner will see it
 )
 
-// tryPush appends a piece that was read, if fewer than limit wait.
-func (c *shardConn) tryPush(piece []byte, limit int) pushResult {
+// tryPush appends a chunk that was read, where fewer than limit are queued.
+func (c *shardConn) tryPush(chunk []byte, limit int) pushResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.ended:
+	case c.phase != connReading:
 		return pushEnded
-	case len(c.pieces) >= limit:
+	case len(c.chunks) >= limit:
 		return pushFull
 	}
-	c.pieces = append(c.pieces, piece)
+	c.chunks = append(c.chunks, chunk)
 	if c.queued {
-		return pushQueued
+		return pushAccepted
 	}
 	return pushWake
 }
