--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -267,16 +267,9 @@
 
 // callSize is how many bytes a call has on the wire.
 func callSize(address, text string) int {
-	request, form := fasthttp.AcquireRequest(), fasthttp.AcquireArgs()
+	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
-	defer fasthttp.ReleaseArgs(form)
-	request.Header.SetMethod(fasthttp.MethodPost)
-	request.SetRequestURI("http://" + address + "/v3/kv/")
-	request.Header.SetContentType("application/x-www-form-urlencoded")
-	form.Set("Action", "CommitChanges")
-	form.Set("orders", text)
-	request.SetBody(form.QueryString())
-	request.SetConnectionClose()
+	prepareCall(request, address, text)
 	size := byteCounter(0)
 	out := bufio.NewWriter(&size)
 	if request.Write(out) != nil || out.Flush() != nil {
