--- a/internal/node/collector_conn.go
+++ b/internal/node/collector_conn.go
@@ -35,7 +35,7 @@
 }
 
 // evictedBefore orders connections for eviction: those that never reported anything come first, then the longest
-// silent. Guards against strangers that name themselves collectors.
+// silent. Guards against connections of others that name themselves collectors.
 func (c *collectorConn) evictedBefore(other *collectorConn) bool {
 	if c.reported != other.reported {
 		return !c.reported
@@ -170,7 +170,7 @@
 }
 
 // registerCollector notes whose collector a connection is. Where no other of its zone reports, it may have nothing to
-// report for a while; where one does, it keeps the deadline of the unnamed. Guards against strangers that know a zone's
+// report for a while; where one does, it keeps the deadline of the unnamed. Guards against others that know a zone's
 // name.
 func (r *receiver) registerCollector(conn *collectorConn, zone balancer.ZoneID) {
 	r.mu.Lock()
--- a/internal/node/deadline_conn.go
+++ b/internal/node/deadline_conn.go
@@ -25,7 +25,7 @@
 	fixedDeadline bool // no read or write moves the deadline
 }
 
-// extendDeadline starts the idle timeout anew, unless the deadline is fixed.
+// extendDeadline restarts the idle timeout, unless the deadline is fixed.
 func (c *deadlineConn) extendDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/decoder.go
+++ b/internal/node/decoder.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/url"
@@ -14,8 +13,8 @@
 	"tamarindshore/internal/config"
 )
 
-// errUnknownName is the error of a message that names an unknown zone or traffic group. It is dropped like a malformed
-// one, and the connection goes on; errUnreadable is no message at all, which ends it.
+// errUnknownName is the error of a message that names an unknown zone or traffic class. The message is dropped like a
+// malformed one, and the connection goes on. errUnreadable is the error of what is no message, which ends the connection.
 var (
 	errUnknownName = errors.New("names what the site does not")
 	errUnreadable  = errors.New("unreadable")
@@ -29,6 +28,12 @@
 	kindUsageReport = "usage"
 )
 
+// Names of the requests in flight in a load report.
+const (
+	loadInFlight    = "inflight"
+	loadOutstanding = "outstanding"
+)
+
 // Kinds of events that the relay's stream tells.
 const (
 	eventJoined  = "joined"
@@ -42,44 +47,41 @@
 	maxBarrier     = 65535
 )
 
-// maxWeight is the highest weight of a server in a list.
-const maxWeight = 1e9
-
-// decoder decodes each message once into a small typed value and checks it. It owns the words of the wire and the names
-// of the site (zones, traffic groups); past it no wire name is left. It must never keep a message, call the module or
-// guess a value that was not told.
+// decoder decodes and checks each message once. It owns the names on the wire and the names of the site's zones and
+// traffic classes; what it returns has none of them. It must never keep a message, call the balancer or guess a value
+// that was not sent. It is safe for concurrent use.
 type decoder struct {
 	zones       map[string]balancer.ZoneID
 	classes     map[string]balancer.ClassID
 	startedAt   time.Time     // of the router's clock
 	maxFields   int           // of a line
-	maxProxyID  int           // the highest number of a proxy
-	maxLatency  time.Duration // the highest mean of a report
+	maxProxyID  int           // highest number of a proxy
+	maxLatency  time.Duration // highest mean of a report
 	maxInterval time.Duration // of a report
-	maxRequests float64       // a second, and held
-	fields      sync.Pool     // so that decoding a line allocates no fields
+	maxRequests float64       // a second, and in flight
+	fields      sync.Pool     // of *fields, so that decoding a line allocates none
 }
 
-func newDecoder(terms balancer.Settings, groups []string, born time.Time, limits config.Limits) *decoder {
+func newDecoder(settings balancer.Settings, classNames []string, startedAt time.Time, limits config.Limits) *decoder {
 	d := &decoder{
 		zones:       map[string]balancer.ZoneID{},
 		classes:     map[string]balancer.ClassID{},
-		startedAt:   born,
+		startedAt:   startedAt,
 		maxFields:   limits.MaxLineFields,
 		maxProxyID:  maxProxyNumber,
 		maxInterval: limits.MaxReportInterval,
 		maxRequests: limits.MaxRequestsPerSecond,
 	}
 	d.fields.New = func() any { return &fields{} }
-	if terms.Proxies > 0 {
-		d.maxProxyID = terms.Proxies - 1
+	if settings.Proxies > 0 {
+		d.maxProxyID = settings.Proxies - 1
 	}
-	for _, zone := range terms.Zones {
+	for _, zone := range settings.Zones {
 		d.zones[string(zone)] = zone
 	}
-	for group, name := range groups {
-		d.classes[name] = balancer.ClassID(group)
-		d.maxLatency = max(d.maxLatency, 2*terms.Classes[group].Deadline) // means come with noise
+	for class, name := range classNames {
+		d.classes[name] = balancer.ClassID(class)
+		d.maxLatency = max(d.maxLatency, 2*settings.Classes[class].Deadline) // means come with noise
 	}
 	return d
 }
@@ -91,7 +93,8 @@
 	err     error
 }
 
-// parseLine decodes a line that came to the manager's address: a kind and words of the form name=value.
+// parseLine decodes a line that came to the manager's address: a kind and fields of the form name=value. With an error of
+// the fields it gives the message too, where its kind is known.
 func (d *decoder) parseLine(text string) (message collectorMessage, err error) {
 	kind, rest, _ := strings.Cut(strings.TrimSpace(text), " ")
 	switch kind {
@@ -120,7 +123,7 @@
 	return message, f.err
 }
 
-// report takes a collector's report of a server.
+// parseLoadReport takes a collector's report on a server.
 func (d *decoder) parseLoadReport(f *fields) balancer.LoadReport {
 	report := balancer.LoadReport{Server: balancer.ServerID(f.text("target")), Zone: f.zone(d, "site"), InFlight: -1}
 	report.Attempts, report.Failed, report.Interval = f.reportCounts(d)
@@ -143,7 +146,7 @@
 	return report
 }
 
-// parseUsageReport takes a collector's report of a proxy's usage.
+// parseUsageReport takes a collector's report on a proxy's usage.
 func (d *decoder) parseUsageReport(f *fields) balancer.UsageReport {
 	usage := balancer.UsageReport{Proxy: balancer.ProxyID(f.integer("id", d.maxProxyID))}
 	usage.Requests, usage.Dropped, usage.Interval = f.reportCounts(d)
@@ -177,103 +180,24 @@
 	return event, f.err
 }
 
-// instance is a server in discovery's list.
-type instance struct {
-	InstanceID  string   `json:"instanceId"`
-	HostPort    string   `json:"hostPort"`
-	Zone        string   `json:"zone"`
-	Lifecycle   string   `json:"lifecycle"`
-	Weight      *float64 `json:"weight"`
-	StartedAtMs int64    `json:"startedAtMs"`
-}
-
-// parseList decodes the whole list or changes of it. Entries of unknown zones are left out and counted.
-func (d *decoder) parseList(text []byte) (list endpointList, unknown int, err error) {
-	var message struct {
-		Generation *int64     `json:"generation"`
-		Reset      bool       `json:"reset"`
-		Instances  []instance `json:"instances"`
-	}
-	if err := json.Unmarshal(text, &message); err != nil {
-		return list, 0, err
-	}
-	if message.Generation == nil {
-		return list, 0, errors.New("generation: is missing")
-	}
-	return d.checkList(*message.Generation, message.Reset, message.Instances)
-}
-
-// checkList checks the servers of a list. Entries of unknown zones are left out and counted.
-func (d *decoder) checkList(generation int64, snapshot bool, instances []instance) (list endpointList, unknown int, err error) {
-	list = endpointList{generation: generation, snapshot: snapshot, addresses: map[balancer.ServerID]string{}, instances: instances}
-	for i, server := range instances {
-		entry, err := d.checkInstance(server)
-		if err == errUnknownName {
-			unknown++
-			continue
-		}
-		if err != nil {
-			return endpointList{}, 0, fmt.Errorf("instances[%d].%w", i, err)
-		}
-		list.entries = append(list.entries, entry)
-		if server.HostPort != "" { // a removed one may come without; it may still be probed
-			list.addresses[entry.Server] = server.HostPort
-		}
-	}
-	return list, unknown, nil
-}
-
-// entry checks a server of the list; one of an unknown zone gives errUnknownName.
-func (d *decoder) checkInstance(server instance) (entry balancer.Endpoint, err error) {
-	entry = balancer.Endpoint{Server: balancer.ServerID(server.InstanceID), Weight: 1}
-	switch server.Lifecycle {
-	case "up":
-	case "draining":
-		entry.State = balancer.Draining
-	case "removed":
-		entry.State = balancer.Removed
-	default:
-		return entry, fmt.Errorf("lifecycle: %q is not up, draining or removed", server.Lifecycle)
-	}
-	if server.InstanceID == "" || strings.ContainsAny(server.InstanceID, ",; \t\r\n") {
-		return entry, fmt.Errorf("instanceId: %q is no name", server.InstanceID)
-	}
-	if server.Weight != nil {
-		entry.Weight = *server.Weight
-	}
-	if entry.Weight < 0 || entry.Weight > maxWeight {
-		return entry, fmt.Errorf("weight: %v is not from 0 to 1e9", entry.Weight)
-	}
-	zone, ok := d.zones[server.Zone]
-	if !ok {
-		return entry, errUnknownName
-	}
-	entry.Zone = zone
-	if server.StartedAtMs > 0 {
-		entry.Started = time.UnixMilli(server.StartedAtMs).Sub(d.startedAt.Round(0))
-		entry.RecentlyStarted = true
-	}
-	return entry, nil
-}
-
-// parseLoad gives the flows held that a load report tells, -1 without one; false where a figure is malformed. Its pairs
-// are split by pairSeparator, a pair by valueSeparator. Guards against a report that is taken for none: the flows held
-// come under the protocol's word or under that of the settings.
-func parseLoad(text, pairSeparator, valueSeparator string, limit float64) (held float64, ok bool) {
-	held = -1
+// parseLoad gives the requests in flight that a load report tells, -1 where it tells none; false where a figure is
+// malformed. Its pairs are split by pairSeparator, a pair by valueSeparator. The requests in flight come under the
+// protocol's name or under that of the settings.
+func parseLoad(text, pairSeparator, valueSeparator string, limit float64) (inFlight float64, ok bool) {
+	inFlight = -1
 	for _, pair := range strings.Split(text, pairSeparator) {
 		key, figure, _ := strings.Cut(strings.TrimSpace(pair), valueSeparator)
 		number, err := strconv.ParseFloat(figure, 64)
 		if err != nil || !(number >= 0 && number <= maxNumber) {
 			return -1, false
 		}
-		if key != "inflight" && key != "outstanding" {
+		if key != loadInFlight && key != loadOutstanding {
 			continue
 		}
 		if number > limit {
 			return -1, false
 		}
-		held = number
+		inFlight = number
 	}
-	return held, true
+	return inFlight, true
 }
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -16,8 +16,8 @@
 	address string
 }
 
-// runHealthChecks carries out ordered probes one after another until the manager ends; several run side by side, so that
-// none waits for another's answer.
+// runHealthChecks makes the requested health checks one after another until the manager ends. Several goroutines run it,
+// so that no check waits for another's answer.
 func (r *receiver) runHealthChecks(targets <-chan healthCheckTarget, path string) {
 	for {
 		select {
@@ -31,7 +31,7 @@
 	}
 }
 
-// checkAndReport probes one server and hands on the outcome; false once the manager ends.
+// checkAndReport checks one server and hands on the outcome; false once the manager ends.
 func (r *receiver) checkAndReport(target healthCheckTarget, path string) bool {
 	r.metrics.add(healthChecksSent, 1)
 	result, asked := r.checkOnce(target, path)
--- a/internal/node/line_fields.go
+++ b/internal/node/line_fields.go
@@ -15,13 +15,21 @@
 	maxCount  = 1 << 40
 )
 
+// fieldError is the error of a message with a field that is missing or out of range.
+type fieldError struct {
+	field   string // as on the wire
+	problem string // what was expected, or what came
+}
+
+func (e *fieldError) Error() string { return e.field + ": " + e.problem }
+
 // field is one name=value of a message.
 type field struct {
 	name  string
 	value string
 }
 
-// fields takes the values of one message; the first thing wrong with them stays in err.
+// fields gives the values of one message; the first error stays in err. It is for one goroutine.
 type fields struct {
 	all []field
 	err error
@@ -42,7 +50,7 @@
 	return "", false
 }
 
-// split takes words name=value apart, up to a limit; where that fails it gives the word at fault.
+// split parses words of the form name=value, up to a limit; where that fails it gives the word at fault.
 func (f *fields) split(text string, limit int) (word string, ok bool) {
 	start, equals := 0, -1
 	for i := 0; i <= len(text); i++ {
@@ -68,7 +76,7 @@
 
 func (f *fields) fail(name, problem string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s", name, problem)
+		f.err = &fieldError{field: name, problem: problem}
 	}
 }
 
@@ -102,20 +110,19 @@
 	return time.Duration(f.number(name) * float64(time.Millisecond))
 }
 
-// reportCounts is the span of a report, with the count of what it saw and how many of those it could not serve, which
-// may have come in the span before. Guards against figures that no span makes possible, which would stand for
-// seconds in what is worked out of samples.
-func (f *fields) reportCounts(d *decoder) (count, failed int, span time.Duration) {
+// reportCounts gives the interval of a report, the count of requests in it, and how many failed, which may have begun in
+// the interval before. Guards against counts that no interval makes possible, which would distort rates for seconds.
+func (f *fields) reportCounts(d *decoder) (count, failed int, interval time.Duration) {
 	count = f.integer("count", maxCount)
 	failed = f.integer("fail", maxCount)
-	span = f.millis("over")
+	interval = f.millis("over")
 	switch {
-	case span <= 0 || span > d.maxInterval:
+	case interval <= 0 || interval > d.maxInterval:
 		f.fail("over", "is no span of a report")
-	case float64(max(count, failed)) > d.maxRequests*max(1, span.Seconds()):
+	case float64(max(count, failed)) > d.maxRequests*max(1, interval.Seconds()):
 		f.fail("count", "is more than the span makes possible")
 	}
-	return count, failed, span
+	return count, failed, interval
 }
 
 func (f *fields) zone(d *decoder, name string) balancer.ZoneID {
@@ -127,9 +134,9 @@
 }
 
 func (f *fields) class(d *decoder, name string) balancer.ClassID {
-	group, ok := d.classes[f.text(name)]
+	class, ok := d.classes[f.text(name)]
 	if !ok && f.err == nil {
 		f.err = errUnknownName
 	}
-	return group
+	return class
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 )
 
-// counter is one of the counters of a manager; counterNames holds their names for staff.
+// counter is one of the counters of a manager; counterNames has their names.
 type counter int
 
 const (
@@ -121,14 +121,15 @@
 	outsideSubset:        "outside_subset",
 }
 
-// metrics counts what is received, sent, answered, refused, repeated, dropped and reconnected, and logs what repeats at
-// a bounded rate. It must never change what the other stages do.
+// metrics counts what is received, sent, answered, rejected, retried, dropped and reconnected, and logs what repeats at a
+// bounded rate. It must never change what the others do. It is safe for concurrent use.
 type metrics struct {
 	counts      [counterCount]atomic.Int64
-	logInterval time.Duration // between two lines of a kind that repeats
+	logInterval time.Duration // between two lines of an event that repeats
 	logger      zerolog.Logger
-	mu          sync.Mutex
-	lastLogged  map[string]time.Time
+
+	mu         sync.Mutex // of lastLogged
+	lastLogged map[string]time.Time
 }
 
 func newMetrics(logInterval time.Duration, logger zerolog.Logger) *metrics {
@@ -142,33 +143,42 @@
 	}
 }
 
-// logLimited logs a line of a kind, from pairs of key and value, at most one within the log interval.
-func (m *metrics) logLimited(kind string, pairs ...any) {
-	if m.isLogDue(kind, time.Now()) {
-		m.logEvent(kind, pairs...)
+// logLimited logs an event with pairs of key and value, at most once within the log interval.
+func (m *metrics) logLimited(event string, pairs ...any) {
+	if m.isLogDue(event, time.Now()) {
+		m.logEvent(event, pairs...)
 	}
 }
 
-func (m *metrics) isLogDue(kind string, now time.Time) bool {
+func (m *metrics) isLogDue(event string, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now.Sub(m.lastLogged[kind]) < m.logInterval {
+	if now.Sub(m.lastLogged[event]) < m.logInterval {
 		return false
 	}
-	m.lastLogged[kind] = now
+	m.lastLogged[event] = now
 	return true
 }
 
-// logEvent logs one line of a kind, from pairs of key and value.
-func (m *metrics) logEvent(kind string, pairs ...any) {
-	m.logger.Info().Str("event", kind).Fields(pairs).Send()
+// logEvent logs an event with pairs of key and value.
+func (m *metrics) logEvent(event string, pairs ...any) {
+	m.logger.Info().Str("event", event).Fields(pairs).Send()
+}
+
+// logCounters logs all counters under an event's name.
+func (m *metrics) logCounters(event string) {
+	line := m.logger.Info().Str("event", event)
+	for c, name := range counterNames {
+		line.Int64(name, m.counts[c].Load())
+	}
+	line.Send()
 }
 
-// logCounters logs all counters.
-func (m *metrics) logCounters(kind string) {
-	event := m.logger.Info().Str("event", kind)
+// values gives all counters by name.
+func (m *metrics) values() map[string]int64 {
+	values := make(map[string]int64, counterCount)
 	for c, name := range counterNames {
-		event.Int64(name, m.counts[c].Load())
+		values[name] = m.counts[c].Load()
 	}
-	event.Send()
+	return values
 }
--- a/internal/node/proxy_events.go
+++ b/internal/node/proxy_events.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// proxyEventsPath is where the relay streams its news, as an event stream.
+// proxyEventsPath is where the relay streams events of proxies, as an event stream (text/event-stream).
 const proxyEventsPath = "/v3/kv/stream"
 
 // eventNameLetters are what the name of an event may be made of.
 const eventNameLetters = "abcdefghijklmnopqrstuvwxyz_"
 
-// proxyEventReader reads the relay's news once, to its end. The opening, which tells all proxies that are joined, is over at
-// the first heartbeat that comes a while after its first line.
+// proxyEventReader reads the relay's event stream once, to its end. It opens with a snapshot of the connected proxies,
+// which is complete at the first heartbeat that comes a while after the first line.
 type proxyEventReader struct {
 	receiver         *receiver
 	up               *upstream
-	opened           bool
-	started          bool      // the stream has begun to replace the one before it
-	startedAt        time.Time // since when
+	opened           bool      // the relay accepted the stream
+	started          bool      // the stream has replaced the one before it
+	startedAt        time.Time // of the same
 	snapshotComplete bool
 	eventSkipped     bool   // a join or a leave could not be read
-	event, data      string // the event under way
+	event            string // name of the event in progress
+	data             string // of the event in progress
 }
 
-// runProxyEvents keeps the relay's news open at an upstream.
+// runProxyEvents keeps the relay's event stream open at an upstream, until that is replaced or the manager ends.
 func (r *receiver) runProxyEvents(up *upstream) {
 	r.runStream(up, "proxy_stream", proxyStreamBreaks, func() (bool, error) { return r.readProxyEvents(up) })
 }
 
-// readProxyEvents reads the relay's news once, to its end.
+// readProxyEvents reads the relay's event stream once, to its end.
 func (r *receiver) readProxyEvents(up *upstream) (opened bool, err error) {
 	reader := proxyEventReader{receiver: r, up: up}
 	wanted := streamRequest{address: up.address, path: proxyEventsPath, idleTimeout: r.limits.ProxyWatchIdleTimeout, maxLength: r.limits.MaxWatchEventBytes,
--- a/internal/node/read_lines.go
+++ b/internal/node/read_lines.go
@@ -8,13 +8,13 @@
 
 const (
 	readBufferSize = 4 << 10
-	maxKeptBuffer  = 64 << 10 // of the buffer of half a line; a larger one is dropped after use
+	maxKeptBuffer  = 64 << 10 // of the buffer of a partial line; a larger one is dropped after use
 )
 
 var errLineTooLong = errors.New("a line is too long")
 
-// readLines cuts what is read into lines, however the network cut it; maxLength is asked anew for each.
-// A half line at the end is dropped with io.ErrUnexpectedEOF.
+// readLines cuts what is read into lines, however the network cut it; maxLength is asked for each. A partial line at the
+// end is dropped with io.ErrUnexpectedEOF.
 func readLines(reader io.Reader, maxLength func() int, take func(line []byte) error) error {
 	var partial []byte
 	buffer := make([]byte, readBufferSize)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -8,10 +8,10 @@
 	"tamarindshore/internal/config"
 )
 
-// reload moves a running manager to the configuration as it was read anew, make before break; false where that is
-// faulty, which changes nothing. A stream is opened at a new address at once, while the old upstream serves until the
-// new one has brought something. Settings that only count at the start are named in the log. It must never touch what
-// the module learnt, nor apply half of a file.
+// reload moves a running manager to the configuration as it was read again, make before break; false where that is
+// invalid, which changes nothing. A stream is opened at a new address at once, while the old upstream serves until the
+// new one has sent something. Settings that only count at the start are named in the log. It must never touch what the
+// balancer learnt, nor apply a part of a file.
 func (n *Node) reload(r *receiver, next config.Config, err error) bool {
 	if err == nil {
 		err = n.checkEndpointList(next)
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// reloadKeys reads the keys of tables anew; faulty ones leave those in force.
+// reloadKeys reads the keys of tables again; where they are invalid, those in force stay.
 func (n *Node) reloadKeys() {
 	if n.router.feed == nil {
 		return
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -21,27 +21,27 @@
 	limits              config.Limits
 	startedAt           time.Time
 	manager             *balancer.Manager
-	inputs              chan input
-	chain               *versions.Chain // behind all orders; nil: they go as they are
-	feed                *feed           // sends versions to holders; nil: there is none
-	storeWriter         *storeWriter    // keeps versions and commands; nil: they end with the process
-	nextHoldCheck       time.Duration
-	sampleQueue         *sampleQueue // samples that several cores took in; nil: they come with the inputs
+	inputs              chan input      // from all other goroutines
+	chain               *versions.Chain // versions of the tables; nil: commands go out as they are
+	feed                *feed           // sends versions to replicas; nil: there is none
+	storeWriter         *storeWriter    // saves versions and commands; nil: they end with the process
+	nextHoldCheck       time.Duration   // time of the next checkHold that does something
+	sampleQueue         *sampleQueue    // samples that several cores decoded; nil: they come with the inputs
 	backlog             *backlog
 	healthChecks        chan healthCheckTarget
-	listRequested       chan struct{} // the list is asked for
-	onProxyEventsOpened func()        // news has been opened
-	flushLog            func()        // writes what is left of the log
+	listRequested       chan struct{} // signalled where the balancer requests the endpoint list
+	onProxyEventsOpened func()        // called once the relay's event stream has opened
+	flushLog            func()        // writes what is left of the log, before an exit
 	metrics             *metrics
-	subsetFilter        *subsetFilter // which servers the module needs; nil: all that are listed
+	subsetFilter        *subsetFilter // which servers the balancer needs; nil: all that are listed
 
-	now          time.Duration
+	now          time.Duration // since startedAt
 	nextTimer    time.Duration // 0: none
 	proxies      map[balancer.ProxyID]bool
-	unconfirmed  map[balancer.ProxyID]bool // known before the gap in the news, and not told since
-	addresses    map[balancer.ServerID]string
-	sampleBuffer []any
-	decisions    []balancer.Commands // of now
+	unconfirmed  map[balancer.ProxyID]bool    // connected before a gap of the event stream, and not told since
+	addresses    map[balancer.ServerID]string // of the servers that the balancer knows
+	sampleBuffer []any                        // reused by handleSamples
+	decisions    []balancer.Commands          // since the last flush
 }
 
 // maxTimerWait is how long the router waits without an input or a timer of the balancer.
@@ -149,25 +149,30 @@
 
 // apply carries out what the balancer decided: it logs, requests health checks and the endpoint list, keeps the next
 // timer, and collects the commands until they are flushed.
-func (r *router) apply(o balancer.Commands) {
-	for _, record := range o.LogRecords {
+func (r *router) apply(decided balancer.Commands) {
+	for _, record := range decided.LogRecords {
 		r.logRecord(record)
 	}
-	for _, s := range o.HealthCheck {
-		select {
-		case r.healthChecks <- healthCheckTarget{s, r.addresses[s]}:
-		default:
-			r.metrics.add(healthChecksDropped, 1)
-		}
+	for _, server := range decided.HealthCheck {
+		r.requestHealthCheck(server)
 	}
-	if o.Subscribe {
+	if decided.Subscribe {
 		notify(r.listRequested)
 	}
-	if o.NextTimer > 0 && (r.nextTimer == 0 || o.NextTimer < r.nextTimer) {
-		r.nextTimer = o.NextTimer
+	if decided.NextTimer > 0 && (r.nextTimer == 0 || decided.NextTimer < r.nextTimer) {
+		r.nextTimer = decided.NextTimer
+	}
+	if !commands.IsEmpty(decided) {
+		r.decisions = append(r.decisions, decided)
 	}
-	if !commands.IsEmpty(o) {
-		r.decisions = append(r.decisions, o)
+}
+
+// requestHealthCheck queues a health check; it is dropped where too many are queued, and the balancer asks again.
+func (r *router) requestHealthCheck(server balancer.ServerID) {
+	select {
+	case r.healthChecks <- healthCheckTarget{server: server, address: r.addresses[server]}:
+	default:
+		r.metrics.add(healthChecksDropped, 1)
 	}
 }
 
@@ -180,23 +185,23 @@
 	line.Send()
 }
 
-// flush hands what was decided at one time to the relay stage, as far as it may go out as a version.
+// flush queues what was decided at one time for the relay, as far as it may go out as a version.
 func (r *router) flush() {
 	if len(r.decisions) == 0 {
 		return
 	}
-	o := r.dropDisconnected(commands.Merge(r.decisions...))
+	all := r.dropDisconnected(commands.Merge(r.decisions...))
 	r.decisions = nil
 	if r.chain != nil {
-		o = r.proposeVersion(o)
+		all = r.proposeVersion(all)
 	}
-	if !commands.IsEmpty(o) {
-		r.backlog.push(o)
+	if !commands.IsEmpty(all) {
+		r.backlog.push(all)
 	}
 }
 
-// dropDisconnected leaves out the binding of who has left meanwhile: the relay would stop a call at it.
-func (r *router) dropDisconnected(o balancer.Commands) balancer.Commands {
-	o.Assign = slices.DeleteFunc(o.Assign, func(b balancer.TableAssignment) bool { return !r.proxies[b.Proxy] })
-	return o
+// dropDisconnected drops the assignments of proxies that have left meanwhile: the relay would stop a call at them.
+func (r *router) dropDisconnected(all balancer.Commands) balancer.Commands {
+	all.Assign = slices.DeleteFunc(all.Assign, func(one balancer.TableAssignment) bool { return !r.proxies[one.Proxy] })
+	return all
 }
--- a/internal/node/router_inputs.go
+++ b/internal/node/router_inputs.go
@@ -16,7 +16,8 @@
 	r.onProxyEventsOpened()
 }
 
-// handleProxySnapshotComplete takes who was known before and was not told any more for gone: they left in the gap.
+// handleProxySnapshotComplete disconnects the proxies that were connected before the event stream opened and were not
+// told since: they left in the gap.
 func (r *router) handleProxySnapshotComplete() {
 	for _, proxy := range slices.Sorted(maps.Keys(r.unconfirmed)) {
 		r.handleProxyDisconnected(proxyDisconnected{proxy})
@@ -24,8 +25,8 @@
 	clear(r.unconfirmed)
 }
 
-// handleProxyConnected has a proxy bound. One that is told again after a gap may have left and come back: the module binds
-// it again.
+// handleProxyConnected has a proxy assigned to a table. One that is told again after a gap of the event stream may have
+// left and come back: the balancer assigns it again.
 func (r *router) handleProxyConnected(in proxyConnected) {
 	delete(r.unconfirmed, in.proxy)
 	r.proxies[in.proxy] = true
@@ -51,7 +52,8 @@
 	r.apply(r.manager.HandleBarrierAck(r.now, in.proxy, in.barrier))
 }
 
-// handleHealthCheckResult hands on what a probe found. Guards against an answer of what was at the server's address before.
+// handleHealthCheckResult hands on the outcome of a health check. One of an address that is no longer the server's is
+// dropped: it says nothing of the server.
 func (r *router) handleHealthCheckResult(in healthCheckResult) {
 	if r.addresses[in.server] != in.address {
 		r.metrics.add(healthChecksDropped, 1)
@@ -67,13 +69,16 @@
 	}
 }
 
-// handleResendRequest says which orders of a call go out once more now. What is decided so far waits behind them.
+// handleResendRequest answers which commands of a call go out now. What has been decided so far is queued behind them.
 func (r *router) handleResendRequest(in resendRequest) {
 	r.flush()
 	r.advanceClock()
 	all := r.dropDisconnected(commands.Merge(append([]balancer.Commands{in.commands}, r.backlog.takeAll()...)...))
-	allowed, mark := r.manager.Resend(r.now, in.barrier, in.mayHaveExecuted, all)
-	in.reply <- resendReply{commands.KeepFirst(all, allowed, mark), commands.SkipFirst(all, allowed)}
+	allowed, barrier := r.manager.Resend(r.now, in.barrier, in.mayHaveExecuted, all)
+	in.reply <- resendReply{
+		allowed:  commands.KeepFirst(all, allowed, barrier),
+		deferred: commands.SkipFirst(all, allowed),
+	}
 	r.advanceClock()
 }
 
@@ -90,7 +95,7 @@
 	r.forgetAddresses()
 }
 
-// forgetAddresses drops those of servers that the module does not know.
+// forgetAddresses drops the addresses of servers that the balancer does not know.
 func (r *router) forgetAddresses() {
 	maps.DeleteFunc(r.addresses, func(s balancer.ServerID, _ string) bool { return !r.manager.KnowsServer(s) })
 }
--- a/internal/node/router_versions.go
+++ b/internal/node/router_versions.go
@@ -10,51 +10,66 @@
 
 // This file joins the router to the chain of table versions.
 
-// version asks the chain what of some orders may go out. Where that is not all, the module hears what stands.
-func (r *router) proposeVersion(o balancer.Commands) balancer.Commands {
+// proposeVersion asks the chain which of some commands may go out, as a version of the tables. Where that is not all of
+// them, the balancer is told the tables that stand.
+func (r *router) proposeVersion(proposed balancer.Commands) balancer.Commands {
 	r.chain.SetLayout(r.manager.Layout())
-	res := r.chain.Propose(r.now, o, describeCommands(o), r.fleet())
-	for _, n := range res.Notes {
-		r.metrics.logEvent("version", "note", n)
-	}
-	if res.Modified {
+	result := r.chain.Propose(r.now, proposed, describeCommands(proposed), r.fleet())
+	r.logNotes("version", result.Notes)
+	if result.Modified {
 		r.metrics.add(versionsWithheld, 1)
-		pin, state := r.chain.CurrentTables(), r.chain.State()
-		r.manager.HandleTablesReset(r.now, pin.Weights, pin.AdmissionLevels, func(s balancer.ServerID) bool { return state.IsWithdrawn(string(s)) })
+		r.resetTables()
 	}
-	if res.Version != nil {
+	if result.Version != nil {
 		r.metrics.add(versionsPublished, 1)
 		if r.storeWriter != nil {
-			r.storeWriter.saveVersion(res.Version)
+			r.storeWriter.saveVersion(result.Version)
 		}
 		if r.feed != nil {
 			r.feed.publish(r.chain.View())
 		}
 	}
-	return res.Commands
+	return result.Commands
+}
+
+// resetTables tells the balancer the tables as they stand.
+func (r *router) resetTables() {
+	current := r.chain.CurrentTables()
+	state := r.chain.State()
+	withdrawn := func(server balancer.ServerID) bool { return state.IsWithdrawn(string(server)) }
+	r.manager.HandleTablesReset(r.now, current.Weights, current.AdmissionLevels, withdrawn)
+}
+
+// logNotes logs one line for each note of a decision.
+func (r *router) logNotes(event string, notes []string) {
+	for _, note := range notes {
+		r.metrics.logEvent(event, "note", note)
+	}
 }
 
-// describeCommands says in a few words what a version changes.
-func describeCommands(o balancer.Commands) string {
-	return fmt.Sprintf("%d withdrawn, %d lines, %d levels, %d let back in", len(o.Withdraw), len(o.Weights), len(o.AdmissionLevels), len(o.Restore))
+// describeCommands says in a few words what a version changes. The text is stored with the version.
+func describeCommands(all balancer.Commands) string {
+	return fmt.Sprintf("%d withdrawn, %d lines, %d levels, %d let back in",
+		len(all.Withdraw), len(all.Weights), len(all.AdmissionLevels), len(all.Restore))
 }
 
-// checkHold lets a hold end that is over.
+// holdCheckInterval is the time between two checks whether a hold has expired.
+const holdCheckInterval = time.Second
+
+// checkHold ends a hold of the tables that has expired.
 func (r *router) checkHold() {
 	if r.chain == nil || r.now < r.nextHoldCheck {
 		return
 	}
-	r.nextHoldCheck = r.now + time.Second
+	r.nextHoldCheck = r.now + holdCheckInterval
 	ended, notes := r.chain.ExpireHold(r.now, r.fleet())
-	for _, n := range notes {
-		r.metrics.logEvent("version", "note", n)
-	}
+	r.logNotes("version", notes)
 	if ended {
 		r.applyPin()
 	}
 }
 
-// applyPin hands the module what the chain holds the tables at, or that it lets them go.
+// applyPin tells the balancer at what the chain holds the tables, or that it holds them no longer.
 func (r *router) applyPin() {
 	r.advanceClock()
 	pin, held := r.chain.Pinned()
@@ -64,10 +79,10 @@
 	r.apply(r.manager.HandlePin(r.now, pin.Weights, pin.AdmissionLevels))
 }
 
-// sight is the module's view of the fleet, as the chain asks for it.
+// fleetView is the balancer's view of the fleet, as the chain asks for it (versions.FleetView).
 type fleetView struct {
 	manager  *balancer.Manager
-	restored map[balancer.ServerID]bool // servers that the module has forgotten, whose withdrawals are lifted
+	restored map[balancer.ServerID]bool // servers that the balancer has forgotten and whose withdrawals are lifted
 }
 
 func (r *router) fleet() fleetView {
@@ -77,9 +92,15 @@
 	return fleetView{manager: r.manager, restored: r.subsetFilter.restored}
 }
 
-func (s fleetView) ServerStatus(id balancer.ServerID) versions.ServerStatus {
-	known, open, climbed := s.manager.ServerStatus(id)
-	return versions.ServerStatus{Known: known, Available: open || !known && s.restored[id], WarmFraction: climbed}
+// ServerStatus implements versions.FleetView.
+func (f fleetView) ServerStatus(id balancer.ServerID) versions.ServerStatus {
+	known, open, warmFraction := f.manager.ServerStatus(id)
+	available := open || !known && f.restored[id]
+	return versions.ServerStatus{Known: known, Available: available, WarmFraction: warmFraction}
 }
-func (s fleetView) RequestRate(id balancer.TableID) float64 { return s.manager.RequestRate(id) }
-func (s fleetView) ReadyServers() (all, warm int)           { return s.manager.ReadyServers() }
+
+// RequestRate implements versions.FleetView.
+func (f fleetView) RequestRate(id balancer.TableID) float64 { return f.manager.RequestRate(id) }
+
+// ReadyServers implements versions.FleetView.
+func (f fleetView) ReadyServers() (all, warm int) { return f.manager.ReadyServers() }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -1,7 +1,7 @@
 package node
 
-// Status answers staff at a listener of their own, off unless the operator's settings name its address: what the
-// manager is, its counters and its lanes. It must never change anything, and never hold up another stage.
+// This file answers operators at an HTTP listener of their own, which the operator's settings name; without them there is
+// none. It must never change anything, nor hold up other goroutines.
 
 import (
 	"encoding/json"
@@ -11,14 +11,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ShardStatus is one lane as staff see it.
+// ShardStatus is one shard of the decoder pool.
 type ShardStatus struct {
 	Cores       float64 `json:"cores"`
 	Connections int     `json:"connections"`
-	BusySeconds float64 `json:"busy_s"` // at the piece in hand; 0: it waits
+	BusySeconds float64 `json:"busy_s"` // with the present chunk; 0: it waits
 }
 
-// Status is what a manager tells of itself.
+// Status is what GET /status answers.
 type Status struct {
 	Name           string           `json:"name"`
 	UptimeSeconds  float64          `json:"uptime_s"`
@@ -29,66 +29,85 @@
 	Counters       map[string]int64 `json:"counters"`
 }
 
-// ListStatus is the server list that a manager goes by, as staff see it.
+// ListStatus is the endpoint list that a manager uses.
 type ListStatus struct {
 	Version    int64   `json:"version"`
-	AgeSeconds float64 `json:"age_s"`     // since discovery told it or stood by it, or since the manager began with it
-	Confirmed  bool    `json:"confirmed"` // by discovery, since the manager began
+	AgeSeconds float64 `json:"age_s"`     // since discovery sent or confirmed it, or since the manager started with it
+	Confirmed  bool    `json:"confirmed"` // by discovery, since the manager started
 }
 
 func (n *Node) currentStatus() Status {
-	s := Status{Name: n.config.Name, UptimeSeconds: roundedSeconds(time.Since(n.startedAt)), Counters: map[string]int64{}}
-	for c, name := range counterNames {
-		s.Counters[name] = n.metrics.counts[c].Load()
+	now := time.Now()
+	held := n.watchState.held(now)
+	status := Status{
+		Name:          n.config.Name,
+		UptimeSeconds: roundedSeconds(now.Sub(n.startedAt)),
+		Ready:         n.readiness.ready(),
+		List:          ListStatus{Version: held.version, AgeSeconds: roundedSeconds(held.age), Confirmed: held.confirmed},
+		Counters:      n.metrics.values(),
 	}
-	s.Ready = n.readiness.ready()
-	held := n.watchState.held(time.Now())
-	s.List = ListStatus{Version: held.version, AgeSeconds: roundedSeconds(held.age), Confirmed: held.confirmed}
-	if h := n.decoderPool; h != nil {
-		h.mu.Lock()
-		cores, conns := h.assigner.LoadByShard()
-		for i, w := range h.workers {
-			l := ShardStatus{Cores: cores[i], Connections: conns[i]}
-			if busy, working := w.busyFor(h.now()); working {
-				l.BusySeconds = roundedSeconds(busy)
-			}
-			s.Shards = append(s.Shards, l)
+	if n.decoderPool != nil {
+		status.Shards = n.decoderPool.status()
+		status.SamplesWaiting = n.decoderPool.samples.len()
+	}
+	return status
+}
+
+// status gives the state of each shard, by its number.
+func (p *decoderPool) status() (shards []ShardStatus) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	cores, conns := p.assigner.LoadByShard()
+	for i, worker := range p.workers {
+		shard := ShardStatus{Cores: cores[i], Connections: conns[i]}
+		if busy, working := worker.busyFor(p.now()); working {
+			shard.BusySeconds = roundedSeconds(busy)
 		}
-		h.mu.Unlock()
-		s.SamplesWaiting = h.samples.len()
+		shards = append(shards, shard)
 	}
-	return s
+	return shards
 }
 
-// startStatus listens at an address until the manager ends.
+// statusPath is where operators get the status.
+const statusPath = "/status"
+
+// startStatus serves the status at an address until the manager ends.
 func (n *Node) startStatus(address string) error {
-	at, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
 	server := &fasthttp.Server{
-		Concurrency: 8, ReadTimeout: time.Second, WriteTimeout: time.Second, IdleTimeout: 5 * time.Second,
-		MaxRequestBodySize: 1 << 10, NoDefaultServerHeader: true, GetOnly: true, Logger: discardLogger{},
-		Handler: func(c *fasthttp.RequestCtx) {
-			if string(c.Path()) != "/status" {
-				c.Error("known is /status", fasthttp.StatusNotFound)
-				return
-			}
-			text, err := json.MarshalIndent(n.currentStatus(), "", "  ")
-			if err != nil {
-				c.Error(err.Error(), fasthttp.StatusInternalServerError)
-				return
-			}
-			c.SetContentType("application/json")
-			c.Write(append(text, '\n'))
-		},
+		Handler:               n.serveStatus,
+		Concurrency:           8,
+		ReadTimeout:           time.Second,
+		WriteTimeout:          time.Second,
+		IdleTimeout:           5 * time.Second,
+		MaxRequestBodySize:    1 << 10,
+		NoDefaultServerHeader: true,
+		GetOnly:               true,
+		Logger:                discardLogger{},
 	}
-	go server.Serve(at)
-	n.operatorListeners = append(n.operatorListeners, at)
+	go server.Serve(listener) // until the listener is closed
+	n.operatorListeners = append(n.operatorListeners, listener)
 	return nil
 }
 
-// discardLogger drops what the HTTP library says of single connections.
+func (n *Node) serveStatus(c *fasthttp.RequestCtx) {
+	if string(c.Path()) != statusPath {
+		c.Error("known is "+statusPath, fasthttp.StatusNotFound)
+		return
+	}
+	text, err := json.MarshalIndent(n.currentStatus(), "", "  ")
+	if err != nil {
+		c.Error(err.Error(), fasthttp.StatusInternalServerError)
+		return
+	}
+	c.SetContentType("application/json")
+	c.Write(append(text, '\n'))
+}
+
+// discardLogger drops what the HTTP library logs about single connections.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
--- a/internal/node/store_writer.go
+++ b/internal/node/store_writer.go
@@ -10,25 +10,26 @@
 	"tamarindshore/internal/versions"
 )
 
-// storeWriter hands versions, commands and the server list to the store, behind the decisions: they never wait for a
-// disk. It owns what is not saved yet. Where saving fails it says so once, goes on without, and saves the whole state once
-// it succeeds again; it must never change what is decided.
+// storeWriter saves versions, completed commands and the endpoint list in a goroutine of its own, so that decisions never
+// wait for a disk. It owns what is not saved yet. Where saving fails it logs that once, goes on without, and saves the
+// complete state once saving succeeds again; it must never change what is decided. Its methods are safe for concurrent
+// use; save is for its own goroutine.
 type storeWriter struct {
 	store      *store.Store
 	metrics    *metrics
-	stop       <-chan struct{}
+	stop       <-chan struct{} // ends the goroutine, after a last save
 	retryAfter time.Duration
-	filled     chan struct{}
-	done       chan struct{}
+	filled     chan struct{} // signalled once something waits
+	done       chan struct{} // closed once the goroutine has ended
 
 	mu      sync.Mutex // of all below
 	waiting unsavedChanges
 	saved   tables.Digest        // of the last version saved
-	drains  map[string]time.Time // that were saved last
-	failing bool
+	drains  map[string]time.Time // saved last, by server: since when
+	failing bool                 // the last save failed
 }
 
-// unsavedChanges is what waits for the store.
+// unsavedChanges is what waits to be saved, each kind oldest first.
 type unsavedChanges struct {
 	versions []*versions.Version
 	commands []versions.CompletedCommand
@@ -37,9 +38,9 @@
 
 func (u unsavedChanges) empty() bool { return len(u.versions)+len(u.commands)+len(u.lists) == 0 }
 
-// followedBy joins what waits to what came after it. Of too many versions only the newest is kept; it is saved whole. Too
-// many changes of the list become one, which holds a server once. Guards against a disk that hangs, behind which they
-// would gather without end.
+// followedBy joins what waits to what came later. Of too many versions only the newest is kept, to be saved as a
+// snapshot. Too many changes of the list are merged into one, which has each server once. Guards against a disk that
+// hangs, behind which they would grow without bound.
 func (u unsavedChanges) followedBy(later unsavedChanges) unsavedChanges {
 	joined := unsavedChanges{
 		versions: slices.Concat(u.versions, later.versions),
@@ -56,13 +57,13 @@
 }
 
 const (
-	maxWaitingVersions = 64 // past that only the newest is saved, whole
+	maxWaitingVersions = 64 // past that only the newest is saved, as a snapshot
 	maxWaitingLists    = 256
 	storeRetry         = 5 * time.Second
 )
 
 func newStoreWriter(s *store.Store, kept store.Contents, m *metrics, stop <-chan struct{}) *storeWriter {
-	v := &storeWriter{
+	w := &storeWriter{
 		store:      s,
 		metrics:    m,
 		stop:       stop,
@@ -72,28 +73,32 @@
 		saved:      kept.State.Digest(),
 		drains:     kept.Drains,
 	}
-	go v.run()
-	return v
+	go w.run()
+	return w
 }
 
-// enqueue has something saved soon.
-func (v *storeWriter) enqueue(one unsavedChanges) {
-	v.mu.Lock()
-	v.waiting = v.waiting.followedBy(one)
-	v.mu.Unlock()
-	notify(v.filled)
+// enqueue has changes saved soon.
+func (w *storeWriter) enqueue(one unsavedChanges) {
+	w.append(one)
+	notify(w.filled)
 }
 
-func (v *storeWriter) saveVersion(one *versions.Version) {
-	v.enqueue(unsavedChanges{versions: []*versions.Version{one}})
+func (w *storeWriter) append(one unsavedChanges) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.waiting = w.waiting.followedBy(one)
 }
 
-func (v *storeWriter) saveCompleted(command versions.CompletedCommand) {
-	v.enqueue(unsavedChanges{commands: []versions.CompletedCommand{command}})
+func (w *storeWriter) saveVersion(one *versions.Version) {
+	w.enqueue(unsavedChanges{versions: []*versions.Version{one}})
 }
 
-// list takes what discovery told of its list.
-func (v *storeWriter) saveList(in endpointList) {
+func (w *storeWriter) saveCompleted(command versions.CompletedCommand) {
+	w.enqueue(unsavedChanges{commands: []versions.CompletedCommand{command}})
+}
+
+// saveList has a list, or changes of it, saved.
+func (w *storeWriter) saveList(in endpointList) {
 	if in.stored {
 		return
 	}
@@ -101,11 +106,11 @@
 	if in.complete {
 		change.Generation = in.generation
 	}
-	v.enqueue(unsavedChanges{lists: []store.ListChange{change}})
+	w.enqueue(unsavedChanges{lists: []store.ListChange{change}})
 }
 
-// mergeLists are changes of the list as one, which holds a server once. It takes as long as there are servers in it, so it is
-// done where the store is written, and not where a change comes in unless very many wait.
+// mergeLists merges changes of the list into one, which has each server once. It takes time in proportion to the servers,
+// so it is done where the store is written, and not where a change comes in unless very many wait.
 func mergeLists(changes []store.ListChange) []store.ListChange {
 	if len(changes) < 2 {
 		return changes
@@ -117,7 +122,7 @@
 	return []store.ListChange{all}
 }
 
-// entriesOf are servers in the form of the store.
+// entriesOf gives servers in the form of the store.
 func entriesOf(instances []instance) (entries []store.ListEntry) {
 	for _, one := range instances {
 		entries = append(entries, store.ListEntry{ID: one.InstanceID, HostPort: one.HostPort, Zone: one.Zone, Lifecycle: one.Lifecycle,
@@ -126,7 +131,7 @@
 	return entries
 }
 
-// instancesOf are servers in the form of discovery.
+// instancesOf gives servers in the form of discovery.
 func instancesOf(entries []store.ListEntry) (instances []instance) {
 	for _, one := range entries {
 		instances = append(instances, instance{InstanceID: one.ID, HostPort: one.HostPort, Zone: one.Zone, Lifecycle: one.Lifecycle,
@@ -135,78 +140,91 @@
 	return instances
 }
 
-func (v *storeWriter) run() {
-	defer close(v.done)
+// run saves what waits until stop is closed. After a failure it tries again after a while, or at the end.
+func (w *storeWriter) run() {
+	defer close(w.done)
 	for {
 		select {
-		case <-v.filled:
-		case <-v.stop:
-			v.save()
-			v.store.Close()
+		case <-w.filled:
+		case <-w.stop:
+			w.save()
+			w.close()
 			return
 		}
-		if !v.save() {
+		if !w.save() {
 			select {
-			case <-time.After(v.retryAfter):
-				notify(v.filled)
-			case <-v.stop:
-				notify(v.filled)
+			case <-time.After(w.retryAfter):
+				notify(w.filled)
+			case <-w.stop:
+				notify(w.filled)
 			}
 		}
 	}
 }
 
-// save keeps all that waits as one change; false where that failed, and all of it waits on.
-func (v *storeWriter) save() bool {
-	v.mu.Lock()
-	waiting := v.waiting
-	v.waiting = unsavedChanges{}
-	v.mu.Unlock()
+// close closes the store, which may hold what the disk has not.
+func (w *storeWriter) close() {
+	if err := w.store.Close(); err != nil {
+		w.metrics.logger.Error().Str("event", "store_close_failed").Err(err).Send()
+	}
+}
+
+// save saves all that waits as one change; false where that failed, and all of it waits on.
+func (w *storeWriter) save() bool {
+	waiting := w.takeWaiting()
 	if waiting.empty() {
 		return true
 	}
 	waiting.lists = mergeLists(waiting.lists)
-	change, saved := v.changeOf(waiting)
-	err := v.store.Save(change)
-	v.mu.Lock()
-	defer v.mu.Unlock()
+	change, saved := w.changeOf(waiting)
+	err := w.store.Save(change)
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	if err != nil {
-		v.noteFailure(err)
-		v.waiting = waiting.followedBy(v.waiting)
+		w.noteFailure(err)
+		w.waiting = waiting.followedBy(w.waiting)
 		return false
 	}
-	if v.failing {
-		v.metrics.logEvent("store_recovered", "versions", len(change.Versions), "commands", len(change.CompletedCommands))
+	if w.failing {
+		w.metrics.logEvent("store_recovered", "versions", len(change.Versions), "commands", len(change.CompletedCommands))
 	}
-	v.failing = false
-	v.saved = saved
+	w.failing = false
+	w.saved = saved
 	if change.Drains != nil {
-		v.drains = change.Drains
+		w.drains = change.Drains
 	}
 	return true
 }
 
+func (w *storeWriter) takeWaiting() unsavedChanges {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	waiting := w.waiting
+	w.waiting = unsavedChanges{}
+	return waiting
+}
+
 // noteFailure counts a save that failed and logs the first of several. mu is held.
-func (v *storeWriter) noteFailure(err error) {
-	v.metrics.add(storeWriteFailures, 1)
-	if !v.failing {
-		v.metrics.logger.Error().Str("event", "store_write_failed").Err(err).Send()
+func (w *storeWriter) noteFailure(err error) {
+	w.metrics.add(storeWriteFailures, 1)
+	if !w.failing {
+		w.metrics.logger.Error().Str("event", "store_write_failed").Err(err).Send()
 	}
-	v.failing = true
+	w.failing = true
 }
 
-// changeOf is what waits in the form of the store, and the digest of its last version.
-func (v *storeWriter) changeOf(waiting unsavedChanges) (change store.Change, saved tables.Digest) {
+// changeOf gives what waits in the form of the store, and the digest of its last version.
+func (w *storeWriter) changeOf(waiting unsavedChanges) (change store.Change, saved tables.Digest) {
 	if len(waiting.lists) > 0 {
 		change.ServerList = &waiting.lists[0]
 	}
-	saved = v.saved
+	saved = w.saved
 	for _, one := range waiting.versions {
 		change.Versions = append(change.Versions, storedVersion(one, saved))
 		saved = one.Digest
 	}
 	if n := len(waiting.versions); n > 0 {
-		change.Drains = v.drainsOf(waiting.versions[n-1])
+		change.Drains = w.drainsOf(waiting.versions[n-1])
 	}
 	for _, command := range waiting.commands {
 		change.CompletedCommands = append(change.CompletedCommands, store.CompletedCommand(command))
@@ -214,7 +232,7 @@
 	return change, saved
 }
 
-// storedVersion is a version in the form of the store: whole where the one before it was not saved.
+// storedVersion gives a version in the form of the store: a snapshot where the one before it was not saved.
 func storedVersion(one *versions.Version, saved tables.Digest) store.Version {
 	stored := store.Version{
 		ID:         one.ID,
@@ -233,12 +251,12 @@
 	return stored
 }
 
-// drainsOf are the servers that a version withdraws, since when.
-func (v *storeWriter) drainsOf(last *versions.Version) map[string]time.Time {
+// drainsOf gives the servers that a version withdraws, and since when each is.
+func (w *storeWriter) drainsOf(last *versions.Version) map[string]time.Time {
 	drains := map[string]time.Time{}
 	for _, server := range last.State.WithdrawnServers() {
 		drains[server] = last.CreatedAt
-		if since := v.drains[server]; !since.IsZero() {
+		if since := w.drains[server]; !since.IsZero() {
 			drains[server] = since
 		}
 	}
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -1,9 +1,5 @@
 package node
 
-// Subset stands between the list and the module where the operator's settings ask for it: it hands the module the
-// servers that the manager needs. It owns which zone each joined proxy is of; what is needed is decided by
-// internal/subset. It must never hold back what the list says of a server that the module knows.
-
 import (
 	"time"
 
@@ -12,23 +8,30 @@
 	"tamarindshore/internal/subset"
 )
 
-// subsetUpdateInterval is the time between two looks at which servers are in service.
+// subsetUpdateInterval is the time between two updates by which servers are in service.
 const subsetUpdateInterval = time.Second
 
-// subsetFilter is the router's subset and what it takes to feed it.
+// subsetFilter stands between the endpoint list and the balancer where the operator's settings ask for it: the balancer
+// gets the servers that the manager needs. It owns which zone each connected proxy is of; which servers are needed is
+// decided by package subset. It must never hold back what the list says of a server that the balancer knows. It belongs
+// to the router's goroutine.
 type subsetFilter struct {
 	subset     *subset.Subset
-	zones      map[balancer.ProxyID]balancer.ZoneID // of the joined proxies
+	zones      map[balancer.ProxyID]balancer.ZoneID // of the connected proxies
 	nextUpdate time.Duration
 	restored   map[balancer.ServerID]bool // of the last update
 }
 
 func newSubsetFilter(s config.Config) *subsetFilter {
 	settings := subset.Settings{ManagerName: s.Name, Spill: s.Spill, WarmUpDuration: s.Balancer.WarmUpDuration}
-	return &subsetFilter{subset: subset.New(settings), zones: map[balancer.ProxyID]balancer.ZoneID{}, restored: map[balancer.ServerID]bool{}}
+	return &subsetFilter{
+		subset:   subset.New(settings),
+		zones:    map[balancer.ProxyID]balancer.ZoneID{},
+		restored: map[balancer.ServerID]bool{},
+	}
 }
 
-// update takes a list as it was decoded.
+// update gives what a list changes in the subset.
 func (s *subsetFilter) update(now time.Duration, in endpointList) subset.Update {
 	servers := make([]subset.Server, len(in.entries))
 	for i, e := range in.entries {
@@ -37,7 +40,7 @@
 	return s.subset.HandleEndpointList(now, in.snapshot, servers)
 }
 
-// addProxyToSubset counts a proxy for its zone. One that is told again, as after a gap in the news, counts once.
+// addProxyToSubset counts a proxy for its zone. One that is told again, as after a gap of the event stream, counts once.
 func (r *router) addProxyToSubset(in proxyConnected) {
 	if r.subsetFilter == nil {
 		return
@@ -69,11 +72,9 @@
 	r.forgetAddresses()
 }
 
-// applySubsetUpdate tells the module what changed in the subset.
+// applySubsetUpdate tells the balancer what changed in the subset.
 func (r *router) applySubsetUpdate(u subset.Update) {
-	for _, n := range u.LogRecords {
-		r.metrics.logEvent("subset", "note", n)
-	}
+	r.logNotes("subset", u.LogRecords)
 	if u.IsEmpty() {
 		return
 	}
@@ -91,8 +92,8 @@
 	}
 }
 
-// liftWithdrawals ends the withdrawals of servers that left the subset and that no table names any more. The module has forgotten
-// them, so it would never let them back in.
+// liftWithdrawals ends the withdrawals of servers that left the subset and that no table names any more. The balancer has
+// forgotten them, so it would never restore them.
 func (r *router) liftWithdrawals(servers []balancer.ServerID) {
 	clear(r.subsetFilter.restored)
 	var withdrawn []balancer.ServerID
@@ -107,7 +108,7 @@
 	}
 }
 
-// unknownServerCounter is the counter of reports about a server that the module does not know.
+// unknownServerCounter is the counter of reports on a server that the balancer does not know.
 func (r *router) unknownServerCounter(id balancer.ServerID) counter {
 	if r.subsetFilter != nil && r.subsetFilter.subset.Tracks(id) {
 		return outsideSubset
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// watchPath is where discovery streams its list from a version on.
+// watchPath is where discovery streams its list, from a version on.
 const watchPath = "/discovery/hosts?watch=1&after="
 
+// errResync ends a watch so that the next one asks again for what is missing.
 var errResync = errors.New("what is missing is asked for again")
 
 // watchReader reads discovery's watch once, to its end.
@@ -17,16 +18,17 @@
 	receiver   *receiver
 	up         *upstream
 	state      *watchState
-	opened     bool
-	began      bool      // a line came
-	pastFirst  bool      // the first list came
-	gapSince   time.Time // since when something that could not be read is missing; zero: nothing is
-	staleSince time.Time // since when only older lists come; zero: newer ones come
+	opened     bool      // discovery accepted the watch
+	began      bool      // a line was received
+	pastFirst  bool      // the first list was received
+	gapSince   time.Time // when something that could not be read began to be missing; zero: nothing is
+	staleSince time.Time // when the first of only older lists was received; zero: newer ones are
 }
 
-// runWatch keeps discovery's watch open: unasked where the site pushes changes, else as the module orders, with one
-// failure told for each watch that ends. An upstream that replaces another is asked for already.
-func (n *Node) runWatch(r *receiver, up *upstream, asked bool) {
+// runWatch keeps discovery's watch open at an upstream, until that is replaced or the manager ends: always where the site
+// pushes changes, else where the balancer requests the list, with one endpointListFailed for each watch that ends. With
+// requested the first watch is opened without a request.
+func (n *Node) runWatch(r *receiver, up *upstream, requested bool) {
 	read := func() (bool, error) { return r.readWatch(up, n.watchState) }
 	if !n.config.Balancer.PollsEndpoints {
 		r.runStream(up, "watch", watchBreaks, read)
@@ -34,14 +36,14 @@
 	}
 	defer close(up.done)
 	for up.redialCtx.Err() == nil {
-		if !asked {
+		if !requested {
 			select {
 			case <-up.redialCtx.Done():
 				return
 			case <-n.router.listRequested:
 			}
 		}
-		asked = false
+		requested = false
 		err := recoverPanic(r.metrics, "watch", func() error {
 			_, err := read()
 			return err
--- a/internal/node/watch_state.go
+++ b/internal/node/watch_state.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// watchState is the version of discovery's list that is held, and what is needed to tell an older one.
+// watchState is the version of discovery's list that is held, and what is needed to tell an older one. It is safe for
+// concurrent use.
 type watchState struct {
-	mu           sync.Mutex
+	mu           sync.Mutex // of all below
 	version      int64
-	lowestReset  int64     // of a whole list older than version, told at the opening of the last watch; or noReset
-	staleWatches int       // watches in a row that brought only what is older
-	confirmedAt  time.Time // when discovery last told the list held, or stood by it; at first, when the manager began
-	confirmed    bool      // discovery did so since the manager began
+	lowestReset  int64     // version of an older snapshot at the opening of the last watch; or noReset
+	staleWatches int       // watches in a row that sent only older lists
+	confirmedAt  time.Time // when discovery last sent or confirmed the list; at first, when the manager started
+	confirmed    bool      // by discovery, since the manager started
 }
 
-// heldList is the list that a manager goes by, as staff see it.
+// heldList is the list that a manager uses, as operators see it.
 type heldList struct {
 	version   int64
-	age       time.Duration // since discovery told it or stood by it, or since the manager began with it
-	confirmed bool          // by discovery, since the manager began
+	age       time.Duration // since discovery sent or confirmed it, or since the manager started with it
+	confirmed bool          // by discovery, since the manager started
 }
 
 func newWatchState(version int64, began time.Time) *watchState {
@@ -32,7 +33,7 @@
 	return heldList{version: s.version, age: now.Sub(s.confirmedAt), confirmed: s.confirmed}
 }
 
-// noteConfirmed notes that discovery stands by the list that is held.
+// noteConfirmed notes that discovery confirmed the list that is held.
 func (s *watchState) noteConfirmed(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,11 +41,10 @@
 	s.confirmed = true
 }
 
-// noReset stands for no older whole list at the opening of the last watch.
+// noReset stands for no older snapshot at the opening of the last watch.
 const noReset = -1
 
-// maxStaleWatches is how many watches in a row may bring only what is older before the list is asked for from its
-// beginning.
+// maxStaleWatches is how many watches in a row may send only older lists before the list is asked for from its beginning.
 const maxStaleWatches = 1
 
 func (s *watchState) heldVersion() int64 {
@@ -70,8 +70,8 @@
 	s.staleWatches++
 }
 
-// accepts tells whether a list is new. An older one never replaces a newer by accident: a whole list with a lower
-// version is taken only where two watches in a row open with one, as after discovery began anew.
+// accepts tells whether a list is new. An older one never replaces a newer by accident: a snapshot with a lower version
+// is accepted only where two watches in a row open with one, as after a restart of discovery.
 func (s *watchState) accepts(list endpointList, opening bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
