--- a/internal/node/collector_conn.go
+++ b/internal/node/collector_conn.go
@@ -12,17 +12,29 @@
 	"tamarindshore/internal/config"
 )
 
-// collectorConn is a connection to the manager's address. It is named once it says whose collector it is. Until it has
-// reported something it has one fixed deadline, whatever it sends.
+// collectorConn is a connection to the manager's address. Until it has reported something it has one fixed deadline,
+// whatever it sends. One goroutine at a time handles its lines; state, zone and lastReport are written under the
+// receiver's lock, since others read them.
 type collectorConn struct {
 	deadlineConn
-	named        bool
-	zone         balancer.ZoneID
-	reported     bool      // it has reported something
-	lastReport   time.Time // or when it was accepted; renewed at most once in Limits.Spoke
-	idleMessages int       // messages that report nothing, one after another
+	state        collectorState
+	zone         balancer.ZoneID // once it is named
+	lastReport   time.Time       // or when it was accepted; renewed at most once in Limits.LastSeenPrecision
+	idleMessages int             // in a row, that report nothing
 }
 
+// collectorState says what a connection has shown of itself.
+type collectorState int
+
+const (
+	collectorUnnamed   collectorState = iota
+	collectorNamed                    // it has said which zone it reports for
+	collectorReporting                // and has reported something
+)
+
+func (c *collectorConn) named() bool    { return c.state != collectorUnnamed }
+func (c *collectorConn) reported() bool { return c.state == collectorReporting }
+
 func newCollectorConn(netConn net.Conn, limits config.Limits, accepted time.Time) *collectorConn {
 	conn := &collectorConn{lastReport: accepted}
 	conn.Conn = netConn
@@ -37,8 +49,8 @@
 // evictedBefore orders connections for eviction: those that never reported anything come first, then the longest
 // silent. Guards against connections of others that name themselves collectors.
 func (c *collectorConn) evictedBefore(other *collectorConn) bool {
-	if c.reported != other.reported {
-		return !c.reported
+	if c.reported() != other.reported() {
+		return !c.reported()
 	}
 	return c.lastReport.Before(other.lastReport)
 }
@@ -79,7 +91,7 @@
 
 // maxLineLength is the most bytes of a line from a connection.
 func (r *receiver) maxLineLength(conn *collectorConn) int {
-	if conn.reported {
+	if conn.reported() {
 		return r.limits.MaxCollectorLineBytes
 	}
 	return r.limits.MaxUnidentifiedLineBytes
@@ -99,7 +111,7 @@
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		r.metrics.add(partialLines, 1)
-	case errors.Is(err, os.ErrDeadlineExceeded) && !conn.reported:
+	case errors.Is(err, os.ErrDeadlineExceeded) && !conn.reported():
 		r.metrics.add(unidentifiedTimeouts, 1)
 	case errors.Is(err, errUnreadable), errors.Is(err, errLineTooLong):
 		r.metrics.add(unreadableLines, 1)
@@ -127,7 +139,7 @@
 		conn.idleMessages++
 		r.metrics.add(pings, 1)
 		return nil, true, nil
-	case !conn.named && !naming:
+	case !conn.named() && !naming:
 		return nil, false, errors.Join(errUnreadable, errors.New("a collector names its zone first"))
 	case line.err != nil:
 		return nil, false, r.dropLine(conn, line)
@@ -150,7 +162,7 @@
 	}
 	r.metrics.logLimited("malformed_message", "from", conn.RemoteAddr().String(), "line", excerpt(line.text), "error", line.err)
 	conn.idleMessages++
-	if !conn.named {
+	if !conn.named() {
 		return errors.Join(errUnreadable, line.err)
 	}
 	return nil
@@ -159,12 +171,12 @@
 // noteReport notes that a connection reported something: from the first report on it has an idle timeout.
 func (r *receiver) noteReport(conn *collectorConn, now time.Time) {
 	conn.idleMessages = 0
-	if conn.reported && now.Sub(conn.lastReport) <= r.limits.LastSeenPrecision {
+	if conn.reported() && now.Sub(conn.lastReport) <= r.limits.LastSeenPrecision {
 		return
 	}
 	r.mu.Lock()
 	conn.lastReport = now
-	conn.reported = true
+	conn.state = collectorReporting
 	r.mu.Unlock()
 	conn.startIdleTimeout(r.limits.CollectorIdleTimeout)
 }
@@ -175,14 +187,14 @@
 func (r *receiver) registerCollector(conn *collectorConn, zone balancer.ZoneID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if conn.named {
+	if conn.named() {
 		return
 	}
-	conn.named = true
+	conn.state = collectorNamed
 	conn.zone = zone
 	r.evictExcess(true, r.limits.MaxCollectorConns)
 	for _, other := range r.conns {
-		if other.reported && other.zone == zone && time.Since(other.lastReport) < r.limits.IdentifyTimeout {
+		if other.reported() && other.zone == zone && time.Since(other.lastReport) < r.limits.IdentifyTimeout {
 			return
 		}
 	}
--- a/internal/node/collector_conn_test.go
+++ b/internal/node/collector_conn_test.go
@@ -102,12 +102,12 @@
 func TestNamingAZoneExtendsTheDeadlineOnlyWhereNobodyReports(t *testing.T) {
 	in := testReceiver(make(chan struct{}), testLimits)
 	now := time.Now()
-	good := &collectorConn{named: true, reported: true, zone: "a", lastReport: now}
+	good := &collectorConn{state: collectorReporting, zone: "a", lastReport: now}
 	in.conns = []*collectorConn{good}
 	for zone, more := range map[balancer.ZoneID]bool{"a": false, "b": true} {
 		g := &collectorConn{}
 		g.deadline = now
-		if in.registerCollector(g, zone); !g.named || g.deadline.After(now) != more {
+		if in.registerCollector(g, zone); !g.named() || g.deadline.After(now) != more {
 			t.Errorf("%s: until %v later", zone, g.deadline.Sub(now))
 		}
 	}
--- a/internal/node/decoder_pool_test.go
+++ b/internal/node/decoder_pool_test.go
@@ -279,7 +279,7 @@
 			var all sync.WaitGroup
 			for i := range 16 {
 				ours, theirs := net.Pipe()
-				g := &collectorConn{named: true, reported: true, zone: "a"}
+				g := &collectorConn{state: collectorReporting, zone: "a"}
 				g.Conn, g.deadline, g.lastReport = ours, time.Now().Add(time.Hour), time.Now()
 				in.conns = append(in.conns, g)
 				go in.decoderPool.readConn(g)
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -1,9 +1,5 @@
 package node
 
-// A hollow manager is the manager without its process: the decoders, the router with the decision module and the chain
-// of versions, and the encoder of calls, driven step by step on a virtual clock. It serves measurements of how the
-// manager's cost grows; the daemon never makes one. docs/design/scale.md lists what is left out.
-
 import (
 	"bufio"
 	"fmt"
@@ -27,52 +23,59 @@
 	ProxyEventMessage                        // an event of the relay's stream
 	LoadReportMessage                        // a collector's line on a server
 	UsageReportMessage                       // a collector's line on a proxy
-	HealthCheckMessage                       // a probe and its answer
+	HealthCheckMessage                       // a health check and its answer
 	RelayCallMessage                         // a call to the relay and its answer
-	HeartbeatMessage                         // a sign of life on a stream
+	HeartbeatMessage                         // a heartbeat on a stream
 	ProxyEventsOpened                        // the relay's stream has opened; it has no bytes of its own
-	ProxySnapshotComplete                    // the relay's stream has told all that stands; it has no bytes of its own
+	ProxySnapshotComplete                    // the relay's stream has sent its snapshot; it has no bytes of its own
 	messageKinds          int         = iota
 )
 
 // Message is one message to a hollow manager.
 type Message struct {
 	Kind   MessageKind
-	Event  string // the event's name, for news
-	Text   string // the message as on the wire, without its framing
-	Server balancer.ServerID
+	Event  string            // the event's name, of a ProxyEventMessage
+	Text   string            // the message as on the wire, without its framing
+	Server balancer.ServerID // that answers a HealthCheckMessage
 }
 
 // Traffic counts the messages and bytes of one kind. TCP and IP headers are not counted.
 type Traffic struct {
 	Messages int64
-	In, Out  int64 // bytes
+	In       int64 // bytes
+	Out      int64 // bytes
 }
 
 // StepResult is what a hollow manager did in one step.
 type StepResult struct {
 	RelayCalls   []balancer.Commands // in the order in which the relay gets them
-	HealthChecks []balancer.ServerID // that the manager asks for
+	HealthChecks []balancer.ServerID // that the manager requests
 }
 
-// relayRetry is how long orders wait that the module's limits hold back: the mean of the relay stage's backoff.
+// relayRetry is how long commands wait that the balancer's limits hold back: the mean of the relay client's backoff.
 const relayRetry = 125 * time.Millisecond
 
-// HollowManager is a manager without a process. It isn't safe for concurrent use.
+// HollowManager is a manager without its process: the decoders, the router with the balancer and the chain of versions,
+// and the encoder of calls, driven step by step on a virtual clock. It serves measurements of how the manager's cost
+// grows; the daemon never makes one. docs/design/scale.md lists what it lacks. It is not safe for concurrent use.
 type HollowManager struct {
 	node            *Node
 	traffic         [messageKinds]Traffic
-	deferred        balancer.Commands  // held back by the module's limits
-	deferredBarrier balancer.BarrierID // of the call that the waiting orders were cut from
+	deferred        balancer.Commands  // by the balancer's limits
+	deferredBarrier balancer.BarrierID // of the call that they were part of
 	retryAt         time.Duration      // 0: nothing waits
 	result          StepResult
 	// Observe is called with each input before and after the router takes it, where it is set.
 	Observe func(before bool)
 }
 
-// NewHollowManager makes a hollow manager from a daemon's start. Times in lists are counted from epoch.
+// NewHollowManager makes a hollow manager from a daemon's configuration, without its store and the operator's listeners.
+// The virtual clock starts at epoch. Errors are those of New.
 func NewHollowManager(start config.Config, epoch time.Time) (*HollowManager, error) {
-	start.StorePath, start.TablesAddress, start.AdminSocket, start.StatusAddress = "", "", "", ""
+	start.StorePath = ""
+	start.TablesAddress = ""
+	start.AdminSocket = ""
+	start.StatusAddress = ""
 	node, err := New(start, io.Discard)
 	if err != nil {
 		return nil, err
@@ -187,7 +190,7 @@
 // chunked is how many bytes a piece of a stream has on the wire.
 func chunked(size int) int { return len(fmt.Sprintf("%x\r\n", size)) + size + len("\r\n") }
 
-// What a probe and the answers to probes and calls are on the wire, without the server's address.
+// A health check and the answers to health checks and calls as they are on the wire, without the server's address.
 const (
 	probeRequest = "GET /metrics/load HTTP/1.1\r\nUser-Agent: fasthttp\r\nHost: \r\nConnection: close\r\n\r\n"
 	answerHeader = "HTTP/1.1 200 OK\r\nDate: Thu, 01 Jan 2026 00:00:00 GMT\r\nContent-Length: 84\r\n" +
@@ -196,13 +199,13 @@
 	callAnswer  = answerHeader + `<?xml version="1.0"?><Response><items><item><taken>100</taken></item></items></Response>`
 )
 
-// HealthCheckTraffic is what one probe of an address and its answer are on the wire.
+// HealthCheckTraffic gives the traffic of one health check of an address and its answer.
 func HealthCheckTraffic(address string) Traffic {
 	return Traffic{Messages: 1, In: int64(len(probeAnswer)), Out: int64(len(probeRequest) + len(address))}
 }
 
-// send does what the relay stage does where each call is taken: it sends what waits, and asks the module for room for
-// what a call can't hold.
+// send does what the relay client does where each call is accepted: it sends what is queued, and asks the balancer which
+// commands may follow those that a call holds.
 func (h *HollowManager) send() {
 	if h.retryAt > 0 {
 		if h.node.router.now < h.retryAt {
@@ -223,44 +226,47 @@
 	}
 }
 
-// sendAll sends orders until nothing of them is missing; false where the rest has to wait.
-func (h *HollowManager) sendAll(now, rest balancer.Commands) bool {
+// sendAll sends commands until none of them is missing; false where the rest has to wait.
+func (h *HollowManager) sendAll(allowed, deferred balancer.Commands) bool {
 	for {
-		sent := h.call(now)
-		missing := commands.Merge(commands.SkipFirst(now, sent), rest)
+		sent := h.call(allowed)
+		missing := commands.Merge(commands.SkipFirst(allowed, sent), deferred)
 		if missing.Count() == 0 {
 			return true
 		}
 		if sent == 0 {
-			h.deferred, h.deferredBarrier = missing, now.Barrier
+			h.deferred = missing
+			h.deferredBarrier = allowed.Barrier
 			h.retryAt = h.node.router.now + relayRetry
 			return false
 		}
-		next := h.resend(missing, now.Barrier, true)
-		now, rest = next.allowed, next.deferred
+		next := h.resend(missing, allowed.Barrier, true)
+		allowed = next.allowed
+		deferred = next.deferred
 	}
 }
 
-func (h *HollowManager) resend(missing balancer.Commands, from balancer.BarrierID, carried bool) resendReply {
+func (h *HollowManager) resend(missing balancer.Commands, barrier balancer.BarrierID, mayHaveExecuted bool) resendReply {
 	reply := make(chan resendReply, 1)
-	h.node.router.handle(resendRequest{missing, from, carried, reply})
+	request := resendRequest{commands: missing, barrier: barrier, mayHaveExecuted: mayHaveExecuted, reply: reply}
+	h.node.router.handle(request)
 	return <-reply
 }
 
-// call encodes as many orders as a call holds and gives how many those are. The router learns that they were taken.
-func (h *HollowManager) call(o balancer.Commands) (sent int) {
-	if commands.IsEmpty(o) {
+// call sends as many commands as a call holds and gives how many those are. The router is told that they were accepted.
+func (h *HollowManager) call(all balancer.Commands) (sent int) {
+	if commands.IsEmpty(all) {
 		return 0
 	}
-	text := encodeCommands(o, h.node.config.ClassNames, h.node.config.Limits.MaxCallBytes)
+	text := encodeCommands(all, h.node.config.ClassNames, h.node.config.Limits.MaxCallBytes)
 	h.count(RelayCallMessage, len(callAnswer), callSize(h.node.config.Relay, strings.Join(text, ";")))
 	sent = len(text)
-	if o.Barrier > 0 {
+	if all.Barrier > 0 {
 		sent--
 	}
-	h.result.RelayCalls = append(h.result.RelayCalls, commands.KeepFirst(o, sent, o.Barrier))
-	if o.Barrier > 0 && sent == o.Count() {
-		h.node.router.handle(callCompleted{o.Barrier, true})
+	h.result.RelayCalls = append(h.result.RelayCalls, commands.KeepFirst(all, sent, all.Barrier))
+	if all.Barrier > 0 && sent == all.Count() {
+		h.node.router.handle(callCompleted{barrier: all.Barrier, complete: true})
 	}
 	return sent
 }
@@ -289,9 +295,9 @@
 func (h *HollowManager) takeHealthChecks() {
 	for {
 		select {
-		case probe := <-h.node.router.healthChecks:
-			h.result.HealthChecks = append(h.result.HealthChecks, probe.server)
-		case <-h.node.router.listRequested: // the list comes unasked
+		case target := <-h.node.router.healthChecks:
+			h.result.HealthChecks = append(h.result.HealthChecks, target.server)
+		case <-h.node.router.listRequested: // the list comes without a request
 		default:
 			return
 		}
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -72,7 +72,7 @@
 	var victim *collectorConn
 	count := 0
 	for _, conn := range r.conns {
-		if conn.named != named {
+		if conn.named() != named {
 			continue
 		}
 		count++
