--- a/internal/node/decoder_pool_test.go
+++ b/internal/node/decoder_pool_test.go
@@ -15,7 +15,7 @@
 	"tamarindshore/internal/sharding"
 )
 
-// quickSettings are terms under which a test need not wait for long.
+// quickSettings are settings under which a test need not wait for long.
 func quickSettings(n int) sharding.Settings {
 	t := sharding.DefaultSettings(n)
 	t.CheckInterval, t.StallTimeout, t.DrainTimeout, t.RebalanceInterval = 5*time.Millisecond, 40*time.Millisecond, 50*time.Millisecond, time.Hour
@@ -54,7 +54,7 @@
 	h.apply(func(now time.Duration) sharding.Actions { return h.assigner.HandleLoad(now, cores) })
 }
 
-// collectRequests takes samples from the post until so many flows have come, by proxy in their order.
+// collectRequests takes samples from the queue until so many have come, and gives their requests by proxy in order.
 func collectRequests(t *testing.T, p *sampleQueue, flows int) map[balancer.ProxyID][]int {
 	t.Helper()
 	got, n, late := map[balancer.ProxyID][]int{}, 0, time.After(5*time.Second)
@@ -142,7 +142,8 @@
 
 func TestAStalledShardLosesNothing(t *testing.T) {
 	h, address := startDecoderPool(t, testLimits, quickSettings(3))
-	free, decode := make(chan struct{}), h.decode
+	free := make(chan struct{})
+	decode := h.decode
 	var stuck atomic.Bool
 	h.decode = func(line string) decodedLine {
 		if strings.Contains(line, "count=150 ") && strings.Contains(line, "id=2 ") {
@@ -156,11 +157,11 @@
 		go dialAndSendSamples(t, address, p, 300)
 	}
 	got := collectRequests(t, h.samples, 6*300)
-	close(free) // it goes on, late, with what another core has brought meanwhile
+	close(free) // the stalled worker goes on, late, with what another shard has delivered meanwhile
 	assertInOrder(t, got, 300, nil)
-	time.Sleep(20 * time.Millisecond)
+	time.Sleep(20 * time.Millisecond) // nothing shows that the worker has given its chunk up
 	if late := h.samples.next(9, nil); len(late) > 0 {
-		t.Errorf("brought twice: %v", late)
+		t.Errorf("delivered twice: %v", late)
 	}
 	if n := h.receiver.metrics.counts[shardRestarts].Load(); n < 1 {
 		t.Errorf("%d shards restarted", n)
@@ -184,7 +185,7 @@
 	delete(got, 1)
 	assertInOrder(t, got, 200, nil)
 	if n := h.receiver.metrics.counts[decoderPanics].Load(); n != 1 {
-		t.Errorf("%d lines counted as fatal", n)
+		t.Errorf("%d decoder panics counted", n)
 	}
 }
 
@@ -200,18 +201,24 @@
 	if waits > 8+2*8 {
 		t.Errorf("%d samples wait", waits)
 	}
-	sum, late := 0, time.Now().Add(5*time.Second)
-	for sum < 4*500*499/2 && time.Now().Before(late) {
-		for _, s := range h.samples.next(512, nil) {
-			sum += s.(balancer.UsageReport).Requests
+	const want = 4 * 500 * 499 / 2 // all requests that the samples count
+	sum := 0
+	timeout := time.After(5 * time.Second)
+	for sum < want {
+		select {
+		case <-h.samples.filled:
+		case <-timeout:
+			t.Fatalf("%d requests of %d", sum, want)
+		}
+		for _, one := range h.samples.next(512, nil) {
+			sum += one.(balancer.UsageReport).Requests
 		}
-		time.Sleep(100 * time.Microsecond)
 	}
-	if sum != 4*500*499/2 {
-		t.Errorf("%d flows of %d", sum, 4*500*499/2)
+	if sum != want {
+		t.Errorf("%d requests of %d", sum, want)
 	}
 	if h.receiver.metrics.counts[samplesMerged].Load() == 0 {
-		t.Error("nothing was folded")
+		t.Error("nothing was merged")
 	}
 }
 
@@ -242,28 +249,22 @@
 	l := testLimits
 	l.IdentifyTimeout = 100 * time.Millisecond
 	h, address := startDecoderPool(t, l, quickSettings(4))
-	var strangers []net.Conn
+	var unidentified []net.Conn
 	for i := range 200 {
-		strangers = append(strangers, dialManager(t, address, []string{"", "GET / HTTP/1.1\r\n", "ping\r\n", "half"}[i%4]))
+		unidentified = append(unidentified, dialManager(t, address, []string{"", "GET / HTTP/1.1\r\n", "ping\r\n", "half"}[i%4]))
 	}
 	go dialAndSendSamples(t, address, 1, 100)
 	assertInOrder(t, collectRequests(t, h.samples, 100), 100, nil)
-	for i, c := range strangers {
+	for i, c := range unidentified {
 		if got := readToEnd(c); got != map[bool]string{true: "pong\r\n", false: ""}[i%4 == 2] {
-			t.Fatalf("stranger %d: %q", i, got)
+			t.Fatalf("unidentified connection %d: %q", i, got)
 		}
 	}
-	known := 0
-	for range 500 {
+	mustEventually(t, 500*time.Millisecond, "at most one connection known", func() bool {
 		h.mu.Lock()
-		known = len(h.conns)
-		h.mu.Unlock()
-		if known <= 1 {
-			return
-		}
-		time.Sleep(time.Millisecond)
-	}
-	t.Errorf("%d connections are still known", known)
+		defer h.mu.Unlock()
+		return len(h.conns) <= 1
+	})
 }
 
 // BenchmarkIntake is what a line costs from the connection to the sample queue, by the number of shards.
--- a/internal/node/deployment_test.go
+++ b/internal/node/deployment_test.go
@@ -137,7 +137,7 @@
 	return text
 }
 
-// bound joins all proxies and waits until the tables are laid.
+// assignAllProxies connects all proxies and waits until they are assigned to tables.
 func (v *managerDeployment) assignAllProxies(t testing.TB) {
 	t.Helper()
 	ids := make([]int, v.Site.Proxies)
@@ -145,19 +145,31 @@
 		ids[i] = i
 	}
 	v.Relay.ConnectProxies(ids...)
-	for late := time.Now().Add(10 * time.Second); v.Relay.Counts().AssignedProxies < v.Site.Proxies; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatal("not all bound within 10 s")
-		}
-	}
+	v.awaitAssignments(t)
+}
+
+// awaitAssignments waits until all proxies are assigned to a table.
+func (v *managerDeployment) awaitAssignments(t testing.TB) {
+	t.Helper()
+	mustEventually(t, 10*time.Second, "all proxies assigned", func() bool {
+		return v.Relay.Counts().AssignedProxies >= v.Site.Proxies
+	})
 }
 
-// startReplica follows the feed with a holder.
-func startReplica(t testing.TB, address string, n int, changed func(tables.VersionRef)) *tables.Replica {
-	h := tables.NewReplica(tables.Keys{newTestKey(t, testKey)}, tables.RetrySettings{InitialInterval: 50 * time.Millisecond, MaxInterval: time.Second}, uint64(n))
-	f := &follow.Follower{Name: fmt.Sprint("h", n), Keys: tables.Keys{newTestKey(t, testKey)}, Replica: h, MaxBackoff: 200 * time.Millisecond,
-		Dial:      func(ctx context.Context) (net.Conn, error) { return (&net.Dialer{}).DialContext(ctx, "tcp", address) },
-		OnApplied: func(held tables.VersionRef, _ *tables.State) { changed(held) }}
+// startReplica starts a replica that follows the feed until the test ends.
+func startReplica(t testing.TB, address string, number int, applied func(tables.VersionRef)) *tables.Replica {
+	t.Helper()
+	keys := tables.Keys{newTestKey(t, testKey)}
+	retry := tables.RetrySettings{InitialInterval: 50 * time.Millisecond, MaxInterval: time.Second}
+	h := tables.NewReplica(keys, retry, uint64(number))
+	f := &follow.Follower{
+		Name:       fmt.Sprint("h", number),
+		Keys:       keys,
+		Replica:    h,
+		MaxBackoff: 200 * time.Millisecond,
+		Dial:       func(ctx context.Context) (net.Conn, error) { return (&net.Dialer{}).DialContext(ctx, "tcp", address) },
+		OnApplied:  func(version tables.VersionRef, _ *tables.State) { applied(version) },
+	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -171,11 +183,11 @@
 	return h
 }
 
-// replicaVersions keeps what each of some holders runs.
+// replicaVersions records what each of some replicas runs. It is safe for concurrent use.
 type replicaVersions struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // of all below
 	held    map[int]tables.VersionRef
-	applied map[int]map[tables.ID]int
+	applied map[int]map[tables.ID]int // how often each version was applied
 }
 
 func newReplicaVersions() *replicaVersions {
@@ -194,7 +206,7 @@
 	}
 }
 
-// allRun tells whether so many run a version.
+// allRun tells whether the first n replicas run a version.
 func (l *replicaVersions) allRun(n int, id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/stored_list_test.go
+++ b/internal/node/stored_list_test.go
@@ -13,14 +13,12 @@
 // awaitList waits until a manager holds a version of the list.
 func (v *managerDeployment) awaitList(t *testing.T, version int64) {
 	t.Helper()
-	for late := time.Now().Add(10 * time.Second); v.manager.currentStatus().List.Version != version; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatalf("%+v within 10 s, not version %d", v.manager.currentStatus().List, version)
-		}
-	}
+	mustEventually(t, 10*time.Second, fmt.Sprintf("version %d of the list held", version), func() bool {
+		return v.manager.currentStatus().List.Version == version
+	})
 }
 
-// restartWith starts the manager anew with a list told at the start.
+// restartWith restarts the manager with an initial list.
 func (v *managerDeployment) restartWith(t *testing.T, told fakes.EndpointList) {
 	t.Helper()
 	if err := v.Manager.Stop(false); err != nil {
@@ -37,19 +35,20 @@
 	}
 }
 
-// A region that is cut off has no discovery. A manager that restarts there must not take an hour-old list for true, and
-// once discovery is back it must not ask for the whole list.
+// A region that is cut off has no discovery. A manager that restarts there must not use an hour-old list, and once
+// discovery is back it must not ask for the complete list.
 func TestARestartWithoutDiscoveryBeginsWithTheStoredList(t *testing.T) {
 	v := startDeployment(t, fakes.DefaultSite(6, 20))
 	v.assignAllProxies(t)
 	old := v.Discovery.Snapshot()
-	drains, leaves := v.Servers[0], v.Servers[1]
+	drains := v.Servers[0]
+	leaves := v.Servers[1]
 	v.Discovery.Publish(drains.Entry("draining"))
 	v.Discovery.Publish(leaves.Entry("removed"))
 	held := int64(old.Version + 2)
 	v.awaitList(t, held)
 	if list := v.manager.currentStatus().List; !list.Confirmed {
-		t.Errorf("told by discovery, and yet %+v", list)
+		t.Errorf("sent by discovery, and yet %+v", list)
 	}
 
 	v.Discovery.SetUnresponsive(true)
@@ -57,14 +56,10 @@
 	if list := v.manager.currentStatus().List; list.Version != held || list.Confirmed {
 		t.Errorf("without discovery: %+v, not version %d unconfirmed", list, held)
 	}
-	for late := time.Now().Add(10 * time.Second); v.Relay.Counts().AssignedProxies < v.Site.Proxies; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatal("not all proxies bound within 10 s")
-		}
-	}
+	v.awaitAssignments(t)
 	for _, server := range []*fakes.Server{drains, leaves} {
-		if flows := v.Relay.RequestRate(server.ID); flows > 0 {
-			t.Errorf("%s gets %g flows a second", server.ID, flows)
+		if rate := v.Relay.RequestRate(server.ID); rate > 0 {
+			t.Errorf("%s gets %g requests a second", server.ID, rate)
 		}
 	}
 
@@ -88,13 +83,13 @@
 	v.restartWith(t, told)
 	v.awaitList(t, int64(told.Version))
 	v.restartWith(t, fakes.EndpointList{Version: 1, Complete: true, Endpoints: []fakes.Endpoint{}})
-	v.awaitList(t, int64(told.Version)) // the store has the one told since
+	v.awaitList(t, int64(told.Version)) // the store has the one used since
 	if servers := len(v.manager.initialList.entries); servers != 3 {
 		t.Errorf("%d servers at the start, not 3", servers)
 	}
 }
 
-// The stored list is checked as one that discovery tells; a faulty one must not keep the manager from its start.
+// The stored list is checked as one that discovery sends; an invalid one must not keep the manager from starting.
 func TestAnInvalidStoredListIsIgnored(t *testing.T) {
 	v := startDeployment(t, fakes.DefaultSite(4, 8))
 	told := v.Discovery.Snapshot()
@@ -116,7 +111,7 @@
 	}
 }
 
-// A save that hangs takes nothing more; what comes meanwhile must not grow with time, only with the fleet.
+// A save that hangs accepts nothing more; what is queued meanwhile must not grow with time, only with the fleet.
 func TestChangesQueuedForAHungDiskAreBounded(t *testing.T) {
 	const servers, changes = 10, 5000
 	writer := &storeWriter{filled: make(chan struct{}, 1)}
@@ -137,7 +132,7 @@
 	}
 	for _, entry := range last[0].Entries {
 		if entry.StartedAtMs < changes-servers {
-			t.Errorf("%s is as told %d changes ago", entry.ID, changes-entry.StartedAtMs)
+			t.Errorf("%s is as sent %d changes ago", entry.ID, changes-entry.StartedAtMs)
 		}
 	}
 }
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -207,11 +207,7 @@
 	}
 	v.assignAllProxies(b)
 	wait := func(id func() string) {
-		for late := time.Now().Add(20 * time.Second); !l.allRun(n, id()); time.Sleep(time.Millisecond) {
-			if time.Now().After(late) {
-				b.Fatal("not all run the newest within 20 s")
-			}
-		}
+		mustEventually(b, 20*time.Second, "all run the newest", func() bool { return l.allRun(n, id()) })
 	}
 	newest := func() string { return v.versionIDs(b)[0] }
 	wait(newest)
