--- a/internal/node/sample_queue.go
+++ b/internal/node/sample_queue.go
@@ -6,14 +6,15 @@
 	"tamarindshore/internal/sharding"
 )
 
-// sampleQueue holds the samples that several cores decoded and that wait for the router. It is bounded: where it is
-// full, samples of the same kind are folded, and connections wait.
+// sampleQueue holds the samples that several cores decoded, for the router. It is bounded: where it is full, samples of
+// the same kind are merged, and connections wait. It is safe for concurrent use.
 type sampleQueue struct {
-	mu         sync.Mutex
+	metrics *metrics
+	filled  chan struct{} // signalled once samples are queued
+
+	mu         sync.Mutex // of all below
 	samples    *sharding.Mailbox
-	filled     chan struct{}
-	spaceFreed chan struct{} // closed once some of it was taken
-	metrics    *metrics
+	spaceFreed chan struct{} // closed once samples are taken, and replaced
 }
 
 func newSampleQueue(limit int, m *metrics) *sampleQueue {
@@ -25,29 +26,29 @@
 	}
 }
 
-// full is nil where there is room for samples; else it is closed once there may be.
+// full returns nil where there is room for samples, else a channel that is closed once there may be.
 func (q *sampleQueue) full() <-chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	folds := q.samples.Merged
+	mergedBefore := q.samples.Merged
 	hasRoom := q.samples.HasRoom()
-	q.noteChange(folds)
+	q.noteChange(mergedBefore)
 	if hasRoom {
 		return nil
 	}
 	return q.spaceFreed
 }
 
-// push appends samples for which there was room a moment ago.
+// push queues samples for which there was room a moment ago.
 func (q *sampleQueue) push(samples []any) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	folds := q.samples.Merged
+	mergedBefore := q.samples.Merged
 	q.samples.Put(samples)
-	q.noteChange(folds)
+	q.noteChange(mergedBefore)
 }
 
-// next appends up to limit samples to into.
+// next takes up to limit of the oldest samples, in the memory of into.
 func (q *sampleQueue) next(limit int, into []any) []any {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -68,8 +69,8 @@
 	return q.samples.Len()
 }
 
-// noteChange counts what was folded since and wakes the router. mu is held.
-func (q *sampleQueue) noteChange(foldsBefore int) {
-	q.metrics.add(samplesMerged, int64(q.samples.Merged-foldsBefore))
+// noteChange counts the samples that were merged since and wakes the router. mu is held.
+func (q *sampleQueue) noteChange(mergedBefore int) {
+	q.metrics.add(samplesMerged, int64(q.samples.Merged-mergedBefore))
 	notify(q.filled)
 }
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -1,14 +1,70 @@
 package node
 
 import (
+	"context"
+	"errors"
+	"fmt"
 	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"tamarindshore/internal/config"
 )
 
-// runStream opens a stream again and again: at once when one that had opened ends, then with a jittered backoff, until
-// its upstream is cancelled or another one replaces it.
+// streamRequest says which endless answer is requested, and how it is read.
+type streamRequest struct {
+	address      string
+	path         string
+	idleTimeout  time.Duration
+	maxLength    int           // bytes of a line
+	readInterval time.Duration // 0: what comes is read at once
+}
+
+// errNoStream is the error of an answer that is no stream.
+var errNoStream = errors.New("the answer is no stream")
+
+// stream requests a path and hands each line of the endless answer to handleLine, without its line end. The answer must
+// begin within limits.StreamOpenTimeout and then bring a line within the idle timeout each time: guards against a new
+// connection that is as silent as the last, while there is time for another. It returns why it ended, soon after ctx
+// does; an error of opened or handleLine ends it too.
+func stream(ctx context.Context, limits config.Limits, wanted streamRequest, opened func() error, handleLine func(line []byte) error) error {
+	conn, err := dial(ctx, limits, wanted.address, limits.StreamOpenTimeout)
+	if err != nil {
+		return err
+	}
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	client := newClient(limits, wanted.address, conn, true)
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.SetRequestURI("http://" + wanted.address + wanted.path)
+	if err := client.Do(request, response); err != nil {
+		return err
+	}
+	defer func() {
+		conn.Close() // first, so that nothing of an endless answer is read on
+		response.CloseBodyStream()
+	}()
+	if response.StatusCode() != fasthttp.StatusOK || response.BodyStream() == nil {
+		return fmt.Errorf("%w: status %d", errNoStream, response.StatusCode())
+	}
+	if err := opened(); err != nil {
+		return err
+	}
+	conn.startIdleTimeout(wanted.idleTimeout)
+	conn.pace = newReadPace(wanted.readInterval)
+	return readLines(response.BodyStream(), func() int { return wanted.maxLength }, func(line []byte) error {
+		conn.extendDeadline()
+		return handleLine(line)
+	})
+}
+
+// runStream opens a stream again whenever it ends: at once where it had opened for a while, else with a jittered backoff,
+// until its upstream is cancelled or replaced. It counts and logs each end under the stream's name.
 func (r *receiver) runStream(up *upstream, name string, breaks counter, open func() (opened bool, err error)) {
 	defer close(up.done)
-	for tries := 0; up.redialCtx.Err() == nil; tries++ {
+	for attempts := 0; up.redialCtx.Err() == nil; attempts++ {
 		began := time.Now()
 		opened := false
 		err := recoverPanic(r.metrics, name, func() (err error) {
@@ -22,9 +78,9 @@
 		r.metrics.add(breaks, 1)
 		r.metrics.logLimited(name+"_closed", "lasted", roundedSeconds(lasted), "opened", opened, "error", err)
 		if opened && lasted > r.limits.MaxBackoff {
-			tries = 0
+			attempts = 0
 		}
-		if tries > 0 && !r.waitBackoff(up.redialCtx.Done()) {
+		if attempts > 0 && !r.waitBackoff(up.redialCtx.Done()) {
 			return
 		}
 	}
@@ -44,5 +100,5 @@
 	}
 }
 
-// roundedSeconds is a duration in seconds, cut to the millisecond.
+// roundedSeconds gives a duration in seconds, cut to the millisecond.
 func roundedSeconds(d time.Duration) float64 { return float64(d.Milliseconds()) / 1000 }
