--- a/internal/node/decoder_pool.go
+++ b/internal/node/decoder_pool.go
@@ -79,7 +79,7 @@
 		}
 	}
 	for _, record := range actions.LogRecords {
-		p.receiver.metrics.logEvent("shard", "note", record)
+		p.receiver.metrics.logRecord(record)
 	}
 }
 
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -6,6 +6,8 @@
 	"time"
 
 	"github.com/rs/zerolog"
+
+	"tamarindshore/balancer"
 )
 
 // counter is one of the counters of a manager; counterNames has their names.
@@ -165,6 +167,15 @@
 	m.logger.Info().Str("event", event).Fields(pairs).Send()
 }
 
+// logRecord logs a record of a decision, with further pairs of key and value before its fields.
+func (m *metrics) logRecord(record balancer.LogRecord, pairs ...any) {
+	line := m.logger.Info().Str("event", string(record.Event)).Fields(pairs)
+	for _, field := range record.Fields {
+		line.Str(field.Name, field.Value)
+	}
+	line.Send()
+}
+
 // logCounters logs all counters under an event's name.
 func (m *metrics) logCounters(event string) {
 	line := m.logger.Info().Str("event", event)
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -150,9 +150,7 @@
 // apply carries out what the balancer decided: it logs, requests health checks and the endpoint list, keeps the next
 // timer, and collects the commands until they are flushed.
 func (r *router) apply(decided balancer.Commands) {
-	for _, record := range decided.LogRecords {
-		r.logRecord(record)
-	}
+	r.logRecords(decided.LogRecords)
 	for _, server := range decided.HealthCheck {
 		r.requestHealthCheck(server)
 	}
@@ -176,13 +174,11 @@
 	}
 }
 
-// logRecord logs one record of the balancer, with the seconds since the manager's start.
-func (r *router) logRecord(record balancer.LogRecord) {
-	line := r.metrics.logger.Info().Str("event", string(record.Event)).Str("stage", "route").Float64("at", roundedSeconds(r.now))
-	for _, field := range record.Fields {
-		line.Str(field.Name, field.Value)
+// logRecords logs records of decisions, with the seconds since the manager's start.
+func (r *router) logRecords(records []balancer.LogRecord) {
+	for _, record := range records {
+		r.metrics.logRecord(record, "stage", "route", "at", roundedSeconds(r.now))
 	}
-	line.Send()
 }
 
 // flush queues what was decided at one time for the relay, as far as it may go out as a version.
--- a/internal/node/router_versions.go
+++ b/internal/node/router_versions.go
@@ -15,7 +15,7 @@
 func (r *router) proposeVersion(proposed balancer.Commands) balancer.Commands {
 	r.chain.SetLayout(r.manager.Layout())
 	result := r.chain.Propose(r.now, proposed, describeCommands(proposed), r.fleet())
-	r.logNotes("version", result.Notes)
+	r.logRecords(result.LogRecords)
 	if result.Modified {
 		r.metrics.add(versionsWithheld, 1)
 		r.resetTables()
@@ -40,13 +40,6 @@
 	r.manager.HandleTablesReset(r.now, current.Weights, current.AdmissionLevels, withdrawn)
 }
 
-// logNotes logs one line for each note of a decision.
-func (r *router) logNotes(event string, notes []string) {
-	for _, note := range notes {
-		r.metrics.logEvent(event, "note", note)
-	}
-}
-
 // describeCommands says in a few words what a version changes. The text is stored with the version.
 func describeCommands(all balancer.Commands) string {
 	return fmt.Sprintf("%d withdrawn, %d lines, %d levels, %d let back in",
@@ -62,8 +55,8 @@
 		return
 	}
 	r.nextHoldCheck = r.now + holdCheckInterval
-	ended, notes := r.chain.ExpireHold(r.now, r.fleet())
-	r.logNotes("version", notes)
+	records, ended := r.chain.EndExpiredHold(r.now, r.fleet())
+	r.logRecords(records)
 	if ended {
 		r.applyPin()
 	}
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -74,7 +74,7 @@
 
 // applySubsetUpdate tells the balancer what changed in the subset.
 func (r *router) applySubsetUpdate(u subset.Update) {
-	r.logNotes("subset", u.LogRecords)
+	r.logRecords(u.LogRecords)
 	if u.IsEmpty() {
 		return
 	}
