--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -9,9 +9,13 @@
 	standingConnections = 3 // watch, news, the call under way
 )
 
-// inputs are the messages that a manager takes in, a second.
+// inputs are the messages that come to a manager, by kind, a second.
 type inputs struct {
-	loadReports, usageReports, relayEvents, listLines, healthChecks float64
+	loadReports  float64
+	usageReports float64
+	relayEvents  float64
+	listLines    float64
+	healthChecks float64 // answers
 }
 
 // decisions is how many of them the decisions hear, beside the list.
@@ -27,17 +31,18 @@
 	if s.RecoveringServers > 0 {
 		in.healthChecks += s.RecoveringServers * h.share(s.OutsideHome) / s.Window
 	}
-	if s.Opens {
+	if s.Opening != NoOpening {
 		in.relayEvents += float64(p.Managers.Proxies) / s.Window
-		if !s.FromStore {
-			in.listLines = 1 / s.Window
-		}
+	}
+	if s.Opening.sendsCompleteList() {
+		in.listLines = 1 / s.Window
 	}
 	in.listLines += p.listChanges(s, h.sentShare(s.OutsideHome)).lines / s.Window
 	return in
 }
 
-// newsPerSecond is how many events of the relay come: mostly answers to marks, more where tables change more.
+// relayEvents is how many events of the relay come a second: mostly acknowledgements of barriers, more where tables
+// change more.
 func (m *Model) relayEvents(h serverCounts, in inputs) float64 {
 	if !m.Costs.measured(scale.RelayEventsPerSecond) {
 		return callsPerSecond
@@ -46,7 +51,8 @@
 }
 
 func (m *Model) manager(s Situation, scope Scope) Load {
-	p, h := m.Plan, m.Plan.serverCounts(s, scope)
+	p := m.Plan
+	h := p.serverCounts(s, scope)
 	in := m.managerInputs(s, h)
 	load := Load{
 		State:       stateOf(h.held, "servers") + ", " + stateOf(float64(p.Managers.Proxies), "proxies"),
@@ -68,10 +74,10 @@
 // managerSizes is the fleet as one manager sees it.
 func (m *Model) managerSizes(h serverCounts) Sizes {
 	return Sizes{
-		scale.Servers:       h.held,
-		scale.Proxies:       float64(m.Plan.Managers.Proxies),
-		scale.Zones:         float64(m.Plan.Fleet.Zones),
-		scale.TrafficGroups: float64(m.Plan.Managers.TrafficClasses),
+		scale.Servers:        h.held,
+		scale.Proxies:        float64(m.Plan.Managers.Proxies),
+		scale.Zones:          float64(m.Plan.Fleet.Zones),
+		scale.TrafficClasses: float64(m.Plan.Managers.TrafficClasses),
 	}
 }
 
@@ -111,7 +117,7 @@
 // probes' answers, an opening.
 func (m *Model) eventCore(s Situation, h serverCounts, in inputs) Figure {
 	core := m.cost(scale.CPUPerInput, m.managerSizes(h)).times(in.relayEvents + in.healthChecks)
-	if s.Opens {
+	if s.Opening != NoOpening {
 		core = core.plus(m.openingCore(h).times(1 / s.Window))
 	}
 	return core
@@ -147,7 +153,7 @@
 		return known(0)
 	}
 	bytes := m.listChangeBytes(m.Plan.listChanges(s, h.sentShare(s.OutsideHome))).times(1 / s.Window)
-	if s.Opens && !s.FromStore {
+	if s.Opening.sendsCompleteList() {
 		bytes = bytes.plus(m.openingBytes(h).times(1 / s.Window))
 	}
 	return bytes
@@ -170,7 +176,7 @@
 	return m.bytesAt(scale.BytesOfCalls, m.busySizes(h, in, changes), m.Plan.Messages.Calls)
 }
 
-// probeBytes counts a silent server's probe as the packet that opens its connection, which nobody answers.
+// healthCheckBytes counts a silent server's probe as the packet that opens its connection, which nobody answers.
 func (m *Model) healthCheckBytes(s Situation, in inputs) Figure {
 	if s.RecoveringServers > 0 {
 		return m.bytesOf(scale.BytesOfHealthCheck, m.Plan.Messages.HealthCheck).times(in.healthChecks)
@@ -182,9 +188,9 @@
 	return min(float64(m.Plan.Managers.MaxHealthChecks), perSecond*m.Plan.Managers.HealthCheckTimeout.Seconds())
 }
 
-// openingOrders is what a manager that starts tells its proxies: the tables of their zones, and a binding for each.
+// openingCommands is what a manager that starts tells its proxies: the tables of their zones, and a binding for each.
 func (m *Model) openingCommands(s Situation, h serverCounts) Figure {
-	if !s.Opens {
+	if s.Opening == NoOpening {
 		return known(0)
 	}
 	p := m.Plan
