--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -11,11 +11,11 @@
 func (m *Model) controlMachine(s Situation, scope Scope) Load {
 	p := m.Plan
 	readers := m.readers(s)
-	h := p.normalServerCounts(scope)
+	counts := p.normalServerCounts(scope)
 	live := s // the machine gets each change, and forwards it; what readers missed is counted apart
 	live.MissedEntries = 0
 	heard := p.listChanges(live, 1)
-	changes := p.listChanges(live, h.sentShare(false))
+	changes := p.listChanges(live, counts.sentShare(false))
 	opens := s.OpeningManagers / s.ControlMachines / s.Window
 	resumes := s.ResumingManagers / s.ControlMachines / s.Window
 	load := Load{
@@ -23,32 +23,32 @@
 		MessagesIn:  known(heard.lines/s.Window + opens + resumes),
 		MessagesOut: known(readers*(1+changes.lines/s.Window) + opens + resumes),
 		BytesIn:     m.listChangeBytes(heard).times(1 / s.Window),
-		Memory:      m.cost(scale.ControlHeapPerManager, m.controlSizes(scale.ControlHeapPerManager, s, h)).times(readers),
+		Memory:      m.cost(scale.ControlHeapPerManager, m.controlSizes(scale.ControlHeapPerManager, s, counts)).times(readers),
 		Connections: known(readers),
-		Core:        m.controlCore(s, h, opens, changes.lines/s.Window*readers),
+		Core:        m.controlCore(s, counts, opens, changes.lines/s.Window*readers),
 	}
 	perReader := m.heartbeatBytes().plus(m.listChangeBytes(changes).times(1 / s.Window))
 	resumed := known(0)
 	if s.MissedEntries > 0 {
-		resumed = m.listChangeBytes(p.listChanges(s, h.sentShare(false))).times(resumes)
+		resumed = m.listChangeBytes(p.listChanges(s, counts.sentShare(false))).times(resumes)
 	}
-	load.BytesOut = perReader.times(readers).plus(m.openingBytes(h).times(opens)).plus(resumed)
+	load.BytesOut = perReader.times(readers).plus(m.openingBytes(counts).times(opens)).plus(resumed)
 	load.CoreWithoutCollectors = load.Core
 	return load
 }
 
 // controlCore is what a control machine spends: its readers' openings, the changes that it writes to them, and its heartbeats.
 // Where some of these were not measured it is a lower bound.
-func (m *Model) controlCore(s Situation, h serverCounts, opens, changes float64) Figure {
-	opening := m.cost(scale.ControlCPUPerManager, m.controlSizes(scale.ControlCPUPerManager, s, h))
-	telling := m.cost(scale.ControlCPUPerChange, m.controlSizes(scale.ControlCPUPerChange, s, h))
+func (m *Model) controlCore(s Situation, counts serverCounts, opens, changes float64) Figure {
+	opening := m.cost(scale.ControlCPUPerManager, m.controlSizes(scale.ControlCPUPerManager, s, counts))
+	telling := m.cost(scale.ControlCPUPerChange, m.controlSizes(scale.ControlCPUPerChange, s, counts))
 	alive := m.cost(scale.ControlCPUPerQuietSecond, Sizes{scale.Managers: m.readers(s)})
 	return opening.times(opens).plus(telling.times(changes)).plus(alive.times(m.readers(s)))
 }
 
 // controlSizes is the fleet as one control machine sees it.
-func (m *Model) controlSizes(cost scale.Cost, s Situation, h serverCounts) Sizes {
-	sizes := m.listSizes(cost, h.sent)
+func (m *Model) controlSizes(cost scale.Cost, s Situation, counts serverCounts) Sizes {
+	sizes := m.listSizes(cost, counts.sent)
 	sizes[scale.Managers] = m.readers(s)
 	return sizes
 }
@@ -56,11 +56,11 @@
 // agent forwards the endpoint list to the manager beside it. There is none in this repository, so its own costs are
 // not measured.
 func (m *Model) agent(s Situation, scope Scope) Load {
-	h := m.Plan.serverCounts(s, scope)
-	in := m.managerInputs(s, h)
-	list := m.listBytes(s, h).plus(m.heartbeatBytes())
+	counts := m.Plan.serverCounts(s, scope)
+	in := m.managerInputs(s, counts)
+	list := m.listBytes(s, counts).plus(m.heartbeatBytes())
 	return Load{
-		State:       stateOf(h.sent, "servers"),
+		State:       stateOf(counts.sent, "servers"),
 		MessagesIn:  known(1 + in.listLines),
 		MessagesOut: known(1 + in.listLines),
 		BytesIn:     list,
--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -94,8 +94,8 @@
 
 // tableWeights is how many servers a table names: as many as its requests are spread over. That is all that are held,
 // evenly, since a server's target is its share of all of them.
-func (m *Model) tableWeights(h serverCounts) float64 {
-	return h.held / float64(m.Plan.Managers.ProxyZones) / m.partitionsPerZone()
+func (m *Model) tableWeights(counts serverCounts) float64 {
+	return counts.held / float64(m.Plan.Managers.ProxyZones) / m.partitionsPerZone()
 }
 
 // partitionsPerZone is into how many tables a zone is divided at most: one for five proxies of a manager, counted as
--- a/internal/capacity/list_change.go
+++ b/internal/capacity/list_change.go
@@ -33,15 +33,15 @@
 
 // listChangeCore is what one line of changes costs a manager. A line of more entries than were measured is counted as no
 // dearer than an opening, which takes all entries that the manager holds.
-func (m *Model) listChangeCore(h serverCounts, entries float64) Figure {
-	sizes := m.managerSizes(h)
+func (m *Model) listChangeCore(counts serverCounts, entries float64) Figure {
+	sizes := m.managerSizes(counts)
 	sizes[scale.RestartsAtOnce] = entries
 	change := m.cost(scale.CPUPerListChange, sizes)
 	measured, found := m.Costs.report.Find(scale.CPUPerListChange, scale.RestartsAtOnce)
 	if !found || entries <= measured.LargestSize() {
 		return change
 	}
-	if opening := m.cost(scale.CPUPerOpening, m.openingSizes(h)); opening.Known && opening.Value < change.Value {
+	if opening := m.cost(scale.CPUPerOpening, m.openingSizes(counts)); opening.Known && opening.Value < change.Value {
 		return opening
 	}
 	return change
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -23,13 +23,13 @@
 	return in.loadReports + in.usageReports + in.relayEvents + in.healthChecks
 }
 
-func (m *Model) managerInputs(s Situation, h serverCounts) inputs {
+func (m *Model) managerInputs(s Situation, counts serverCounts) inputs {
 	p := m.Plan
-	in := inputs{loadReports: p.loadReports(h), usageReports: p.usageReports()}
-	in.relayEvents = m.relayEvents(h, in)
-	in.healthChecks = p.healthChecks(s.Unresponsive * h.share(s.OutsideHome))
+	in := inputs{loadReports: p.loadReports(counts), usageReports: p.usageReports()}
+	in.relayEvents = m.relayEvents(counts, in)
+	in.healthChecks = p.healthChecks(s.Unresponsive * counts.share(s.OutsideHome))
 	if s.RecoveringServers > 0 {
-		in.healthChecks += s.RecoveringServers * h.share(s.OutsideHome) / s.Window
+		in.healthChecks += s.RecoveringServers * counts.share(s.OutsideHome) / s.Window
 	}
 	if s.Opening != NoOpening {
 		in.relayEvents += float64(p.Managers.Proxies) / s.Window
@@ -37,44 +37,44 @@
 	if s.Opening.sendsCompleteList() {
 		in.listLines = 1 / s.Window
 	}
-	in.listLines += p.listChanges(s, h.sentShare(s.OutsideHome)).lines / s.Window
+	in.listLines += p.listChanges(s, counts.sentShare(s.OutsideHome)).lines / s.Window
 	return in
 }
 
 // relayEvents is how many events of the relay come a second: mostly acknowledgements of barriers, more where tables
 // change more.
-func (m *Model) relayEvents(h serverCounts, in inputs) float64 {
+func (m *Model) relayEvents(counts serverCounts, in inputs) float64 {
 	if !m.Costs.measured(scale.RelayEventsPerSecond) {
 		return callsPerSecond
 	}
-	return max(callsPerSecond, m.cost(scale.RelayEventsPerSecond, m.busySizes(h, in, 0)).Value)
+	return max(callsPerSecond, m.cost(scale.RelayEventsPerSecond, m.busySizes(counts, in, 0)).Value)
 }
 
 func (m *Model) manager(s Situation, scope Scope) Load {
 	p := m.Plan
-	h := p.serverCounts(s, scope)
-	in := m.managerInputs(s, h)
+	counts := p.serverCounts(s, scope)
+	in := m.managerInputs(s, counts)
 	load := Load{
-		State:       stateOf(h.held, "servers") + ", " + stateOf(float64(p.Managers.Proxies), "proxies"),
+		State:       stateOf(counts.held, "servers") + ", " + stateOf(float64(p.Managers.Proxies), "proxies"),
 		MessagesIn:  known(heartbeatsPerSecond + in.decisions() + in.listLines),
 		MessagesOut: known(callsPerSecond + in.healthChecks),
-		Memory:      m.cost(scale.HeapBytes, m.managerSizes(h)),
+		Memory:      m.cost(scale.HeapBytes, m.managerSizes(counts)),
 		Connections: known(standingConnections + float64(p.Managers.ProxyZones*p.Managers.CollectorsPerZone) + m.openHealthChecks(in.healthChecks)),
 	}
 	load.CollectorBytes = m.collectorBytes(in)
-	load.BytesIn = m.listBytes(s, h).plus(load.CollectorBytes).plus(m.relayEventBytes(in)).plus(m.heartbeatBytes())
-	heard := p.listChanges(s, h.share(s.OutsideHome))
-	load.BytesOut = m.callBytes(h, in, heard.lines/s.Window).plus(m.healthCheckBytes(s, in)).plus(m.openingCommands(s, h))
-	eventCore := m.eventCore(s, h, in)
-	load.Core = m.busyCore(s, h, in, heard).plus(eventCore).plus(m.processOverhead(busyState))
-	load.CoreWithoutCollectors = m.quietCore(s, h, heard).plus(eventCore).plus(m.processOverhead(quietState))
+	load.BytesIn = m.listBytes(s, counts).plus(load.CollectorBytes).plus(m.relayEventBytes(in)).plus(m.heartbeatBytes())
+	heard := p.listChanges(s, counts.share(s.OutsideHome))
+	load.BytesOut = m.callBytes(counts, in, heard.lines/s.Window).plus(m.healthCheckBytes(s, in)).plus(m.openingCommands(s, counts))
+	eventCore := m.eventCore(s, counts, in)
+	load.Core = m.busyCore(s, counts, in, heard).plus(eventCore).plus(m.processOverhead(busyState))
+	load.CoreWithoutCollectors = m.quietCore(s, counts, heard).plus(eventCore).plus(m.processOverhead(quietState))
 	return load
 }
 
 // managerSizes is the fleet as one manager sees it.
-func (m *Model) managerSizes(h serverCounts) Sizes {
+func (m *Model) managerSizes(counts serverCounts) Sizes {
 	return Sizes{
-		scale.Servers:        h.held,
+		scale.Servers:        counts.held,
 		scale.Proxies:        float64(m.Plan.Managers.Proxies),
 		scale.Zones:          float64(m.Plan.Fleet.Zones),
 		scale.TrafficClasses: float64(m.Plan.Managers.TrafficClasses),
@@ -83,78 +83,78 @@
 
 // busySizes adds what comes in a second: reports, and changes of the list. A busy second was measured with
 // the reference's changes, which are counted at least.
-func (m *Model) busySizes(h serverCounts, in inputs, changes float64) Sizes {
-	sizes := m.managerSizes(h)
+func (m *Model) busySizes(counts serverCounts, in inputs, changes float64) Sizes {
+	sizes := m.managerSizes(counts)
 	sizes[scale.Reports] = in.loadReports + in.usageReports
 	sizes[scale.ListChanges] = max(changes, m.Costs.report.Reference[scale.ListChanges])
 	return sizes
 }
 
 // quietCore is a second without reports, with changes of the list.
-func (m *Model) quietCore(s Situation, h serverCounts, changes listChanges) Figure {
-	quiet := m.cost(scale.CPUPerQuietSecond, m.managerSizes(h))
+func (m *Model) quietCore(s Situation, counts serverCounts, changes listChanges) Figure {
+	quiet := m.cost(scale.CPUPerQuietSecond, m.managerSizes(counts))
 	if changes.lines == 0 {
 		return quiet
 	}
-	return quiet.plus(m.listChangeCore(h, changes.entries).times(changes.lines / s.Window))
+	return quiet.plus(m.listChangeCore(counts, changes.entries).times(changes.lines / s.Window))
 }
 
 // busyCore is a second in which reports come too: as measured, or the quiet second and each report's cost. It
 // was measured with changes of one entry each; what further entries of a change cost is added.
-func (m *Model) busyCore(s Situation, h serverCounts, in inputs, changes listChanges) Figure {
+func (m *Model) busyCore(s Situation, counts serverCounts, in inputs, changes listChanges) Figure {
 	if m.Costs.measured(scale.CPUPerBusySecond) {
-		busy := m.cost(scale.CPUPerBusySecond, m.busySizes(h, in, changes.lines/s.Window))
+		busy := m.cost(scale.CPUPerBusySecond, m.busySizes(counts, in, changes.lines/s.Window))
 		if changes.entries <= 1 {
 			return busy
 		}
-		further := m.listChangeCore(h, changes.entries).plus(m.listChangeCore(h, 1).times(-1))
+		further := m.listChangeCore(counts, changes.entries).plus(m.listChangeCore(counts, 1).times(-1))
 		return busy.plus(further.times(changes.lines / s.Window))
 	}
-	return m.quietCore(s, h, changes).plus(m.cost(scale.CPUPerInput, m.managerSizes(h)).times(in.loadReports + in.usageReports))
+	return m.quietCore(s, counts, changes).plus(m.cost(scale.CPUPerInput, m.managerSizes(counts)).times(in.loadReports + in.usageReports))
 }
 
 // eventCore is what comes beside the second's own work, reports and changes of the list: the relay's events, answers to
 // health checks, an opening.
-func (m *Model) eventCore(s Situation, h serverCounts, in inputs) Figure {
-	core := m.cost(scale.CPUPerInput, m.managerSizes(h)).times(in.relayEvents + in.healthChecks)
+func (m *Model) eventCore(s Situation, counts serverCounts, in inputs) Figure {
+	core := m.cost(scale.CPUPerInput, m.managerSizes(counts)).times(in.relayEvents + in.healthChecks)
 	if s.Opening != NoOpening {
-		core = core.plus(m.openingCore(h).times(1 / s.Window))
+		core = core.plus(m.openingCore(counts).times(1 / s.Window))
 	}
 	return core
 }
 
 // openingCore is the processor time of an opening. What is sent beyond what is held is decoded, and dropped there. A list
 // from the store is counted like one from the wire.
-func (m *Model) openingCore(h serverCounts) Figure {
-	opening := m.cost(scale.CPUPerOpening, m.openingSizes(h))
-	if h.sent <= h.held {
+func (m *Model) openingCore(counts serverCounts) Figure {
+	opening := m.cost(scale.CPUPerOpening, m.openingSizes(counts))
+	if counts.sent <= counts.held {
 		return opening
 	}
-	held := m.cost(scale.CPUPerListRead, m.listSizes(scale.CPUPerListRead, h.held))
+	held := m.cost(scale.CPUPerListRead, m.listSizes(scale.CPUPerListRead, counts.held))
 	return opening.plus(m.listReadTime(Subset)).plus(held.times(-1))
 }
 
 // openingSizes is what an opening's processor time was measured along.
-func (m *Model) openingSizes(h serverCounts) Sizes {
+func (m *Model) openingSizes(counts serverCounts) Sizes {
 	if m.Costs.listAxis(scale.CPUPerOpening) == scale.OpeningListSize {
-		return Sizes{scale.OpeningListSize: h.held}
+		return Sizes{scale.OpeningListSize: counts.held}
 	}
-	return m.managerSizes(h)
+	return m.managerSizes(counts)
 }
 
-func (m *Model) openingBytes(h serverCounts) Figure {
-	sizes := m.listSizes(scale.BytesOfOpening, h.sent)
-	return m.recordSource(m.Costs.OrPlan(scale.BytesOfOpening, sizes, h.sent*m.Plan.Messages.ListEntry))
+func (m *Model) openingBytes(counts serverCounts) Figure {
+	sizes := m.listSizes(scale.BytesOfOpening, counts.sent)
+	return m.recordSource(m.Costs.OrPlan(scale.BytesOfOpening, sizes, counts.sent*m.Plan.Messages.ListEntry))
 }
 
 // listBytes is what the list costs a manager on the wire.
-func (m *Model) listBytes(s Situation, h serverCounts) Figure {
+func (m *Model) listBytes(s Situation, counts serverCounts) Figure {
 	if s.NoList {
 		return known(0)
 	}
-	bytes := m.listChangeBytes(m.Plan.listChanges(s, h.sentShare(s.OutsideHome))).times(1 / s.Window)
+	bytes := m.listChangeBytes(m.Plan.listChanges(s, counts.sentShare(s.OutsideHome))).times(1 / s.Window)
 	if s.Opening.sendsCompleteList() {
-		bytes = bytes.plus(m.openingBytes(h).times(1 / s.Window))
+		bytes = bytes.plus(m.openingBytes(counts).times(1 / s.Window))
 	}
 	return bytes
 }
@@ -172,8 +172,8 @@
 	return m.bytesOf(scale.BytesOfHeartbeat, m.Plan.Messages.Heartbeat)
 }
 
-func (m *Model) callBytes(h serverCounts, in inputs, changes float64) Figure {
-	return m.bytesAt(scale.BytesOfCalls, m.busySizes(h, in, changes), m.Plan.Messages.Calls)
+func (m *Model) callBytes(counts serverCounts, in inputs, changes float64) Figure {
+	return m.bytesAt(scale.BytesOfCalls, m.busySizes(counts, in, changes), m.Plan.Messages.Calls)
 }
 
 // healthCheckBytes counts a health check of an unresponsive server as the packet that opens its connection, which nobody
@@ -190,11 +190,11 @@
 }
 
 // openingCommands is what a manager that starts sends its proxies: the tables of their zones, and an assignment for each.
-func (m *Model) openingCommands(s Situation, h serverCounts) Figure {
+func (m *Model) openingCommands(s Situation, counts serverCounts) Figure {
 	if s.Opening == NoOpening {
 		return known(0)
 	}
 	p := m.Plan
-	orders := m.tableWeights(h)*float64(p.Managers.ProxyZones) + float64(p.Managers.Proxies)
+	orders := m.tableWeights(counts)*float64(p.Managers.ProxyZones) + float64(p.Managers.Proxies)
 	return known(orders * p.Messages.Command / s.Window)
 }
--- a/internal/capacity/other_roles.go
+++ b/internal/capacity/other_roles.go
@@ -9,9 +9,9 @@
 func (m *Model) relay(s Situation, scope Scope) Load {
 	p := m.Plan
 	managers := p.perRelay()
-	h := p.serverCounts(s, scope)
-	in := m.managerInputs(s, h)
-	calls := m.callBytes(h, in, p.listChanges(s, h.share(s.OutsideHome)).lines/s.Window).plus(m.openingCommands(s, h))
+	counts := p.serverCounts(s, scope)
+	in := m.managerInputs(s, counts)
+	calls := m.callBytes(counts, in, p.listChanges(s, counts.share(s.OutsideHome)).lines/s.Window).plus(m.openingCommands(s, counts))
 	return Load{
 		State:       stateOf(managers*float64(p.Managers.Proxies), "proxies") + ", " + stateOf(managers, "managers"),
 		MessagesIn:  known(managers * callsPerSecond),
@@ -46,19 +46,19 @@
 // proxy holds the table of its zone.
 func (m *Model) proxy(s Situation, scope Scope) Load {
 	p := m.Plan
-	h := p.serverCounts(s, scope)
+	counts := p.serverCounts(s, scope)
 	requests := p.requestsPerManager() / float64(p.Managers.Proxies)
 	orders := known(0)
 	if s.Opening != NoOpening {
-		orders = known((m.tableWeights(h) + 1) * p.Messages.Command / s.Window)
+		orders = known((m.tableWeights(counts) + 1) * p.Messages.Command / s.Window)
 	}
 	return Load{
-		State:       stateOf(m.tableWeights(h), "lines at most") + ", " + stateOf(requests, "requests a second"),
+		State:       stateOf(m.tableWeights(counts), "lines at most") + ", " + stateOf(requests, "requests a second"),
 		MessagesIn:  known(callsPerSecond),
 		MessagesOut: known(callsPerSecond),
 		BytesIn:     orders,
 		BytesOut:    m.bytesOf(scale.BytesOfRelayEvent, p.Messages.RelayEvent),
-		Connections: known(1 + m.tableWeights(h)),
+		Connections: known(1 + m.tableWeights(counts)),
 	}
 }
 
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -1,10 +1,14 @@
 package capacity
 
 import (
+	"errors"
+	"io/fs"
 	"regexp"
 	"slices"
 	"strings"
 	"testing"
+
+	"tamarindshore/internal/sexp"
 )
 
 // keyed are the lines of the plan that give one key its value.
@@ -71,12 +75,18 @@
 		"stored is not said":     {change("(list-stored yes)", ""), `^plan\.sexp:[0-9]+: list-stored: is missing$`},
 		"no time":                {change("(change-in-force 19s)", "(change-in-force 19)"), `^plan\.sexp:[0-9]+: change-in-force: 19 is no time`},
 	} {
-		_, err := ParsePlan("plan.sexp", []byte(one.text))
-		if err == nil || !regexp.MustCompile(one.want).MatchString(err.Error()) {
-			t.Errorf("%s: %v, not %s", name, err, one.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, err := ParsePlan("plan.sexp", []byte(one.text))
+			if err == nil || !regexp.MustCompile(one.want).MatchString(err.Error()) {
+				t.Errorf("got %v, want %s", err, one.want)
+			}
+			var file *sexp.Error
+			if !errors.As(err, &file) || file.File != "plan.sexp" || file.Line < 1 {
+				t.Errorf("%T names no place", err)
+			}
+		})
 	}
-	if _, err := ReadPlan("testdata/none.sexp"); err == nil {
-		t.Error("a plan that is not there: no error")
+	if _, err := ReadPlan("testdata/none.sexp"); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("a plan that is not there: %v", err)
 	}
 }
--- a/internal/capacity/propagation.go
+++ b/internal/capacity/propagation.go
@@ -47,11 +47,11 @@
 
 // listReadTime is the processor time in which a manager reads the list that it is sent at an opening.
 func (m *Model) listReadTime(scope Scope) Figure {
-	h := m.Plan.normalServerCounts(scope)
+	counts := m.Plan.normalServerCounts(scope)
 	if scope == Subset {
-		return m.cost(scale.CPUPerSubsetRead, Sizes{scale.OpeningListSize: h.sent})
+		return m.cost(scale.CPUPerSubsetRead, Sizes{scale.OpeningListSize: counts.sent})
 	}
-	return m.cost(scale.CPUPerListRead, m.listSizes(scale.CPUPerListRead, h.sent))
+	return m.cost(scale.CPUPerListRead, m.listSizes(scale.CPUPerListRead, counts.sent))
 }
 
 func (m *Model) allManagers(cost scale.Cost) Figure {
--- a/internal/capacity/scope.go
+++ b/internal/capacity/scope.go
@@ -16,21 +16,21 @@
 func (p Plan) serverCounts(s Situation, scope Scope) serverCounts {
 	all := float64(p.Fleet.Servers)
 	home := p.home()
-	h := serverCounts{fleet: all, home: home, held: all, sent: all}
+	counts := serverCounts{fleet: all, home: home, held: all, sent: all}
 	if scope == WholeList {
-		return h
+		return counts
 	}
 	others := float64(p.Subset.Others)
 	if scope == CachedSubset {
-		h.filtered = true
+		counts.filtered = true
 	} else {
 		others = p.widened(s)
 	}
-	h.held = min(all, math.Ceil(home+others))
-	if h.filtered {
-		h.sent = h.held
+	counts.held = min(all, math.Ceil(home+others))
+	if counts.filtered {
+		counts.sent = counts.held
 	}
-	return h
+	return counts
 }
 
 // normalServerCounts is what a manager holds while nothing is lost.
@@ -57,23 +57,25 @@
 }
 
 // share is the part of some servers that a manager holds; elsewhere says that none of them is in its home zones.
-func (h serverCounts) share(elsewhere bool) float64 {
-	if h.held >= h.fleet || !elsewhere {
-		return h.held / h.fleet
+func (counts serverCounts) share(elsewhere bool) float64 {
+	if counts.held >= counts.fleet || !elsewhere {
+		return counts.held / counts.fleet
 	}
-	return max(0, h.held-h.home) / (h.fleet - h.home)
+	return max(0, counts.held-counts.home) / (counts.fleet - counts.home)
 }
 
 // sentShare is the part of the list's changes that reaches a manager on the wire.
-func (h serverCounts) sentShare(elsewhere bool) float64 {
-	if h.filtered {
-		return h.share(elsewhere)
+func (counts serverCounts) sentShare(elsewhere bool) float64 {
+	if counts.filtered {
+		return counts.share(elsewhere)
 	}
 	return 1
 }
 
 // holders is how many managers hold a server.
-func (p Plan) holders(h serverCounts) float64 { return float64(p.Fleet.Managers) * h.held / h.fleet }
+func (p Plan) holders(counts serverCounts) float64 {
+	return float64(p.Fleet.Managers) * counts.held / counts.fleet
+}
 
 // requestsPerManager is how many requests a second come to a manager's proxies. None of them comes to the manager.
 func (p Plan) requestsPerManager() float64 {
@@ -82,11 +84,11 @@
 
 // loadReports is how many load reports a manager gets a second: one for each zone of its proxies and each
 // server that a request met within the interval, were requests spread evenly over all servers that it holds.
-func (p Plan) loadReports(h serverCounts) float64 {
+func (p Plan) loadReports(counts serverCounts) float64 {
 	zones := float64(p.Managers.ProxyZones)
 	interval := p.Managers.ReportInterval.Seconds()
 	tries := p.requestsPerManager() * p.Managers.AttemptsPerRequest * interval
-	return zones * expectedOccupied(h.held, tries/zones) / interval
+	return zones * expectedOccupied(counts.held, tries/zones) / interval
 }
 
 // usageReports is how many usage reports a manager gets a second: one for each proxy and traffic class that a
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -66,13 +66,22 @@
 		"negative size":     {changed(`"size": 100`, `"size": -100`), `:11: slopes\[0\]\.points\[1\]\.size: `},
 		"something after":   {whole + "{}", `:[0-9]+: `},
 	} {
-		if err := os.WriteFile(path, []byte(one.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		_, err := ReadReport(path)
-		if err == nil || !regexp.MustCompile(one.want).MatchString(err.Error()) || !strings.HasPrefix(err.Error(), "slopes.json:") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, %q is due", name, err, one.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			if err := os.WriteFile(path, []byte(one.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			_, err := ReadReport(path)
+			if err == nil || !regexp.MustCompile(one.want).MatchString(err.Error()) {
+				t.Fatalf("got %v, want %q", err, one.want)
+			}
+			if !strings.HasPrefix(err.Error(), "slopes.json:") || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%q is no line that begins with the file", err)
+			}
+			var report *ReportError
+			if !errors.As(err, &report) || report.File != "slopes.json" {
+				t.Errorf("%T is no ReportError", err)
+			}
+		})
 	}
 	if _, err := ReadReport(filepath.Join(dir, "none.json")); !errors.Is(err, fs.ErrNotExist) || !strings.Contains(err.Error(), "none.json") {
 		t.Errorf("no file: %v", err)
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -22,22 +22,31 @@
 	Program  string    // started as a real manager and as the control side; none: neither is measured
 }
 
-// Validate returns an error that names the first option that is out of range.
+// OptionError says which option is invalid, and why.
+type OptionError struct {
+	Flag    string // of the command that sets it
+	Problem string
+}
+
+// Error names the flag and what is wrong.
+func (e *OptionError) Error() string { return e.Flag + ": " + e.Problem }
+
+// Validate returns an OptionError for the first option that is invalid.
 func (o Options) Validate() error {
 	for _, axis := range o.Axes {
 		if !slices.Contains(Axes(), axis) {
-			return fmt.Errorf("--axis: %q is none of %v", axis, Axes())
+			return &OptionError{"--axis", fmt.Sprintf("%q is none of %v", axis, Axes())}
 		}
 	}
 	switch {
 	case o.Runs < 1 || o.Runs > 100:
-		return fmt.Errorf("--runs: %d is not from 1 to 100", o.Runs)
+		return &OptionError{"--runs", fmt.Sprintf("%d is not from 1 to 100", o.Runs)}
 	case len(o.Sizes) > 0 && len(o.Axes) != 1:
-		return fmt.Errorf("--sizes: one --axis is due with it")
+		return &OptionError{"--sizes", "one --axis is due with it"}
 	}
 	for _, size := range o.Sizes {
 		if !(size >= 1 && size <= maxSize) {
-			return fmt.Errorf("--sizes: %g is not from 1 to %g", size, float64(maxSize))
+			return &OptionError{"--sizes", fmt.Sprintf("%g is not from 1 to %g", size, float64(maxSize))}
 		}
 	}
 	return nil
@@ -137,8 +146,8 @@
 // pointOf is a cost at a size, with all runs.
 func pointOf(size float64, cost Cost, samples []sample) Point {
 	point := Point{Size: size}
-	for _, one := range samples {
-		point.Runs = append(point.Runs, one[cost])
+	for _, measured := range samples {
+		point.Runs = append(point.Runs, measured[cost])
 	}
 	return point
 }
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"io"
+	"math"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -67,17 +68,28 @@
 }
 
 func TestInvalidOptionsAreNamed(t *testing.T) {
-	for want, spoil := range map[string]func(*Options){
-		"--axis":  func(o *Options) { o.Axes = []Axis{"height"} },
-		"--runs":  func(o *Options) { o.Runs = 0 },
-		"--sizes": func(o *Options) { o.Axes, o.Sizes = nil, []float64{60} },
-		"is not":  func(o *Options) { o.Axes, o.Sizes = []Axis{Servers}, []float64{0} },
+	for _, one := range []struct {
+		name   string
+		change func(*Options)
+		flag   string
+		want   string
+	}{
+		{"unknown axis", func(o *Options) { o.Axes = []Axis{"height"} }, "--axis", `"height" is none of`},
+		{"no runs", func(o *Options) { o.Runs = 0 }, "--runs", "0 is not from 1 to 100"},
+		{"too many runs", func(o *Options) { o.Runs = 101 }, "--runs", "101 is not from 1 to 100"},
+		{"sizes without an axis", func(o *Options) { o.Sizes = []float64{60} }, "--sizes", "one --axis is due"},
+		{"size of zero", func(o *Options) { o.Axes, o.Sizes = []Axis{Servers}, []float64{0} }, "--sizes", "0 is not from 1"},
+		{"size that is no number", func(o *Options) { o.Axes, o.Sizes = []Axis{Servers}, []float64{math.NaN()} }, "--sizes", "NaN is not from 1"},
 	} {
-		o := options()
-		spoil(&o)
-		if _, err := Run(context.Background(), o); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
-		}
+		t.Run(one.name, func(t *testing.T) {
+			o := options()
+			one.change(&o)
+			_, err := Run(context.Background(), o)
+			var option *OptionError
+			if !errors.As(err, &option) || option.Flag != one.flag || !strings.Contains(err.Error(), one.flag+": "+one.want) {
+				t.Errorf("got %v, want %s: %s", err, one.flag, one.want)
+			}
+		})
 	}
 }
 
