--- a/internal/capacity/process.go
+++ b/internal/capacity/process.go
@@ -7,7 +7,7 @@
 	"tamarindshore/internal/scale"
 )
 
-// States in which real processes are measured, that stand for a second without collectors' lines and for a busy one.
+// States of real processes, as scale names them, that represent a second without reports and a busy one.
 const (
 	quietState = "proxies joined, nothing reported"
 	busyState  = "200 reports and one list change a second"
@@ -42,5 +42,5 @@
 }
 
 func overheadOf(c scale.ProcessCase) float64 {
-	return max(0, median(c.CPU)-median(c.HollowCPU))
+	return max(0, scale.Median(c.CPU)-scale.Median(c.HollowCPU))
 }
--- a/internal/capacity/sources.go
+++ b/internal/capacity/sources.go
@@ -40,48 +40,51 @@
 	return groups
 }
 
-// rangesOf tells the sizes of a group along each axis.
+// rangesOf gives the sizes of a group along each axis.
 func rangesOf(group []Source) string {
 	var at []string
 	for _, axis := range sortedAxes(group[0].Sizes) {
-		least, most := group[0].Sizes[axis], group[0].Sizes[axis]
+		smallest := group[0].Sizes[axis]
+		largest := smallest
 		for _, s := range group {
-			least, most = min(least, s.Sizes[axis]), max(most, s.Sizes[axis])
+			smallest = min(smallest, s.Sizes[axis])
+			largest = max(largest, s.Sizes[axis])
 		}
-		text := fmt.Sprintf("%s %s", axis, formatNumber(least))
-		if most > least {
-			text += " to " + formatNumber(most)
+		text := fmt.Sprintf("%s %s", axis, formatNumber(smallest))
+		if largest > smallest {
+			text += " to " + formatNumber(largest)
 		}
 		at = append(at, text)
 	}
 	return orNone(at, "reference")
 }
 
-// writeSlopes tells each slope that a cost was worked out from, once.
+// writeSlopes shows each slope that a cost was worked out from, once.
 func (m *Model) writeSlopes(w io.Writer, sources []Source) {
 	writeHeader(w, "cost", "along", "shape", "worst distance of a size from the curve", "worst spread of runs", "sizes measured", "managers")
-	told := map[string]bool{}
+	written := map[string]bool{}
 	for _, s := range sources {
 		for _, slope := range s.Slopes {
 			key := string(slope.Cost) + " " + string(slope.Axis)
-			if told[key] {
+			if written[key] {
 				continue
 			}
-			told[key] = true
+			written[key] = true
 			writeRow(w, slopeCells(slope)...)
 		}
 	}
 }
 
 func slopeCells(s scale.Slope) []string {
-	shape, managers := string(s.Shape), "real"
+	shape := string(s.Shape)
+	managers := "real"
 	if !s.Fits {
 		shape += ", does not fit"
 	}
 	if s.Hollow {
 		managers = "hollow"
 	}
-	sizes := formatNumber(smallest(s)) + " to " + formatNumber(largest(s))
+	sizes := formatNumber(s.SmallestSize()) + " to " + formatNumber(s.LargestSize())
 	return []string{string(s.Cost), string(s.Axis), shape, formatPercent(s.WorstError), formatPercent(s.Spread), sizes, managers}
 }
 
@@ -108,7 +111,7 @@
 	return formatNumber(s.Value.Value)
 }
 
-// reckoned says how a cost was worked out beyond what was measured.
+// origin says how a cost was worked out beyond what was measured.
 func origin(s Source) string {
 	var notes []string
 	switch {
@@ -129,7 +132,7 @@
 	return orNone(notes, "within what was measured")
 }
 
-// misfits are the axes along which a cost comes from measured points.
+// interpolatedAxes are the axes along which a cost comes from measured points.
 func interpolatedAxes(s Source) []scale.Axis {
 	var axes []scale.Axis
 	for _, slope := range s.Slopes {
--- a/internal/scale/limits.go
+++ b/internal/scale/limits.go
@@ -11,7 +11,7 @@
 const (
 	mib       = 1 << 20
 	maxMemory = 12 << 10 * mib // bytes that a run may hold, or half of the machine's memory where that is less
-	// ReadersMost is the largest number of connections that a run opens at once: what a control machine of the plan
+	// MaxReaders is the largest number of connections that a run opens at once: what a control machine of the plan
 	// serves while two of seven are lost, and some more.
 	MaxReaders    = 1200
 	garbageFactor = 2 // times what is held: the heap between two collections
@@ -100,7 +100,7 @@
 	return bytesOfScenario + float64(s.Servers)*bytesOfServer + float64(s.Proxies)*bytesOfProxy + spans*s.Reports*bytesOfReport + changes
 }
 
-const bytesOfAck = 128 // bytes of an answer to a mark
+const bytesOfAck = 128 // of a barrier
 
 // checkScenarioFits checks that a scenario fits. A LimitError says which size along an axis would.
 func (m Memory) checkScenarioFits(axis Axis, size float64, scenario Scenario) error {
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -1,6 +1,8 @@
 package scale
 
 import (
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -64,19 +66,48 @@
 		"negative size":     {changed(`"size": 100`, `"size": -100`), `:11: slopes\[0\]\.points\[1\]\.size: `},
 		"something after":   {whole + "{}", `:[0-9]+: `},
 	} {
-		if err := os.WriteFile(path, []byte(one.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		_, err := ReadReport(path)
-		if err == nil || !regexp.MustCompile(one.want).MatchString(err.Error()) || !strings.HasPrefix(err.Error(), "slopes.json:") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, %q is due", name, err, one.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			if err := os.WriteFile(path, []byte(one.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			_, err := ReadReport(path)
+			if err == nil || !regexp.MustCompile(one.want).MatchString(err.Error()) {
+				t.Fatalf("got %v, want %q", err, one.want)
+			}
+			if !strings.HasPrefix(err.Error(), "slopes.json:") || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%q is no line that begins with the file", err)
+			}
+			var report *ReportError
+			if !errors.As(err, &report) || report.File != "slopes.json" {
+				t.Errorf("%T is no ReportError", err)
+			}
+		})
 	}
-	if _, err := ReadReport(filepath.Join(dir, "none.json")); err == nil || !strings.Contains(err.Error(), "none.json") {
+	if _, err := ReadReport(filepath.Join(dir, "none.json")); !errors.Is(err, fs.ErrNotExist) || !strings.Contains(err.Error(), "none.json") {
 		t.Errorf("no file: %v", err)
 	}
 }
 
+func TestErrorsOfReportsAreTyped(t *testing.T) {
+	for _, one := range []struct {
+		name, text string
+		want       error
+		key        string
+	}{
+		{"cut short", `{"version": 1, "seed"`, ErrTruncated, "version"},
+		{"no version", `{}`, ErrMissing, "version"},
+		{"no slopes", `{"version": 1, "reference": {"servers": 1}}`, ErrMissing, "slopes"},
+		{"out of range", `{"version": 1, "reference": {"servers": 1}, "slopes": [{"cost": "c", "axis": "servers", "shape": "linear", "base": -1}]}`,
+			ErrOutOfRange, "slopes[0].base"},
+	} {
+		_, err := ParseReport("f", []byte(one.text))
+		var report *ReportError
+		if !errors.Is(err, one.want) || !errors.As(err, &report) || report.File != "f" || report.Line != 1 || report.Key != one.key {
+			t.Errorf("%s: %v", one.name, err)
+		}
+	}
+}
+
 func TestEachFieldOfASlopeIsChecked(t *testing.T) {
 	for field, spoil := range map[string]func(*Slope){
 		"base":           func(s *Slope) { s.Base = -1 },
@@ -87,8 +118,8 @@
 	} {
 		report := sound()
 		spoil(&report.Slopes[0])
-		if got, what := report.invalidField(); got != "slopes[0]."+field || what == "" {
-			t.Errorf("%s: %q %s", field, got, what)
+		if got, err := report.problem(); got != "slopes[0]."+field || err == nil {
+			t.Errorf("%s: %q %v", field, got, err)
 		}
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -14,30 +14,39 @@
 type Options struct {
 	Axes     []Axis    // none: all
 	Sizes    []float64 // in place of the usual ones, on one axis of hollow managers or of real processes
-	Seed     uint64
-	Runs     int
-	Small    bool
-	Memory   Memory
-	Progress io.Writer
-	Program  string // started as a real manager and as the control side; none: neither is measured
+	Seed     uint64    // settles all that is drawn
+	Runs     int       // at each size
+	Small    bool      // fewer and smaller sizes
+	Memory   Memory    // limit of what may be held
+	Progress io.Writer // gets a line for each size
+	Program  string    // started as a real manager and as the control side; none: neither is measured
 }
 
-// Validate tells what of the options can't be.
+// OptionError says which option is invalid, and why.
+type OptionError struct {
+	Flag    string // of the command that sets it
+	Problem string
+}
+
+// Error names the flag and what is wrong.
+func (e *OptionError) Error() string { return e.Flag + ": " + e.Problem }
+
+// Validate returns an OptionError for the first option that is invalid.
 func (o Options) Validate() error {
 	for _, axis := range o.Axes {
 		if !slices.Contains(Axes(), axis) {
-			return fmt.Errorf("--axis: %q is none of %v", axis, Axes())
+			return &OptionError{"--axis", fmt.Sprintf("%q is none of %v", axis, Axes())}
 		}
 	}
 	switch {
 	case o.Runs < 1 || o.Runs > 100:
-		return fmt.Errorf("--runs: %d is not from 1 to 100", o.Runs)
+		return &OptionError{"--runs", fmt.Sprintf("%d is not from 1 to 100", o.Runs)}
 	case len(o.Sizes) > 0 && len(o.Axes) != 1:
-		return fmt.Errorf("--sizes: one --axis is due with it")
+		return &OptionError{"--sizes", "one --axis is due with it"}
 	}
 	for _, size := range o.Sizes {
 		if !(size >= 1 && size <= maxSize) {
-			return fmt.Errorf("--sizes: %g is not from 1 to %g", size, float64(maxSize))
+			return &OptionError{"--sizes", fmt.Sprintf("%g is not from 1 to %g", size, float64(maxSize))}
 		}
 	}
 	return nil
@@ -45,14 +54,20 @@
 
 const maxSize = 1e9
 
-// Run measures what the options ask for. A size that doesn't fit the limits is an error before anything is begun.
+// Run measures what the options ask for. A size that doesn't fit the limits is a LimitError before anything is begun.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if err := options.Validate(); err != nil {
 		return Report{}, err
 	}
 	reference := Reference()
 	reference.Seed = options.Seed
-	report := Report{Version: ReportVersion, Seed: options.Seed, Cores: runtime.NumCPU(), GoVersion: runtime.Version(), Reference: reference.sizes()}
+	report := Report{
+		Version:   ReportVersion,
+		Seed:      options.Seed,
+		Cores:     runtime.NumCPU(),
+		GoVersion: runtime.Version(),
+		Reference: reference.sizes(),
+	}
 	run := &session{options: options, reference: reference}
 	wanted := run.wanted()
 	for _, s := range wanted {
@@ -90,7 +105,7 @@
 	return all
 }
 
-// survey measures one cost after the other along an axis, size by size.
+// measureSurvey measures all costs along an axis, size by size, and fits a slope to each.
 func (r *session) measureSurvey(ctx context.Context, s survey) ([]Slope, error) {
 	points := map[Cost][]Point{}
 	for _, size := range s.sizes {
@@ -114,7 +129,7 @@
 	return slopes, nil
 }
 
-// beside measures what is no slope, in a whole run: the plan's size, and real processes.
+// measureBeside measures what is no slope, in a full run: the plan's size, and real processes.
 func (r *session) measureBeside(ctx context.Context, report *Report) (err error) {
 	if len(r.options.Axes) > 0 || r.options.Small {
 		return nil
@@ -128,17 +143,28 @@
 	return err
 }
 
+// pointOf is a cost at a size, with all runs.
 func pointOf(size float64, cost Cost, samples []sample) Point {
 	point := Point{Size: size}
-	for _, one := range samples {
-		point.Runs = append(point.Runs, one[cost])
+	for _, measured := range samples {
+		point.Runs = append(point.Runs, measured[cost])
 	}
 	return point
 }
 
 // sizes are a scenario's by axis.
 func (s Scenario) sizes() map[Axis]float64 {
-	return map[Axis]float64{Servers: float64(s.Servers), Proxies: float64(s.Proxies), Zones: float64(s.Zones),
-		TrafficGroups: float64(s.TrafficGroups), ListChanges: s.ListChanges, Reports: s.Reports, RestartsAtOnce: float64(s.RestartsAtOnce),
-		OpeningListSize: float64(s.Servers), Managers: 1, Processes: 1, Connections: 1}
+	return map[Axis]float64{
+		Servers:         float64(s.Servers),
+		Proxies:         float64(s.Proxies),
+		Zones:           float64(s.Zones),
+		TrafficClasses:  float64(s.TrafficClasses),
+		ListChanges:     s.ListChanges,
+		Reports:         s.Reports,
+		RestartsAtOnce:  float64(s.RestartsAtOnce),
+		OpeningListSize: float64(s.Servers),
+		Managers:        1,
+		Processes:       1,
+		Connections:     1,
+	}
 }
