--- a/internal/capacity/costs.go
+++ b/internal/capacity/costs.go
@@ -1,7 +1,6 @@
 package capacity
 
 import (
-	"cmp"
 	"slices"
 
 	"tamarindshore/internal/scale"
@@ -58,7 +57,7 @@
 		}
 		s.Sizes[axis] = sizes[axis]
 		s.Slopes = append(s.Slopes, slope)
-		references = append(references, costAt(slope, c.report.Reference[axis]))
+		references = append(references, slope.Estimate(c.report.Reference[axis]))
 		if sizes[axis] > slope.LargestSize() {
 			s.ExtrapolatedAxes = append(s.ExtrapolatedAxes, axis)
 		}
@@ -69,7 +68,7 @@
 	}
 	value := mean(references)
 	for _, slope := range s.Slopes {
-		value += costAt(slope, sizes[slope.Axis]) - costAt(slope, c.report.Reference[slope.Axis])
+		value += slope.Estimate(sizes[slope.Axis]) - slope.Estimate(c.report.Reference[slope.Axis])
 	}
 	s.Value = known(max(0, value))
 	return s
@@ -81,7 +80,7 @@
 	var along []scale.Slope
 	for _, slope := range c.report.Slopes {
 		if slope.Cost == cost {
-			references = append(references, costAt(slope, c.report.Reference[slope.Axis]))
+			references = append(references, slope.Estimate(c.report.Reference[slope.Axis]))
 			along = append(along, slope)
 		}
 	}
@@ -114,31 +113,7 @@
 	return scale.Servers
 }
 
-// costAt is a slope's cost at a size: that of its curve, or, where no shape fits what was measured, between the medians
-// of the sizes around it.
-func costAt(s scale.Slope, size float64) float64 {
-	if interpolated(s, size) {
-		return between(s.Points, size)
-	}
-	return s.At(size)
-}
-
-// interpolated reports whether a cost at a size comes from the measured points and not from the curve.
-func interpolated(s scale.Slope, size float64) bool {
-	return !s.Fits && len(s.Points) > 1 && size >= s.SmallestSize() && size <= s.LargestSize()
-}
-
-func between(points []scale.Point, size float64) float64 {
-	points = slices.SortedFunc(slices.Values(points), func(a, b scale.Point) int { return cmp.Compare(a.Size, b.Size) })
-	i, found := slices.BinarySearchFunc(points, size, func(p scale.Point, size float64) int { return cmp.Compare(p.Size, size) })
-	if found || i == 0 {
-		return points[i].Median()
-	}
-	low, high := points[i-1], points[i]
-	part := (size - low.Size) / (high.Size - low.Size)
-	return low.Median() + part*(high.Median()-low.Median())
-}
-
+// mean of values, of which there is one at least.
 func mean(values []float64) float64 {
 	sum := 0.0
 	for _, v := range values {
--- a/internal/capacity/costs_test.go
+++ b/internal/capacity/costs_test.go
@@ -40,14 +40,3 @@
 		t.Error("it is not called assumed")
 	}
 }
-
-// Where no shape fits, a cost between two measured sizes lies between their medians; beyond them it is the curve's.
-func TestACostWithoutAFittingShape(t *testing.T) {
-	points := []scale.Point{{Size: 100, Runs: []float64{9, 5, 7}}, {Size: 10, Runs: []float64{1, 3}}}
-	s := scale.Slope{Shape: scale.Linear, Base: 1000, PerUnit: 1, Points: points}
-	for size, want := range map[float64]float64{10: 2, 100: 7, 28: 3, 55: 4.5, 5: 1005, 200: 1200} {
-		near(t, "no shape fits", costAt(s, size), want)
-	}
-	s.Fits = true
-	near(t, "one fits", costAt(s, 55), 1055)
-}
--- a/internal/capacity/sources.go
+++ b/internal/capacity/sources.go
@@ -136,7 +136,7 @@
 func interpolatedAxes(s Source) []scale.Axis {
 	var axes []scale.Axis
 	for _, slope := range s.Slopes {
-		if size, asked := s.Sizes[slope.Axis]; asked && interpolated(slope, size) {
+		if size, asked := s.Sizes[slope.Axis]; asked && slope.Interpolates(size) {
 			axes = append(axes, slope.Axis)
 		}
 	}
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -83,3 +83,18 @@
 		t.Errorf("%g", got)
 	}
 }
+
+// Where no shape fits, a cost between two measured sizes lies between their medians; beyond them it is the curve's.
+func TestACostWithoutAFittingShapeIsInterpolated(t *testing.T) {
+	points := []Point{{Size: 100, Runs: []float64{9, 5, 7}}, {Size: 10, Runs: []float64{1, 3}}}
+	s := Slope{Shape: Linear, Base: 1000, PerUnit: 1, Points: points}
+	for size, want := range map[float64]float64{10: 2, 100: 7, 28: 3, 55: 4.5, 5: 1005, 200: 1200} {
+		if got := s.Estimate(size); math.Abs(got-want) > 1e-9 {
+			t.Errorf("no shape fits: %g at %g, want %g", got, size, want)
+		}
+	}
+	s.Fits = true
+	if got := s.Estimate(55); got != 1055 {
+		t.Errorf("the curve fits: %g, want 1055", got)
+	}
+}
