--- a/internal/faultsim/fleet.go
+++ b/internal/faultsim/fleet.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"tamarindshore/balancer"
+	"tamarindshore/internal/fleetmodel"
 )
 
 // server is a server of the fleet.
@@ -60,7 +61,7 @@
 		p.withdrawn = map[balancer.ServerID]bool{}
 	}
 	s.deliver(func(now time.Duration) balancer.Commands {
-		return s.manager.balancer.HandleProxyConnected(now, p.id, zoneID(p.zone), s.scenario.RequestRate)
+		return s.manager.balancer.HandleProxyConnected(now, p.id, fleetmodel.ZoneID(p.zone), s.scenario.RequestRate)
 	})
 }
 
@@ -127,7 +128,7 @@
 
 // endpoint is a server's entry of the endpoint list, its start on the manager's clock.
 func (s *Simulation) endpoint(server *server, listed listedServer) balancer.Endpoint {
-	e := balancer.Endpoint{Server: server.id, Zone: zoneID(server.zone), Weight: 1, State: listed.state}
+	e := balancer.Endpoint{Server: server.id, Zone: fleetmodel.ZoneID(server.zone), Weight: 1, State: listed.state}
 	if listed.startedAt > 0 {
 		e.Started = listed.startedAt - s.manager.startedAt
 		e.RecentlyStarted = true
--- a/internal/faultsim/scenario.go
+++ b/internal/faultsim/scenario.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"tamarindshore/balancer"
+	"tamarindshore/internal/fleetmodel"
 )
 
 // CountRange bounds a number that is drawn evenly from Min to Max.
@@ -114,10 +115,7 @@
 // Settings are those of the scenario's manager.
 func (s Scenario) Settings() balancer.Settings {
 	settings := balancer.Settings{
-		Classes: []balancer.TrafficClass{
-			{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent},
-			{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 3},
-		},
+		Classes:            fleetmodel.TrafficClasses(),
 		Proxies:            s.Proxies,
 		HealthChecks:       true,
 		AdmissionUnit:      balancer.AdmitShare,
@@ -133,7 +131,7 @@
 		MessageWindow:      messageWindow,
 	}
 	for zone := range s.Zones {
-		settings.Zones = append(settings.Zones, zoneID(zone))
+		settings.Zones = append(settings.Zones, fleetmodel.ZoneID(zone))
 	}
 	return settings
 }
--- a/internal/faultsim/simulation.go
+++ b/internal/faultsim/simulation.go
@@ -138,5 +138,3 @@
 	s.rules.check()
 	s.scheduleAfter(checkInterval, s.check)
 }
-
-func zoneID(zone int) balancer.ZoneID { return balancer.ZoneID(fmt.Sprint("z", zone)) }
--- a/internal/faultsim/traffic.go
+++ b/internal/faultsim/traffic.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"tamarindshore/balancer"
+	"tamarindshore/internal/fleetmodel"
 )
 
 const (
@@ -15,9 +16,6 @@
 	inFlightHidden = -1
 )
 
-// classFractions are the parts of the traffic that the scenario's traffic classes make up, by ClassID.
-var classFractions = []float64{0.8, 0.2}
-
 // updateTraffic works out the requests that each server gets, from the tables that the proxies hold.
 func (s *Simulation) updateTraffic() {
 	for _, server := range s.servers {
@@ -86,7 +84,7 @@
 func (s *Simulation) loadReport(server *server, zone int, rate, utilization float64) balancer.LoadReport {
 	report := balancer.LoadReport{
 		Server:   server.id,
-		Zone:     zoneID(zone),
+		Zone:     fleetmodel.ZoneID(zone),
 		Attempts: int(rate + s.rng.Float64()),
 		Interval: reportInterval,
 		InFlight: inFlightHidden,
@@ -123,7 +121,7 @@
 
 // reportUsage sends a proxy's usage reports of a second, one for each traffic class.
 func (s *Simulation) reportUsage(p *proxy) {
-	for class, fraction := range classFractions {
+	for class, fraction := range fleetmodel.ClassFractions {
 		usage := balancer.UsageReport{
 			Proxy:    p.id,
 			Class:    balancer.ClassID(class),
--- a/internal/fleetmodel/fleet.go
+++ b/internal/fleetmodel/fleet.go
@@ -120,7 +120,7 @@
 func (s *server) endpoint() balancer.Endpoint {
 	return balancer.Endpoint{
 		Server:          s.id,
-		Zone:            zoneID(s.zone),
+		Zone:            ZoneID(s.zone),
 		Weight:          1,
 		Started:         s.startedAt,
 		RecentlyStarted: s.startedAt > 0,
@@ -144,7 +144,7 @@
 	p.away = false
 	p.assigned = false
 	f.deliver(func(now time.Duration) balancer.Commands {
-		return f.Manager.HandleProxyConnected(now, balancer.ProxyID(index), zoneID(p.zone), f.Scenario.RequestRate)
+		return f.Manager.HandleProxyConnected(now, balancer.ProxyID(index), ZoneID(p.zone), f.Scenario.RequestRate)
 	})
 }
 
--- a/internal/fleetmodel/scenario.go
+++ b/internal/fleetmodel/scenario.go
@@ -40,17 +40,22 @@
 	channelCommandsPerProxy = 8
 )
 
-// classFractions are the parts of the requests that the traffic classes make up, by ClassID.
-var classFractions = []float64{0.8, 0.2}
+// ClassFractions are the parts of the requests that the classes of TrafficClasses make up, by ClassID.
+var ClassFractions = [...]float64{0.8, 0.2}
+
+// TrafficClasses are the classes of a fleet: most requests are idempotent, and some are urgent and not idempotent.
+func TrafficClasses() []balancer.TrafficClass {
+	return []balancer.TrafficClass{
+		{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent},
+		{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 3},
+	}
+}
 
 // Settings are those of a manager of this scenario.
 func (s Scenario) Settings() balancer.Settings {
 	channelCommands := max(minChannelCommands, channelCommandsPerProxy*float64(s.Proxies))
 	settings := balancer.Settings{
-		Classes: []balancer.TrafficClass{
-			{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent},
-			{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 3},
-		},
+		Classes:            TrafficClasses(),
 		Proxies:            s.Proxies,
 		RemovedMayServe:    s.RemovedMayServe,
 		HealthChecks:       true,
@@ -70,9 +75,10 @@
 		settings.AdmissionUnit = balancer.AdmitRate
 	}
 	for zone := range s.Zones {
-		settings.Zones = append(settings.Zones, zoneID(zone))
+		settings.Zones = append(settings.Zones, ZoneID(zone))
 	}
 	return settings
 }
 
-func zoneID(zone int) balancer.ZoneID { return balancer.ZoneID(fmt.Sprint("z", zone)) }
+// ZoneID is the identifier of a zone, by number.
+func ZoneID(zone int) balancer.ZoneID { return balancer.ZoneID(fmt.Sprint("z", zone)) }
--- a/internal/fleetmodel/second.go
+++ b/internal/fleetmodel/second.go
@@ -19,7 +19,7 @@
 	}
 	f.updateTraffic(requestRate)
 	start := f.now
-	reports := f.Scenario.Servers*f.Scenario.Zones + f.Scenario.Proxies*len(classFractions)
+	reports := f.Scenario.Servers*f.Scenario.Zones + f.Scenario.Proxies*len(ClassFractions)
 	spread := &reportSpread{fleet: f, start: start, step: time.Second / time.Duration(reports+1)}
 	for _, s := range f.servers {
 		f.reportLoad(s, spread)
--- a/internal/fleetmodel/sharded_test.go
+++ b/internal/fleetmodel/sharded_test.go
@@ -30,7 +30,7 @@
 	settings.QueueCapacity /= float64(shards)
 	settings.CommandsPerSecond /= float64(shards)
 	for z := range s.Zones {
-		d.zones[zoneID(z)] = z
+		d.zones[ZoneID(z)] = z
 	}
 	for i := range shards {
 		d.shards = append(d.shards, balancer.New(uint64(i), settings))
--- a/internal/fleetmodel/traffic.go
+++ b/internal/fleetmodel/traffic.go
@@ -137,7 +137,7 @@
 	failed := f.drawCount(float64(attempts) * failedFraction)
 	report := balancer.LoadReport{
 		Server:   s.id,
-		Zone:     zoneID(zone),
+		Zone:     ZoneID(zone),
 		Attempts: attempts,
 		Failed:   min(failed, attempts),
 		Interval: reportInterval,
@@ -152,7 +152,7 @@
 
 // reportUsage sends a proxy's usage reports, one for each traffic class, unless the proxy is away.
 func (f *Fleet) reportUsage(index int, requestRate float64, spread *reportSpread) {
-	for class, fraction := range classFractions {
+	for class, fraction := range ClassFractions {
 		spread.next()
 		if f.proxies[index].away {
 			continue
