--- a/internal/capacity/list_change.go
+++ b/internal/capacity/list_change.go
@@ -2,13 +2,13 @@
 
 import "tamarindshore/internal/scale"
 
-// listChanges are changes of the list as they reach one reader, within a situation's window: lines of some entries each.
+// listChanges are changes of the list as they reach one reader, within a situation's window: messages of some entries each.
 type listChanges struct {
 	lines   float64
 	entries float64 // of each line
 }
 
-// listChanges is what a part of a situation's changes comes to. Entries that change together stand in one line, as does
+// listChanges is what a part of a situation's changes comes to. Entries that change together are in one message, as is
 // all that a reader missed.
 func (p Plan) listChanges(s Situation, share float64) listChanges {
 	if s.MissedEntries > 0 {
@@ -33,15 +33,15 @@
 
 // listChangeCore is what one line of changes costs a manager. A line of more entries than were measured is counted as no
 // dearer than an opening, which takes all entries that the manager holds.
-func (m *Model) listChangeCore(h serverCounts, entries float64) Figure {
-	sizes := m.managerSizes(h)
+func (m *Model) listChangeCore(counts serverCounts, entries float64) Figure {
+	sizes := m.managerSizes(counts)
 	sizes[scale.RestartsAtOnce] = entries
 	change := m.cost(scale.CPUPerListChange, sizes)
 	measured, found := m.Costs.report.Find(scale.CPUPerListChange, scale.RestartsAtOnce)
 	if !found || entries <= measured.LargestSize() {
 		return change
 	}
-	if opening := m.cost(scale.CPUPerOpening, m.openingSizes(h)); opening.Known && opening.Value < change.Value {
+	if opening := m.cost(scale.CPUPerOpening, m.openingSizes(counts)); opening.Known && opening.Value < change.Value {
 		return opening
 	}
 	return change
--- a/internal/capacity/other_roles.go
+++ b/internal/capacity/other_roles.go
@@ -9,9 +9,9 @@
 func (m *Model) relay(s Situation, scope Scope) Load {
 	p := m.Plan
 	managers := p.perRelay()
-	h := p.serverCounts(s, scope)
-	in := m.managerInputs(s, h)
-	calls := m.callBytes(h, in, p.listChanges(s, h.share(s.OutsideHome)).lines/s.Window).plus(m.openingCommands(s, h))
+	counts := p.serverCounts(s, scope)
+	in := m.managerInputs(s, counts)
+	calls := m.callBytes(counts, in, p.listChanges(s, counts.share(s.OutsideHome)).lines/s.Window).plus(m.openingCommands(s, counts))
 	return Load{
 		State:       stateOf(managers*float64(p.Managers.Proxies), "proxies") + ", " + stateOf(managers, "managers"),
 		MessagesIn:  known(managers * callsPerSecond),
@@ -26,7 +26,7 @@
 	return float64(p.Fleet.Managers) / float64(p.Fleet.Zones*p.Managers.RelaysPerZone)
 }
 
-// collector tells the managers of its zone what their proxies met.
+// collector reports to the managers of its zone what their proxies met.
 func (m *Model) collector(s Situation, scope Scope) Load {
 	p := m.Plan
 	managers := float64(p.Fleet.Managers*p.Managers.ProxyZones) / float64(p.Fleet.Zones)
@@ -46,23 +46,23 @@
 // proxy holds the table of its zone.
 func (m *Model) proxy(s Situation, scope Scope) Load {
 	p := m.Plan
-	h := p.serverCounts(s, scope)
+	counts := p.serverCounts(s, scope)
 	requests := p.requestsPerManager() / float64(p.Managers.Proxies)
 	orders := known(0)
-	if s.Opens {
-		orders = known((m.tableWeights(h) + 1) * p.Messages.Command / s.Window)
+	if s.Opening != NoOpening {
+		orders = known((m.tableWeights(counts) + 1) * p.Messages.Command / s.Window)
 	}
 	return Load{
-		State:       stateOf(m.tableWeights(h), "lines at most") + ", " + stateOf(requests, "requests a second"),
+		State:       stateOf(m.tableWeights(counts), "lines at most") + ", " + stateOf(requests, "requests a second"),
 		MessagesIn:  known(callsPerSecond),
 		MessagesOut: known(callsPerSecond),
 		BytesIn:     orders,
 		BytesOut:    m.bytesOf(scale.BytesOfRelayEvent, p.Messages.RelayEvent),
-		Connections: known(1 + m.tableWeights(h)),
+		Connections: known(1 + m.tableWeights(counts)),
 	}
 }
 
-// server answers requests, and the probes of all managers that hold it and take it for silent or back.
+// server answers requests, and the health checks of all managers that hold it and find it unresponsive, or back.
 func (m *Model) server(s Situation, scope Scope) Load {
 	p := m.Plan
 	holders := p.holders(p.normalServerCounts(scope))
--- a/internal/capacity/propagation.go
+++ b/internal/capacity/propagation.go
@@ -24,7 +24,7 @@
 	return m.allManagers(scale.PropagationLast).plus(m.waitForDecision(scope))
 }
 
-// propagationDuringOpenings is the same where all managers open as the change is told: as measured, or else the change alone
+// propagationDuringOpenings is the same where all managers open as the change comes: as measured, or else the change alone
 // and what a control machine needs for its openings.
 func (m *Model) propagationDuringOpenings(scope Scope) Figure {
 	if !m.Costs.measured(scale.PropagationDuringOpeningsLast) {
@@ -33,7 +33,7 @@
 	return m.afterListRead(scale.PropagationDuringOpeningsLast, scope)
 }
 
-// propagationDuringControlLoss is the same where two control machines are lost as the change is told.
+// propagationDuringControlLoss is the same where two control machines are lost as the change comes.
 func (m *Model) propagationDuringControlLoss(scope Scope) Figure {
 	return m.afterListRead(scale.PropagationDuringControlLossLast, scope)
 }
@@ -47,11 +47,11 @@
 
 // listReadTime is the processor time in which a manager reads the list that it is sent at an opening.
 func (m *Model) listReadTime(scope Scope) Figure {
-	h := m.Plan.normalServerCounts(scope)
+	counts := m.Plan.normalServerCounts(scope)
 	if scope == Subset {
-		return m.cost(scale.CPUPerSubsetRead, Sizes{scale.OpeningListSize: h.sent})
+		return m.cost(scale.CPUPerSubsetRead, Sizes{scale.OpeningListSize: counts.sent})
 	}
-	return m.cost(scale.CPUPerListRead, m.listSizes(scale.CPUPerListRead, h.sent))
+	return m.cost(scale.CPUPerListRead, m.listSizes(scale.CPUPerListRead, counts.sent))
 }
 
 func (m *Model) allManagers(cost scale.Cost) Figure {
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -50,7 +50,7 @@
 		default:
 		}
 		if r.decoderPool != nil {
-			go r.decoderPool.serveConn(conn)
+			go r.decoderPool.readConn(conn)
 		} else {
 			go r.serveConn(conn)
 		}
@@ -72,7 +72,7 @@
 	var victim *collectorConn
 	count := 0
 	for _, conn := range r.conns {
-		if conn.named != named {
+		if conn.named() != named {
 			continue
 		}
 		count++
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"io"
+	"math"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -56,32 +57,43 @@
 	}
 }
 
-func TestProxiesAreBoundInEachScenario(t *testing.T) {
+func TestProxiesAreAssignedInAScenario(t *testing.T) {
 	samples, err := measure(context.Background(), smaller(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if bound := samples[0][ProxiesAssigned]; int(bound) != smaller().Proxies {
-		t.Errorf("%g bound", bound)
+	if assigned := samples[0][ProxiesAssigned]; int(assigned) != smaller().Proxies {
+		t.Errorf("%g proxies are assigned", assigned)
 	}
 }
 
-func TestOptionsThatCannotBe(t *testing.T) {
-	for want, spoil := range map[string]func(*Options){
-		"--axis":  func(o *Options) { o.Axes = []Axis{"height"} },
-		"--runs":  func(o *Options) { o.Runs = 0 },
-		"--sizes": func(o *Options) { o.Axes, o.Sizes = nil, []float64{60} },
-		"is not":  func(o *Options) { o.Axes, o.Sizes = []Axis{Servers}, []float64{0} },
+func TestInvalidOptionsAreNamed(t *testing.T) {
+	for _, one := range []struct {
+		name   string
+		change func(*Options)
+		flag   string
+		want   string
+	}{
+		{"unknown axis", func(o *Options) { o.Axes = []Axis{"height"} }, "--axis", `"height" is none of`},
+		{"no runs", func(o *Options) { o.Runs = 0 }, "--runs", "0 is not from 1 to 100"},
+		{"too many runs", func(o *Options) { o.Runs = 101 }, "--runs", "101 is not from 1 to 100"},
+		{"sizes without an axis", func(o *Options) { o.Sizes = []float64{60} }, "--sizes", "one --axis is due"},
+		{"size of zero", func(o *Options) { o.Axes, o.Sizes = []Axis{Servers}, []float64{0} }, "--sizes", "0 is not from 1"},
+		{"size that is no number", func(o *Options) { o.Axes, o.Sizes = []Axis{Servers}, []float64{math.NaN()} }, "--sizes", "NaN is not from 1"},
 	} {
-		o := options()
-		spoil(&o)
-		if _, err := Run(context.Background(), o); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
-		}
+		t.Run(one.name, func(t *testing.T) {
+			o := options()
+			one.change(&o)
+			_, err := Run(context.Background(), o)
+			var option *OptionError
+			if !errors.As(err, &option) || option.Flag != one.flag || !strings.Contains(err.Error(), one.flag+": "+one.want) {
+				t.Errorf("got %v, want %s: %s", err, one.flag, one.want)
+			}
+		})
 	}
 }
 
-func TestASizeBeyondTheLimitIsSaidBeforeAnythingBegins(t *testing.T) {
+func TestASizeBeyondTheLimitIsRefusedBeforeAnythingIsMeasured(t *testing.T) {
 	for _, axis := range []Axis{Servers, Proxies, Reports, ListChanges, Managers} {
 		o := options(axis)
 		progress := bytes.Buffer{}
@@ -155,8 +167,8 @@
 	if got, err := totalMemory([]byte("MemFree: 1 kB\nMemTotal:       2048 kB\n")); err != nil || got != 2<<20 {
 		t.Errorf("%g, %v", got, err)
 	}
-	if _, err := totalMemory([]byte("MemFree: 1 kB\n")); err == nil {
-		t.Error("no total is taken for one")
+	if _, err := totalMemory([]byte("MemFree: 1 kB\n")); !errors.Is(err, ErrNoMemTotal) {
+		t.Errorf("without a total: %v", err)
 	}
 	if limit, err := MemoryLimit(); err != nil || limit.Bytes <= 0 || limit.Bytes > maxMemory {
 		t.Errorf("%v, %v", limit, err)
@@ -170,7 +182,10 @@
 	}
 	for _, axis := range []Axis{Servers, Managers, OpeningListSize} {
 		o := options(axis)
-		o.Small, o.Runs, o.Program, o.Memory = false, 100, program, Memory{maxMemory}
+		o.Small = false
+		o.Runs = 100
+		o.Program = program
+		o.Memory = Memory{maxMemory}
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(500*time.Millisecond, cancel)
 		began := time.Now()
