--- a/internal/sharding/assigner.go
+++ b/internal/sharding/assigner.go
@@ -1,7 +1,6 @@
 package sharding
 
 import (
-	"fmt"
 	"time"
 )
 
@@ -64,10 +63,6 @@
 	return false
 }
 
-func (a *Assigner) logText(format string, figures ...any) {
-	a.actions.LogTexts = append(a.actions.LogTexts, fmt.Sprintf(format, figures...))
-}
-
 // HandleConnOpened gives a connection its first owner: the shard that has least to do.
 func (a *Assigner) HandleConnOpened(now time.Duration, id ConnID) Actions {
 	a.now = now
@@ -151,7 +146,6 @@
 		if c.failures >= maxConnFailures {
 			a.actions.Close = append(a.actions.Close, by)
 			a.log(EventConnClosed, connField(by), field("failures", c.failures))
-			a.logText("connection %d closed: shards failed over it %d times", by, c.failures)
 		}
 	}
 	a.failed = append(a.failed, id)
--- a/internal/sharding/connection.go
+++ b/internal/sharding/connection.go
@@ -88,5 +88,4 @@
 	a.draining = a.draining[1:]
 	c.ownership = owned
 	a.log(EventConnMoveCancelled, connField(c.id), shardField(c.owner.Shard), seconds("timeout_seconds", a.settings.DrainTimeout, 2))
-	a.logText("connection %d stays with shard %d: not drained within %.2fs", c.id, c.owner.Shard, a.settings.DrainTimeout.Seconds())
 }
--- a/internal/sharding/failure.go
+++ b/internal/sharding/failure.go
@@ -22,7 +22,6 @@
 		}
 		if s.stalledChecks >= stalledChecksToFail {
 			a.log(EventShardStalled, shardField(ShardID(i)), seconds("task_seconds", taskTimes[i], 2))
-			a.logText("shard %d stalled: %.2fs at one task", i, taskTimes[i].Seconds())
 			a.failed = append(a.failed, ShardID(i))
 			s.stalledChecks = 0
 		}
@@ -43,7 +42,6 @@
 		a.assign(c, a.leastLoaded(id))
 	}
 	a.log(EventShardRestarted, shardField(id), field("conns", len(conns)))
-	a.logText("shard %d restarted: %d connections moved to others", id, len(conns))
 }
 
 // quarantineIfRepeated keeps connections from a shard that fails often, unless no other works.
@@ -58,7 +56,6 @@
 	s.quarantinedUntil = a.now + s.nextQuarantine
 	s.failures = nil
 	a.log(EventShardQuarantined, shardField(id), seconds("seconds", s.nextQuarantine, 0), field("failures", a.settings.MaxFailures))
-	a.logText("shard %d quarantined for %.0fs after %d failures", id, s.nextQuarantine.Seconds(), a.settings.MaxFailures)
 	s.nextQuarantine = min(2*s.nextQuarantine, maxQuarantineFactor*a.settings.QuarantineDuration)
 }
 
@@ -74,7 +71,6 @@
 		if a.isQuarantineOver(s) {
 			s.quarantinedUntil = 0
 			a.log(EventShardRestored, shardField(ShardID(i)))
-			a.logText("shard %d back in service", i)
 		}
 	}
 }
--- a/internal/sharding/rebalance.go
+++ b/internal/sharding/rebalance.go
@@ -42,7 +42,6 @@
 	a.startDraining(c, to)
 	a.log(EventConnMoving, connField(c.id), field("from", from), field("to", to),
 		cores("conn_cores", c.load()), cores("from_cores", sourceLoad), cores("to_cores", targetLoad))
-	a.logText("connection %d moves from shard %d to %d: %.2f of %.2f cores, %.2f there", c.id, from, to, c.load(), sourceLoad, targetLoad)
 }
 
 // connToMove is the connection of a shard whose move leaves the smallest gap; nil where none closes enough of it.
--- a/internal/sharding/types.go
+++ b/internal/sharding/types.go
@@ -79,5 +79,4 @@
 	Close          []ConnID     // shards failed over it
 	RestartWorkers []ShardID    // the shard's worker is given up, and another one begins
 	LogRecords     []balancer.LogRecord
-	LogTexts       []string // the records as texts, until all that read them take LogRecords
 }
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -48,12 +48,8 @@
 	Complete   bool                // Servers are the whole list; servers that are not among them are removed
 	Servers    []Server            // by id
 	LogRecords []balancer.LogRecord
-	LogTexts   []string // the records as texts, until all that read them take LogRecords
 }
 
-// EventSubsetWidened has factor: on the stated number of spill servers.
-const EventSubsetWidened balancer.LogEvent = "subset_widened"
-
 // IsEmpty tells whether there is nothing to publish.
 func (u Update) IsEmpty() bool { return !u.Complete && len(u.Servers)+len(u.Restore) == 0 }
 
@@ -162,7 +158,7 @@
 	s.expireHomeZones(now)
 	s.finishDraining(now, fleet)
 	if s.width.adjust(now, s.demand(now, fleet)) {
-		s.logWidened(now)
+		s.logWidened()
 	}
 	s.applyLimit(now)
 	s.drainSurplus(now)
--- a/internal/subset/update.go
+++ b/internal/subset/update.go
@@ -4,11 +4,13 @@
 	"cmp"
 	"fmt"
 	"slices"
-	"time"
 
 	"tamarindshore/balancer"
 )
 
+// EventSubsetWidened is the event of a log record. It has factor: on the stated number of spill servers.
+const EventSubsetWidened balancer.LogEvent = "subset_widened"
+
 // queueUpdate publishes a server at the end of the input, if the balancer may know it.
 func (s *Subset) queueUpdate(r *record) {
 	if r.phase != phaseOutside && !r.queued {
@@ -18,12 +20,10 @@
 }
 
 // logWidened records that the subset was widened.
-func (s *Subset) logWidened(now time.Duration) {
+func (s *Subset) logWidened() {
 	factor := balancer.LogField{Name: "factor", Value: fmt.Sprintf("%.1f", s.width.factor)}
 	record := balancer.LogRecord{Event: EventSubsetWidened, Fields: []balancer.LogField{factor}}
 	s.pending.LogRecords = append(s.pending.LogRecords, record)
-	text := fmt.Sprintf("subset widened %.1f times at %.1fs", s.width.factor, now.Seconds())
-	s.pending.LogTexts = append(s.pending.LogTexts, text)
 }
 
 // takeUpdate ends an input: each server that was queued is published once, in its latest state.
