--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -28,24 +28,19 @@
 	}
 }
 
-func TestBadReportsAreOneLineThatNamesThePlace(t *testing.T) {
-	dir := t.TempDir()
-	path := filepath.Join(dir, "slopes.json")
-	if err := WriteReport(path, sound()); err != nil {
-		t.Fatal(err)
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	whole := string(text)
+// badReport is a text that is no report, and a pattern of its error.
+type badReport struct{ text, want string }
+
+// badReports are changes of a sound report's text, by what is wrong.
+func badReports(t *testing.T, whole string) map[string]badReport {
+	t.Helper()
 	changed := func(old, new string) string {
 		if !strings.Contains(whole, old) {
 			t.Fatalf("no %s in the file", old)
 		}
 		return strings.Replace(whole, old, new, 1)
 	}
-	for name, one := range map[string]struct{ text, want string }{
+	return map[string]badReport{
 		"empty":             {"", `:1: version: the file is cut short$`},
 		"cut short":         {whole[:len(whole)/2], `:[0-9]+: [a-zA-Z]+: the file is cut short$`},
 		"no JSON":           {"slopes\n", `:1: `},
@@ -65,7 +60,20 @@
 		"no points":         {changed(`"points": [`, `"points": [], "rest": [`), `rest`},
 		"negative size":     {changed(`"size": 100`, `"size": -100`), `:11: slopes\[0\]\.points\[1\]\.size: `},
 		"something after":   {whole + "{}", `:[0-9]+: `},
-	} {
+	}
+}
+
+func TestBadReportsAreOneLineThatNamesThePlace(t *testing.T) {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "slopes.json")
+	if err := WriteReport(path, sound()); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, one := range badReports(t, string(text)) {
 		t.Run(name, func(t *testing.T) {
 			if err := os.WriteFile(path, []byte(one.text), 0o600); err != nil {
 				t.Fatal(err)
