--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -28,10 +28,17 @@
 }
 
 func (c *Contents) load(tx *bbolt.Tx) error {
-	for _, step := range []func(*bbolt.Tx) error{c.loadMeta, c.loadVersions, c.loadDrains, c.loadCommands} {
-		if err := step(tx); err != nil {
-			return err
-		}
+	if err := c.loadMeta(tx); err != nil {
+		return err
+	}
+	if err := c.loadVersions(tx); err != nil {
+		return err
+	}
+	if err := c.loadDrains(tx); err != nil {
+		return err
+	}
+	if err := c.loadCommands(tx); err != nil {
+		return err
 	}
 	list, err := loadList(tx)
 	c.ServerList = list
