--- a/internal/node/decoder_test.go
+++ b/internal/node/decoder_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Guards against figures that cannot be and reach the module, and against rubbish that passes for a message.
+// Guards against impossible figures that reach the balancer, and against noise that passes for a message.
 func TestLineDistinguishesMalformedFromUnreadable(t *testing.T) {
 	for text, want := range map[string]string{
 		"heard site=z target=s-1 count=2 fail=0 mean=1 over=1": errUnknownName.Error(),
@@ -69,6 +69,10 @@
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, not %q", text, err, want)
 		}
+		var ofField *fieldError
+		if field, isField := strings.CutSuffix(want, ": "); isField && (!errors.As(err, &ofField) || ofField.field != field) {
+			t.Errorf("%q: %v is no error of the field %s", text, err, field)
+		}
 		if errors.Is(err, errUnreadable) != (want == "is no kind") {
 			t.Errorf("%q: %v: only what is no message ends its connection", text, err)
 		}
@@ -132,8 +136,13 @@
 		`{"generation":1,"instances":[{"instanceId":"s,1","zone":"a","lifecycle":"up"}]}`:           "instances[0].instanceId",
 		`{"generation":1,"instances":[{"instanceId":"s","zone":"a","lifecycle":"up","weight":-1}]}`: "instances[0].weight",
 	} {
-		if _, _, err := testDecoder().parseList([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
+		_, _, err := testDecoder().parseList([]byte(text))
+		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, not %q", text, err, want)
 		}
+		var ofField *fieldError
+		if errors.As(err, &ofField) == (want == "JSON") {
+			t.Errorf("%s: %v: only what is valid JSON has an error of a field", text, err)
+		}
 	}
 }
--- a/internal/node/deployment_test.go
+++ b/internal/node/deployment_test.go
@@ -170,16 +170,12 @@
 		Dial:       func(ctx context.Context) (net.Conn, error) { return (&net.Dialer{}).DialContext(ctx, "tcp", address) },
 		OnApplied:  func(version tables.VersionRef, _ *tables.State) { applied(version) },
 	}
-	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.Run(ctx)
+		f.Run(t.Context())
 	}()
-	t.Cleanup(func() {
-		cancel()
-		<-done
-	})
+	t.Cleanup(func() { <-done })
 	return h
 }
 
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"context"
 	"errors"
 	"io"
 	"net"
@@ -19,7 +18,7 @@
 		close(sent)
 		io.ReadAll(c)
 	})
-	c, err := dial(context.Background(), testLimits, address, 0)
+	c, err := dial(t.Context(), testLimits, address, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, end := context.WithCancel(t.Context())
 	end()
 	if err := n.Run(ctx, Signals{}, nil); err != nil {
 		t.Error(err)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	count := make(chan os.Signal)
-	ctx, end := context.WithCancel(context.Background())
+	ctx, end := context.WithCancel(t.Context())
 	go func() {
 		count <- syscall.SIGUSR1
 		end()
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.Run(context.Background(), Signals{}, nil); err == nil || !strings.HasPrefix(err.Error(), "listen: ") {
+	if err := n.Run(t.Context(), Signals{}, nil); err == nil || !strings.HasPrefix(err.Error(), "listen: ") {
 		t.Error(err)
 	}
 }
@@ -81,7 +81,7 @@
 	before := occupyAddress(t, s.Listen)
 	tried := time.AfterFunc(20*time.Millisecond, func() { before.Close() })
 	defer tried.Stop()
-	at, err := listen(context.Background(), s.Listen, s.Limits)
+	at, err := listen(t.Context(), s.Listen, s.Limits)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 	s := testConfig(t)
 	s.Limits.ListenTimeout = time.Hour
 	occupyAddress(t, s.Listen)
-	ctx, end := context.WithCancel(context.Background())
+	ctx, end := context.WithCancel(t.Context())
 	end()
 	if at, err := listen(ctx, s.Listen, s.Limits); err == nil {
 		at.Close()
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -35,7 +35,7 @@
 	reload, ended := make(chan os.Signal, 4), make(chan error)
 	reload <- syscall.SIGHUP
 	reload <- syscall.SIGHUP
-	ctx, end := context.WithCancel(context.Background())
+	ctx, end := context.WithCancel(t.Context())
 	go func() {
 		ended <- n.Run(ctx, Signals{Reload: reload}, func() (config.Config, error) { return next, <-files })
 	}()
