--- a/internal/node/backlog_test.go
+++ b/internal/node/backlog_test.go
@@ -13,7 +13,7 @@
 
 var testClasses = []string{"lookup", "book"}
 
-// some are orders of every kind, in the order in which they are carried out.
+// commandsOfEachKind gives commands of every kind, in the order in which they are carried out.
 func commandsOfEachKind() balancer.Commands {
 	return balancer.Commands{
 		Withdraw:        []balancer.ServerID{"s-1"},
--- a/internal/node/collector_conn_test.go
+++ b/internal/node/collector_conn_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Guards against strangers that are kept waiting: rubbish, orders, HTTP, what names no zone of the site.
+// Guards against unidentified connections that are kept open: noise, commands, HTTP, what names no zone of the site.
 func TestConnClosesWhatItCantRead(t *testing.T) {
 	for _, text := range []string{"sing\r\n", usageLine, strings.Repeat("x", 6000), "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "\r\n",
 		"share,4,s-1,1.5\r\n", "joined id=99999 site=a rps=1 new=1\r\n", "collector site=z\r\n", "collector\r\n",
@@ -46,22 +46,22 @@
 	}
 }
 
-// Guards against good reports that are lost with a spoilt one, and against a connection that brings nothing else.
+// Guards against good reports that are lost with a malformed one, and against a connection that brings nothing else.
 func TestConnDropsAMalformedMessageAlone(t *testing.T) {
 	in, address, inputs := startReceiver(t, testLimits, true)
-	spoiltOne := "usage id=x lane=book count=19 fail=1 over=1000.0\r\n"
-	c := dialManager(t, address, "collector site=a\r\n"+usageLine+spoiltOne+spoiltOne+spoiltOne+usageLine+spoiltOne)
+	malformedOne := "usage id=x lane=book count=19 fail=1 over=1000.0\r\n"
+	c := dialManager(t, address, "collector site=a\r\n"+usageLine+malformedOne+malformedOne+malformedOne+usageLine+malformedOne)
 	<-inputs
 	if got := (<-inputs).(usageReport); got.Proxy != 17 {
 		t.Errorf("%+v", got)
 	}
-	io.WriteString(c, spoiltOne+spoiltOne+spoiltOne+usageLine)
+	io.WriteString(c, malformedOne+malformedOne+malformedOne+usageLine)
 	if got := readToEnd(c); got != "" || len(inputs) > 0 || in.metrics.counts[malformedMessages].Load() != 6 {
-		t.Errorf("%q, %d inputs, %d spoilt", got, len(inputs), in.metrics.counts[malformedMessages].Load())
+		t.Errorf("%q, %d inputs, %d malformed", got, len(inputs), in.metrics.counts[malformedMessages].Load())
 	}
 }
 
-// Guards against a stranger that begins its time anew with each line, and one that knows a zone's name.
+// Guards against an unidentified connection that restarts its deadline with each line, and one that knows a zone's name.
 func TestUnidentifiedConnectionsHaveOneFixedDeadline(t *testing.T) {
 	l := testLimits
 	l.IdentifyTimeout, l.CollectorIdleTimeout, l.MaxEmptyMessages = 150*time.Millisecond, 50*time.Millisecond, 1000
--- a/internal/node/decode_fuzz_test.go
+++ b/internal/node/decode_fuzz_test.go
@@ -1,6 +1,6 @@
 package node
 
-// The decoders of all that comes from outside: whatever the bytes, what passes is within the bounds that the module may
+// The decoders of all that comes from outside: whatever the bytes, what passes is within the bounds that the balancer may
 // rely on, and nothing panics. CI runs the seeds and noise drawn from them; `go test -fuzz` looks further.
 
 import (
--- a/internal/node/decoder_pool_test.go
+++ b/internal/node/decoder_pool_test.go
@@ -55,14 +55,16 @@
 }
 
 // collectRequests takes samples from the queue until so many have come, and gives their requests by proxy in order.
-func collectRequests(t *testing.T, p *sampleQueue, flows int) map[balancer.ProxyID][]int {
+func collectRequests(t *testing.T, p *sampleQueue, count int) map[balancer.ProxyID][]int {
 	t.Helper()
-	got, n, late := map[balancer.ProxyID][]int{}, 0, time.After(5*time.Second)
-	for n < flows {
+	got := map[balancer.ProxyID][]int{}
+	n := 0
+	late := time.After(5 * time.Second)
+	for n < count {
 		select {
 		case <-p.filled:
 		case <-late:
-			t.Fatalf("%d of %d samples came", n, flows)
+			t.Fatalf("%d of %d samples came", n, count)
 		}
 		for _, s := range p.next(512, nil) {
 			u := s.(balancer.UsageReport)
@@ -94,9 +96,9 @@
 
 func assertInOrder(t *testing.T, got map[balancer.ProxyID][]int, n int, missing map[int]bool) {
 	t.Helper()
-	for p, flows := range got {
+	for p, requests := range got {
 		want := 0
-		for _, f := range flows {
+		for _, f := range requests {
 			for missing[want] {
 				want++
 			}
@@ -130,8 +132,8 @@
 			h.rebalanceFrom(sharding.ShardID((round + i) % 4))
 			time.Sleep(time.Millisecond)
 		}
-		for p, flows := range collectRequests(t, h.samples, conns*n) {
-			got[p] = append(got[p], flows...)
+		for p, requests := range collectRequests(t, h.samples, conns*n) {
+			got[p] = append(got[p], requests...)
 		}
 	}
 	assertInOrder(t, got, rounds*n, nil)
@@ -236,7 +238,7 @@
 	}()
 	got := collectRequests(t, h.samples, 2+3*200)
 	if len(got[17]) != 2 {
-		t.Errorf("%v of the spoilt connection", got[17])
+		t.Errorf("%v of the malformed connection", got[17])
 	}
 	delete(got, 17)
 	assertInOrder(t, got, 200, nil)
--- a/internal/node/decoder_test.go
+++ b/internal/node/decoder_test.go
@@ -122,9 +122,9 @@
 	if e := in.entries[1]; e.RecentlyStarted || e.State != balancer.Draining || e.Weight != 1 {
 		t.Errorf("%+v", e)
 	}
-	_, told := in.addresses["s-4"]
-	if in.entries[2].State != balancer.Removed || told {
-		t.Errorf("%+v %v", in.entries[2], told)
+	_, hasAddress := in.addresses["s-4"]
+	if in.entries[2].State != balancer.Removed || hasAddress {
+		t.Errorf("%+v %v", in.entries[2], hasAddress)
 	}
 }
 
--- a/internal/node/deployment_test.go
+++ b/internal/node/deployment_test.go
@@ -34,7 +34,7 @@
 	return k
 }
 
-// managerDeployment is a rig whose manager has an admin socket, a store and a listener for holders.
+// managerDeployment is a deployment whose manager has an admin socket, a store and a listener for replicas.
 type managerDeployment struct {
 	*fakes.Deployment
 	socket, feed string
@@ -103,14 +103,14 @@
 	}
 	defer c.Close()
 	json.NewEncoder(c).Encode(a)
-	var told AdminResponse
-	if err := json.NewDecoder(c).Decode(&told); err != nil {
+	var response AdminResponse
+	if err := json.NewDecoder(c).Decode(&response); err != nil {
 		t.Fatal(err)
 	}
-	if told.Error != "" {
-		return "", fmt.Errorf("%s", told.Error)
+	if response.Error != "" {
+		return "", fmt.Errorf("%s", response.Error)
 	}
-	return strings.Join(told.Lines, "\n"), nil
+	return strings.Join(response.Lines, "\n"), nil
 }
 
 // versionIDs are those kept, newest first.
@@ -222,7 +222,7 @@
 	return strings.Split(text, "\n")
 }
 
-// startCorruptingProxy passes bytes on to the feed's holders and spoils some of them.
+// startCorruptingProxy passes bytes on to the feed's replicas and corrupts some of them.
 func startCorruptingProxy(t *testing.T, address string, spoil *atomic.Bool) string {
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -59,7 +59,7 @@
 		proxies = append(proxies, assignedProxies(call)...)
 	}
 	if !slices.Equal(proxies, []balancer.ProxyID{1, 2}) {
-		t.Errorf("bound %v", proxies)
+		t.Errorf("assigned %v", proxies)
 	}
 	result, err := h.Step(3*time.Second, Message{Kind: EndpointListMessage, Text: testList(2, false, 1, "draining")})
 	if err != nil || len(result.RelayCalls) != 1 || !slices.Equal(result.RelayCalls[0].Withdraw, []balancer.ServerID{"s-000"}) {
--- a/internal/node/interleaving_relay_test.go
+++ b/internal/node/interleaving_relay_test.go
@@ -1,6 +1,6 @@
 package node
 
-// These tests are of calls; interleaving_test.go says how they hold the code between two lines.
+// These tests are of calls; interleaving_test.go says how they stop the code between two lines.
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"tamarindshore/internal/config"
 )
 
-// startAnsweringRelay is a relay that answers each call and then does with the connection what the test asks; it is told once
-// that is done. Calls' orders come out of the channel.
+// startAnsweringRelay is a relay that answers each call and then does with the connection what the test asks; it is notified once
+// that is done. The calls' commands come out of the channel.
 func startAnsweringRelay(t *testing.T, l config.Limits, then func(c net.Conn)) (r *relayClient, calls chan string, do, done chan struct{}) {
 	calls, do, done = make(chan string, 8), make(chan struct{}), make(chan struct{})
 	address := startServer(t, func(c net.Conn) {
@@ -62,7 +62,7 @@
 		do <- struct{}{}
 		<-done
 		if n, end := r.send(testWeights(2, 3)); n != 2 || end != "done" {
-			t.Errorf("%s: %d orders, %s", what, n, end)
+			t.Errorf("%s: %d commands, %s", what, n, end)
 		}
 		<-calls
 	}
@@ -82,7 +82,7 @@
 		r := newRelayClient(testLimits, address, testClasses, nil, testReceiver(make(chan struct{}), testLimits))
 		n, end := r.send(testWeights(1, 2))
 		if known := cut == len(whole); known != (end == callDone) || known != (n == 2) {
-			t.Errorf("%d of %d bytes: %d orders, %s", cut, len(whole), n, end)
+			t.Errorf("%d of %d bytes: %d commands, %s", cut, len(whole), n, end)
 		}
 	}
 }
@@ -96,12 +96,12 @@
 		})
 		r := newRelayClient(testLimits, address, testClasses, nil, testReceiver(make(chan struct{}), testLimits))
 		if n, end := r.send(testWeights(1, 2)); n != 0 || end != callOutcomeUnknown && !(cut == 0 && end == callNotSent) {
-			t.Errorf("%d bytes: %d orders, %s", cut, n, end)
+			t.Errorf("%d bytes: %d commands, %s", cut, n, end)
 		}
 	}
 }
 
-// Guards against orders lost where the relay moves while a call is in flight: its outcome is settled first, and what
+// Guards against commands lost where the relay moves while a call is in flight: its outcome is settled first, and what
 // may be missing goes to the new address.
 func TestARelayAddressChangedDuringACall(t *testing.T) {
 	inFlight, cut := make(chan struct{}, 8), make(chan struct{})
--- a/internal/node/interleaving_stream_test.go
+++ b/internal/node/interleaving_stream_test.go
@@ -1,6 +1,6 @@
 package node
 
-// These tests are of the two streams; interleaving_test.go says how they hold the code between two lines.
+// These tests are of the two streams; interleaving_test.go says how they stop the code between two lines.
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 )
 
 // Guards against a drain that is lost for good: a reload lets the old watch go while a change of its waits for the
-// owner of the module, and the new watch's copy of it counts as old.
+// owner of the balancer, and the new watch's copy of it counts as old.
 func TestAChangeThatWasNotDeliveredIsNotCountedAsHeld(t *testing.T) {
 	address, _ := startStreamServer(t, watchLine(42, false, "s-1")+"...", watchLine(42, false, "s-1")+"...")
 	in, inputs := testReceiver(make(chan struct{}), testLimits), make(chan input)
@@ -30,7 +30,7 @@
 	w.cancel()
 	<-over
 	if got := held.heldVersion(); got != 41 {
-		t.Fatalf("version %d is held, and was not handed on", got)
+		t.Fatalf("version %d is held, and was not delivered", got)
 	}
 	go in.readWatch(testUpstream(t, address), held)
 	if got := (<-inputs).(endpointList); got.generation != 42 {
@@ -108,12 +108,12 @@
 	}
 }
 
-// Guards against one spoilt list at each opening that keeps all later ones out for ever, and against a version held
+// Guards against one malformed list at each opening that blocks all later ones for ever, and against a version held
 // that passes over what is missing.
 func TestAMalformedListAtEachOpeningBlocksNothingElse(t *testing.T) {
-	spoiltOne := strings.Replace(watchLine(42, false, "s-1"), `"up"`, `"?"`, 1)
-	address, asked := startStreamServer(t, spoiltOne+watchLine(43, false, "s-2"), spoiltOne+watchLine(43, false, "s-2")+watchLine(44, false, "s-3"),
-		spoiltOne+watchLine(45, false, "s-4"), watchLine(45, true, "s-5")+watchLine(46, false, "s-6"))
+	malformedOne := strings.Replace(watchLine(42, false, "s-1"), `"up"`, `"?"`, 1)
+	address, asked := startStreamServer(t, malformedOne+watchLine(43, false, "s-2"), malformedOne+watchLine(43, false, "s-2")+watchLine(44, false, "s-3"),
+		malformedOne+watchLine(45, false, "s-4"), watchLine(45, true, "s-5")+watchLine(46, false, "s-6"))
 	in, inputs := testReceiver(make(chan struct{}), testLimits), make(chan input, 64)
 	in.inputs = inputs
 	held, w := &watchState{version: 41, lowestReset: -1}, testUpstream(t, address)
@@ -129,11 +129,11 @@
 		}
 	}
 	if n := in.metrics.counts[malformedMessages].Load(); n != 3 {
-		t.Errorf("%d spoilt", n)
+		t.Errorf("%d malformed", n)
 	}
 }
 
-// What was spoilt is asked for again after a while, not only when the stream ends.
+// What was malformed is asked for again after a while, not only when the stream ends.
 func TestAGapIsRequestedAgain(t *testing.T) {
 	l := testLimits
 	l.MaxWatchGap = 0
@@ -146,7 +146,7 @@
 	}
 }
 
-// Guards against whole lists of a discovery that began anew and moves on, which are each refused as the first.
+// Guards against snapshots of a discovery that restarted and moves on, which are each rejected as the first.
 func TestOlderSnapshotsThatAdvanceAreAccepted(t *testing.T) {
 	held := &watchState{version: 41, lowestReset: -1}
 	readWatchText(t, testLimits, held, watchLine(3, true, "s-1"))
@@ -155,7 +155,7 @@
 	}
 }
 
-// Guards against a spoilt join that comes at each opening and keeps out all events behind it, and against taking for
+// Guards against a malformed join that comes at each opening and blocks all events behind it, and against taking for
 // left the proxies told in what could not be read.
 func TestAMalformedJoinAtEachOpeningBlocksNothingElse(t *testing.T) {
 	text := "event: joined\ndata: id=x&site=a&rps=1&new=1\n\nevent: joined\ndata: id=18&site=a&rps=21.5&new=1\n\n:\nevent: left\ndata: id=18\n\n"
@@ -171,7 +171,7 @@
 	}
 }
 
-// Guards against a generation that was never true, as in a spoilt line that can be read, past which all that follows
+// Guards against a generation that was never true, as in a malformed line that can be read, past which all that follows
 // counts as old for as long as the stream lasts.
 func TestAGenerationThatWasNeverTrue(t *testing.T) {
 	l := testLimits
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -1,6 +1,6 @@
 package node
 
-// Each test here holds the code between two lines, by a channel or a stand-in that stops at a named byte, and lets a
+// Each test here stops the code between two lines, by a channel or a fake that stops at a named byte, and lets a
 // message, an answer, a signal or a close come just there.
 
 import (
@@ -78,7 +78,7 @@
 	return len(all)
 }
 
-// Guards against goroutines and descriptors that outlive a manager that ended amid streams, calls, probes and collectors.
+// Guards against goroutines and descriptors that outlive a manager that ended amid streams, calls, health checks and collectors.
 func TestShutdownLeaksNoGoroutineOrDescriptor(t *testing.T) {
 	before, open := 0, 0
 	for round := range 4 {
@@ -88,7 +88,7 @@
 		}
 		v := startDeployment(t, fakes.DefaultSite(6, 20))
 		v.Relay.ConnectProxies(0, 1, 2, 3)
-		eventually(t, "bound", func() bool { return v.Relay.Counts().AssignedProxies == 4 })
+		eventually(t, "assigned", func() bool { return v.Relay.Counts().AssignedProxies == 4 })
 		var collectors []net.Conn
 		for _, text := range []string{"", "ping\r\n", "collector site=" + v.Site.Zone(0) + "\r\n", "usage id=1"} {
 			c, err := net.Dial("tcp", v.ManagerAddress)
@@ -181,7 +181,7 @@
 	site := fakes.DefaultSite(6, 20)
 	v := startDeployment(t, site)
 	v.Relay.ConnectProxies(0, 1, 2, 3)
-	eventually(t, "bound", func() bool { return v.Relay.Counts().AssignedProxies == 4 })
+	eventually(t, "assigned", func() bool { return v.Relay.Counts().AssignedProxies == 4 })
 	flood, err := net.Dial("tcp", v.ManagerAddress)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against strangers in hundreds that cost a collector its place.
+// Guards against unidentified connections in hundreds that cost a collector its place.
 func TestUnidentifiedConnectionsDoNotEvictACollector(t *testing.T) {
 	_, address, inputs := startReceiver(t, testLimits, true)
 	c := dialManager(t, address, "collector site=a\r\n"+usageLine)
@@ -15,7 +15,7 @@
 		dialManager(t, address, "")
 	}
 	if got := readToEnd(first); got != "" {
-		t.Errorf("the longest silent stranger: %q", got)
+		t.Errorf("the longest silent unidentified connection: %q", got)
 	}
 	io.WriteString(c, usageLine)
 	<-inputs
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -105,10 +105,10 @@
 func TestReadyAfterAWhileWithoutTheRelay(t *testing.T) {
 	r := readiness{startedAt: time.Now(), timeout: time.Hour}
 	if r.ready() {
-		t.Error("ready before the relay's news and its time")
+		t.Error("ready before the relay's event stream and its timeout")
 	}
 	if r.noteRelayOpened(); !r.ready() {
-		t.Error("not ready with the relay's news")
+		t.Error("not ready with the relay's event stream")
 	}
 	if r := (readiness{startedAt: time.Now().Add(-time.Second), timeout: time.Second}); !r.ready() {
 		t.Error("not ready after its time")
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -22,9 +22,9 @@
 		all[i] = i
 	}
 	for _, one := range []struct {
-		name    string
-		bound   bool // all are to be bound anew
-		trouble func(v *managerDeployment)
+		name     string
+		assigned bool // all proxies are to be assigned
+		trouble  func(v *managerDeployment)
 	}{
 		{"sound", true, func(*managerDeployment) {}},
 		{"discovery is silent", true, func(v *managerDeployment) { v.Discovery.SetUnresponsive(true) }},
@@ -44,11 +44,13 @@
 			v.Relay.ConnectProxies(all...)
 			eventually(t, "all joined", func() bool { return v.manager.metrics.counts[proxyConnects].Load() == proxies })
 			v.manager.Stop(false)
-			bound, done := map[string]bool{}, make(chan struct{})
+			assigned := map[string]bool{}
+			done := make(chan struct{})
 			v.Relay.Configure(func(r *fakes.Relay) {
 				r.OnCommand = func(_ time.Time, kind, about string) {
-					if kind == "bind" && !bound[about] {
-						if bound[about] = true; len(bound) == proxies {
+					if kind == "bind" && !assigned[about] {
+						assigned[about] = true
+						if len(assigned) == proxies {
 							close(done)
 						}
 					}
@@ -63,15 +65,15 @@
 			if ready > readyWithin {
 				t.Errorf("ready after %v", ready)
 			}
-			if !one.bound {
+			if !one.assigned {
 				t.Logf("ready after %v", ready.Round(10*time.Millisecond))
 				return
 			}
 			select {
 			case <-done:
-				t.Logf("ready after %v, all proxies bound after %v", ready.Round(10*time.Millisecond), time.Since(began).Round(10*time.Millisecond))
+				t.Logf("ready after %v, all proxies assigned after %v", ready.Round(10*time.Millisecond), time.Since(began).Round(10*time.Millisecond))
 			case <-time.After(30 * time.Second):
-				t.Error("not all proxies are bound after 30 s")
+				t.Error("not all proxies are assigned after 30 s")
 			}
 		})
 	}
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -38,8 +38,8 @@
 	return l.Addr().String()
 }
 
-// startTestRelay calls a stand-in that answers each call with the next of bodies; "" breaks the
-// connection after the call's last byte, "-" before it. The calls' orders come out of the channel.
+// startTestRelay calls a fake that answers each call with the next of bodies; "" breaks the
+// connection after the call's last byte, "-" before it. The calls' commands come out of the channel.
 func startTestRelay(t *testing.T, l config.Limits, bodies ...string) (*relayClient, <-chan string) {
 	calls, next := make(chan string, 64), make(chan string, 64)
 	for _, b := range bodies {
@@ -160,7 +160,7 @@
 	}
 }
 
-// Guards against orders that the relay took and the books forget, when the rest of them finds it busy.
+// Guards against commands that the relay accepted and the balancer does not account for, when the rest of them finds it busy.
 func TestDeliverReportsAPartlyAcceptedCall(t *testing.T) {
 	r, _ := startTestRelay(t, testLimits, takenAnswer(1))
 	inputs := make(chan input, 8)
--- a/internal/node/router_test.go
+++ b/internal/node/router_test.go
@@ -67,13 +67,13 @@
 	}
 }
 
-// Guards against proxies that left while the news was broken and are kept for ever.
+// Guards against proxies that left while the event stream was broken and are kept for ever.
 func TestProxiesMissingAfterAStreamGapAreDisconnected(t *testing.T) {
 	r := testRouter(t)
 	r.handle(proxyEventsOpened{})
 	r.handle(proxyConnected{2, "a", 5})
 	if !r.proxies[1] {
-		t.Fatal("left before all that stands was told")
+		t.Fatal("disconnected before the snapshot is complete")
 	}
 	r.handle(proxySnapshotComplete{})
 	if r.proxies[1] || !r.proxies[2] || len(r.unconfirmed) > 0 {
@@ -92,7 +92,7 @@
 	r.now += time.Second
 	r.apply(r.manager.HandleTimer(r.now))
 	if got := assignedProxies(r.pendingCommands()); !slices.Equal(got, []balancer.ProxyID{1, 2}) {
-		t.Errorf("bound %v", got)
+		t.Errorf("assigned %v", got)
 	}
 }
 
@@ -107,7 +107,7 @@
 	}
 }
 
-// Guards against a whole list without a server that still stands in tables.
+// Guards against a snapshot without a server that still stands in tables.
 func TestSnapshotWithdrawsAbsentServers(t *testing.T) {
 	r := testRouter(t)
 	r.pendingCommands()
@@ -129,7 +129,7 @@
 		t.Errorf("%v, rest %+v", ids, got.deferred)
 	}
 	if got.allowed.Barrier == 0 || got.allowed.Barrier == o.Barrier || len(got.allowed.Weights) != len(o.Weights) {
-		t.Errorf("mark %d after %d", got.allowed.Barrier, o.Barrier)
+		t.Errorf("barrier %d after %d", got.allowed.Barrier, o.Barrier)
 	}
 }
 
@@ -145,7 +145,7 @@
 	}
 	r.apply(balancer.Commands{HealthCheck: make([]balancer.ServerID, testLimits.MaxQueuedHealthChecks+3)})
 	if n := r.metrics.counts[healthChecksDropped].Load(); n < 3 {
-		t.Errorf("%d dropped: probes must not hold up the module", n)
+		t.Errorf("%d dropped: health checks must not hold up the balancer", n)
 	}
 }
 
@@ -190,8 +190,8 @@
 	}
 }
 
-// A proxy that leaves and joins within one batch is bound anew; one whose number comes back in another zone is put on
-// that zone's table; one that joins and leaves is not bound.
+// A proxy that leaves and joins within one batch is assigned again; one whose number comes back in another zone is put on
+// that zone's table; one that joins and leaves is not assigned.
 func TestIncarnationsOfAProxyWithinOneBatch(t *testing.T) {
 	r := testRouter(t)
 	r.pendingCommands()
@@ -213,7 +213,7 @@
 	}
 }
 
-// Guards against an answer to a mark by who left and came back meanwhile, or was never there, that takes orders off the
+// Guards against an acknowledgement of a barrier by who left and came back meanwhile, or was never there, that takes commands off the
 // books that have not left.
 func TestABarrierAckOfADisconnectedProxyIsIgnored(t *testing.T) {
 	r := testRouter(t)
--- a/internal/node/stored_list_test.go
+++ b/internal/node/stored_list_test.go
@@ -19,13 +19,13 @@
 }
 
 // restartWith restarts the manager with an initial list.
-func (v *managerDeployment) restartWith(t *testing.T, told fakes.EndpointList) {
+func (v *managerDeployment) restartWith(t *testing.T, initial fakes.EndpointList) {
 	t.Helper()
 	if err := v.Manager.Stop(false); err != nil {
 		t.Fatal(err)
 	}
 	start := fakes.ManagerConfig{Dir: t.TempDir(), Name: "n1", ListenAddress: v.ManagerAddress, StatusAddress: v.StatusAddress, DiscoveryAddress: v.Discovery.Address,
-		RelayAddress: v.Relay.Address, Endpoints: told, Options: fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 2, OperatorSettings: v.settings}}
+		RelayAddress: v.Relay.Address, Endpoints: initial, Options: fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 2, OperatorSettings: v.settings}}
 	var err error
 	if v.Manager, err = v.Site.StartManager(start, v.begin); err != nil {
 		t.Fatal(err)
@@ -76,14 +76,14 @@
 	v := startDeployment(t, fakes.DefaultSite(4, 8))
 	v.assignAllProxies(t)
 	v.awaitList(t, int64(v.Discovery.Snapshot().Version))
-	told := v.Discovery.Snapshot()
-	told.Version += 100
-	told.Endpoints = told.Endpoints[:3]
+	initial := v.Discovery.Snapshot()
+	initial.Version += 100
+	initial.Endpoints = initial.Endpoints[:3]
 	v.Discovery.SetUnresponsive(true)
-	v.restartWith(t, told)
-	v.awaitList(t, int64(told.Version))
+	v.restartWith(t, initial)
+	v.awaitList(t, int64(initial.Version))
 	v.restartWith(t, fakes.EndpointList{Version: 1, Complete: true, Endpoints: []fakes.Endpoint{}})
-	v.awaitList(t, int64(told.Version)) // the store has the one used since
+	v.awaitList(t, int64(initial.Version)) // the store has the one used since
 	if servers := len(v.manager.initialList.entries); servers != 3 {
 		t.Errorf("%d servers at the start, not 3", servers)
 	}
@@ -92,7 +92,7 @@
 // The stored list is checked as one that discovery sends; an invalid one must not keep the manager from starting.
 func TestAnInvalidStoredListIsIgnored(t *testing.T) {
 	v := startDeployment(t, fakes.DefaultSite(4, 8))
-	told := v.Discovery.Snapshot()
+	initial := v.Discovery.Snapshot()
 	if err := v.Manager.Stop(false); err != nil {
 		t.Fatal(err)
 	}
@@ -105,9 +105,9 @@
 		t.Fatal(err)
 	}
 	kept.Close()
-	v.restartWith(t, told)
-	if version := v.manager.currentStatus().List.Version; version != int64(told.Version) {
-		t.Errorf("began with version %d, not %d", version, told.Version)
+	v.restartWith(t, initial)
+	if version := v.manager.currentStatus().List.Version; version != int64(initial.Version) {
+		t.Errorf("began with version %d, not %d", version, initial.Version)
 	}
 }
 
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// startStreamServer is a stand-in that answers each request for a stream with the next of parts, in pieces;
+// startStreamServer is a fake that answers each request for a stream with the next of parts, in pieces;
 // one that ends in "..." stays open and silent after it.
 func startStreamServer(t *testing.T, parts ...string) (string, <-chan string) {
 	asked, next := make(chan string, 64), make(chan string, 64)
--- a/internal/node/subset_process_test.go
+++ b/internal/node/subset_process_test.go
@@ -7,7 +7,7 @@
 	"tamarindshore/internal/fakes"
 )
 
-// startSubsetDeployment starts a manager with a subset before stand-ins of discovery, relay, proxies and servers.
+// startSubsetDeployment starts a manager with a subset before fakes of discovery, relay, proxies and servers.
 func startSubsetDeployment(t *testing.T, site fakes.Site) *fakes.Deployment {
 	t.Helper()
 	how := fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 1, OperatorSettings: "(subset (spill 10))"}
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -35,9 +35,9 @@
 	drained := v.Servers[0]
 	v.Discovery.Publish(drained.Entry("draining"))
 	eventually(t, "drained", func() bool { return v.Relay.RequestRate(drained.ID) == 0 })
-	told, err := v.admin(t, AdminRequest{Command: "rollback", Version: good, Key: "k1", Duration: time.Minute})
-	if err != nil || !strings.Contains(told, "done under key") {
-		t.Fatal(told, err)
+	lines, err := v.admin(t, AdminRequest{Command: "rollback", Version: good, Key: "k1", Duration: time.Minute})
+	if err != nil || !strings.Contains(lines, "done under key") {
+		t.Fatal(lines, err)
 	}
 	eventually(t, "gone back", func() bool {
 		return strings.Contains(strings.Join(v.versionLog(t), "\n"), `by "k1"`) || v.show(t, v.versionIDs(t)[0]) != before
@@ -49,10 +49,10 @@
 		}
 	}
 	if v.Relay.RequestRate(drained.ID) != 0 || !strings.Contains(now, "withdrawn "+drained.ID) {
-		t.Error("a server that drained since gets flows back")
+		t.Error("a server that drained since gets requests back")
 	}
 	newest := v.versionIDs(t)[0]
-	eventually(t, "all holders run it", func() bool { return l.allRun(8, newest) })
+	eventually(t, "all replicas run it", func() bool { return l.allRun(8, newest) })
 	if again, err := v.admin(t, AdminRequest{Command: "rollback", Version: good, Key: "k1"}); err != nil || !strings.HasPrefix(again, "done before") {
 		t.Error(again, err)
 	}
@@ -69,7 +69,7 @@
 	if !slices.Contains(v.versionIDs(t), good) {
 		t.Error("the versions of before the restart are gone")
 	}
-	eventually(t, "holders follow the new epoch", func() bool {
+	eventually(t, "replicas follow the new epoch", func() bool {
 		all := v.versionIDs(t)
 		return len(all) > 0 && !strings.HasPrefix(all[0], strings.Split(good, ".")[0]+".") && l.allRun(8, all[0])
 	})
@@ -78,7 +78,7 @@
 	for i, of := range l.applied {
 		for id, n := range of {
 			if n > 1 {
-				t.Errorf("holder %d: %v took effect %d times", i, id, n)
+				t.Errorf("replica %d: %v was applied %d times", i, id, n)
 			}
 		}
 	}
@@ -86,11 +86,12 @@
 
 func TestCorruptDeltasLeaveEachReplicaOnItsLastGoodVersion(t *testing.T) {
 	v := startDeployment(t, fakes.DefaultSite(9, 12))
-	var spoil atomic.Bool
-	spoil.Store(true)
-	way, l := startCorruptingProxy(t, v.feed, &spoil), newReplicaVersions()
+	var corrupt atomic.Bool
+	corrupt.Store(true)
+	address := startCorruptingProxy(t, v.feed, &corrupt)
+	l := newReplicaVersions()
 	for i := range 30 {
-		startReplica(t, way, i, l.recorder(i))
+		startReplica(t, address, i, l.recorder(i))
 	}
 	v.assignAllProxies(t)
 	for round := range 12 {
@@ -107,11 +108,11 @@
 	l.mu.Lock()
 	for i, h := range l.held {
 		if !good[h.ID.String()] {
-			t.Errorf("holder %d runs %v, which never was", i, h.ID)
+			t.Errorf("replica %d runs %v, which never was published", i, h.ID)
 		}
 	}
 	l.mu.Unlock()
-	spoil.Store(false)
+	corrupt.Store(false)
 	eventually(t, "all run the newest", func() bool { return l.allRun(30, v.versionIDs(t)[0]) })
 	if n := v.manager.metrics.counts[versionsRejected].Load(); n == 0 {
 		t.Error("no delta was refused")
@@ -120,7 +121,7 @@
 
 func TestAnUnauthenticatedReplicaReceivesNothing(t *testing.T) {
 	v := startDeployment(t, fakes.DefaultSite(3, 3))
-	for what, say := range map[string]func(c net.Conn, nonce []byte){
+	for name, greet := range map[string]func(c net.Conn, nonce []byte){
 		"silent":  func(net.Conn, []byte) {},
 		"rubbish": func(c net.Conn, _ []byte) { io.WriteString(c, "GET / HTTP/1.1\r\n\r\n") },
 		"other key": func(c net.Conn, nonce []byte) {
@@ -139,11 +140,11 @@
 		if err != nil || kind != follow.FrameNonce {
 			t.Fatal(kind, err)
 		}
-		say(c, nonce)
+		greet(c, nonce)
 		if kind, _, err := follow.ReadFrame(c, 1<<20); err == nil {
-			t.Errorf("%s: got a frame %c", what, kind)
+			t.Errorf("%s: got a frame %c", name, kind)
 		} else if late, ok := err.(net.Error); ok && late.Timeout() {
-			t.Errorf("%s: still open", what)
+			t.Errorf("%s: still open", name)
 		}
 		c.Close()
 	}
@@ -176,7 +177,7 @@
 		}
 	}
 	if n := strings.Count(log.String(), "store_write_failed"); n != 1 || len(va.waiting.versions) > maxWaitingVersions {
-		t.Errorf("told %d times, %d wait", n, len(va.waiting.versions))
+		t.Errorf("logged %d times, %d wait", n, len(va.waiting.versions))
 	}
 	if va.store, _, err = store.Open(path, 1, store.DefaultLimits(), nil); err != nil {
 		t.Fatal(err)
@@ -198,7 +199,7 @@
 func (allServersReady) RequestRate(balancer.TableID) float64 { return 1 }
 func (allServersReady) ReadyServers() (int, int)             { return 1, 1 }
 
-// BenchmarkRollback is from a command of staff's to the holder that runs it last, of a thousand.
+// BenchmarkRollback measures from an operator's command to the last of a thousand replicas that runs the version.
 func BenchmarkRollback(b *testing.B) {
 	v, l := startDeployment(b, fakes.DefaultSite(30, 60)), newReplicaVersions()
 	const n = 1000
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -48,7 +48,7 @@
 }
 
 // Guards against an old list that replaces a newer one by accident, and against keeping a list that
-// discovery no longer knows after it began anew.
+// discovery no longer knows after it restarted.
 func TestAnOlderSnapshotNeedsConfirmationByASecondWatch(t *testing.T) {
 	held := &watchState{version: 41, lowestReset: -1}
 	if ids, err := readWatchText(t, testLimits, held, watchLine(3, true, "s-1")+"..."); len(ids) > 0 || err == nil {
