--- a/internal/platformsettings/fixture_test.go
+++ b/internal/platformsettings/fixture_test.go
@@ -85,7 +85,8 @@
 			at = at.([]any)[step]
 		}
 	}
-	last, parent := path[len(path)-1].(string), at.(map[string]any)
+	last := path[len(path)-1].(string)
+	parent := at.(map[string]any)
 	if _, present := parent[last]; !present {
 		t.Fatalf("%v: the fixture has no such key", path)
 	}
--- a/internal/subset/drain_test.go
+++ b/internal/subset/drain_test.go
@@ -28,7 +28,8 @@
 	r.seconds(5)
 	clear(r.fleet.failed)
 	last := map[balancer.ServerID]balancer.ServerState{}
-	lifted, drainedAt := map[balancer.ServerID]bool{}, map[balancer.ServerID]time.Duration{}
+	lifted := map[balancer.ServerID]bool{}
+	drainedAt := map[balancer.ServerID]time.Duration{}
 	for range 900 {
 		u := r.tick()
 		for _, one := range u.Servers {
@@ -117,7 +118,9 @@
 			outsiders = append(outsiders, s)
 		}
 	}
-	drained, removed, back := outsiders[0], outsiders[1], outsiders[2]
+	drained := outsiders[0]
+	removed := outsiders[1]
+	back := outsiders[2]
 	r.list(false, withState(balancer.Draining, drained, back)...)
 	r.list(false, withState(balancer.Removed, removed)...)
 	for _, s := range []Server{drained, removed, back} {
--- a/internal/subset/planned_size_test.go
+++ b/internal/subset/planned_size_test.go
@@ -55,7 +55,8 @@
 				size++
 			}
 		}
-		perManager, zonesCovered = append(perManager, size), append(zonesCovered, len(zones))
+		perManager = append(perManager, size)
+		zonesCovered = append(zonesCovered, len(zones))
 	}
 	return perServer, perManager, zonesCovered
 }
