--- a/internal/capacity/plan_file.go
+++ b/internal/capacity/plan_file.go
@@ -1,7 +1,6 @@
 package capacity
 
 import (
-	"fmt"
 	"os"
 	"path/filepath"
 	"time"
@@ -34,22 +33,16 @@
 // file by name.
 func ParsePlan(name string, text []byte) (Plan, error) {
 	var p Plan
-	nodes, err := sexp.Parse(name, text)
+	form, err := sexp.ReadForm(name, text, planForm, p.sections()...)
 	if err != nil {
 		return p, err
 	}
-	if len(nodes) != 1 || nodes[0].Head() != planForm {
-		return p, &sexp.Error{File: name, Line: 1, Problem: fmt.Sprintf("one form (%s ...) is due", planForm)}
-	}
-	form := nodes[0]
-	if err := sexp.Read(form, form.Args(), p.sections()...); err != nil {
-		return p, err
-	}
 	return p, p.checkConsistent(form)
 }
 
+// sections are the sections of a plan, with their keys and the bounds of each.
 func (p *Plan) sections() []sexp.Key {
-	return []sexp.Key{
+	return sexp.Required(
 		sectionKey("fleet", p.Fleet.keys()...),
 		sectionKey("budgets", p.Budgets.keys()...),
 		sectionKey("day", p.Day.keys()...),
@@ -57,24 +50,23 @@
 		sectionKey("control-machines", p.Control.keys()...),
 		sectionKey("managers", p.Managers.keys()...),
 		sectionKey("subset",
-			integerKey("home-zones", &p.Subset.HomeZones, 1, maxCount),
-			integerKey("others", &p.Subset.Others, 0, maxCount),
-			numberKey("widen-below", &p.Subset.WidenBelow, 0, 1)),
+			sexp.IntKey("home-zones", &p.Subset.HomeZones, 1, maxCount),
+			sexp.IntKey("others", &p.Subset.Others, 0, maxCount),
+			sexp.FloatKey("widen-below", &p.Subset.WidenBelow, 0, 1)),
 		sectionKey("message-bytes", p.Messages.keys()...),
-		{Name: "judged", Required: true, Read: p.readJudged},
-	}
+		sexp.Key{Name: "judged", Read: p.readJudged})
 }
 
 func (f *Fleet) keys() []sexp.Key {
 	return []sexp.Key{
-		integerKey("managers", &f.Managers, 1, maxCount),
-		integerKey("servers", &f.Servers, 1, maxCount),
-		integerKey("services", &f.Services, 1, maxCount),
-		numberKey("requests-per-second", &f.RequestsPerSecond, 0, maxRate),
-		integerKey("routes", &f.Routes, 0, maxCount),
-		integerKey("tenants", &f.Tenants, 0, maxCount),
-		integerKey("regions", &f.Regions, 1, maxCount),
-		integerKey("zones", &f.Zones, 1, maxCount),
+		sexp.IntKey("managers", &f.Managers, 1, maxCount),
+		sexp.IntKey("servers", &f.Servers, 1, maxCount),
+		sexp.IntKey("services", &f.Services, 1, maxCount),
+		sexp.FloatKey("requests-per-second", &f.RequestsPerSecond, 0, maxRate),
+		sexp.IntKey("routes", &f.Routes, 0, maxCount),
+		sexp.IntKey("tenants", &f.Tenants, 0, maxCount),
+		sexp.IntKey("regions", &f.Regions, 1, maxCount),
+		sexp.IntKey("zones", &f.Zones, 1, maxCount),
 	}
 }
 
@@ -82,66 +74,67 @@
 	return []sexp.Key{
 		durationKey("request-tail", &b.RequestTail),
 		durationKey("change-in-force", &b.MaxPropagation),
-		numberKey("core", &b.Core, 1e-6, maxCores),
-		numberKey("memory-mb", &b.MemoryMB, 1, maxBytes),
-		numberKey("bytes-per-second", &b.BytesPerSecond, 1, maxRate),
+		sexp.FloatKey("core", &b.Core, 1e-6, maxCores),
+		sexp.FloatKey("memory-mb", &b.MemoryMB, 1, maxBytes),
+		sexp.FloatKey("bytes-per-second", &b.BytesPerSecond, 1, maxRate),
 	}
 }
 
 func (d *Day) keys() []sexp.Key {
 	return []sexp.Key{
-		integerKey("failures", &d.Failures, 0, maxCount),
-		integerKey("restarts", &d.Restarts, 0, maxCount),
-		integerKey("changes", &d.Changes, 0, maxCount),
-		numberKey("entries-per-failure", &d.EntriesPerFailure, 0, 100),
-		numberKey("entries-per-restart", &d.EntriesPerRestart, 0, 100),
-		numberKey("entries-per-change", &d.EntriesPerChange, 0, maxCount),
-		numberKey("busy-hour", &d.BusyHour, 1.0/24, 1),
-		integerKey("batch", &d.Batch, 1, maxCount),
+		sexp.IntKey("failures", &d.Failures, 0, maxCount),
+		sexp.IntKey("restarts", &d.Restarts, 0, maxCount),
+		sexp.IntKey("changes", &d.Changes, 0, maxCount),
+		sexp.FloatKey("entries-per-failure", &d.EntriesPerFailure, 0, 100),
+		sexp.FloatKey("entries-per-restart", &d.EntriesPerRestart, 0, 100),
+		sexp.FloatKey("entries-per-change", &d.EntriesPerChange, 0, maxCount),
+		sexp.FloatKey("busy-hour", &d.BusyHour, 1.0/24, 1),
+		sexp.IntKey("batch", &d.Batch, 1, maxCount),
 	}
 }
 
 func (c *ControlMachines) keys() []sexp.Key {
 	return []sexp.Key{
-		integerKey("count", &c.Count, 3, 1000), // two of them are lost in one of the situations
-		integerKey("cores", &c.Cores, 1, maxCores),
-		numberKey("memory-mb", &c.MemoryMB, 1, maxBytes),
-		numberKey("bytes-per-second", &c.BytesPerSecond, 1, maxRate),
+		sexp.IntKey("count", &c.Count, 3, 1000), // two of them are lost in one of the situations
+		sexp.IntKey("cores", &c.Cores, 1, maxCores),
+		sexp.FloatKey("memory-mb", &c.MemoryMB, 1, maxBytes),
+		sexp.FloatKey("bytes-per-second", &c.BytesPerSecond, 1, maxRate),
 	}
 }
 
 func (m *Managers) keys() []sexp.Key {
 	return []sexp.Key{
-		integerKey("proxies", &m.Proxies, 1, maxCount),
-		integerKey("proxy-zones", &m.ProxyZones, 1, maxCount),
-		integerKey("traffic-groups", &m.TrafficClasses, 1, 64),
-		numberKey("tries-per-request", &m.AttemptsPerRequest, 1, 10),
+		sexp.IntKey("proxies", &m.Proxies, 1, maxCount),
+		sexp.IntKey("proxy-zones", &m.ProxyZones, 1, maxCount),
+		sexp.IntKey("traffic-groups", &m.TrafficClasses, 1, 64),
+		sexp.FloatKey("tries-per-request", &m.AttemptsPerRequest, 1, 10),
 		durationKey("report-interval", &m.ReportInterval),
 		durationOrZeroKey("read-interval", &m.ReadInterval),
-		boolKey("list-stored", &m.ListStored),
-		integerKey("collectors-per-zone", &m.CollectorsPerZone, 1, 1000),
-		integerKey("relays-per-zone", &m.RelaysPerZone, 1, 1000),
-		integerKey("queue-lines", &m.QueueCapacity, 1, maxCount),
+		sexp.FlagKey("list-stored", &m.ListStored),
+		sexp.IntKey("collectors-per-zone", &m.CollectorsPerZone, 1, 1000),
+		sexp.IntKey("relays-per-zone", &m.RelaysPerZone, 1, 1000),
+		sexp.IntKey("queue-lines", &m.QueueCapacity, 1, maxCount),
 		durationKey("probe-interval", &m.HealthCheckInterval),
 		durationKey("probe-timeout", &m.HealthCheckTimeout),
-		integerKey("probes-open", &m.MaxHealthChecks, 1, maxCount),
+		sexp.IntKey("probes-open", &m.MaxHealthChecks, 1, maxCount),
 	}
 }
 
 func (m *MessageBytes) keys() []sexp.Key {
 	return []sexp.Key{
-		numberKey("report", &m.Report, 1, maxBytes),
-		numberKey("usage", &m.Usage, 1, maxBytes),
-		numberKey("news", &m.RelayEvent, 1, maxBytes),
-		numberKey("list-entry", &m.ListEntry, 1, maxBytes),
-		numberKey("probe", &m.HealthCheck, 1, maxBytes),
-		numberKey("unanswered-probe", &m.UnansweredHealthCheck, 1, maxBytes),
-		numberKey("heartbeat", &m.Heartbeat, 0, maxBytes),
-		numberKey("calls", &m.Calls, 0, maxBytes),
-		numberKey("order", &m.Command, 1, maxBytes),
+		sexp.FloatKey("report", &m.Report, 1, maxBytes),
+		sexp.FloatKey("usage", &m.Usage, 1, maxBytes),
+		sexp.FloatKey("news", &m.RelayEvent, 1, maxBytes),
+		sexp.FloatKey("list-entry", &m.ListEntry, 1, maxBytes),
+		sexp.FloatKey("probe", &m.HealthCheck, 1, maxBytes),
+		sexp.FloatKey("unanswered-probe", &m.UnansweredHealthCheck, 1, maxBytes),
+		sexp.FloatKey("heartbeat", &m.Heartbeat, 0, maxBytes),
+		sexp.FloatKey("calls", &m.Calls, 0, maxBytes),
+		sexp.FloatKey("order", &m.Command, 1, maxBytes),
 	}
 }
 
+// readJudged reads the scope in which the budgets are judged.
 func (p *Plan) readJudged(n *sexp.Node) error {
 	var word string
 	if err := n.OneOf(&word, string(WholeList), string(Subset), string(CachedSubset)); err != nil {
@@ -169,49 +162,24 @@
 		{"subset", "others", p.Subset.Others, f.Servers, "servers"},
 	} {
 		if c.value > c.limit {
-			node := childNode(childNode(root, c.section), c.key)
+			node := root.Child(c.section).Child(c.key)
 			return node.Errorf("%s: %d is more than the %d %s", c.key, c.value, c.limit, c.of)
 		}
 	}
 	return nil
 }
 
-// childNode is the list with a head within another; that one where there is none.
-func childNode(n *sexp.Node, head string) *sexp.Node {
-	for _, child := range n.Args() {
-		if child.Head() == head {
-			return child
-		}
-	}
-	return n
-}
-
+// sectionKey is a section that must be there with all of its keys.
 func sectionKey(name string, keys ...sexp.Key) sexp.Key {
-	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error { return sexp.Read(n, n.Args(), keys...) }}
+	return sexp.Section(name, sexp.Required(keys...)...)
 }
 
-func integerKey(name string, to *int, least, most int) sexp.Key {
-	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error { return n.Int(to, least, most) }}
-}
-
-func numberKey(name string, to *float64, least, most float64) sexp.Key {
-	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error { return n.Float(to, least, most) }}
-}
-
-func boolKey(name string, to *bool) sexp.Key {
-	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error {
-		var word string
-		err := n.OneOf(&word, "yes", "no")
-		*to = word == "yes"
-		return err
-	}}
+// durationKey is a duration of the plan.
+func durationKey(name string, to *time.Duration) sexp.Key {
+	return sexp.DurationKey(name, to, minDuration, maxDuration)
 }
 
-// durationOrZeroKey is a duration that may be 0s.
+// durationOrZeroKey is a duration of the plan that may be 0s.
 func durationOrZeroKey(name string, to *time.Duration) sexp.Key {
-	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error { return n.Duration(to, 0, maxDuration) }}
-}
-
-func durationKey(name string, to *time.Duration) sexp.Key {
-	return sexp.Key{Name: name, Required: true, Read: func(n *sexp.Node) error { return n.Duration(to, minDuration, maxDuration) }}
+	return sexp.DurationKey(name, to, 0, maxDuration)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -170,3 +170,25 @@
 		t.Errorf("%d bytes with 16 MB", most)
 	}
 }
+
+// A caller can tell an error about a key apart also where the line is known.
+func TestLocatedErrorKeepsItsCause(t *testing.T) {
+	text := strings.Replace(validPlatformFile, `"sockets":1024`, `"sockets":1`, 1)
+	_, err := parse(emptyEnvironment, []byte(text), false)
+	var cause *platformsettings.KeyError
+	if err = locate([]byte(text), err); !errors.As(err, &cause) || cause.Key != "limits.sockets" {
+		t.Errorf("%v has no cause", err)
+	}
+}
+
+func TestFileThatIsNoObjectNamesNoLine(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte("\n[]"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	_, err := Read(func(key string) string { return map[string]string{variableConfig: path}[key] })
+	var located *LocatedError
+	if err == nil || !strings.HasPrefix(err.Error(), "PROXY_CONFIG: json: cannot unmarshal array") || errors.As(err, &located) {
+		t.Errorf("%v, not an error about the whole file", err)
+	}
+}
--- a/internal/config/fixture_test.go
+++ b/internal/config/fixture_test.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got.nodes = nil
+	got.form = nil
 	if want := fixtureOperatorSettings(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v\nnot\n%+v", got, want)
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
@@ -27,7 +26,7 @@
 	Spill         int           // servers of other zones than its proxies' that a manager uses; 0: all that are listed
 	ReadInterval  time.Duration // between two reads of what collectors and the relay send; 0: each is read at once
 
-	nodes map[string]*sexp.Node // by key: where each setting stands, for errors
+	form *sexp.Node // where the settings stand, for errors; nil: no file was read
 }
 
 // Bounds of the settings.
@@ -78,74 +77,50 @@
 func ParseOperatorSettings(name string, text []byte) (OperatorSettings, error) {
 	settings := DefaultOperatorSettings()
 	settings.File = name
-	settings.nodes = map[string]*sexp.Node{}
-	nodes, err := sexp.Parse(name, text)
+	form, err := sexp.ReadForm(name, text, operatorForm, settings.keys()...)
 	if err != nil {
 		return settings, err
 	}
-	if len(nodes) != 1 || nodes[0].Head() != operatorForm {
-		return settings, &sexp.Error{File: name, Line: 1, Problem: "one form (tamarindshore ...) is due"}
-	}
-	if err := sexp.Read(nodes[0], nodes[0].Args(), settings.keys()...); err != nil {
-		return settings, err
-	}
+	settings.form = form
 	return settings, settings.check()
 }
 
 // keys read the settings, in the order in which an error lists them.
 func (o *OperatorSettings) keys() []sexp.Key {
-	spill := o.key(keySubsetSpill, func(n *sexp.Node) error { return n.Int(&o.Spill, 1, maxSpill) })
-	spill.Required = true
 	return []sexp.Key{
-		o.key(keyCores, func(n *sexp.Node) error { return n.Int(&o.Shards, 1, maxShards) }),
-		o.group(keyLog,
-			o.key(keyLogLevel, func(n *sexp.Node) error { return n.OneOf(&o.LogLevel, logging.Levels...) }),
-			o.key(keyLogFormat, func(n *sexp.Node) error { return n.OneOf(&o.LogFormat, logging.Text, logging.JSON) })),
-		o.group(keyListen,
-			o.key(keyStatus, func(n *sexp.Node) error { return n.HostPort(&o.StatusAddress) })),
-		o.group(keyAdmin,
-			o.key(keyAdminSocket, func(n *sexp.Node) error { return n.Text(&o.AdminSocket) })),
-		o.group(keyTables,
-			o.key(keyListen, func(n *sexp.Node) error { return n.HostPort(&o.TablesAddress) }),
-			o.key(keyTablesKeys, func(n *sexp.Node) error { return n.Text(&o.KeyFile) })),
-		o.group(keyStore,
-			o.key(keyStorePath, func(n *sexp.Node) error { return n.Text(&o.StorePath) })),
-		o.group(keySubset, spill),
-		o.key(keyReadInterval, func(n *sexp.Node) error {
-			return n.Duration(&o.ReadInterval, minReadInterval, maxReadInterval)
-		}),
+		sexp.IntKey(keyCores, &o.Shards, 1, maxShards),
+		sexp.Section(keyLog,
+			sexp.ChoiceKey(keyLogLevel, &o.LogLevel, logging.Levels...),
+			sexp.ChoiceKey(keyLogFormat, &o.LogFormat, logging.Text, logging.JSON)),
+		sexp.Section(keyListen, sexp.HostPortKey(keyStatus, &o.StatusAddress)),
+		sexp.Section(keyAdmin, sexp.TextKey(keyAdminSocket, &o.AdminSocket)),
+		sexp.Section(keyTables,
+			sexp.HostPortKey(keyListen, &o.TablesAddress),
+			sexp.TextKey(keyTablesKeys, &o.KeyFile)),
+		sexp.Section(keyStore, sexp.TextKey(keyStorePath, &o.StorePath)),
+		sexp.Section(keySubset, sexp.Required(sexp.IntKey(keySubsetSpill, &o.Spill, 1, maxSpill))...),
+		sexp.DurationKey(keyReadInterval, &o.ReadInterval, minReadInterval, maxReadInterval),
 	}
 }
 
-// key reads one setting and remembers where it stands.
-func (o *OperatorSettings) key(name string, read func(n *sexp.Node) error) sexp.Key {
-	return sexp.Key{Name: name, Read: func(n *sexp.Node) error {
-		o.nodes[name] = n
-		return read(n)
-	}}
-}
-
-// group reads a list of settings of its own.
-func (o *OperatorSettings) group(name string, keys ...sexp.Key) sexp.Key {
-	return o.key(name, func(n *sexp.Node) error { return sexp.Read(n, n.Args(), keys...) })
-}
-
 // check looks at what one key alone can't tell.
 func (o *OperatorSettings) check() error {
-	for _, file := range []struct{ key, path string }{
-		{keyAdminSocket, o.AdminSocket},
-		{keyStorePath, o.StorePath},
-		{keyTablesKeys, o.KeyFile},
+	for _, file := range []struct{ section, key, path string }{
+		{keyAdmin, keyAdminSocket, o.AdminSocket},
+		{keyStore, keyStorePath, o.StorePath},
+		{keyTables, keyTablesKeys, o.KeyFile},
 	} {
 		if file.path != "" && !filepath.IsAbs(file.path) {
-			return o.errorf(file.key, "%q is no path from the root", file.path)
+			node := o.form.Child(file.section).Child(file.key)
+			return node.Errorf("%s: %q is no path from the root", file.key, file.path)
 		}
 	}
 	if o.TablesAddress != "" && o.KeyFile == "" {
-		return o.errorf(keyTables, "keys: is missing: versions are signed")
+		return o.form.Child(keyTables).Errorf("%s: %s: is missing: versions are signed", keyTables, keyTablesKeys)
 	}
 	if o.StatusAddress != "" && !isLoopback(o.StatusAddress) {
-		return o.errorf(keyStatus, "%s is not on loopback: it tells of the fleet without asking who reads", o.StatusAddress)
+		node := o.form.Child(keyListen).Child(keyStatus)
+		return node.Errorf("%s: %s is not on loopback: it tells of the fleet without asking who reads", keyStatus, o.StatusAddress)
 	}
 	return nil
 }
@@ -159,16 +134,11 @@
 	return false
 }
 
-// errorf is an error at a setting that was read.
-func (o *OperatorSettings) errorf(key, format string, values ...any) error {
-	return o.nodes[key].Errorf("%s: %s", key, fmt.Sprintf(format, values...))
-}
-
 // WithOperator joins the operator's settings to what the platform told. Where both speak of cores, the platform's word
 // is the most that may be asked for.
 func (c Config) WithOperator(o OperatorSettings) (Config, error) {
 	if c.coresConfigured && o.Shards > c.Limits.Cores {
-		return c, o.errorf(keyCores, "%d is more than the platform's limits.cores, %d", o.Shards, c.Limits.Cores)
+		return c, o.form.Child(keyCores).Errorf("%s: %d is more than the platform's limits.cores, %d", keyCores, o.Shards, c.Limits.Cores)
 	}
 	c.Limits.Shards = o.Shards
 	c.Limits.Sharding = sharding.DefaultSettings(o.Shards)
--- a/internal/faultsim/scenario_file.go
+++ b/internal/faultsim/scenario_file.go
@@ -8,6 +8,12 @@
 	"tamarindshore/internal/sexp"
 )
 
+const (
+	scenarioForm    = "scenario"
+	minScenarioTime = time.Millisecond
+	maxScenarioTime = time.Hour
+)
+
 // ReadScenario reads a scenario file of the form (scenario (key value) ...). What the file does not say is as in
 // DefaultScenario. An error names the file, the line and the key.
 func ReadScenario(path string) (Scenario, error) {
@@ -21,13 +27,10 @@
 // ParseScenario reads the text of a scenario file; errors call the file by name.
 func ParseScenario(name string, text []byte) (Scenario, error) {
 	s := DefaultScenario()
-	form, err := parseForm(name, text, "scenario")
+	form, err := sexp.ReadForm(name, text, scenarioForm, s.keys()...)
 	if err != nil {
 		return s, err
 	}
-	if err := sexp.Read(form, form.Args(), s.keys()...); err != nil {
-		return s, err
-	}
 	if s.FaultCount.Max < s.FaultCount.Min {
 		return s, form.Errorf("faults: most is under least")
 	}
@@ -37,23 +40,23 @@
 // keys are the keys of a scenario file, with their bounds.
 func (s *Scenario) keys() []sexp.Key {
 	return []sexp.Key{
-		integerKey("zones", &s.Zones, 1, 16),
-		integerKey("servers", &s.Servers, 1, 5000),
-		integerKey("proxies", &s.Proxies, 1, 20000),
-		numberKey("rate", &s.RequestRate, 0.01, 1e4),
-		numberKey("capacity", &s.ServerCapacity, 0.1, 1e5),
+		sexp.IntKey("zones", &s.Zones, 1, 16),
+		sexp.IntKey("servers", &s.Servers, 1, 5000),
+		sexp.IntKey("proxies", &s.Proxies, 1, 20000),
+		sexp.FloatKey("rate", &s.RequestRate, 0.01, 1e4),
+		sexp.FloatKey("capacity", &s.ServerCapacity, 0.1, 1e5),
 		durationKey("service", &s.ServiceTime),
 		durationRangeKey("reports-late", &s.ReportDelay),
 		durationRangeKey("list-late", &s.ListDelay),
 		durationRangeKey("transit", &s.MessageDelay),
-		numberKey("lines-per-s", &s.CommandsPerSecond, 10, 1e7),
-		numberKey("queue-lines", &s.QueueCapacity, 10, 1e7),
-		integerKey("messages", &s.MaxMessages, 0, 1000),
-		numberKey("cold-share", &s.ColdCapacity, 0.01, 1),
+		sexp.FloatKey("lines-per-s", &s.CommandsPerSecond, 10, 1e7),
+		sexp.FloatKey("queue-lines", &s.QueueCapacity, 10, 1e7),
+		sexp.IntKey("messages", &s.MaxMessages, 0, 1000),
+		sexp.FloatKey("cold-share", &s.ColdCapacity, 0.01, 1),
 		durationKey("warm-after", &s.WarmUpDuration),
 		durationKey("drain-grace", &s.DrainGracePeriod),
 		durationKey("bare-for", &s.MaxTimeWithoutServer),
-		numberKey("overload-factor", &s.OverloadFactor, 1, 100),
+		sexp.FloatKey("overload-factor", &s.OverloadFactor, 1, 100),
 		durationKey("overload-for", &s.MaxOverloadTime),
 		durationKey("length", &s.FaultPhase),
 		durationKey("settle", &s.SettlePhase),
@@ -76,27 +79,31 @@
 	return sexp.Read(node, node.Args(), keys...)
 }
 
-func integerKey(name string, value *int, least, most int) sexp.Key {
-	return sexp.Key{Name: name, Read: func(node *sexp.Node) error { return node.Int(value, least, most) }}
-}
-
-func numberKey(name string, value *float64, least, most float64) sexp.Key {
-	return sexp.Key{Name: name, Read: func(node *sexp.Node) error { return node.Float(value, least, most) }}
-}
-
+// durationKey is a key with a duration of a scenario.
 func durationKey(name string, value *time.Duration) sexp.Key {
-	return sexp.Key{Name: name, Read: func(node *sexp.Node) error { return node.Duration(value, time.Millisecond, time.Hour) }}
+	return sexp.DurationKey(name, value, minScenarioTime, maxScenarioTime)
 }
 
+// Keys of a range's bounds.
+const (
+	keyLeast = "least"
+	keyMost  = "most"
+)
+
+// countRangeKey is a key with a range of whole numbers; a range that is upside down is the caller's to refuse.
 func countRangeKey(name string, value *CountRange, least, most int) sexp.Key {
-	return sexp.Key{Name: name, Read: func(node *sexp.Node) error {
-		return sexp.Read(node, node.Args(), integerKey("least", &value.Min, least, most), integerKey("most", &value.Max, least, most))
-	}}
+	return sexp.Section(name,
+		sexp.IntKey(keyLeast, &value.Min, least, most),
+		sexp.IntKey(keyMost, &value.Max, least, most))
 }
 
+// durationRangeKey is a key with a range of durations.
 func durationRangeKey(name string, value *DurationRange) sexp.Key {
+	bounds := sexp.Section(name,
+		durationKey(keyLeast, &value.Min),
+		durationKey(keyMost, &value.Max))
 	return sexp.Key{Name: name, Read: func(node *sexp.Node) error {
-		if err := sexp.Read(node, node.Args(), durationKey("least", &value.Min), durationKey("most", &value.Max)); err != nil {
+		if err := bounds.Read(node); err != nil {
 			return err
 		}
 		if value.Max < value.Min {
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -1,16 +1,14 @@
-// Package sexp reads S-expressions: the form of the operator's settings, scenarios and scripts. It has the grammar, the
-// place of each word and the typed reading of values; what a key means is the caller's. An error about a text is an
-// *Error, which names file, line and word.
+// Package sexp reads S-expressions: the form of the operator's settings, of scenarios and replay files, and of the
+// capacity plan. It has the grammar, the place of each word and the typed reading of values; what a key means is the
+// caller's, who lists the keys of a form in a table of Key. An error about a text is an *Error, which names file, line
+// and word.
 package sexp
 
 import (
 	"errors"
 	"fmt"
-	"math"
-	"net"
 	"strconv"
 	"strings"
-	"time"
 
 	"github.com/alecthomas/participle/v2"
 	"github.com/alecthomas/participle/v2/lexer"
@@ -112,151 +110,13 @@
 	return n.List.Items[1:]
 }
 
-// Key is what reads the values of a list that begins with its name.
-type Key struct {
-	Name     string
-	Read     func(n *Node) error
-	Required bool
-	Repeated bool // it may be there more than once
-}
-
-// Read goes through lists and hands each to its key. What is no list, is unknown, comes twice or is missing is an
-// error; `in` is where the lists stand.
-func Read(in *Node, lists []*Node, keys ...Key) error {
-	seen := map[string]bool{}
-	for _, n := range lists {
-		key, err := findKey(n, keys)
-		if err != nil {
-			return err
-		}
-		if seen[key.Name] && !key.Repeated {
-			return n.Errorf("%s: stands twice", key.Name)
-		}
-		seen[key.Name] = true
-		if err := key.Read(n); err != nil {
-			return err
-		}
-	}
-	for _, key := range keys {
-		if key.Required && !seen[key.Name] {
-			return in.Errorf("%s: is missing", key.Name)
-		}
-	}
-	return nil
-}
-
-// findKey is the key that a list begins with.
-func findKey(n *Node, keys []Key) (Key, error) {
-	name := n.Head()
-	if name == "" {
-		return Key{}, n.Errorf("%s stands where (key value ...) is due", n.display())
-	}
-	var known []string
-	for _, key := range keys {
-		if key.Name == name {
-			return key, nil
+// Child is the first list within a list that begins with a head; the list itself where there is none, so that an error
+// still has a place.
+func (n *Node) Child(head string) *Node {
+	for _, child := range n.Args() {
+		if child.Head() == head {
+			return child
 		}
-		known = append(known, key.Name)
-	}
-	return Key{}, n.Errorf("%s: is no key here; known are %s", name, strings.Join(known, ", "))
-}
-
-// singleValue is the one value of a list.
-func (n *Node) singleValue() (*Node, error) {
-	if a := n.Args(); len(a) == 1 && a[0].List == nil {
-		return a[0], nil
-	}
-	return nil, n.Errorf("%s: one value is due", n.Head())
-}
-
-// value is a string or a word without its quotes.
-func (n *Node) value() string {
-	if n.String != nil {
-		return *n.String
-	}
-	return *n.Word
-}
-
-// Text reads the single value of a list as it stands.
-func (n *Node) Text(to *string) error {
-	v, err := n.singleValue()
-	if err == nil {
-		*to = v.value()
-	}
-	return err
-}
-
-// OneOf reads a word of a few.
-func (n *Node) OneOf(to *string, words ...string) error {
-	v, err := n.singleValue()
-	if err != nil {
-		return err
-	}
-	for _, w := range words {
-		if v.value() == w {
-			*to = w
-			return nil
-		}
-	}
-	return v.Errorf("%s: %s is none of %s", n.Head(), v.display(), strings.Join(words, ", "))
-}
-
-// Int reads a whole number within bounds.
-func (n *Node) Int(to *int, least, most int) error {
-	v, err := n.singleValue()
-	if err != nil {
-		return err
-	}
-	x, err := strconv.Atoi(v.value())
-	if err != nil || x < least || x > most {
-		return v.Errorf("%s: %s is no whole number from %d to %d", n.Head(), v.display(), least, most)
-	}
-	*to = x
-	return nil
-}
-
-// Float reads a number within bounds; 12% is 0.12.
-func (n *Node) Float(to *float64, least, most float64) error {
-	v, err := n.singleValue()
-	if err != nil {
-		return err
-	}
-	text, isPercent := strings.CutSuffix(v.value(), "%")
-	x, err := strconv.ParseFloat(text, 64)
-	if isPercent {
-		x /= 100
-	}
-	if err != nil || math.IsNaN(x) || x < least || x > most {
-		return v.Errorf("%s: %s is no number from %v to %v", n.Head(), v.display(), least, most)
-	}
-	*to = x
-	return nil
-}
-
-// Duration reads a time such as 250ms, 13s or 1m30s within bounds.
-func (n *Node) Duration(to *time.Duration, least, most time.Duration) error {
-	v, err := n.singleValue()
-	if err != nil {
-		return err
-	}
-	x, err := time.ParseDuration(v.value())
-	if err != nil || x < least || x > most {
-		return v.Errorf("%s: %s is no time from %v to %v", n.Head(), v.display(), least, most)
-	}
-	*to = x
-	return nil
-}
-
-// HostPort reads host:port.
-func (n *Node) HostPort(to *string) error {
-	v, err := n.singleValue()
-	if err != nil {
-		return err
-	}
-	host, port, err := net.SplitHostPort(v.value())
-	if p, bad := strconv.ParseUint(port, 10, 16); err != nil || host == "" || bad != nil || p == 0 {
-		return v.Errorf("%s: %s is no host:port", n.Head(), v.display())
 	}
-	*to = v.value()
-	return nil
+	return n
 }
