--- a/internal/node/collector_conn_test.go
+++ b/internal/node/collector_conn_test.go
@@ -100,7 +100,7 @@
 }
 
 func TestNamingAZoneExtendsTheDeadlineOnlyWhereNobodyReports(t *testing.T) {
-	in := testReceiver(make(chan struct{}), testLimits)
+	in := testReceiver(t, testLimits)
 	now := time.Now()
 	good := &collectorConn{state: collectorReporting, zone: "a", lastReport: now}
 	in.conns = []*collectorConn{good}
--- a/internal/node/decoder_pool_test.go
+++ b/internal/node/decoder_pool_test.go
@@ -23,35 +23,42 @@
 	return t
 }
 
-// startDecoderPool is a receiver of several cores that accepts; what it decodes waits in the sample queue.
-func startDecoderPool(t *testing.T, l config.Limits, terms sharding.Settings) (*decoderPool, string) {
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+// startDecoderPool starts a receiver of several shards that accepts connections at an address; what it decodes waits in the
+// pool's sample queue.
+func startDecoderPool(t *testing.T, l config.Limits, settings sharding.Settings) (pool *decoderPool, address string) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop := make(chan struct{})
-	l.MaxQueuedInputs = ifElse(l.MaxQueuedInputs == testLimits.MaxQueuedInputs, 1<<16, l.MaxQueuedInputs) // or what waits is folded
-	l.ReadChunkBytes, l.MaxQueuedChunks, l.MaxCollectorConns, l.MaxUnidentifiedConns, l.MaxEmptyMessages = 256, 4, 64, 300, 64
-	in := testReceiver(stop, l)
-	in.decoder.maxProxyID = 65535
-	in.decoderPool = newDecoderPool(in, newSampleQueue(l.MaxQueuedInputs, in.metrics), terms)
+	t.Cleanup(func() { listener.Close() })
+	if l.MaxQueuedInputs == testLimits.MaxQueuedInputs {
+		l.MaxQueuedInputs = 1 << 16 // so that nothing is merged, unless the test asks for it
+	}
+	l.ReadChunkBytes = 256
+	l.MaxQueuedChunks = 4
+	l.MaxCollectorConns = 64
+	l.MaxUnidentifiedConns = 300
+	l.MaxEmptyMessages = 64
+	in := testReceiver(t, l)
+	in.decoder.maxProxyID = maxProxyNumber
+	in.decoderPool = newDecoderPool(in, newSampleQueue(l.MaxQueuedInputs, in.metrics), settings)
 	go in.decoderPool.runAssignerClock()
-	go in.acceptLoop(at)
-	t.Cleanup(func() { close(stop); at.Close() })
-	return in.decoderPool, at.Addr().String()
+	go in.acceptLoop(listener)
+	return in.decoderPool, listener.Addr().String()
 }
 
 // rebalanceFrom makes the assigner spread work as if one shard's connections took all their time.
-func (h *decoderPool) rebalanceFrom(heavy sharding.ShardID) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (p *decoderPool) rebalanceFrom(heavy sharding.ShardID) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	cores := map[sharding.ConnID]float64{}
-	for id := range h.conns {
-		if o, _ := h.assigner.Owner(id); o.Shard == heavy {
+	for id := range p.conns {
+		if owner, _ := p.assigner.Owner(id); owner.Shard == heavy {
 			cores[id] = 0.3
 		}
 	}
-	h.apply(func(now time.Duration) sharding.Actions { return h.assigner.HandleLoad(now, cores) })
+	p.apply(func(now time.Duration) sharding.Actions { return p.assigner.HandleLoad(now, cores) })
 }
 
 // collectRequests takes samples from the queue until so many have come, and gives their requests by proxy in order.
@@ -275,7 +282,7 @@
 		b.Run(fmt.Sprint("shards=", n), func(b *testing.B) {
 			l := testLimits
 			l.MaxQueuedInputs, l.ReadChunkBytes, l.MaxQueuedChunks, l.MaxEmptyMessages = 1<<16, 16<<10, 4, 1<<30
-			in := testReceiver(make(chan struct{}), l)
+			in := testReceiver(b, l)
 			in.decoderPool = newDecoderPool(in, newSampleQueue(l.MaxQueuedInputs, in.metrics), sharding.DefaultSettings(n))
 			defer func() { in.decoderPool = nil }()
 			text := []byte(strings.Repeat(usageLine, 300))
--- a/internal/node/health_check_test.go
+++ b/internal/node/health_check_test.go
@@ -35,7 +35,7 @@
 				io.ReadAll(c)
 			}
 		})
-		got, _ := testReceiver(make(chan struct{}), l).checkOnce(healthCheckTarget{"s-1", address}, "/metrics/load")
+		got, _ := testReceiver(t, l).checkOnce(healthCheckTarget{"s-1", address}, "/metrics/load")
 		if got.outcome != want.outcome || got.inFlight != want.inFlight || got.latency <= 0 {
 			t.Errorf("%.30q: %+v", answer, got)
 		}
@@ -46,7 +46,7 @@
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	l.Close()
 	for _, address := range []string{l.Addr().String(), "", "no address"} {
-		if got, asked := testReceiver(make(chan struct{}), testLimits).checkOnce(healthCheckTarget{"s-1", address}, "/alive"); !asked || got.outcome != balancer.HealthCheckUnreachable {
+		if got, asked := testReceiver(t, testLimits).checkOnce(healthCheckTarget{"s-1", address}, "/alive"); !asked || got.outcome != balancer.HealthCheckUnreachable {
 			t.Errorf("%q: %+v", address, got)
 		}
 	}
@@ -63,7 +63,7 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
 		t.Fatal(err)
 	}
-	got, asked := testReceiver(make(chan struct{}), testLimits).checkOnce(healthCheckTarget{"s-1", address}, "/alive")
+	got, asked := testReceiver(t, testLimits).checkOnce(healthCheckTarget{"s-1", address}, "/alive")
 	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)
 	if asked {
 		t.Errorf("%+v", got)
--- a/internal/node/interleaving_relay_test.go
+++ b/internal/node/interleaving_relay_test.go
@@ -39,7 +39,7 @@
 			}
 		}
 	})
-	in := testReceiver(make(chan struct{}), l)
+	in := testReceiver(t, l)
 	return newRelayClient(l, address, testClasses, nil, in), calls, do, done
 }
 
@@ -79,7 +79,7 @@
 				io.WriteString(c, whole[:cut])
 			}
 		})
-		r := newRelayClient(testLimits, address, testClasses, nil, testReceiver(make(chan struct{}), testLimits))
+		r := newRelayClient(testLimits, address, testClasses, nil, testReceiver(t, testLimits))
 		n, end := r.send(testWeights(1, 2))
 		if known := cut == len(whole); known != (end == callDone) || known != (n == 2) {
 			t.Errorf("%d of %d bytes: %d commands, %s", cut, len(whole), n, end)
@@ -94,7 +94,7 @@
 			io.ReadFull(c, make([]byte, cut))
 			c.(*net.TCPConn).SetLinger(0)
 		})
-		r := newRelayClient(testLimits, address, testClasses, nil, testReceiver(make(chan struct{}), testLimits))
+		r := newRelayClient(testLimits, address, testClasses, nil, testReceiver(t, testLimits))
 		if n, end := r.send(testWeights(1, 2)); n != 0 || end != callOutcomeUnknown && !(cut == 0 && end == callNotSent) {
 			t.Errorf("%d bytes: %d commands, %s", cut, n, end)
 		}
--- a/internal/node/interleaving_stream_test.go
+++ b/internal/node/interleaving_stream_test.go
@@ -18,8 +18,7 @@
 // owner of the balancer, and the new watch's copy of it counts as old.
 func TestAChangeThatWasNotDeliveredIsNotCountedAsHeld(t *testing.T) {
 	address, _ := startStreamServer(t, watchLine(42, false, "s-1")+"...", watchLine(42, false, "s-1")+"...")
-	in, inputs := testReceiver(make(chan struct{}), testLimits), make(chan input)
-	in.inputs = inputs
+	in, inputs := testReceiverWithInputs(t, testLimits, 0)
 	held, w := &watchState{version: 41, lowestReset: -1}, testUpstream(t, address)
 	over := make(chan struct{})
 	go func() {
@@ -70,8 +69,7 @@
 func TestASuccessorInterruptsADial(t *testing.T) {
 	l := testLimits
 	l.ConnectTimeout = time.Hour
-	in, inputs := testReceiver(make(chan struct{}), l), make(chan input, 64)
-	in.inputs = inputs
+	in, inputs := testReceiverWithInputs(t, l, 64)
 	old := testUpstream(t, blackHole(t))
 	go in.runProxyEvents(old)
 	address, _ := startStreamServer(t, "event: joined\ndata: id=17&site=a&rps=21.5&new=1\n\n...")
@@ -88,8 +86,7 @@
 func TestAnUpstreamWithoutMessagesReplacesNothing(t *testing.T) {
 	before, _ := startStreamServer(t, "...")
 	after, asked := startStreamServer(t, "", "")
-	in, inputs := testReceiver(make(chan struct{}), testLimits), make(chan input, 64)
-	in.inputs = inputs
+	in, inputs := testReceiverWithInputs(t, testLimits, 64)
 	old := testUpstream(t, before)
 	go in.runProxyEvents(old)
 	defer old.cancel()
@@ -114,8 +111,7 @@
 	malformedOne := strings.Replace(watchLine(42, false, "s-1"), `"up"`, `"?"`, 1)
 	address, asked := startStreamServer(t, malformedOne+watchLine(43, false, "s-2"), malformedOne+watchLine(43, false, "s-2")+watchLine(44, false, "s-3"),
 		malformedOne+watchLine(45, false, "s-4"), watchLine(45, true, "s-5")+watchLine(46, false, "s-6"))
-	in, inputs := testReceiver(make(chan struct{}), testLimits), make(chan input, 64)
-	in.inputs = inputs
+	in, inputs := testReceiverWithInputs(t, testLimits, 64)
 	held, w := &watchState{version: 41, lowestReset: -1}, testUpstream(t, address)
 	want := []string{"[]", "[s-2 s-3]", "[s-4]", "[s-5 s-6]"}
 	for i, at := range []int64{41, 41, 41, 46} {
@@ -141,7 +137,7 @@
 	w.noteDecodeError()
 	address, _ := startStreamServer(t, "{]\n"+watchLine(43, false, "s-2")+"...")
 	w.address = address
-	if _, err := testReceiver(make(chan struct{}), l).readWatch(w, &watchState{version: 41, lowestReset: -1}); err != errResync {
+	if _, err := testReceiver(t, l).readWatch(w, &watchState{version: 41, lowestReset: -1}); err != errResync {
 		t.Error(err)
 	}
 }
@@ -160,8 +156,7 @@
 func TestAMalformedJoinAtEachOpeningBlocksNothingElse(t *testing.T) {
 	text := "event: joined\ndata: id=x&site=a&rps=1&new=1\n\nevent: joined\ndata: id=18&site=a&rps=21.5&new=1\n\n:\nevent: left\ndata: id=18\n\n"
 	address, _ := startStreamServer(t, text, text)
-	in, inputs := testReceiver(make(chan struct{}), testLimits), make(chan input, 64)
-	in.inputs = inputs
+	in, inputs := testReceiverWithInputs(t, testLimits, 64)
 	w := testUpstream(t, address)
 	for _, want := range [][]input{{proxyEventsOpened{}}, {proxyEventsOpened{}, proxyConnected{18, "a", 21.5}, proxyDisconnected{18}}} {
 		in.readProxyEvents(w)
@@ -194,8 +189,7 @@
 	l.MaxWatchGap = 0
 	behind := `{"generation":45,"reset":false,"instances":[]}` + "\n" + watchLine(46, false, "s-2") + "..."
 	address, asked := startStreamServer(t, behind, behind, watchLine(46, true, "s-3")+"...", watchLine(46, true, "s-4")+watchLine(47, false, "s-5"), "")
-	in, inputs := testReceiver(make(chan struct{}), l), make(chan input, 64)
-	in.inputs = inputs
+	in, inputs := testReceiverWithInputs(t, l, 64)
 	held, w := &watchState{version: 93, lowestReset: -1}, testUpstream(t, address)
 	for _, from := range []string{"=93 ", "=93 ", "=0 ", "=0 ", "=47 "} {
 		in.readWatch(w, held)
--- a/internal/node/proxy_events.go
+++ b/internal/node/proxy_events.go
@@ -50,9 +50,9 @@
 	return nil
 }
 
-// begin takes over from the previous upstream, once.
+// begin replaces the previous upstream, once.
 func (n *proxyEventReader) begin() {
-	n.up.takeOver()
+	n.up.replacePrevious()
 	n.started = true
 	n.startedAt = time.Now()
 	n.enqueue(proxyEventsOpened{})
@@ -64,7 +64,7 @@
 
 // readLine takes one line of the event stream; an error ends it.
 func (n *proxyEventReader) readLine(line []byte) error {
-	if !n.started { // guards against giving up the previous upstream for one that brings nothing
+	if !n.started { // guards against giving up the previous upstream for one that sends nothing
 		n.begin()
 	}
 	text := string(line)
@@ -88,14 +88,14 @@
 	return nil
 }
 
-// heartbeat takes a comment of the event stream, which the relay sends as a sign of life.
+// heartbeat takes a comment of the event stream, which the relay sends as a heartbeat.
 func (n *proxyEventReader) heartbeat() {
 	if n.snapshotComplete || time.Since(n.startedAt) < n.receiver.limits.ProxySnapshotTimeout {
 		return
 	}
 	n.snapshotComplete = true
 	if n.eventSkipped {
-		return // guards against taking for left who was told in what could not be read
+		return // guards against disconnecting a proxy that an unreadable event told
 	}
 	n.up.clearDecodeError()
 	n.enqueue(proxySnapshotComplete{})
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// dropEvent counts an event that could not be read; an error ends the stream, so that its next opening tells it again.
+// dropEvent counts an event that could not be read; an error ends the stream, so that its next opening sends it again.
 func (n *proxyEventReader) dropEvent(event proxyEvent, err error) error {
 	metrics := n.receiver.metrics
 	if err == errUnknownName {
@@ -128,7 +128,7 @@
 	}
 	metrics.add(malformedMessages, 1)
 	if _, isAck := event.(barrierAck); isAck {
-		return nil // alone: a later mark settles it; a join or a leave that is lost would stay lost
+		return nil // alone: a later barrier settles it; a join or a leave that is lost would stay lost
 	}
 	metrics.logLimited("malformed_proxy_event", "from", n.up.address, "error", err)
 	n.eventSkipped = true
--- a/internal/node/proxy_events_test.go
+++ b/internal/node/proxy_events_test.go
@@ -12,8 +12,7 @@
 func TestProxyEventsAreReadInOrder(t *testing.T) {
 	address, asked := startStreamServer(t, "event: joined\ndata: id=17&site=a&rps=21.5&new=1\n\n:\n"+
 		"event: applied\r\ndata: id=17&seq=905&ms=310.4\r\n\r\nevent: other\ndata: x\n\nevent: left\ndata: id=17\n\nevent: left\nda")
-	in, inputs := testReceiver(make(chan struct{}), testLimits), make(chan input, 64)
-	in.inputs = inputs
+	in, inputs := testReceiverWithInputs(t, testLimits, 64)
 	opened, err := in.readProxyEvents(testUpstream(t, address))
 	if got := <-asked; got != "GET /v3/kv/stream HTTP/1.1" || !opened || !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("%q %v %v", got, opened, err)
@@ -38,7 +37,7 @@
 			l.ProxyWatchIdleTimeout = 200 * time.Millisecond
 		}
 		address, _ := startStreamServer(t, text)
-		if _, err := testReceiver(make(chan struct{}), l).readProxyEvents(testUpstream(t, address)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := testReceiver(t, l).readProxyEvents(testUpstream(t, address)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.30q: %v", text, err)
 		}
 	}
--- a/internal/node/receiver_test.go
+++ b/internal/node/receiver_test.go
@@ -14,24 +14,40 @@
 	"tamarindshore/internal/config"
 )
 
-func testReceiver(stop chan struct{}, l config.Limits) *receiver {
-	return &receiver{limits: l, decoder: testDecoder(), inputs: make(chan input, 64), stop: stop, metrics: newMetrics(time.Hour, zerolog.Nop()),
-		isReady: func() bool { return true }, jitter: rand.New(rand.NewPCG(1, 1))}
+// testReceiver makes a receiver that stops at the end of the test.
+func testReceiver(t testing.TB, l config.Limits) *receiver {
+	return &receiver{
+		limits:  l,
+		decoder: testDecoder(),
+		inputs:  make(chan input, 64),
+		stop:    t.Context().Done(),
+		metrics: newMetrics(time.Hour, zerolog.Nop()),
+		isReady: func() bool { return true },
+		jitter:  rand.New(rand.NewPCG(1, 1)),
+	}
+}
+
+// testReceiverWithInputs makes a receiver whose inputs come out of a channel.
+func testReceiverWithInputs(t testing.TB, l config.Limits, capacity int) (*receiver, chan input) {
+	r := testReceiver(t, l)
+	inputs := make(chan input, capacity)
+	r.inputs = inputs
+	return r, inputs
 }
 
 func testUpstream(t testing.TB, address string) *upstream { return newUpstream(t.Context(), address) }
 
-// startReceiver is a receiver that accepts; what it hands on comes out of the channel.
-func startReceiver(t *testing.T, l config.Limits, ready bool) (*receiver, string, chan input) {
+// startReceiver starts a receiver that accepts connections at an address; its inputs come out of the channel.
+func startReceiver(t *testing.T, l config.Limits, ready bool) (r *receiver, address string, inputs chan input) {
+	t.Helper()
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop, inputs := make(chan struct{}), make(chan input, 64)
-	in := testReceiver(stop, l)
-	in.inputs, in.isReady = inputs, func() bool { return ready }
+	in, inputs := testReceiverWithInputs(t, l, 64)
+	in.isReady = func() bool { return ready }
 	go in.acceptLoop(at)
-	t.Cleanup(func() { close(stop); at.Close() })
+	t.Cleanup(func() { at.Close() })
 	return in, at.Addr().String(), inputs
 }
 
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -77,11 +77,9 @@
 	})
 	r := testRouter(t)
 	r.pendingCommands()
-	stop := make(chan struct{})
-	t.Cleanup(func() { close(stop) })
-	in := testReceiver(stop, l)
+	in := testReceiver(t, l)
 	in.inputs, in.metrics = r.inputs, r.metrics
-	go r.run(stop)
+	go r.run(t.Context().Done())
 	return newRelayClient(l, address, testClasses, r.backlog, in), calls
 }
 
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -64,8 +64,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body)
 		io.ReadAll(c)
 	})
-	in, inputs := testReceiver(make(chan struct{}), testLimits), make(chan input)
-	in.inputs = inputs
+	in, inputs := testReceiverWithInputs(t, testLimits, 0)
 	old := testUpstream(t, before)
 	go in.runProxyEvents(old)
 	if got := fmt.Sprint(<-inputs, <-inputs); got != fmt.Sprint(proxyEventsOpened{}, proxyConnected{17, "a", 21.5}) {
@@ -89,7 +88,7 @@
 // Guards against dialling an old address again.
 func TestAReplacedUpstreamIsNotReopened(t *testing.T) {
 	n, w := 0, testUpstream(t, "")
-	testReceiver(nil, testLimits).runStream(w, "proxy_stream", proxyStreamBreaks, func() (bool, error) {
+	testReceiver(t, testLimits).runStream(w, "proxy_stream", proxyStreamBreaks, func() (bool, error) {
 		n++
 		w.successor(w.ctx, "")
 		return true, errors.New("broken")
@@ -115,7 +114,7 @@
 	held := &watchState{version: 41, lowestReset: -1}
 	ids, _ := readWatchText(t, testLimits, held, watchLine(42, false, "s-1"))
 	address, asked := startStreamServer(t, "")
-	testReceiver(make(chan struct{}), testLimits).readWatch(testUpstream(t, address), held)
+	testReceiver(t, testLimits).readWatch(testUpstream(t, address), held)
 	if got := <-asked; !strings.Contains(got, "after=42 ") || !slices.Equal(ids, []balancer.ServerID{"s-1"}) {
 		t.Errorf("%s %v", got, ids)
 	}
@@ -127,8 +126,7 @@
 	first := testUpstream(t, "")
 	close(first.done)
 	second := first.successor(t.Context(), "127.0.0.1:1")
-	in, inputs := testReceiver(make(chan struct{}), testLimits), make(chan input, 64)
-	in.inputs = inputs
+	in, inputs := testReceiverWithInputs(t, testLimits, 64)
 	go in.runProxyEvents(second) // it never opens
 	address, _ := startStreamServer(t, "event: joined\ndata: id=17&site=a&rps=21.5&new=1\n\n...")
 	third := second.successor(t.Context(), address)
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -40,7 +40,7 @@
 	l := testLimits
 	l.MinBackoff, l.MaxBackoff = time.Hour, time.Hour
 	n, w := 0, testUpstream(t, "")
-	testReceiver(nil, l).runStream(w, "proxy_stream", proxyStreamBreaks, func() (bool, error) {
+	testReceiver(t, l).runStream(w, "proxy_stream", proxyStreamBreaks, func() (bool, error) {
 		if n++; n == 2 {
 			w.cancel()
 		}
@@ -55,7 +55,7 @@
 	l := testLimits
 	l.StreamOpenTimeout = 30 * time.Millisecond
 	address := startServer(t, func(c net.Conn) { io.ReadAll(c) })
-	if opened, err := testReceiver(make(chan struct{}), l).readProxyEvents(testUpstream(t, address)); opened || err == nil {
+	if opened, err := testReceiver(t, l).readProxyEvents(testUpstream(t, address)); opened || err == nil {
 		t.Errorf("%v %v", opened, err)
 	}
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -10,19 +10,22 @@
 // watchPath is where discovery streams its list, from a version on.
 const watchPath = "/discovery/hosts?watch=1&after="
 
+// errStaleList ends a watch that opens with a list older than the one held.
+var errStaleList = errors.New("an older list than the one held")
+
 // errResync ends a watch so that the next one asks again for what is missing.
 var errResync = errors.New("what is missing is asked for again")
 
 // watchReader reads discovery's watch once, to its end.
 type watchReader struct {
-	receiver   *receiver
-	up         *upstream
-	state      *watchState
-	opened     bool      // discovery accepted the watch
-	began      bool      // a line was received
-	pastFirst  bool      // the first list was received
-	gapSince   time.Time // when something that could not be read began to be missing; zero: nothing is
-	staleSince time.Time // when the first of only older lists was received; zero: newer ones are
+	receiver     *receiver
+	up           *upstream
+	state        *watchState
+	opened       bool      // discovery accepted the watch
+	started      bool      // a line was received
+	listReceived bool      // the first list was received
+	gapSince     time.Time // when something that could not be read began to be missing; zero: nothing is
+	staleSince   time.Time // when the first of only older lists was received; zero: newer ones are
 }
 
 // runWatch keeps discovery's watch open at an upstream, until that is replaced or the manager ends: always where the site
@@ -67,7 +70,7 @@
 	return reader.opened, err
 }
 
-// logListAge tells how old the list is that the manager goes on with, where that is more than a break of the watch.
+// logListAge logs how old the list is that the manager goes on with, where that is more than a break of the watch.
 func (r *receiver) logListAge(state *watchState) {
 	held := state.held(time.Now())
 	if held.age > r.limits.EndpointWatchIdleTimeout {
@@ -82,11 +85,11 @@
 	return nil
 }
 
-// readLine takes one line, which holds a list; an error ends the watch.
+// readLine handles one line, which holds a list or is a heartbeat; an error ends the watch.
 func (w *watchReader) readLine(line []byte) error {
-	if !w.began { // guards against giving up the previous upstream for one that brings nothing
-		w.began = true
-		w.up.takeOver()
+	if !w.started { // guards against giving up the previous upstream for one that sends nothing
+		w.started = true
+		w.up.replacePrevious()
 	}
 	if w.isOverdue(w.gapSince) {
 		return errResync
@@ -96,25 +99,25 @@
 		return errResync
 	}
 	if len(bytes.TrimSpace(line)) == 0 {
-		w.noteSignOfLife()
+		w.noteHeartbeat()
 		return nil
 	}
-	opening := !w.pastFirst
-	w.pastFirst = true
+	opening := !w.listReceived
+	w.listReceived = true
 	list, unknown, err := w.receiver.decoder.parseList(line)
 	if err != nil {
 		return w.dropList(err)
 	}
 	w.receiver.metrics.add(unknownNames, int64(unknown))
 	if !w.state.accepts(list, opening) {
-		return w.dropOldList(list, opening)
+		return w.dropStaleList(list, opening)
 	}
-	return w.takeList(list)
+	return w.acceptList(list)
 }
 
-// noteSignOfLife notes that discovery stands by the list that is held, unless something of it is missing.
-func (w *watchReader) noteSignOfLife() {
-	if w.pastFirst && w.gapSince.IsZero() && w.staleSince.IsZero() {
+// noteHeartbeat notes that discovery confirms the list that is held, unless something of it is missing.
+func (w *watchReader) noteHeartbeat() {
+	if w.listReceived && w.gapSince.IsZero() && w.staleSince.IsZero() {
 		w.state.noteConfirmed(time.Now())
 	}
 }
@@ -124,8 +127,8 @@
 	return !since.IsZero() && time.Since(since) >= w.receiver.limits.MaxWatchGap
 }
 
-// dropList counts a list that could not be read. It is asked for again by another watch; where it was malformed there
-// too, what follows is taken meanwhile.
+// dropList counts a list that could not be read. It is requested again by another watch; where it was malformed there
+// too, what follows is accepted meanwhile.
 func (w *watchReader) dropList(err error) error {
 	w.receiver.metrics.add(malformedMessages, 1)
 	w.receiver.metrics.logLimited("malformed_endpoint_list", "from", w.up.address, "error", err)
@@ -136,12 +139,12 @@
 	return nil
 }
 
-// dropOldList counts a list that is older than the one held.
-func (w *watchReader) dropOldList(list endpointList, opening bool) error {
+// dropStaleList counts a list that is older than the one held.
+func (w *watchReader) dropStaleList(list endpointList, opening bool) error {
 	w.receiver.metrics.add(staleEndpointLists, 1)
 	w.receiver.metrics.logLimited("stale_endpoint_list", "version", list.generation, "held", w.state.heldVersion())
 	if opening && list.snapshot {
-		return errors.New("an older list than the one held")
+		return errStaleList
 	}
 	if w.staleSince.IsZero() { // guards against all that follows a version that was never true counting as old
 		w.staleSince = time.Now()
@@ -149,8 +152,8 @@
 	return nil
 }
 
-// takeList hands a list on. The version held moves only where nothing before it is missing.
-func (w *watchReader) takeList(list endpointList) error {
+// acceptList hands a list on. The version held advances only where nothing before it is missing.
+func (w *watchReader) acceptList(list endpointList) error {
 	w.staleSince = time.Time{}
 	list.complete = list.snapshot || w.gapSince.IsZero()
 	if list.snapshot || len(list.entries) > 0 { // else nothing has changed
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -19,8 +19,7 @@
 // readWatchText is what a watch from version 41 hands on.
 func readWatchText(t *testing.T, l config.Limits, held *watchState, text string) (ids []balancer.ServerID, err error) {
 	address, _ := startStreamServer(t, text)
-	in, inputs := testReceiver(make(chan struct{}), l), make(chan input, 64)
-	in.inputs = inputs
+	in, inputs := testReceiverWithInputs(t, l, 64)
 	_, err = in.readWatch(testUpstream(t, address), held)
 	for _, one := range receivedInputs(inputs) {
 		ids = append(ids, one.(endpointList).entries[0].Server)
@@ -83,7 +82,7 @@
 		"{]\n\n": false, // a change could not be read
 	} {
 		state := newWatchState(41, time.Unix(1000, 0))
-		reader := watchReader{receiver: testReceiver(make(chan struct{}), testLimits), up: testUpstream(t, "127.0.0.1:1"), state: state}
+		reader := watchReader{receiver: testReceiver(t, testLimits), up: testUpstream(t, "127.0.0.1:1"), state: state}
 		reader.up.noteDecodeError() // one unreadable line is passed over
 		for _, line := range strings.SplitAfter(text, "\n") {
 			reader.readLine([]byte(strings.TrimSuffix(line, "\n")))
