--- a/internal/node/proxy_events.go
+++ b/internal/node/proxy_events.go
@@ -15,17 +15,25 @@
 // proxyEventReader reads the relay's event stream once, to its end. It opens with a snapshot of the connected proxies,
 // which is complete at the first heartbeat that comes a while after the first line.
 type proxyEventReader struct {
-	receiver         *receiver
-	up               *upstream
-	opened           bool      // the relay accepted the stream
-	started          bool      // the stream has replaced the one before it
-	startedAt        time.Time // of the same
-	snapshotComplete bool
-	eventSkipped     bool   // a join or a leave could not be read
-	event            string // name of the event in progress
-	data             string // of the event in progress
+	receiver     *receiver
+	up           *upstream
+	phase        proxyStreamPhase
+	startedAt    time.Time // of proxyStreamSnapshot
+	eventSkipped bool      // a join or a leave could not be read
+	event        string    // name of the event in progress
+	data         string    // of the event in progress
 }
 
+// proxyStreamPhase says how far an event stream has come.
+type proxyStreamPhase int
+
+const (
+	proxyStreamDialling proxyStreamPhase = iota
+	proxyStreamOpened                    // the relay accepted it; it has not replaced the previous upstream yet
+	proxyStreamSnapshot                  // it sends its snapshot
+	proxyStreamLive                      // the snapshot is complete
+)
+
 // runProxyEvents keeps the relay's event stream open at an upstream, until that is replaced or the manager ends.
 func (r *receiver) runProxyEvents(up *upstream) {
 	r.runStream(up, "proxy_stream", proxyStreamBreaks, func() (bool, error) { return r.readProxyEvents(up) })
@@ -37,12 +45,12 @@
 	wanted := streamRequest{address: up.address, path: proxyEventsPath, idleTimeout: r.limits.ProxyWatchIdleTimeout, maxLength: r.limits.MaxWatchEventBytes,
 		readInterval: r.limits.ReadInterval}
 	err = stream(up.ctx, r.limits, wanted, reader.open, reader.readLine)
-	return reader.opened, err
+	return reader.phase >= proxyStreamOpened, err
 }
 
 // open notes that the relay accepted the stream.
 func (n *proxyEventReader) open() error {
-	n.opened = true
+	n.phase = proxyStreamOpened
 	n.receiver.metrics.add(proxyStreamOpens, 1)
 	if n.up.previous == nil {
 		n.begin()
@@ -53,7 +61,7 @@
 // begin replaces the previous upstream, once.
 func (n *proxyEventReader) begin() {
 	n.up.replacePrevious()
-	n.started = true
+	n.phase = proxyStreamSnapshot
 	n.startedAt = time.Now()
 	n.enqueue(proxyEventsOpened{})
 }
@@ -64,7 +72,7 @@
 
 // readLine takes one line of the event stream; an error ends it.
 func (n *proxyEventReader) readLine(line []byte) error {
-	if !n.started { // guards against giving up the previous upstream for one that sends nothing
+	if n.phase < proxyStreamSnapshot { // guards against giving up the previous upstream for one that sends nothing
 		n.begin()
 	}
 	text := string(line)
@@ -90,10 +98,10 @@
 
 // heartbeat takes a comment of the event stream, which the relay sends as a heartbeat.
 func (n *proxyEventReader) heartbeat() {
-	if n.snapshotComplete || time.Since(n.startedAt) < n.receiver.limits.ProxySnapshotTimeout {
+	if n.phase == proxyStreamLive || time.Since(n.startedAt) < n.receiver.limits.ProxySnapshotTimeout {
 		return
 	}
-	n.snapshotComplete = true
+	n.phase = proxyStreamLive
 	if n.eventSkipped {
 		return // guards against disconnecting a proxy that an unreadable event told
 	}
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -18,16 +18,24 @@
 
 // watchReader reads discovery's watch once, to its end.
 type watchReader struct {
-	receiver     *receiver
-	up           *upstream
-	state        *watchState
-	opened       bool      // discovery accepted the watch
-	started      bool      // a line was received
-	listReceived bool      // the first list was received
-	gapSince     time.Time // when something that could not be read began to be missing; zero: nothing is
-	staleSince   time.Time // when the first of only older lists was received; zero: newer ones are
+	receiver   *receiver
+	up         *upstream
+	state      *watchState
+	phase      watchPhase
+	gapSince   time.Time // when something that could not be read began to be missing; zero: nothing is
+	staleSince time.Time // when the first of only older lists was received; zero: newer ones are
 }
 
+// watchPhase says how far a watch has come.
+type watchPhase int
+
+const (
+	watchDialling watchPhase = iota
+	watchOpened              // discovery accepted it; it has not replaced the previous upstream yet
+	watchStarted             // a line was received
+	watchListed              // the first list was received
+)
+
 // runWatch keeps discovery's watch open at an upstream, until that is replaced or the manager ends: always where the site
 // pushes changes, else where the balancer requests the list, with one endpointListFailed for each watch that ends. With
 // requested the first watch is opened without a request.
@@ -67,7 +75,7 @@
 	wanted := streamRequest{address: up.address, path: path, idleTimeout: r.limits.EndpointWatchIdleTimeout, maxLength: r.limits.MaxEndpointListBytes}
 	err = stream(up.ctx, r.limits, wanted, reader.open, reader.readLine)
 	r.logListAge(state)
-	return reader.opened, err
+	return reader.phase >= watchOpened, err
 }
 
 // logListAge logs how old the list is that the manager goes on with, where that is more than a break of the watch.
@@ -80,15 +88,15 @@
 
 // open notes that discovery accepted the watch.
 func (w *watchReader) open() error {
-	w.opened = true
+	w.phase = watchOpened
 	w.receiver.metrics.add(watchOpens, 1)
 	return nil
 }
 
 // readLine handles one line, which holds a list or is a heartbeat; an error ends the watch.
 func (w *watchReader) readLine(line []byte) error {
-	if !w.started { // guards against giving up the previous upstream for one that sends nothing
-		w.started = true
+	if w.phase < watchStarted { // guards against giving up the previous upstream for one that sends nothing
+		w.phase = watchStarted
 		w.up.replacePrevious()
 	}
 	if w.isOverdue(w.gapSince) {
@@ -102,8 +110,8 @@
 		w.noteHeartbeat()
 		return nil
 	}
-	opening := !w.listReceived
-	w.listReceived = true
+	opening := w.phase < watchListed
+	w.phase = watchListed
 	list, unknown, err := w.receiver.decoder.parseList(line)
 	if err != nil {
 		return w.dropList(err)
@@ -117,7 +125,7 @@
 
 // noteHeartbeat notes that discovery confirms the list that is held, unless something of it is missing.
 func (w *watchReader) noteHeartbeat() {
-	if w.listReceived && w.gapSince.IsZero() && w.staleSince.IsZero() {
+	if w.phase == watchListed && w.gapSince.IsZero() && w.staleSince.IsZero() {
 		w.state.noteConfirmed(time.Now())
 	}
 }
