--- a/internal/node/collector_conn.go
+++ b/internal/node/collector_conn.go
@@ -55,6 +55,14 @@
 	return c.lastReport.Before(other.lastReport)
 }
 
+var (
+	errReportsNothing = errors.New("reports nothing")
+	errZoneNotNamed   = errors.New("a collector names its zone first")
+)
+
+// pong answers a ping.
+const pong = "pong\r\n"
+
 // serveConn reads one connection's lines until it ends, sends what can't be read, or is silent for too long.
 func (r *receiver) serveConn(conn *collectorConn) {
 	maxLength := func() int { return r.maxLineLength(conn) }
@@ -102,7 +110,7 @@
 	if !r.isReady() {
 		return nil
 	}
-	_, err := conn.Write(bytes.Repeat([]byte("pong\r\n"), count))
+	_, err := conn.Write(bytes.Repeat([]byte(pong), count))
 	return err
 }
 
@@ -123,10 +131,10 @@
 	r.removeConn(conn)
 }
 
-// handleLine takes one decoded line of a connection, and gives the input that is to be handed on and whether a ping is
-// to be answered; an error ends the connection. A malformed message is dropped alone, but many one after another that
-// report nothing end the connection too: the rest can't be read either, or it sends pings without end and takes the
-// time that decisions need.
+// handleLine handles one decoded line of a connection, and gives the sample that is to be handed on, if it is one, and
+// whether a ping is to be answered; an error ends the connection. A malformed message is dropped alone, but many messages
+// in a row that report nothing end the connection too: the rest can't be read either, or pings take the time that
+// decisions need.
 func (r *receiver) handleLine(conn *collectorConn, now time.Time, line decodedLine) (reported sample, pinged bool, end error) {
 	name, naming := line.message.(collectorName)
 	_, isPing := line.message.(ping)
@@ -134,13 +142,13 @@
 	case errors.Is(line.err, errUnreadable):
 		return nil, false, line.err
 	case conn.idleMessages >= r.limits.MaxEmptyMessages && (line.err != nil || naming || isPing):
-		return nil, false, errors.Join(errUnreadable, errors.New("reports nothing"))
+		return nil, false, errors.Join(errUnreadable, errReportsNothing)
 	case isPing:
 		conn.idleMessages++
 		r.metrics.add(pings, 1)
 		return nil, true, nil
 	case !conn.named() && !naming:
-		return nil, false, errors.Join(errUnreadable, errors.New("a collector names its zone first"))
+		return nil, false, errors.Join(errUnreadable, errZoneNotNamed)
 	case line.err != nil:
 		return nil, false, r.dropLine(conn, line)
 	case naming:
--- a/internal/node/deadline_conn.go
+++ b/internal/node/deadline_conn.go
@@ -9,19 +9,19 @@
 )
 
 // deadlineConn is a connection whose peer must send something by a deadline. What the kernel holds when the deadline
-// has passed is still taken, once. Guards against dropping sound peers after this process stood still. The deadline may
-// be moved by another goroutine than the one that reads.
+// has passed is still read, once. Guards against dropping healthy peers after this process was stalled. One goroutine
+// reads; others may write and move the deadline.
 type deadlineConn struct {
 	net.Conn
 	grace        time.Duration // of the read after the deadline has passed
 	writeTimeout time.Duration
-	readErr      error // of the last read
+	readErr      error // of the last read; of the reading goroutine
 	pace         readPace
 
-	mu            sync.Mutex
+	mu            sync.Mutex // of all below
 	idleTimeout   time.Duration
 	deadline      time.Time
-	graceUsed     bool
+	graceUsed     bool // the read after the deadline was made
 	fixedDeadline bool // no read or write moves the deadline
 }
 
@@ -29,30 +29,34 @@
 func (c *deadlineConn) extendDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.fixedDeadline {
-		return
+	if !c.fixedDeadline {
+		c.restartIdleTimeout()
 	}
+}
+
+// restartIdleTimeout gives the peer the idle timeout from now on. mu is held.
+func (c *deadlineConn) restartIdleTimeout() {
 	c.deadline = time.Now().Add(c.idleTimeout)
 	c.graceUsed = false
 }
 
-// startIdleTimeout ends a fixed deadline: from now on the peer must send something within a span each time.
+// startIdleTimeout ends a fixed deadline: from now on the peer must send something within the timeout each time.
 func (c *deadlineConn) startIdleTimeout(timeout time.Duration) {
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.fixedDeadline = false
 	c.idleTimeout = timeout
-	c.mu.Unlock()
-	c.extendDeadline()
+	c.restartIdleTimeout()
 }
 
-// postponeDeadline moves the deadline.
+// postponeDeadline moves the deadline by a duration.
 func (c *deadlineConn) postponeDeadline(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = c.deadline.Add(by)
 }
 
-// currentDeadline is the deadline of a read, and whether the read after it was made.
+// currentDeadline gives the deadline, and whether the read after it was made.
 func (c *deadlineConn) currentDeadline() (deadline time.Time, graceUsed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// acceptLoop takes connections at the manager's address until the manager ends.
+// acceptLoop accepts connections at the manager's address until the manager ends.
 func (r *receiver) acceptLoop(listener net.Listener) {
 	for {
 		netConn, err := listener.Accept()
@@ -58,7 +58,7 @@
 	}
 }
 
-// addConn registers a connection that has not named itself yet.
+// addConn registers a new connection.
 func (r *receiver) addConn(conn *collectorConn) {
 	r.metrics.add(connections, 1)
 	r.mu.Lock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// removeConn drops a connection from the registry. mu is held.
+// removeConn removes a connection from those that count. mu is held.
 func (r *receiver) removeConn(conn *collectorConn) {
 	if i := slices.Index(r.conns, conn); i >= 0 {
 		r.conns = slices.Delete(r.conns, i, i+1)
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -268,7 +268,7 @@
 	b.counts.add(one.counts())
 }
 
-// finishConn ends a connection of which all is delivered.
+// finishConn closes a connection of which all is delivered. Its phase is connClosed, so that err no longer changes.
 func (p *decoderPool) finishConn(conn *shardConn, partial []byte) {
 	err := conn.err
 	if err == io.EOF && len(partial) > 0 {
