--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -82,10 +82,10 @@
 // minReplicas is how many replicas of tables a manager serves at least.
 const minReplicas = 16
 
-func newRouter(start config.Config, born time.Time, m *metrics) *router {
+func newRouter(start config.Config, startedAt time.Time, m *metrics) *router {
 	return &router{
 		limits:        start.Limits,
-		startedAt:     born,
+		startedAt:     startedAt,
 		manager:       balancer.New(start.Seed, start.Balancer),
 		inputs:        make(chan input, start.Limits.MaxQueuedInputs),
 		backlog:       newBacklog(start.Limits.MaxQueuedCalls, m),
--- a/internal/node/proxy_events.go
+++ b/internal/node/proxy_events.go
@@ -60,7 +60,7 @@
 
 // begin replaces the previous upstream, once.
 func (n *proxyEventReader) begin() {
-	n.up.replacePrevious()
+	n.up.takeOver()
 	n.phase = proxyStreamSnapshot
 	n.startedAt = time.Now()
 	n.enqueue(proxyEventsOpened{})
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -16,36 +16,39 @@
 // assignedWithin is how long all proxies may take to be assigned after a restart.
 const assignedWithin = 30 * time.Second
 
+// restarts are the restarts of TestReadyAfterARestart, each with what fails before it.
+var restarts = []struct {
+	name     string
+	assigned bool // all proxies are to be assigned
+	trouble  func(t *testing.T, v *managerDeployment)
+}{
+	{"sound", true, func(*testing.T, *managerDeployment) {}},
+	{"discovery is silent", true, func(_ *testing.T, v *managerDeployment) { v.Discovery.SetUnresponsive(true) }},
+	{"discovery is out of reach", true, func(_ *testing.T, v *managerDeployment) { v.Discovery.Close() }},
+	{"the relay is busy", true, func(_ *testing.T, v *managerDeployment) {
+		v.Relay.Configure(func(r *fakes.Relay) {
+			r.InjectFault = func(call int) fakes.Fault { return ifElse(call%3 != 0, fakes.AnswerBusy, fakes.NoFault) }
+		})
+	}},
+	{"the relay is silent", false, func(t *testing.T, v *managerDeployment) {
+		v.Relay.Address = startServer(t, func(c net.Conn) { io.Copy(io.Discard, c) })
+	}},
+	{"the relay is out of reach", false, func(_ *testing.T, v *managerDeployment) { v.Relay.Address = "127.0.0.1:1" }},
+}
+
 func TestReadyAfterARestart(t *testing.T) {
 	const proxies = 2400
 	site := fakes.DefaultSite(200, proxies)
 	site.ChannelLinesPerSecond = 60_000
 	site.ChannelQueueLines = 60_000
-	for _, one := range []struct {
-		name     string
-		assigned bool // all proxies are to be assigned
-		trouble  func(v *managerDeployment)
-	}{
-		{"sound", true, func(*managerDeployment) {}},
-		{"discovery is silent", true, func(v *managerDeployment) { v.Discovery.SetUnresponsive(true) }},
-		{"discovery is out of reach", true, func(v *managerDeployment) { v.Discovery.Close() }},
-		{"the relay is busy", true, func(v *managerDeployment) {
-			v.Relay.Configure(func(r *fakes.Relay) {
-				r.InjectFault = func(call int) fakes.Fault { return ifElse(call%3 != 0, fakes.AnswerBusy, fakes.NoFault) }
-			})
-		}},
-		{"the relay is silent", false, func(v *managerDeployment) {
-			v.Relay.Address = startServer(t, func(c net.Conn) { io.Copy(io.Discard, c) })
-		}},
-		{"the relay is out of reach", false, func(v *managerDeployment) { v.Relay.Address = "127.0.0.1:1" }},
-	} {
+	for _, one := range restarts {
 		t.Run(one.name, func(t *testing.T) {
 			v := startDeployment(t, site)
 			v.Relay.ConnectProxies(proxyIDs(0, proxies)...)
 			eventually(t, "all connected", func() bool { return v.manager.metrics.counts[proxyConnects].Load() == proxies })
 			v.manager.Stop(false)
 			allAssigned := notifyOnceAssigned(v.Relay, proxies)
-			one.trouble(v)
+			one.trouble(t, v)
 			began := time.Now()
 			if err := v.Deployment.StartManager(); err != nil {
 				t.Fatal(err)
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -30,9 +30,9 @@
 	return next
 }
 
-// replacePrevious cancels the older upstreams; once it returns they hand on nothing more, so that nothing stale follows what
+// takeOver cancels the older upstreams; once it returns they hand on nothing more, so that nothing stale follows what
 // the new one opens with. They end at once, also in a dial.
-func (u *upstream) replacePrevious() {
+func (u *upstream) takeOver() {
 	for old := u.previous; old != nil; old = old.previous {
 		old.cancel()
 		<-old.done
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -97,7 +97,7 @@
 func (w *watchReader) readLine(line []byte) error {
 	if w.phase < watchStarted { // guards against giving up the previous upstream for one that sends nothing
 		w.phase = watchStarted
-		w.up.replacePrevious()
+		w.up.takeOver()
 	}
 	if w.isOverdue(w.gapSince) {
 		return errResync
