--- a/internal/node/backlog_test.go
+++ b/internal/node/backlog_test.go
@@ -61,7 +61,8 @@
 	o := commandsOfEachKind()
 	all := encodeCommands(o, testClasses, 60000)
 	for n := range o.Count() + 1 {
-		head, tail := encodeCommands(commands.KeepFirst(o, n, 0), testClasses, 60000), encodeCommands(commands.SkipFirst(o, n), testClasses, 60000)
+		head := encodeCommands(commands.KeepFirst(o, n, 0), testClasses, 60000)
+		tail := encodeCommands(commands.SkipFirst(o, n), testClasses, 60000)
 		if got := append(head, tail...); !reflect.DeepEqual(got, all) {
 			t.Errorf("at %d: %q", n, got)
 		}
--- a/internal/node/collector_conn_test.go
+++ b/internal/node/collector_conn_test.go
@@ -64,7 +64,9 @@
 // Guards against an unidentified connection that restarts its deadline with each line, and one that knows a zone's name.
 func TestUnidentifiedConnectionsHaveOneFixedDeadline(t *testing.T) {
 	l := testLimits
-	l.IdentifyTimeout, l.CollectorIdleTimeout, l.MaxEmptyMessages = 150*time.Millisecond, 50*time.Millisecond, 1000
+	l.IdentifyTimeout = 150 * time.Millisecond
+	l.CollectorIdleTimeout = 50 * time.Millisecond
+	l.MaxEmptyMessages = 1000
 	for _, start := range []string{"", "ping\r\n", "collector site=a\r\n"} {
 		_, address, _ := startReceiver(t, l, true)
 		c := dialManager(t, address, start)
--- a/internal/node/decode_fuzz_test.go
+++ b/internal/node/decode_fuzz_test.go
@@ -52,15 +52,18 @@
 		if err != nil {
 			continue
 		}
-		proxy, ok := balancer.ProxyID(-1), true
+		proxy := balancer.ProxyID(-1)
+		ok := true
 		switch in := in.(type) {
 		case proxyConnected:
 			_, zone := w.zones[string(in.zone)]
-			proxy, ok = in.proxy, zone && in.requestRate >= 0 && !math.IsInf(in.requestRate, 0)
+			proxy = in.proxy
+			ok = zone && in.requestRate >= 0 && !math.IsInf(in.requestRate, 0)
 		case proxyDisconnected:
 			proxy = in.proxy
 		case barrierAck:
-			proxy, ok = in.proxy, in.barrier >= 0 && in.barrier <= maxBarrier
+			proxy = in.proxy
+			ok = in.barrier >= 0 && in.barrier <= maxBarrier
 		}
 		if !ok || proxy < 0 || int(proxy) > w.maxProxyID {
 			t.Errorf("%s %q passed as %+v", kind, data, in)
@@ -143,7 +146,8 @@
 }
 
 func TestDecodersOnMutatedInput(t *testing.T) {
-	chance, w := rand.New(rand.NewPCG(1, 2)), testDecoder()
+	chance := rand.New(rand.NewPCG(1, 2))
+	w := testDecoder()
 	for _, one := range []struct {
 		seeds []string
 		check func(text string)
@@ -165,7 +169,8 @@
 		text := ""
 		for i := range chance.IntN(6) {
 			one := strings.Repeat(string(rune('a'+i)), chance.IntN(40))
-			sent, text = append(sent, one), text+one+[]string{"\n", "\r\n"}[chance.IntN(2)]
+			sent = append(sent, one)
+			text = text + one + []string{"\n", "\r\n"}[chance.IntN(2)]
 		}
 		var held []byte
 		for rest := []byte(text); len(rest) > 0; {
--- a/internal/node/decoder_pool_test.go
+++ b/internal/node/decoder_pool_test.go
@@ -18,8 +18,14 @@
 // quickSettings are settings under which a test need not wait for long.
 func quickSettings(n int) sharding.Settings {
 	t := sharding.DefaultSettings(n)
-	t.CheckInterval, t.StallTimeout, t.DrainTimeout, t.RebalanceInterval = 5*time.Millisecond, 40*time.Millisecond, 50*time.Millisecond, time.Hour
-	t.MoveCooldown, t.MoveWindow, t.MaxMoves, t.QuarantineDuration = 0, time.Millisecond, 1000, 100*time.Millisecond
+	t.CheckInterval = 5 * time.Millisecond
+	t.StallTimeout = 40 * time.Millisecond
+	t.DrainTimeout = 50 * time.Millisecond
+	t.RebalanceInterval = time.Hour
+	t.MoveCooldown = 0
+	t.MoveWindow = time.Millisecond
+	t.MaxMoves = 1000
+	t.QuarantineDuration = 100 * time.Millisecond
 	return t
 }
 
@@ -281,7 +287,10 @@
 	for _, n := range []int{1, 2, 4, 8} {
 		b.Run(fmt.Sprint("shards=", n), func(b *testing.B) {
 			l := testLimits
-			l.MaxQueuedInputs, l.ReadChunkBytes, l.MaxQueuedChunks, l.MaxEmptyMessages = 1<<16, 16<<10, 4, 1<<30
+			l.MaxQueuedInputs = 1 << 16
+			l.ReadChunkBytes = 16 << 10
+			l.MaxQueuedChunks = 4
+			l.MaxEmptyMessages = 1 << 30
 			in := testReceiver(b, l)
 			in.decoderPool = newDecoderPool(in, newSampleQueue(l.MaxQueuedInputs, in.metrics), sharding.DefaultSettings(n))
 			defer func() { in.decoderPool = nil }()
@@ -290,7 +299,9 @@
 			for i := range 16 {
 				ours, theirs := net.Pipe()
 				g := &collectorConn{state: collectorReporting, zone: "a"}
-				g.Conn, g.deadline, g.lastReport = ours, time.Now().Add(time.Hour), time.Now()
+				g.Conn = ours
+				g.deadline = time.Now().Add(time.Hour)
+				g.lastReport = time.Now()
 				in.conns = append(in.conns, g)
 				go in.decoderPool.readConn(g)
 				all.Go(func() {
--- a/internal/node/decoder_test.go
+++ b/internal/node/decoder_test.go
@@ -13,7 +13,8 @@
 
 func testDecoder() *decoder {
 	t := testSettings
-	t.Classes, t.Proxies = append(t.Classes, t.Classes...), 50
+	t.Classes = append(t.Classes, t.Classes...)
+	t.Proxies = 50
 	return newDecoder(t, []string{"lookup", "book"}, testEpoch, testLimits)
 }
 
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -59,7 +59,8 @@
 		return result, !isLocalFailure(err)
 	}
 	defer conn.Close()
-	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	request := fasthttp.AcquireRequest()
+	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://" + target.address + path)
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -16,7 +16,9 @@
 func testHollow(t *testing.T, servers, proxies int, l config.Limits) (*HollowManager, []balancer.Commands) {
 	t.Helper()
 	ofMany := testSettings
-	ofMany.Proxies, ofMany.QueueCapacity, ofMany.CommandsPerSecond = proxies+1, 1e6, 1e6
+	ofMany.Proxies = proxies + 1
+	ofMany.QueueCapacity = 1e6
+	ofMany.CommandsPerSecond = 1e6
 	h, err := NewHollowManager(config.Config{Relay: "127.0.0.1:1", Limits: l, Balancer: ofMany, ClassNames: []string{"g"},
 		CachedEndpointList: json.RawMessage(`{"generation":0,"reset":true,"instances":[]}`)}, time.Unix(1000, 0))
 	if err != nil {
@@ -70,7 +72,8 @@
 // hollowLimits are those of the tests with room for a whole opening.
 func hollowLimits() config.Limits {
 	l := testLimits
-	l.LogInterval, l.MaxQueuedHealthChecks = time.Second, 64
+	l.LogInterval = time.Second
+	l.MaxQueuedHealthChecks = 64
 	return l
 }
 
--- a/internal/node/interleaving_relay_test.go
+++ b/internal/node/interleaving_relay_test.go
@@ -17,7 +17,9 @@
 // startAnsweringRelay is a relay that answers each call and then does with the connection what the test asks; it is notified once
 // that is done. The calls' commands come out of the channel.
 func startAnsweringRelay(t *testing.T, l config.Limits, then func(c net.Conn)) (r *relayClient, calls chan string, do, done chan struct{}) {
-	calls, do, done = make(chan string, 8), make(chan struct{}), make(chan struct{})
+	calls = make(chan string, 8)
+	do = make(chan struct{})
+	done = make(chan struct{})
 	address := startServer(t, func(c net.Conn) {
 		for in, first := bufio.NewReader(c), true; ; first = false {
 			req, err := http.ReadRequest(in)
@@ -104,7 +106,8 @@
 // Guards against commands lost where the relay moves while a call is in flight: its outcome is settled first, and what
 // may be missing goes to the new address.
 func TestARelayAddressChangedDuringACall(t *testing.T) {
-	inFlight, cut := make(chan struct{}, 8), make(chan struct{})
+	inFlight := make(chan struct{}, 8)
+	cut := make(chan struct{})
 	before := startServer(t, func(c net.Conn) {
 		http.ReadRequest(bufio.NewReader(c))
 		inFlight <- struct{}{}
--- a/internal/node/interleaving_stream_test.go
+++ b/internal/node/interleaving_stream_test.go
@@ -19,7 +19,8 @@
 func TestAChangeThatWasNotDeliveredIsNotCountedAsHeld(t *testing.T) {
 	address, _ := startStreamServer(t, watchLine(42, false, "s-1")+"...", watchLine(42, false, "s-1")+"...")
 	in, inputs := testReceiverWithInputs(t, testLimits, 0)
-	held, w := &watchState{version: 41, lowestReset: -1}, testUpstream(t, address)
+	held := &watchState{version: 41, lowestReset: -1}
+	w := testUpstream(t, address)
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
@@ -112,7 +113,8 @@
 	address, asked := startStreamServer(t, malformedOne+watchLine(43, false, "s-2"), malformedOne+watchLine(43, false, "s-2")+watchLine(44, false, "s-3"),
 		malformedOne+watchLine(45, false, "s-4"), watchLine(45, true, "s-5")+watchLine(46, false, "s-6"))
 	in, inputs := testReceiverWithInputs(t, testLimits, 64)
-	held, w := &watchState{version: 41, lowestReset: -1}, testUpstream(t, address)
+	held := &watchState{version: 41, lowestReset: -1}
+	w := testUpstream(t, address)
 	want := []string{"[]", "[s-2 s-3]", "[s-4]", "[s-5 s-6]"}
 	for i, at := range []int64{41, 41, 41, 46} {
 		in.readWatch(w, held)
@@ -171,7 +173,8 @@
 func TestAGenerationThatWasNeverTrue(t *testing.T) {
 	l := testLimits
 	l.MaxWatchGap = 0
-	held, all := &watchState{version: 41, lowestReset: -1}, ""
+	held := &watchState{version: 41, lowestReset: -1}
+	all := ""
 	for _, text := range []string{watchLine(93, false, "s-1") + watchLine(44, false, "s-2") + watchLine(45, false, "s-3") + "...",
 		watchLine(45, true, "s-4") + "...", watchLine(45, true, "s-5") + watchLine(46, false, "s-6")} {
 		ids, _ := readWatchText(t, l, held, text)
@@ -190,7 +193,8 @@
 	behind := `{"generation":45,"reset":false,"instances":[]}` + "\n" + watchLine(46, false, "s-2") + "..."
 	address, asked := startStreamServer(t, behind, behind, watchLine(46, true, "s-3")+"...", watchLine(46, true, "s-4")+watchLine(47, false, "s-5"), "")
 	in, inputs := testReceiverWithInputs(t, l, 64)
-	held, w := &watchState{version: 93, lowestReset: -1}, testUpstream(t, address)
+	held := &watchState{version: 93, lowestReset: -1}
+	w := testUpstream(t, address)
 	for _, from := range []string{"=93 ", "=93 ", "=0 ", "=0 ", "=47 "} {
 		in.readWatch(w, held)
 		if got := <-asked; !strings.Contains(got, "after"+from) {
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -29,7 +29,8 @@
 // Guards against a SIGHUP that comes while the file is half written, with none after it.
 func TestAnInvalidFileIsReadAgain(t *testing.T) {
 	s := testConfig(t)
-	s.Limits.ReloadRetries, s.Limits.ReloadRetryInterval = 2, time.Millisecond
+	s.Limits.ReloadRetries = 2
+	s.Limits.ReloadRetryInterval = time.Millisecond
 	n, err := New(s, io.Discard)
 	if err != nil {
 		t.Fatal(err)
@@ -80,11 +81,13 @@
 
 // Guards against goroutines and descriptors that outlive a manager that ended amid streams, calls, health checks and collectors.
 func TestShutdownLeaksNoGoroutineOrDescriptor(t *testing.T) {
-	before, open := 0, 0
+	before := 0
+	open := 0
 	for round := range 4 {
 		if round == 1 { // libraries start a few goroutines once in a process
 			http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-			before, open = runtime.NumGoroutine(), openDescriptors(t)
+			before = runtime.NumGoroutine()
+			open = openDescriptors(t)
 		}
 		v := startDeployment(t, fakes.DefaultSite(6, 20))
 		v.Relay.ConnectProxies(0, 1, 2, 3)
@@ -135,7 +138,8 @@
 			t.Errorf("the other takes a zone that it does not have: %v", err)
 		}
 	}
-	a, b := newMetrics(time.Hour, zerolog.Nop()), newMetrics(time.Hour, zerolog.Nop())
+	a := newMetrics(time.Hour, zerolog.Nop())
+	b := newMetrics(time.Hour, zerolog.Nop())
 	if a.add(pings, 3); b.counts[pings].Load() != 0 {
 		t.Error("counters are shared")
 	}
@@ -147,7 +151,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	reading, never := make(chan struct{}), make(chan struct{})
+	reading := make(chan struct{})
+	never := make(chan struct{})
 	defer close(never)
 	d := startInProcess(n, func() (config.Config, error) {
 		close(reading)
@@ -222,7 +227,9 @@
 			t.Fatal(err)
 		}
 		d := startInProcess(n, nil)
-		working, goOn, answered := make(chan struct{}), make(chan struct{}), make(chan string, 1)
+		working := make(chan struct{})
+		goOn := make(chan struct{})
+		answered := make(chan string, 1)
 		go func() {
 			lines, err := n.callRouter(func(*router) ([]string, error) {
 				close(working)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -37,7 +37,8 @@
 func TestRunEndsOnSIGTERMWithItsCounters(t *testing.T) {
 	var text bytes.Buffer
 	s := testConfig(t)
-	s.Limits.Memory, s.Limits.Cores = 192<<20, 1
+	s.Limits.Memory = 192 << 20
+	s.Limits.Cores = 1
 	n, err := New(s, &text)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/relay_call.go
+++ b/internal/node/relay_call.go
@@ -105,7 +105,8 @@
 		return 0, err
 	}
 	defer conn.Close()
-	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	request := fasthttp.AcquireRequest()
+	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	prepareCall(request, r.address, encoded)
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -41,7 +41,8 @@
 // startTestRelay calls a fake that answers each call with the next of bodies; "" breaks the
 // connection after the call's last byte, "-" before it. The calls' commands come out of the channel.
 func startTestRelay(t *testing.T, l config.Limits, bodies ...string) (*relayClient, <-chan string) {
-	calls, next := make(chan string, 64), make(chan string, 64)
+	calls := make(chan string, 64)
+	next := make(chan string, 64)
 	for _, b := range bodies {
 		next <- b
 	}
@@ -78,7 +79,8 @@
 	r := testRouter(t)
 	r.pendingCommands()
 	in := testReceiver(t, l)
-	in.inputs, in.metrics = r.inputs, r.metrics
+	in.inputs = r.inputs
+	in.metrics = r.metrics
 	go r.run(t.Context().Done())
 	return newRelayClient(l, address, testClasses, r.backlog, in), calls
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -32,7 +32,8 @@
 	files := make(chan error, 2)
 	files <- errors.New("store.address: is missing")
 	files <- nil
-	reload, ended := make(chan os.Signal, 4), make(chan error)
+	reload := make(chan os.Signal, 4)
+	ended := make(chan error)
 	reload <- syscall.SIGHUP
 	reload <- syscall.SIGHUP
 	ctx, end := context.WithCancel(t.Context())
@@ -87,7 +88,8 @@
 
 // Guards against dialling an old address again.
 func TestAReplacedUpstreamIsNotReopened(t *testing.T) {
-	n, w := 0, testUpstream(t, "")
+	n := 0
+	w := testUpstream(t, "")
 	testReceiver(t, testLimits).runStream(w, "proxy_stream", proxyStreamBreaks, func() (bool, error) {
 		n++
 		w.successor(w.ctx, "")
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -13,7 +13,8 @@
 // startStreamServer is a fake that answers each request for a stream with the next of parts, in pieces;
 // one that ends in "..." stays open and silent after it.
 func startStreamServer(t *testing.T, parts ...string) (string, <-chan string) {
-	asked, next := make(chan string, 64), make(chan string, 64)
+	asked := make(chan string, 64)
+	next := make(chan string, 64)
 	for _, p := range parts {
 		next <- p
 	}
@@ -38,8 +39,10 @@
 
 func TestAStreamThatHadOpenedIsReopenedAtOnce(t *testing.T) {
 	l := testLimits
-	l.MinBackoff, l.MaxBackoff = time.Hour, time.Hour
-	n, w := 0, testUpstream(t, "")
+	l.MinBackoff = time.Hour
+	l.MaxBackoff = time.Hour
+	n := 0
+	w := testUpstream(t, "")
 	testReceiver(t, l).runStream(w, "proxy_stream", proxyStreamBreaks, func() (bool, error) {
 		if n++; n == 2 {
 			w.cancel()
--- a/internal/node/subset_members_test.go
+++ b/internal/node/subset_members_test.go
@@ -29,7 +29,8 @@
 		g.router.handle(loadReport{balancer.LoadReport{Server: id, Zone: testZone(0), Attempts: 5, Interval: time.Second}})
 	}
 	g.router.handle(loadReport{balancer.LoadReport{Server: "none", Zone: testZone(0), Attempts: 5, Interval: time.Second}})
-	outside, unknown := g.router.metrics.counts[outsideSubset].Load(), g.router.metrics.counts[unknownNames].Load()
+	outside := g.router.metrics.counts[outsideSubset].Load()
+	unknown := g.router.metrics.counts[unknownNames].Load()
 	if outside < 30 || outside > 40 || unknown != 1 {
 		t.Errorf("%d outside, %d unknown", outside, unknown)
 	}
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -222,7 +222,8 @@
 
 // BenchmarkRollback measures from an operator's command to the last of a thousand replicas that runs the version.
 func BenchmarkRollback(b *testing.B) {
-	v, l := startDeployment(b, fakes.DefaultSite(30, 60)), newReplicaVersions()
+	v := startDeployment(b, fakes.DefaultSite(30, 60))
+	l := newReplicaVersions()
 	const n = 1000
 	for i := range n {
 		startReplica(b, v.feed, i, l.recorder(i))
@@ -252,7 +253,8 @@
 	var took []time.Duration
 	for i := 0; b.Loop(); i++ {
 		report()
-		was, began := newest(), time.Now()
+		was := newest()
+		began := time.Now()
 		if _, err := v.admin(b, AdminRequest{Command: "rollback", Version: good, Key: fmt.Sprint("k", i)}); err != nil {
 			b.Fatal(err)
 		}
