--- a/internal/node/deployment_test.go
+++ b/internal/node/deployment_test.go
@@ -1,20 +1,16 @@
 package node
 
 import (
-	"bufio"
 	"bytes"
 	"context"
 	"encoding/hex"
 	"encoding/json"
 	"fmt"
-	"io"
-	"math/rand/v2"
 	"net"
 	"os"
 	"path/filepath"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -221,51 +217,3 @@
 	}
 	return strings.Split(text, "\n")
 }
-
-// startCorruptingProxy passes bytes on to the feed's replicas and corrupts some of them.
-func startCorruptingProxy(t *testing.T, address string, spoil *atomic.Bool) string {
-	at, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { at.Close() })
-	go func() {
-		for n := uint64(0); ; n++ {
-			c, err := at.Accept()
-			if err != nil {
-				return
-			}
-			chance := rand.New(rand.NewPCG(n, 5))
-			go func() {
-				defer c.Close()
-				to, err := net.Dial("tcp", address)
-				if err != nil {
-					return
-				}
-				defer to.Close()
-				go func() { io.Copy(to, c); to.Close() }()
-				in := bufio.NewReader(to)
-				for {
-					kind, body, err := follow.ReadFrame(in, tables.MaxDeltaBytes)
-					if err != nil {
-						return
-					}
-					if kind == follow.FrameDelta && spoil.Load() && chance.IntN(2) == 0 {
-						switch chance.IntN(3) {
-						case 0:
-							body[chance.IntN(len(body))] ^= 1 << chance.IntN(8)
-						case 1:
-							body = body[:chance.IntN(len(body))]
-						case 2:
-							return // cut between a push and its acknowledgement
-						}
-					}
-					if follow.WriteFrame(c, kind, body) != nil {
-						return
-					}
-				}
-			}()
-		}
-	}()
-	return at.Addr().String()
-}
