--- a/internal/capacity/budget_test.go
+++ b/internal/capacity/budget_test.go
@@ -9,7 +9,9 @@
 func TestASubsetIsNeverDearer(t *testing.T) {
 	m := NewModel(planned(t), madeUp(t))
 	for _, c := range m.Checks() {
-		whole, subset, cached := c.Ratio[WholeList].Value, c.Ratio[Subset].Value, c.Ratio[CachedSubset].Value
+		whole := c.Ratio[WholeList].Value
+		subset := c.Ratio[Subset].Value
+		cached := c.Ratio[CachedSubset].Value
 		if subset > whole+1e-9 || cached > subset+1e-9 {
 			t.Errorf("%s, %s, %s: %v with the whole list, %v with a subset, %v with a cached one", c.Situation, c.Role, c.Resource, whole, subset, cached)
 		}
--- a/internal/capacity/costs_test.go
+++ b/internal/capacity/costs_test.go
@@ -24,7 +24,8 @@
 
 func TestACostIsNeverBelowNothing(t *testing.T) {
 	r := madeUp(t)
-	r.Slopes[0].PerUnit, r.Slopes[0].Base = 1, -1000
+	r.Slopes[0].PerUnit = 1
+	r.Slopes[0].Base = -1000
 	s := Costs{r}.At(scale.CPUPerQuietSecond, Sizes{scale.Servers: 1})
 	near(t, "far below the reference", s.Value.Value, 0)
 }
--- a/internal/capacity/load_test.go
+++ b/internal/capacity/load_test.go
@@ -48,9 +48,14 @@
 	p := planned(t)
 	p.Managers.ListStored = false
 	p.Fleet = Fleet{Managers: 10, Servers: 100, Services: 2, RequestsPerSecond: 100, Regions: 5, Zones: 10}
-	p.Managers.Proxies, p.Managers.TrafficClasses, p.Managers.AttemptsPerRequest = 50, 1, 1
+	p.Managers.Proxies = 50
+	p.Managers.TrafficClasses = 1
+	p.Managers.AttemptsPerRequest = 1
 	p.Control.Count = 5
-	p.Day.Failures, p.Day.Restarts, p.Day.Changes, p.Day.Batch = 1, 10, 69, 5
+	p.Day.Failures = 1
+	p.Day.Restarts = 10
+	p.Day.Changes = 69
+	p.Day.Batch = 5
 	p.Subset = SubsetSize{HomeZones: 1, Others: 9, WidenBelow: 0.7}
 	return p
 }
@@ -64,7 +69,9 @@
 
 func TestSizesOfASubset(t *testing.T) {
 	p := small(t)
-	whole, subset, cached := p.normalServerCounts(WholeList), p.normalServerCounts(Subset), p.normalServerCounts(CachedSubset)
+	whole := p.normalServerCounts(WholeList)
+	subset := p.normalServerCounts(Subset)
+	cached := p.normalServerCounts(CachedSubset)
 	near(t, "held, whole list", whole.held, 100)
 	near(t, "held, subset", subset.held, 19)               // 10 of the home zone and 9 others
 	near(t, "sent, subset", subset.sent, 100)              // dropped where it is decoded
@@ -124,7 +131,8 @@
 func TestAManagersLoadReckonedByHand(t *testing.T) {
 	p := small(t)
 	m := NewModel(p, madeUp(t))
-	reports, usages := 100*(1-math.Exp(-0.1)), 50*(1-math.Exp(-0.2))
+	reports := 100 * (1 - math.Exp(-0.1))
+	usages := 50 * (1 - math.Exp(-0.2))
 
 	quiet := m.Load(Manager, p.situations()[0], WholeList)
 	near(t, "messages in", quiet.MessagesIn.Value, 2+reports+usages+1)
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -23,7 +23,8 @@
 			continue
 		}
 		keys++
-		key, value := found[1], found[2]
+		key := found[1]
+		value := found[2]
 		whole := "(" + key + " " + value + ")"
 		for how, other := range map[string]string{
 			"missing":       "",
--- a/internal/capacity/propagation_page_test.go
+++ b/internal/capacity/propagation_page_test.go
@@ -44,7 +44,8 @@
 	}
 	text := tablesOf(r, t)
 	at := strings.Index(text, "by the time between reads")
-	comes, spaced := strings.Index(text[at:], "| as it comes | whole-list |"), strings.Index(text[at:], "| 50 ms | whole-list |")
+	comes := strings.Index(text[at:], "| as it comes | whole-list |")
+	spaced := strings.Index(text[at:], "| 50 ms | whole-list |")
 	if at < 0 || comes < 0 || spaced < comes {
 		t.Errorf("rows at %d and %d", comes, spaced)
 	}
--- a/internal/capacity/repository_test.go
+++ b/internal/capacity/repository_test.go
@@ -27,7 +27,8 @@
 }
 
 func difference(a, b string) string {
-	was, is := strings.Split(a, "\n"), strings.Split(b, "\n")
+	was := strings.Split(a, "\n")
+	is := strings.Split(b, "\n")
 	for i := range min(len(was), len(is)) {
 		if was[i] != is[i] {
 			return "\npage:    " + was[i] + "\ncommand: " + is[i]
--- a/internal/capacity/restart_test.go
+++ b/internal/capacity/restart_test.go
@@ -23,7 +23,8 @@
 	if c := mechanismFor(Manager, BytesWithoutCollectors, whole); c.Status != Partly || c.Name != "snapshot" {
 		t.Errorf("without a store carried by %+v", c)
 	}
-	control, before := m.Load(ControlMachine, stored, WholeList), m.Load(ControlMachine, whole, WholeList)
+	control := m.Load(ControlMachine, stored, WholeList)
+	before := m.Load(ControlMachine, whole, WholeList)
 	if control.BytesOut.Value >= before.BytesOut.Value {
 		t.Errorf("a control machine writes %g bytes a second, %g without stored lists", control.BytesOut.Value, before.BytesOut.Value)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -165,10 +165,12 @@
 
 // resolve gives the value that counts.
 func (s textSetting) resolve(get func(string) string) (string, error) {
-	key, value := s.key, s.value
+	key := s.key
+	value := s.value
 	if s.variable != "" && (!s.fileWins || s.value == "") {
 		if stated := get(s.variable); stated != "" {
-			key, value = s.variable, stated
+			key = s.variable
+			value = stated
 		}
 	}
 	if value == "" {
--- a/internal/faultsim/format_test.go
+++ b/internal/faultsim/format_test.go
@@ -116,13 +116,21 @@
 		"script.replay": fixtureScenario(t),
 		"unsettled":     unsettled,
 		"stuck.replay":  unsettled,
-		"short-queue":   changed(func(s *Scenario) { s.QueueCapacity, s.FaultCount = 40, CountRange{4, 4} }),
-		"few-messages":  changed(func(s *Scenario) { s.MaxMessages = 2 }),
-		"bare":          changed(func(s *Scenario) { s.MaxTimeWithoutServer = time.Millisecond }),
-		"cold-overload": changed(func(s *Scenario) { s.OverloadFactor, s.MaxOverloadTime = 1, time.Millisecond }),
+		"short-queue": changed(func(s *Scenario) {
+			s.QueueCapacity = 40
+			s.FaultCount = CountRange{4, 4}
+		}),
+		"few-messages": changed(func(s *Scenario) { s.MaxMessages = 2 }),
+		"bare":         changed(func(s *Scenario) { s.MaxTimeWithoutServer = time.Millisecond }),
+		"cold-overload": changed(func(s *Scenario) {
+			s.OverloadFactor = 1
+			s.MaxOverloadTime = time.Millisecond
+		}),
 		"sensitive": changed(func(s *Scenario) {
-			s.MaxTimeWithoutServer, s.DrainGracePeriod = 200*time.Millisecond, 100*time.Millisecond
-			s.OverloadFactor, s.MaxOverloadTime = 1, 300*time.Millisecond
+			s.MaxTimeWithoutServer = 200 * time.Millisecond
+			s.DrainGracePeriod = 100 * time.Millisecond
+			s.OverloadFactor = 1
+			s.MaxOverloadTime = 300 * time.Millisecond
 		}),
 	}
 }
@@ -130,7 +138,8 @@
 // withoutWording drops from a line of the trace the wording of other packages' log records; their number and times stay.
 func withoutWording(line string) string {
 	const timeWidth = 10
-	at, event := line[:timeWidth], line[timeWidth:]
+	at := line[:timeWidth]
+	event := line[timeWidth:]
 	for _, kind := range []string{"note ", "version ", "rollback "} {
 		if strings.HasPrefix(event, kind) {
 			return at + kind
--- a/internal/faultsim/manager.go
+++ b/internal/faultsim/manager.go
@@ -167,7 +167,8 @@
 		s.record("version %s", note)
 	}
 	if result.Modified {
-		current, state := m.chain.CurrentTables(), m.chain.State()
+		current := m.chain.CurrentTables()
+		state := m.chain.State()
 		isWithdrawn := func(server balancer.ServerID) bool { return state.IsWithdrawn(string(server)) }
 		m.balancer.HandleTablesReset(m.clock, current.Weights, current.AdmissionLevels, isWithdrawn)
 	}
--- a/internal/faultsim/rules.go
+++ b/internal/faultsim/rules.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// fail notes a violation, unless there was one before.
+// fail records a violation, unless there was one before.
 func (r *rules) fail(rule Rule, subject, format string, values ...any) {
 	if r.violation != nil {
 		return
@@ -67,6 +67,7 @@
 	r.simulation.record("BROKEN %v", r.violation)
 }
 
+// newCondition is a condition that begins now.
 func (r *rules) newCondition() condition {
 	return condition{since: r.simulation.now, outagesBefore: r.simulation.outages.total}
 }
@@ -76,6 +77,17 @@
 	return r.simulation.now - c.since - (r.simulation.outages.total - c.outagesBefore)
 }
 
+// lastedSince is how long a condition has held for a subject, without outages. Where it was not known before, it begins
+// now.
+func lastedSince[Subject comparable](r *rules, conditions map[Subject]condition, subject Subject) (lasted time.Duration, known bool) {
+	since, known := conditions[subject]
+	if !known {
+		conditions[subject] = r.newCondition()
+		return 0, false
+	}
+	return r.duration(since), true
+}
+
 // workingSince is the time since start without outages.
 func (r *rules) workingSince(start time.Duration) time.Duration {
 	return r.simulation.now - start - r.simulation.outages.since(start)
@@ -113,17 +125,13 @@
 		delete(r.withoutServer, p.id)
 		return
 	}
-	since, known := r.withoutServer[p.id]
-	if !known {
-		r.withoutServer[p.id] = r.newCondition()
-		return
-	}
-	if d := r.duration(since); d > r.simulation.scenario.MaxTimeWithoutServer {
-		r.fail(RuleServerAvailable, proxyName(p), "none to pick for %.2fs", d.Seconds())
+	lasted, known := lastedSince(r, r.withoutServer, p.id)
+	if known && lasted > r.simulation.scenario.MaxTimeWithoutServer {
+		r.fail(RuleServerAvailable, proxyName(p), "none to pick for %.2fs", lasted.Seconds())
 	}
 }
 
-// tableReceived notes that a proxy took over a message.
+// tableReceived is called when a proxy has applied a message.
 func (r *rules) tableReceived(p *proxy) {
 	if p.hasServer() {
 		delete(r.withoutServer, p.id)
@@ -171,13 +179,9 @@
 		delete(r.overloaded, server.id)
 		return
 	}
-	since, known := r.overloaded[server.id]
-	if !known {
-		r.overloaded[server.id] = r.newCondition()
-		return
-	}
-	if d := r.duration(since); d >= s.scenario.MaxOverloadTime {
-		r.fail(RuleNoColdOverload, string(server.id), "gets %.1f of %.1f flows/s for %.1fs", rate, capacity, d.Seconds())
+	lasted, known := lastedSince(r, r.overloaded, server.id)
+	if known && lasted >= s.scenario.MaxOverloadTime {
+		r.fail(RuleNoColdOverload, string(server.id), "gets %.1f of %.1f flows/s for %.1fs", rate, capacity, lasted.Seconds())
 	}
 }
 
--- a/internal/fleetmodel/subset_test.go
+++ b/internal/fleetmodel/subset_test.go
@@ -191,7 +191,8 @@
 		if d.lost {
 			more = 0.10
 		}
-		whole, some := d.quality(seeds, 0), d.quality(seeds, spill)
+		whole := d.quality(seeds, 0)
+		some := d.quality(seeds, spill)
 		if some.failed+some.shed > whole.failed+whole.shed+more || some.inZone < whole.inZone {
 			t.Errorf("%s: %+v with the whole list, %+v with a subset", d.Name, whole, some)
 		}
--- a/internal/loadtest/report.go
+++ b/internal/loadtest/report.go
@@ -26,7 +26,8 @@
 	if r.Cores > r.MachineCores {
 		cores += fmt.Sprintf(" (on %d)", r.MachineCores)
 	}
-	maxRate, multiple := "-", "-"
+	maxRate := "-"
+	multiple := "-"
 	if r.MaxRate > 0 {
 		maxRate = fmt.Sprintf("%.0f", r.MaxRate)
 		multiple = fmt.Sprintf("%.2f", r.MaxRate/firstMaxRate)
--- a/internal/loadtest/schedule_test.go
+++ b/internal/loadtest/schedule_test.go
@@ -21,7 +21,8 @@
 
 func TestRampFindsTheTop(t *testing.T) {
 	for _, top := range []float64{3000, 47_000, 900_000} {
-		r, steps := NewRamp(20_000), 1
+		r := NewRamp(20_000)
+		steps := 1
 		for r.Step(min(1, top/r.Rate()), 0) {
 			if steps++; steps > 30 {
 				t.Fatal("no end")
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -257,10 +257,12 @@
 
 // measureHollowManager measures a hollow manager in the state of a real process.
 func measureHollowManager(ctx context.Context, scenario Scenario, into *ProcessCase) error {
-	phase, span := PhaseBusy, busySpan
+	phase := PhaseBusy
+	span := busySpan
 	quiet := scenario.Reports == 0
 	if quiet {
-		phase, span = PhaseQuiet, quietSpan
+		phase = PhaseQuiet
+		span = quietSpan
 		scenario.Reports = Reference().Reports
 	}
 	script, err := record(ctx, scenario, quiet)
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -51,7 +51,8 @@
 		}
 		return all
 	}
-	first, second := counts(), counts()
+	first := counts()
+	second := counts()
 	if !reflect.DeepEqual(first, second) || len(first) < 8 {
 		t.Errorf("%v\n%v", first, second)
 	}
@@ -78,8 +79,14 @@
 		{"no runs", func(o *Options) { o.Runs = 0 }, "--runs", "0 is not from 1 to 100"},
 		{"too many runs", func(o *Options) { o.Runs = 101 }, "--runs", "101 is not from 1 to 100"},
 		{"sizes without an axis", func(o *Options) { o.Sizes = []float64{60} }, "--sizes", "one --axis is due"},
-		{"size of zero", func(o *Options) { o.Axes, o.Sizes = []Axis{Servers}, []float64{0} }, "--sizes", "0 is not from 1"},
-		{"size that is no number", func(o *Options) { o.Axes, o.Sizes = []Axis{Servers}, []float64{math.NaN()} }, "--sizes", "NaN is not from 1"},
+		{"size of zero", func(o *Options) {
+			o.Axes = []Axis{Servers}
+			o.Sizes = []float64{0}
+		}, "--sizes", "0 is not from 1"},
+		{"size that is no number", func(o *Options) {
+			o.Axes = []Axis{Servers}
+			o.Sizes = []float64{math.NaN()}
+		}, "--sizes", "NaN is not from 1"},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			o := options()
@@ -97,7 +104,8 @@
 	for _, axis := range []Axis{Servers, Proxies, Reports, ListChanges, Managers} {
 		o := options(axis)
 		progress := bytes.Buffer{}
-		o.Progress, o.Sizes = &progress, []float64{60, 1e8}
+		o.Progress = &progress
+		o.Sizes = []float64{60, 1e8}
 		_, err := Run(context.Background(), o)
 		var limit *LimitError
 		if !errors.As(err, &limit) || !strings.Contains(err.Error(), " fit") || progress.Len() > 0 {
--- a/internal/scale/scripts_test.go
+++ b/internal/scale/scripts_test.go
@@ -23,7 +23,8 @@
 	writeScripts(t, &out)
 	writeArrivals(&out)
 	writeMeasurements(&out)
-	got, want := strings.Split(out.String(), "\n"), strings.Split(string(recorded), "\n")
+	got := strings.Split(out.String(), "\n")
+	want := strings.Split(string(recorded), "\n")
 	if len(got) != len(want) {
 		t.Fatalf("%d lines, %d are recorded", len(got), len(want))
 	}
--- a/internal/scale/work_test.go
+++ b/internal/scale/work_test.go
@@ -216,7 +216,10 @@
 	held := func(scenario Scenario) float64 {
 		before := heapInUse()
 		o := open(t, scenario)
-		o.script, o.current, o.pending, o.serverOrder = nil, nil, nil, nil
+		o.script = nil
+		o.current = nil
+		o.pending = nil
+		o.serverOrder = nil
 		bytes := heapInUse() - before
 		runtime.KeepAlive(o.recorder)
 		return bytes
