--- a/cmd/tamarindshore/commands_test.go
+++ b/cmd/tamarindshore/commands_test.go
@@ -60,12 +60,13 @@
 	}
 }
 
-// A command line that can't be read ends with 2, a command that fails with 1; both say why in the last line.
-func TestCommandLineErrors(t *testing.T) {
+// invalidFiles writes files that check refuses.
+func invalidFiles(t *testing.T) (empty, badOperator, badPlatform string) {
+	t.Helper()
 	dir := t.TempDir()
-	empty := filepath.Join(dir, "empty")
-	badOperator := filepath.Join(dir, "operator.sexp")
-	badPlatform := filepath.Join(dir, "platform.json")
+	empty = filepath.Join(dir, "empty")
+	badOperator = filepath.Join(dir, "operator.sexp")
+	badPlatform = filepath.Join(dir, "platform.json")
 	for path, text := range map[string]string{
 		empty:       " \n",
 		badOperator: "(tamarindshore\n (cores 0))",
@@ -75,11 +76,21 @@
 			t.Fatal(err)
 		}
 	}
-	for _, one := range []struct {
-		arguments string
-		exit      int
-		want      string
-	}{
+	return empty, badOperator, badPlatform
+}
+
+// failingCommand is a command line that fails.
+type failingCommand struct {
+	arguments string
+	exit      int
+	want      string // the end of what it writes to standard error
+}
+
+// failingCommands are command lines that can't be read, or whose command fails.
+func failingCommands(t *testing.T) []failingCommand {
+	t.Helper()
+	empty, badOperator, badPlatform := invalidFiles(t)
+	return []failingCommand{
 		{"fly", exitUsage, "tamarindshore: unexpected argument fly; see tamarindshore --help"},
 		{"search --seed 7", exitUsage, "tamarindshore: unknown flag --seed, did you mean \"--seeds\"?; see tamarindshore --help"},
 		{"check", exitUsage, `tamarindshore: expected "<files> ..."; see tamarindshore --help`},
@@ -101,7 +112,12 @@
 		{"check " + badPlatform, exitFailed, badPlatform + ": name: a number stands where string is due (line 2)\ntamarindshore: 1 of 1 files are faulty"},
 		{"serve", exitFailed, "tamarindshore: PROXY_CONFIG: is missing"},
 		{"serve --settings " + badOperator, exitFailed, "tamarindshore: operator.sexp:2: cores: 0 is no whole number from 1 to 64"},
-	} {
+	}
+}
+
+// A command line that can't be read ends with 2, a command that fails with 1; both say why in the last line.
+func TestCommandLineErrors(t *testing.T) {
+	for _, one := range failingCommands(t) {
 		cmd := exec.Command(os.Args[0], strings.Fields(one.arguments)...)
 		cmd.Env = append(os.Environ(), asProgram+"=1", "PROXY_CONFIG=", "TAMARINDSHORE_SOCKET=", "TAMARINDSHORE_SETTINGS=")
 		var said bytes.Buffer
