--- a/cmd/tamarindshore/capacity_test.go
+++ b/cmd/tamarindshore/capacity_test.go
@@ -29,7 +29,7 @@
 	return path
 }
 
-func TestCapacityEndsByItsVerdict(t *testing.T) {
+func TestCapacityReturnsItsVerdict(t *testing.T) {
 	if err := (capacityCommand{Plan: capacityPlan, Slopes: testSlopes}).Run(); !errors.Is(err, errBadVerdict) {
 		t.Errorf("budgets are passed: %v, not %v", err, errBadVerdict)
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestCapacityNamesWhatIsInvalid(t *testing.T) {
+func TestCapacityNamesInvalidFiles(t *testing.T) {
 	missing := planFile(t, "(servers 24000)", "")
 	cut := filepath.Join(t.TempDir(), "cut.json")
 	if err := os.WriteFile(cut, []byte(`{"version": 1, "slopes": [`), 0o644); err != nil {
--- a/cmd/tamarindshore/scale_test.go
+++ b/cmd/tamarindshore/scale_test.go
@@ -34,7 +34,7 @@
 	return 0
 }
 
-func TestScaleSaysInOneLineWhatItCannotDo(t *testing.T) {
+func TestScaleRefusesInvalidOptionsInOneLine(t *testing.T) {
 	for _, one := range []struct {
 		arguments []string
 		want      string
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestScaleWritesItsSlopesAndPlots(t *testing.T) {
+func TestScaleWritesSlopesAndPlots(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "slopes.json")
 	cmd, said := scaleProgram("--axis", "servers", "--sizes", "30,60", "--runs", "1", "--json", path, "--plots", dir)
@@ -130,7 +130,7 @@
 }
 
 // Guards against processes that go on after the one that started them was interrupted.
-func TestScaleEndsAllProcessesAtAnInterrupt(t *testing.T) {
+func TestInterruptEndsAllScaleProcesses(t *testing.T) {
 	for _, one := range []struct {
 		arguments []string
 		children  int // processes that must run before the interrupt; 0: a first size must be measured
--- a/internal/capacity/budget_test.go
+++ b/internal/capacity/budget_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestASubsetIsNeverDearer(t *testing.T) {
+func TestSubsetNeverCostsMore(t *testing.T) {
 	m := NewModel(planned(t), madeUp(t))
 	for _, c := range m.Checks() {
 		whole := c.Ratio[WholeList].Value
@@ -22,7 +22,7 @@
 	return Check{Ratio: map[Scope]Figure{WholeList: known(ratio), Subset: known(ratio / 10), CachedSubset: known(ratio / 100)}, Mechanism: m}
 }
 
-func TestRanking(t *testing.T) {
+func TestRankingOfMissingMechanisms(t *testing.T) {
 	all := []Check{checkOf(2, watchCache), checkOf(30, aggregate), checkOf(0.5, subsetting), checkOf(20, subsetting), checkOf(5, watchCache),
 		checkOf(40, delta), {Ratio: map[Scope]Figure{}, Mechanism: watchCache}}
 	var got []float64
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestTheMechanismThatIsBuiltStaysInItsRanking(t *testing.T) {
+func TestBuiltMechanismStaysInTheRanking(t *testing.T) {
 	built := subsetting
 	built.Status = Stands
 	if got := Ranking([]Check{checkOf(3, built)}); len(got) != 1 {
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestPassedBudgetsByScope(t *testing.T) {
+func TestExceededBudgetsByScope(t *testing.T) {
 	all := []Check{checkOf(20, subsetting), checkOf(5, watchCache), checkOf(1, delta)}
 	for scope, want := range map[Scope]int{WholeList: 2, Subset: 1, CachedSubset: 0} {
 		if got := len(ExceededBudgets(all, scope)); got != want {
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestTheVerdictFollowsTheJudgedScope(t *testing.T) {
+func TestVerdictFollowsTheJudgedScope(t *testing.T) {
 	p := planned(t)
 	for _, scope := range Scopes {
 		p.Judged = scope
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestAPlanWithinItsBudgets(t *testing.T) {
+func TestPlanWithinItsBudgets(t *testing.T) {
 	m := NewModel(small(t), madeUp(t))
 	var out strings.Builder
 	if passed := m.WriteTables(&out); len(passed) > 0 {
--- a/internal/capacity/cases_test.go
+++ b/internal/capacity/cases_test.go
@@ -15,7 +15,7 @@
 	return out.String()
 }
 
-func TestCasesAtThePlansSizeBesideTheSums(t *testing.T) {
+func TestPlanSizeCasesAreComparedWithSums(t *testing.T) {
 	r := madeUp(t)
 	if !strings.Contains(tablesOf(r, t), "The slopes' file has none: not measured.") {
 		t.Error("a file without cases is not called so")
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestRealProcessesBesideHollowManagers(t *testing.T) {
+func TestRealProcessesAreComparedWithHollowManagers(t *testing.T) {
 	r := madeUp(t)
 	r.Processes = []scale.ProcessCase{
 		{Name: "quiet", Servers: 60, Proxies: 40, CPU: []float64{0.03, 0.01, 0.02}, ContextSwitches: []float64{1000}, HollowCPU: []float64{0.005}, MemoryMB: 30, HollowHeapMB: 2},
@@ -63,7 +63,7 @@
 	return scale.Slope{Cost: cost, Axis: axis, Unit: "seconds", Shape: scale.Constant, Base: value, Fits: true}
 }
 
-func TestAChangeInForceReckonedByHand(t *testing.T) {
+func TestPropagationMatchesHandCalculation(t *testing.T) {
 	r := madeUp(t)
 	r.Slopes = append(r.Slopes, constant(scale.PropagationLast, scale.Managers, 2), constant(scale.LongestDecision, scale.Servers, 0.011),
 		constant(scale.ControlCPUPerManager, scale.Managers, 0.08))
@@ -76,7 +76,7 @@
 	near(t, "beside openings, against 19 s", checks[1].Ratio[WholeList].Value, 3.01/19)
 }
 
-func TestAControlMachinesCoreReckonedByHand(t *testing.T) {
+func TestControlMachineCoreMatchesHandCalculation(t *testing.T) {
 	r := madeUp(t)
 	r.Slopes = append(r.Slopes, constant(scale.ControlCPUPerManager, scale.Managers, 0.08), constant(scale.ControlCPUPerChange, scale.Managers, 0.001))
 	p := small(t)
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestALineLongerThanMeasuredIsNoDearerThanAnOpening(t *testing.T) {
+func TestListChangeLongerThanMeasuredCostsNoMoreThanAnOpening(t *testing.T) {
 	r := madeUp(t)
 	r.Reference[scale.RestartsAtOnce] = 1
 	r.Slopes = append(r.Slopes, scale.Slope{Cost: scale.CPUPerListChange, Axis: scale.RestartsAtOnce, Shape: scale.Quadratic, PerUnit: 0.001, Fits: true,
@@ -109,7 +109,7 @@
 	near(t, "beyond it", m.listChangeCore(h, 1000).Value, 0.00002*100) // an opening of 100 entries
 }
 
-func TestAProcessBeyondItsHollowManager(t *testing.T) {
+func TestProcessOverheadOverHollowManager(t *testing.T) {
 	r := madeUp(t)
 	p := small(t)
 	p.Managers.ReadInterval = 0
@@ -139,7 +139,7 @@
 	near(t, "strict, reads 50 ms apart", spaced.Core.Value-before.Core.Value, 0.003)
 }
 
-func TestAChangeBesideOpeningsAsMeasured(t *testing.T) {
+func TestPropagationDuringOpeningsMatchesMeasurement(t *testing.T) {
 	r := madeUp(t)
 	r.Slopes = append(r.Slopes, constant(scale.PropagationLast, scale.Managers, 2), constant(scale.LongestDecision, scale.Servers, 0.011),
 		constant(scale.PropagationDuringOpeningsLast, scale.Managers, 6), constant(scale.PropagationDuringControlLossLast, scale.Managers, 8),
@@ -154,14 +154,14 @@
 	}
 }
 
-func TestAChangeWhileMachinesAreLostIsUnknownWhereItWasNotMeasured(t *testing.T) {
+func TestUnmeasuredPropagationDuringControlLossIsUnknown(t *testing.T) {
 	checks := NewModel(small(t), madeUp(t)).propagationChecks()
 	if len(checks) != 3 || checks[2].Ratio[Subset].Known {
 		t.Errorf("%+v", checks)
 	}
 }
 
-func TestAnOpeningReadsWhatItDrops(t *testing.T) {
+func TestOpeningReadsEntriesThatItDrops(t *testing.T) {
 	r := madeUp(t)
 	r.Slopes = append(r.Slopes, constant(scale.CPUPerSubsetRead, scale.OpeningListSize, 0.022), constant(scale.CPUPerListRead, scale.OpeningListSize, 0.002))
 	p := small(t)
--- a/internal/capacity/costs_test.go
+++ b/internal/capacity/costs_test.go
@@ -8,7 +8,7 @@
 )
 
 // The reference is 1,000 servers and 100 proxies; both made-up slopes say 3 ms there.
-func TestACostAtASize(t *testing.T) {
+func TestCostAtASize(t *testing.T) {
 	c := Costs{madeUp(t)}
 	s := c.At(scale.CPUPerQuietSecond, Sizes{scale.Servers: 1000, scale.Proxies: 100})
 	near(t, "at the reference", s.Value.Value, 0.003)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestACostIsNeverBelowNothing(t *testing.T) {
+func TestCostIsNeverNegative(t *testing.T) {
 	r := madeUp(t)
 	r.Slopes[0].PerUnit = 1
 	r.Slopes[0].Base = -1000
@@ -30,7 +30,7 @@
 	near(t, "far below the reference", s.Value.Value, 0)
 }
 
-func TestACostThatWasNotMeasuredIsUnknown(t *testing.T) {
+func TestUnmeasuredCostIsUnknown(t *testing.T) {
 	c := Costs{madeUp(t)}
 	if s := c.At(scale.LongestDecision, Sizes{scale.Servers: 1000}); s.Value.Known {
 		t.Errorf("known: %v", s.Value)
--- a/internal/capacity/load_test.go
+++ b/internal/capacity/load_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestSizesOfASubset(t *testing.T) {
+func TestSubsetSizes(t *testing.T) {
 	p := small(t)
 	whole := p.normalServerCounts(WholeList)
 	subset := p.normalServerCounts(Subset)
@@ -84,21 +84,21 @@
 	near(t, "sent share", subset.sentShare(true), 1)
 }
 
-func TestHomeZonesThatAreTheWholeFleet(t *testing.T) {
+func TestHomeZonesMayCoverTheWholeFleet(t *testing.T) {
 	p := small(t)
 	p.Subset = SubsetSize{HomeZones: 10, Others: 50}
 	near(t, "held", p.normalServerCounts(Subset).held, 100)
 	near(t, "share of others", p.normalServerCounts(Subset).share(true), 1)
 }
 
-func TestCollectorsLines(t *testing.T) {
+func TestRatesOfLoadAndUsageReports(t *testing.T) {
 	p := small(t)
 	near(t, "reports, whole list", p.loadReports(p.normalServerCounts(WholeList)), 100*(1-math.Exp(-0.1))) // 10 tries on 100 servers
 	near(t, "reports, subset", p.loadReports(p.normalServerCounts(Subset)), 19*(1-math.Exp(-10.0/19)))
 	near(t, "usages", p.usageReports(), 50*(1-math.Exp(-0.2))) // 10 requests on 50 proxies
 }
 
-func TestProbesAreBounded(t *testing.T) {
+func TestHealthCheckRateIsBounded(t *testing.T) {
 	p := small(t)
 	near(t, "a few silent servers", p.healthChecks(10), 5) // each once in 2 s
 	near(t, "a silent fleet", p.healthChecks(1e6), 64/0.6) // 64 at once, 0.6 s each
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestAManagersLoadReckonedByHand(t *testing.T) {
+func TestManagerLoadMatchesHandCalculation(t *testing.T) {
 	p := small(t)
 	m := NewModel(p, madeUp(t))
 	reports := 100 * (1 - math.Exp(-0.1))
@@ -155,7 +155,7 @@
 	near(t, "probes of a subset that widened", m.Load(Manager, cut, Subset).MessagesOut.Value, 1+80.0/90*72/2)
 }
 
-func TestASubsetWidensWhereARegionIsCutOff(t *testing.T) {
+func TestSubsetWidensWhenARegionIsCutOff(t *testing.T) {
 	p := small(t)
 	// 10 of the 90 servers of other zones can be reached: of 9, 18, 36 and 72 others 1, 2, 4 and 8, where 6.3 are needed
 	near(t, "held", p.serverCounts(p.regionCut(), Subset).held, 10+72)
@@ -177,7 +177,7 @@
 	return Situation{}
 }
 
-func TestAControlMachinesLoadReckonedByHand(t *testing.T) {
+func TestControlMachineLoadMatchesHandCalculation(t *testing.T) {
 	p := small(t)
 	m := NewModel(p, madeUp(t))
 	quiet := m.Load(ControlMachine, p.situations()[0], WholeList)
@@ -190,7 +190,7 @@
 	near(t, "openings of those that moved", lost.BytesOut.Value-10.0/3*20, 4.0/3*(100+150*100)/19)
 }
 
-func TestEntriesThatChangeTogetherStandInOneLine(t *testing.T) {
+func TestEntriesThatChangeTogetherShareOneMessage(t *testing.T) {
 	p := small(t)
 	p.Day.Batch = 20
 	for _, one := range []struct {
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestABusySecondAsMeasured(t *testing.T) {
+func TestBusySecondMatchesMeasurement(t *testing.T) {
 	r := madeUp(t)
 	r.Reference[scale.Reports] = 10
 	busy := scale.Slope{Cost: scale.CPUPerBusySecond, Axis: scale.Reports, Unit: "seconds", Shape: scale.Linear, Base: 0.5, PerUnit: 0.001, Fits: true}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestWhatIsNotMeasuredIsSaidAndCountsAtLeast(t *testing.T) {
+func TestUnmeasuredFiguresAreShownAsLowerBounds(t *testing.T) {
 	m := NewModel(planned(t), madeUp(t))
 	busiest := m.Plan.situations()[1]
 	load := m.Load(Manager, busiest, WholeList)
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestNumbers(t *testing.T) {
+func TestNumberFormats(t *testing.T) {
 	for x, want := range map[float64]string{0: "0", 0.0001: "under 0.001", 0.00417: "0.00417", 1.23456: "1.23", 63.63: "63.6", 272.7: "273", 1400000: "1,400,000"} {
 		if got := formatNumber(x); got != want {
 			t.Errorf("%v: %q, not %q", x, got, want)
@@ -35,7 +35,7 @@
 }
 
 // An unfinished table would pass for a whole one.
-func TestEachTableIsEven(t *testing.T) {
+func TestTableRowsHaveEqualColumns(t *testing.T) {
 	var out strings.Builder
 	NewModel(planned(t), madeUp(t)).WriteTables(&out)
 	columns := 0
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestAPageWithOtherTables(t *testing.T) {
+func TestReplaceTablesInAPage(t *testing.T) {
 	page := "before\n" + BeginMark + "old\n" + EndMark + "after\n"
 	renewed, err := ReplaceTables(page, "new\n")
 	if err != nil {
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestFaultyPlans(t *testing.T) {
+func TestInvalidPlansNameFileLineAndKey(t *testing.T) {
 	plan := read(t, planFile)
 	change := func(from, to string) string {
 		if !strings.Contains(plan, from) {
--- a/internal/capacity/propagation_page_test.go
+++ b/internal/capacity/propagation_page_test.go
@@ -12,7 +12,7 @@
 		Points: []scale.Point{{Size: size, Runs: runs}}}
 }
 
-func TestChangesInForceAndFleetsAreShownAsMeasured(t *testing.T) {
+func TestPropagationAndFleetsAreShownAsMeasured(t *testing.T) {
 	r := madeUp(t)
 	text := tablesOf(r, t)
 	for _, want := range []string{"| two of seven machines are lost | not measured |", "as many hollow managers\n\nThe slopes' file has none"} {
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestTheCoreIsShownForEachIntervalBetweenReads(t *testing.T) {
+func TestCoreIsShownForEachReadInterval(t *testing.T) {
 	r := madeUp(t)
 	r.Processes = []scale.ProcessCase{
 		{Name: busyState, ReadInterval: 0.05, CPU: []float64{0.002}, HollowCPU: []float64{0.001}},
--- a/internal/capacity/repository_test.go
+++ b/internal/capacity/repository_test.go
@@ -10,7 +10,7 @@
 
 // The page's tables are what the command prints from the plan and the slopes that stand in the repository:
 // tamarindshore capacity --page docs/CAPACITY.md renews them.
-func TestThePageHoldsWhatTheCommandPrints(t *testing.T) {
+func TestCapacityPageHoldsTheTablesOfTheCommand(t *testing.T) {
 	slopes, err := scale.ReadReport(slopesFile)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/capacity/restart_test.go
+++ b/internal/capacity/restart_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestAManagerWithAStoredListAsksForWhatChangedSince(t *testing.T) {
+func TestManagerWithStoredListReadsOnlyChanges(t *testing.T) {
 	p := small(t)
 	whole := situation(t, p, "all managers restart")
 	p.Managers.ListStored = true
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestParseLetsTheEnvironmentWin(t *testing.T) {
+func TestEnvironmentOverridesTheFile(t *testing.T) {
 	s, err := parse(func(key string) string {
 		return map[string]string{"PROXY_LISTEN": "127.0.0.9:1", "PROXY_NAME": "n4"}[key]
 	}, []byte(validPlatformFile), false)
@@ -57,7 +57,7 @@
 }
 
 // Guards against a reload that stays with the addresses of the start.
-func TestRereadLetsTheFileName(t *testing.T) {
+func TestReloadTakesDiscoveryAddressFromTheFile(t *testing.T) {
 	env := func(key string) string {
 		return map[string]string{"PROXY_LISTEN": "127.0.0.9:1", "PROXY_DISCOVERY": "127.0.0.9:2"}[key]
 	}
@@ -127,7 +127,7 @@
 }
 
 // Guards against a fleet of which only the first few hundred servers are checked when all are lost at once.
-func TestTheSmallestMachineHasRoomForAThousandServers(t *testing.T) {
+func TestSmallestMachineHasRoomForAThousandServers(t *testing.T) {
 	l := limitsFor(machine{cores: 0.01, memoryMB: 32, sockets: 64})
 	if l.MaxQueuedHealthChecks < 1024 || l.MaxQueuedInputs < 1024 || l.MaxEndpointListBytes < 1024*200 {
 		t.Errorf("%+v", l)
@@ -162,7 +162,7 @@
 }
 
 // A list of 24,000 servers, at 200 bytes each, fits a manager with 256 MB; a small one keeps 1 MiB.
-func TestBoundOfAWholeListFollowsTheMemory(t *testing.T) {
+func TestMaxEndpointListBytesFollowsTheMemory(t *testing.T) {
 	if most := limitsFor(machine{cores: 1, memoryMB: 256, sockets: 1024}).MaxEndpointListBytes; most < 24000*200 {
 		t.Errorf("%d bytes with 256 MB", most)
 	}
--- a/internal/config/fixture_test.go
+++ b/internal/config/fixture_test.go
@@ -120,7 +120,7 @@
 	return map[string]string{"PROXY_CONFIG": "testdata/platform.json"}[key]
 }
 
-func TestTodaysPlatformFileIsReadWhole(t *testing.T) {
+func TestPlatformFixtureHoldsEachKey(t *testing.T) {
 	got, err := Read(platformFile)
 	if err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestTodaysOperatorFileIsReadWhole(t *testing.T) {
+func TestOperatorFixtureHoldsEachKey(t *testing.T) {
 	got, err := ReadOperatorSettings("testdata/operator.sexp")
 	if err != nil {
 		t.Fatal(err)
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestBothFilesAreJoined(t *testing.T) {
+func TestOperatorSettingsAreMergedIntoThePlatforms(t *testing.T) {
 	config, err := Read(platformFile)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestTheOperatorsFileMustBeThere(t *testing.T) {
+func TestMissingOperatorFileIsAnError(t *testing.T) {
 	if _, err := ReadOperatorSettings(filepath.Join(t.TempDir(), "none")); !errors.Is(err, fs.ErrNotExist) {
 		t.Error(err)
 	}
@@ -84,7 +84,7 @@
 	return start
 }
 
-func TestSubsetIsOffUnlessItIsStated(t *testing.T) {
+func TestSubsetIsOffByDefault(t *testing.T) {
 	for text, want := range map[string]int{"(tamarindshore)": 0, "(tamarindshore (subset (spill 100)))": 100} {
 		if s := newConfig(t, text); s.Spill != want {
 			t.Errorf("%s: %d", text, s.Spill)
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestReadIntervalIsOffUnlessItIsStated(t *testing.T) {
+func TestReadIntervalIsOffByDefault(t *testing.T) {
 	for text, want := range map[string]time.Duration{"(tamarindshore)": 0, "(tamarindshore (read-interval 50ms))": 50 * time.Millisecond} {
 		if s := newConfig(t, text); s.Limits.ReadInterval != want {
 			t.Errorf("%s: %v", text, s.Limits.ReadInterval)
--- a/internal/faultsim/search_test.go
+++ b/internal/faultsim/search_test.go
@@ -39,7 +39,7 @@
 }
 
 // Guards against a queue that is filled because it may be: tables then come half a minute late.
-func TestAFleetKeepsAllRules(t *testing.T) {
+func TestLargeFleetKeepsAllRules(t *testing.T) {
 	found, played := SearchSeeds(LargeFleetScenario(), 1, 16, 4, true, func(int) {})
 	for _, f := range found {
 		t.Errorf("%v\n%v", f.Violation, f.Script)
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestScriptsAreWrittenAndRead(t *testing.T) {
+func TestScriptsRoundTrip(t *testing.T) {
 	want := GenerateScript(DefaultScenario(), 7)
 	got, err := ParseScript("f", []byte(want.String()))
 	if err != nil || got.String() != want.String() || len(got.Faults) == 0 {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestShrinkKeepsWhatBreaks(t *testing.T) {
+func TestShrinkKeepsTheViolation(t *testing.T) {
 	s := DefaultScenario()
 	s.QueueCapacity = 40 // far too few to assign all proxies
 	s.FaultCount = CountRange{4, 4}
--- a/internal/fleetmodel/subset_test.go
+++ b/internal/fleetmodel/subset_test.go
@@ -184,7 +184,7 @@
 
 // A subset drops hardly more than the whole list does, and keeps more in its zone; where a home zone is lost, the
 // servers that are left are few until the subset is widened.
-func TestASubsetLosesLittleQuality(t *testing.T) {
+func TestSubsetLosesLittleQuality(t *testing.T) {
 	const seeds, spill = 2, 20
 	for _, d := range days {
 		more := 0.01
@@ -200,7 +200,7 @@
 }
 
 // The same seed gives the same run, with a subset as without.
-func TestARunWithASubsetIsRepeatable(t *testing.T) {
+func TestRunWithSubsetIsDeterministic(t *testing.T) {
 	d := days[len(days)-1]
 	if a, b := d.play(3, 20), d.play(3, 20); a != b {
 		t.Errorf("%+v and %+v", a, b)
--- a/internal/loadtest/run_test.go
+++ b/internal/loadtest/run_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestLoadIsTakenInWithTheRulesKept(t *testing.T) {
+func TestLoadIsAcceptedWithTheRulesKept(t *testing.T) {
 	for _, cores := range []int{1, 4} {
 		results, err := Run(smallPlan(cores), startInProcess(io.Discard), io.Discard)
 		if err != nil {
@@ -105,7 +105,7 @@
 }
 
 // The relay's answers are lost, come late or can't be read while servers drain, proxies join and connections move.
-func TestLostAnswersRepeatNoEffectOnSeveralCores(t *testing.T) {
+func TestLostResponsesRepeatNoEffectOnSeveralCores(t *testing.T) {
 	p := smallPlan(4)
 	p.FaultFraction = 0.3
 	results, err := Run(p, startInProcess(io.Discard), io.Discard)
@@ -144,7 +144,7 @@
 }
 
 // The relay calls the observer under its lock, so the observer must not ask the relay under its own.
-func TestTheRelayIsNotAskedUnderTheObserversLock(t *testing.T) {
+func TestObserverDoesNotCallTheRelayUnderItsLock(t *testing.T) {
 	relay, err := fakes.NewRelay("127.0.0.1:0", fakes.DefaultSite(1, 1))
 	if err != nil {
 		t.Fatal(err)
@@ -205,7 +205,7 @@
 	return total
 }
 
-func TestAListThatReplacesAllServersLeavesNoProxyWithout(t *testing.T) {
+func TestReplacingAllServersLeavesNoProxyWithoutServer(t *testing.T) {
 	const oldServers, rate = 12, 3000
 	site := fakes.DefaultSite(oldServers, 40)
 	d := startDeployment(t, site, io.Discard)
@@ -237,7 +237,7 @@
 	checkRules(t, d)
 }
 
-func TestAllProxiesLeaveAndJoinAtOnce(t *testing.T) {
+func TestAllProxiesReconnectAtOnce(t *testing.T) {
 	site := fakes.DefaultSite(12, 300)
 	d := startDeployment(t, site, io.Discard)
 	ids := make([]int, site.Proxies)
@@ -254,7 +254,7 @@
 	checkRules(t, d)
 }
 
-func TestAServerThatDrainsAndRestartsWhileConnectionsMove(t *testing.T) {
+func TestServerRestartsWhileConnectionsMove(t *testing.T) {
 	const restartDuration = 100 * time.Millisecond
 	site := fakes.DefaultSite(12, 60)
 	d := startDeployment(t, site, io.Discard)
@@ -284,7 +284,7 @@
 	checkRules(t, d)
 }
 
-func TestReloadAndEndUnderLoad(t *testing.T) {
+func TestReloadAndShutdownUnderLoad(t *testing.T) {
 	site := fakes.DefaultSite(12, 60)
 	var log reloadCounter
 	d := startDeployment(t, site, &log)
@@ -317,7 +317,7 @@
 }
 
 // With four servers the index of the one that returns was negative once, in the first rounds.
-func TestServersDrainInTurnHoweverFewThereAre(t *testing.T) {
+func TestServersDrainInTurnInSmallFleets(t *testing.T) {
 	for _, servers := range []int{1, 4} {
 		d := startDeployment(t, fakes.DefaultSite(servers, 4), io.Discard)
 		c, _ := newChurn(d, newObserver(d.Relay))
--- a/internal/loadtest/schedule_test.go
+++ b/internal/loadtest/schedule_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestScheduleCountsFromWhenAMessageIsDue(t *testing.T) {
+func TestScheduleKeepsMessagesDueDuringAStall(t *testing.T) {
 	s := Schedule{Rate: 1000}
 	if n, last := s.Due(10 * time.Millisecond); n != 10 || last != 10*time.Millisecond {
 		t.Errorf("%d, the last at %v", n, last)
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestRampFindsTheTop(t *testing.T) {
+func TestRampFindsTheMaxRate(t *testing.T) {
 	for _, top := range []float64{3000, 47_000, 900_000} {
 		r := NewRamp(20_000)
 		steps := 1
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestRampTakesALateStepForTooMuch(t *testing.T) {
+func TestRampRejectsASlowStep(t *testing.T) {
 	r := NewRamp(1000)
 	r.Step(1, time.Second)
 	if r.MaxRate() != 0 || r.Rate() >= 1000 {
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestACurveThatNothingFitsIsCalledSo(t *testing.T) {
+func TestCurveWithoutAFittingShapeIsReported(t *testing.T) {
 	step := func(size float64) float64 {
 		if size < 1000 {
 			return 1
@@ -63,14 +63,14 @@
 	}
 }
 
-func TestAFallingCostIsNeverPredictedBelowZero(t *testing.T) {
+func TestFallingCostIsNeverPredictedBelowZero(t *testing.T) {
 	got := fitted(Slope{Points: pointsOf(func(size float64) float64 { return 100 / size }, 0)})
 	if got.PerUnit < 0 || got.At(1e6) < 0 {
 		t.Errorf("%+v", got)
 	}
 }
 
-func TestACostOfZeroIsConstant(t *testing.T) {
+func TestCostOfZeroIsConstant(t *testing.T) {
 	got := fitted(Slope{Points: pointsOf(func(float64) float64 { return 0 }, 0)})
 	if got.Shape != Constant || got.Base != 0 || !got.Fits || got.Spread != 0 {
 		t.Errorf("%+v", got)
@@ -85,7 +85,7 @@
 }
 
 // Where no shape fits, a cost between two measured sizes lies between their medians; beyond them it is the curve's.
-func TestACostWithoutAFittingShapeIsInterpolated(t *testing.T) {
+func TestCostWithoutAFittingShapeIsInterpolated(t *testing.T) {
 	points := []Point{{Size: 100, Runs: []float64{9, 5, 7}}, {Size: 10, Runs: []float64{1, 3}}}
 	s := Slope{Shape: Linear, Base: 1000, PerUnit: 1, Points: points}
 	for size, want := range map[float64]float64{10: 2, 100: 7, 28: 3, 55: 4.5, 5: 1005, 200: 1200} {
--- a/internal/scale/propagation_test.go
+++ b/internal/scale/propagation_test.go
@@ -13,7 +13,7 @@
 	return controlSide{changeWriteTime: time.Millisecond, listWriteTime: 160 * time.Millisecond, rng: rand.New(rand.NewPCG(1, 2))}
 }
 
-func TestAChangeIsInForceAtEachManager(t *testing.T) {
+func TestChangeReachesEachManager(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	const managers = 12
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestAManagerThatReadsALongListCarriesOutTheChangeLater(t *testing.T) {
+func TestManagerThatReadsALongListAppliesTheChangeLater(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	const managers = 3
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestManagersOfLostMachinesGetTheListFromTheOthers(t *testing.T) {
+func TestManagersOfLostControlMachinesGetTheListFromOthers(t *testing.T) {
 	control := testControl()
 	const managers = 700
 	reconnect := reconnectSettings{watchTimeout: 2 * time.Second, minBackoff: 50 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestASubsetIsTakenOfAWholeList(t *testing.T) {
+func TestSubsetIsTakenFromACompleteList(t *testing.T) {
 	samples, err := measureSubsetRead(context.Background(), subsetScenario(1, 2400), 1)
 	if err != nil || len(samples) != 1 || samples[0][CPUPerSubsetRead] <= 0 {
 		t.Errorf("%v, %v", samples, err)
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -17,7 +17,7 @@
 			Points: []Point{{1, []float64{10, 11}}, {100, []float64{1000, 1100}}}})}}
 }
 
-func TestAReportIsReadAsItWasWritten(t *testing.T) {
+func TestReportRoundTrips(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "slopes.json")
 	if err := WriteReport(path, sound()); err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestBadReportsAreOneLineThatNamesThePlace(t *testing.T) {
+func TestInvalidReportsNameThePlaceInOneLine(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "slopes.json")
 	if err := WriteReport(path, sound()); err != nil {
@@ -133,7 +133,7 @@
 }
 
 // The file that the capacity page reckons from must be read by this program.
-func TestTheCommittedReportIsRead(t *testing.T) {
+func TestCommittedReportIsValid(t *testing.T) {
 	report, err := ReadReport("../../docs/scale/slopes.json")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -35,7 +35,7 @@
 	return Options{Axes: axes, Seed: 1, Runs: 1, Small: true, Memory: Memory{2 << 30}, Progress: io.Discard}
 }
 
-func TestTheSameSeedDoesTheSameWork(t *testing.T) {
+func TestSameSeedDoesTheSameWork(t *testing.T) {
 	counts := func() map[Cost][]Point {
 		o := options(Servers)
 		o.Sizes = []float64{60, 240}
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestASizeBeyondTheLimitIsRefusedBeforeAnythingIsMeasured(t *testing.T) {
+func TestSizeBeyondTheLimitIsRefusedBeforeMeasuring(t *testing.T) {
 	for _, axis := range []Axis{Servers, Proxies, Reports, ListChanges, Managers} {
 		o := options(axis)
 		progress := bytes.Buffer{}
@@ -126,7 +126,7 @@
 	}
 }
 
-func TestManagersThatTakeMoreThanEstimatedAreRefused(t *testing.T) {
+func TestManagersAboveTheMemoryEstimateAreRefused(t *testing.T) {
 	o := options(Managers)
 	o.Memory = Memory{64 << 20}
 	f, err := newHollowFleet(propagationScenario(1), managerCoreShare)
@@ -142,14 +142,14 @@
 	}
 }
 
-func TestMoreConnectionsThanTheLimitAreRefused(t *testing.T) {
+func TestConnectionsAboveTheLimitAreRefused(t *testing.T) {
 	session := &session{options: options()}
 	if err := session.readersFit(MaxReaders+1, survey{axis: Managers}); err == nil || !strings.Contains(err.Error(), "1200 fit") {
 		t.Error(err)
 	}
 }
 
-func TestTheEstimateOfMemoryIsAnUpperBound(t *testing.T) {
+func TestMemoryEstimateIsAnUpperBound(t *testing.T) {
 	for _, scenario := range []Scenario{smaller(), smaller().With(Servers, 2400), smaller().With(Proxies, 2000), smaller().With(Reports, 2000),
 		smaller().With(ListChanges, 10)} {
 		before := heapInUse()
@@ -171,7 +171,7 @@
 	}
 }
 
-func TestTheMachinesMemory(t *testing.T) {
+func TestMemoryLimitOfTheMachine(t *testing.T) {
 	if got, err := totalMemory([]byte("MemFree: 1 kB\nMemTotal:       2048 kB\n")); err != nil || got != 2<<20 {
 		t.Errorf("%g, %v", got, err)
 	}
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestARunEndsWithinASecondOfItsContext(t *testing.T) {
+func TestRunEndsWithinASecondOfCancellation(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestTheControlSideIsMeasured(t *testing.T) {
+func TestControlSideIsMeasured(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/withdrawals_test.go
+++ b/internal/scale/withdrawals_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestWithdrawalsAreOverOnceEachManagerMadeIt(t *testing.T) {
+func TestWithdrawalsEndOnceEachManagerMadeThem(t *testing.T) {
 	var w withdrawals
 	published := time.Unix(1000, 0)
 	all := w.expect("s-1", 2)
--- a/internal/scale/work_test.go
+++ b/internal/scale/work_test.go
@@ -121,7 +121,7 @@
 	return scenario
 }
 
-func TestTheWorkOfAnInputDoesNotGrow(t *testing.T) {
+func TestInputCostIsIndependentOfFleetSize(t *testing.T) {
 	for _, one := range []struct {
 		axis         Axis
 		small, large float64
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestAChangeOfTheListCostsTheSameBytesInAnyFleet(t *testing.T) {
+func TestListChangeHasTheSameBytesInAnyFleet(t *testing.T) {
 	size := func(servers int) int {
 		scenario := Reference().With(Servers, float64(servers))
 		site := scenario.site()
@@ -192,7 +192,7 @@
 	}
 }
 
-func TestADrainOrdersOneWithdrawalInAnyFleet(t *testing.T) {
+func TestDrainSendsOneWithdrawalInAnyFleet(t *testing.T) {
 	size := func(servers int) (orders int, bytes int64) {
 		o := open(t, smaller().With(Servers, float64(servers)))
 		before := o.manager.Traffic(node.RelayCallMessage).Out
@@ -238,7 +238,7 @@
 }
 
 // A second's decision walks over all servers, once: what it allocates may grow with them, but not with their square.
-func TestASecondsDecisionGrowsNoFasterThanTheFleet(t *testing.T) {
+func TestPeriodicDecisionGrowsAtMostLinearly(t *testing.T) {
 	second := func(servers float64) float64 {
 		o := open(t, smaller().With(Servers, servers))
 		before := allocated()
