--- a/docs_test.go
+++ b/docs_test.go
@@ -122,7 +122,9 @@
 	case namesHeading:
 		for _, span := range codeSpan.FindAllStringSubmatch(columns[2], -1) {
 			first, _, _ := strings.Cut(strings.TrimPrefix(span[1], "event="), " ")
-			names = append(names, first)
+			if !strings.Contains(first, "=") { // a field of the event before
+				names = append(names, first)
+			}
 		}
 	}
 	return names
