--- a/internal/capacity/budget_test.go
+++ b/internal/capacity/budget_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestSubsetNeverCostsMore(t *testing.T) {
-	m := NewModel(planned(t), madeUp(t))
+	m := NewModel(repositoryPlan(t), exampleSlopes(t))
 	for _, c := range m.Checks() {
 		whole := c.Ratio[WholeList].Value
 		subset := c.Ratio[Subset].Value
@@ -66,10 +66,10 @@
 }
 
 func TestVerdictFollowsTheJudgedScope(t *testing.T) {
-	p := planned(t)
+	p := repositoryPlan(t)
 	for _, scope := range Scopes {
 		p.Judged = scope
-		m := NewModel(p, madeUp(t))
+		m := NewModel(p, exampleSlopes(t))
 		var out strings.Builder
 		passed := m.WriteTables(&out)
 		if len(passed) == 0 || !strings.Contains(out.String(), "scope that the plan judges, `"+string(scope)+"`") {
@@ -84,7 +84,7 @@
 }
 
 func TestPlanWithinItsBudgets(t *testing.T) {
-	m := NewModel(small(t), madeUp(t))
+	m := NewModel(smallPlan(t), exampleSlopes(t))
 	var out strings.Builder
 	if passed := m.WriteTables(&out); len(passed) > 0 {
 		t.Errorf("passed: %+v", passed)
@@ -95,7 +95,7 @@
 }
 
 func TestLimits(t *testing.T) {
-	m := NewModel(planned(t), madeUp(t))
+	m := NewModel(repositoryPlan(t), exampleSlopes(t))
 	passed := map[string][]Scope{}
 	for _, l := range m.Limits() {
 		for _, scope := range Scopes {
--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -12,38 +12,38 @@
 	p := m.Plan
 	readers := m.readers(s)
 	counts := p.normalServerCounts(scope)
-	live := s // the machine gets each change, and forwards it; what readers missed is counted apart
+	live := s // the machine receives each change, and forwards it; what readers missed is counted apart
 	live.MissedEntries = 0
-	heard := p.listChanges(live, 1)
+	received := p.listChanges(live, 1)
 	changes := p.listChanges(live, counts.sentShare(false))
-	opens := s.OpeningManagers / s.ControlMachines / s.Window
+	openings := s.OpeningManagers / s.ControlMachines / s.Window
 	resumes := s.ResumingManagers / s.ControlMachines / s.Window
 	load := Load{
 		State:       stateOf(float64(p.Fleet.Servers), "servers") + ", " + stateOf(readers, "readers"),
-		MessagesIn:  known(heard.lines/s.Window + opens + resumes),
-		MessagesOut: known(readers*(1+changes.lines/s.Window) + opens + resumes),
-		BytesIn:     m.listChangeBytes(heard).times(1 / s.Window),
+		MessagesIn:  known(received.messages/s.Window + openings + resumes),
+		MessagesOut: known(readers*(1+changes.messages/s.Window) + openings + resumes),
+		BytesIn:     m.listChangeBytes(received).times(1 / s.Window),
 		Memory:      m.cost(scale.ControlHeapPerManager, m.controlSizes(scale.ControlHeapPerManager, s, counts)).times(readers),
 		Connections: known(readers),
-		Core:        m.controlCore(s, counts, opens, changes.lines/s.Window*readers),
+		Core:        m.controlCore(s, counts, openings, changes.messages/s.Window*readers),
 	}
 	perReader := m.heartbeatBytes().plus(m.listChangeBytes(changes).times(1 / s.Window))
 	resumed := known(0)
 	if s.MissedEntries > 0 {
 		resumed = m.listChangeBytes(p.listChanges(s, counts.sentShare(false))).times(resumes)
 	}
-	load.BytesOut = perReader.times(readers).plus(m.openingBytes(counts).times(opens)).plus(resumed)
+	load.BytesOut = perReader.times(readers).plus(m.openingBytes(counts).times(openings)).plus(resumed)
 	load.CoreWithoutCollectors = load.Core
 	return load
 }
 
 // controlCore is what a control machine spends: its readers' openings, the changes that it writes to them, and its heartbeats.
 // Where some of these were not measured it is a lower bound.
-func (m *Model) controlCore(s Situation, counts serverCounts, opens, changes float64) Figure {
+func (m *Model) controlCore(s Situation, counts serverCounts, openings, changes float64) Figure {
 	opening := m.cost(scale.ControlCPUPerManager, m.controlSizes(scale.ControlCPUPerManager, s, counts))
-	telling := m.cost(scale.ControlCPUPerChange, m.controlSizes(scale.ControlCPUPerChange, s, counts))
-	alive := m.cost(scale.ControlCPUPerQuietSecond, Sizes{scale.Managers: m.readers(s)})
-	return opening.times(opens).plus(telling.times(changes)).plus(alive.times(m.readers(s)))
+	change := m.cost(scale.ControlCPUPerChange, m.controlSizes(scale.ControlCPUPerChange, s, counts))
+	heartbeats := m.cost(scale.ControlCPUPerQuietSecond, Sizes{scale.Managers: m.readers(s)})
+	return opening.times(openings).plus(change.times(changes)).plus(heartbeats.times(m.readers(s)))
 }
 
 // controlSizes is the fleet as one control machine sees it.
@@ -61,8 +61,8 @@
 	list := m.listBytes(s, counts).plus(m.heartbeatBytes())
 	return Load{
 		State:       stateOf(counts.sent, "servers"),
-		MessagesIn:  known(1 + in.listLines),
-		MessagesOut: known(1 + in.listLines),
+		MessagesIn:  known(1 + in.listMessages),
+		MessagesOut: known(1 + in.listMessages),
 		BytesIn:     list,
 		BytesOut:    list,
 		Connections: known(2),
--- a/internal/capacity/format_test.go
+++ b/internal/capacity/format_test.go
@@ -69,7 +69,7 @@
 		t.Fatal(err)
 	}
 	var tables strings.Builder
-	exceeded := NewModel(plan, madeUp(t)).WriteTables(&tables)
+	exceeded := NewModel(plan, exampleSlopes(t)).WriteTables(&tables)
 	if len(exceeded) != 24 {
 		t.Errorf("%d budgets are exceeded, not 24", len(exceeded))
 	}
--- a/internal/capacity/list_change.go
+++ b/internal/capacity/list_change.go
@@ -4,8 +4,8 @@
 
 // listChanges are changes of the list as they reach one reader, within a situation's window: messages of some entries each.
 type listChanges struct {
-	lines   float64
-	entries float64 // of each line
+	messages float64
+	entries  float64 // of each line
 }
 
 // listChanges is what a part of a situation's changes comes to. Entries that change together are in one message, as is
@@ -18,20 +18,20 @@
 	if entries == 0 {
 		return listChanges{}
 	}
-	lines := min(s.ListChanges/float64(p.Day.Batch), entries)
-	return listChanges{lines, entries / lines}
+	messages := min(s.ListChanges/float64(p.Day.Batch), entries)
+	return listChanges{messages, entries / messages}
 }
 
 // listChangeBytes is what changes of the list come to on the wire.
 func (m *Model) listChangeBytes(c listChanges) Figure {
-	if c.lines == 0 {
+	if c.messages == 0 {
 		return known(0)
 	}
 	source := m.Costs.OrPlan(scale.BytesOfListChange, Sizes{scale.RestartsAtOnce: c.entries}, c.entries*m.Plan.Messages.ListEntry)
-	return m.recordSource(source).times(c.lines)
+	return m.recordSource(source).times(c.messages)
 }
 
-// listChangeCore is what one line of changes costs a manager. A line of more entries than were measured is counted as no
+// listChangeCore is what one message of changes costs a manager. One of more entries than were measured is counted as no
 // dearer than an opening, which takes all entries that the manager holds.
 func (m *Model) listChangeCore(counts serverCounts, entries float64) Figure {
 	sizes := m.managerSizes(counts)
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -9,12 +9,12 @@
 	standingConnections = 3 // watch, events, the call in progress
 )
 
-// inputs are the messages that come to a manager, by kind, a second.
+// inputs are the messages that a manager receives in a second, by kind.
 type inputs struct {
 	loadReports  float64
 	usageReports float64
 	relayEvents  float64
-	listLines    float64
+	listMessages float64
 	healthChecks float64 // answers
 }
 
@@ -23,6 +23,7 @@
 	return in.loadReports + in.usageReports + in.relayEvents + in.healthChecks
 }
 
+// managerInputs is what comes to a manager in a second of a situation.
 func (m *Model) managerInputs(s Situation, counts serverCounts) inputs {
 	p := m.Plan
 	in := inputs{loadReports: p.loadReports(counts), usageReports: p.usageReports()}
@@ -35,9 +36,9 @@
 		in.relayEvents += float64(p.Managers.Proxies) / s.Window
 	}
 	if s.Opening.sendsCompleteList() {
-		in.listLines = 1 / s.Window
+		in.listMessages = 1 / s.Window
 	}
-	in.listLines += p.listChanges(s, counts.sentShare(s.OutsideHome)).lines / s.Window
+	in.listMessages += p.listChanges(s, counts.sentShare(s.OutsideHome)).messages / s.Window
 	return in
 }
 
@@ -50,24 +51,25 @@
 	return max(callsPerSecond, m.cost(scale.RelayEventsPerSecond, m.busySizes(counts, in, 0)).Value)
 }
 
+// manager is the load of one manager.
 func (m *Model) manager(s Situation, scope Scope) Load {
 	p := m.Plan
 	counts := p.serverCounts(s, scope)
 	in := m.managerInputs(s, counts)
 	load := Load{
 		State:       stateOf(counts.held, "servers") + ", " + stateOf(float64(p.Managers.Proxies), "proxies"),
-		MessagesIn:  known(heartbeatsPerSecond + in.decisions() + in.listLines),
+		MessagesIn:  known(heartbeatsPerSecond + in.decisions() + in.listMessages),
 		MessagesOut: known(callsPerSecond + in.healthChecks),
 		Memory:      m.cost(scale.HeapBytes, m.managerSizes(counts)),
 		Connections: known(standingConnections + float64(p.Managers.ProxyZones*p.Managers.CollectorsPerZone) + m.openHealthChecks(in.healthChecks)),
 	}
 	load.CollectorBytes = m.collectorBytes(in)
 	load.BytesIn = m.listBytes(s, counts).plus(load.CollectorBytes).plus(m.relayEventBytes(in)).plus(m.heartbeatBytes())
-	heard := p.listChanges(s, counts.share(s.OutsideHome))
-	load.BytesOut = m.callBytes(counts, in, heard.lines/s.Window).plus(m.healthCheckBytes(s, in)).plus(m.openingCommands(s, counts))
+	received := p.listChanges(s, counts.share(s.OutsideHome))
+	load.BytesOut = m.callBytes(counts, in, received.messages/s.Window).plus(m.healthCheckBytes(s, in)).plus(m.openingCommands(s, counts))
 	eventCore := m.eventCore(s, counts, in)
-	load.Core = m.busyCore(s, counts, in, heard).plus(eventCore).plus(m.processOverhead(busyState))
-	load.CoreWithoutCollectors = m.quietCore(s, counts, heard).plus(eventCore).plus(m.processOverhead(quietState))
+	load.Core = m.busyCore(s, counts, in, received).plus(eventCore).plus(m.processOverhead(busyState))
+	load.CoreWithoutCollectors = m.quietCore(s, counts, received).plus(eventCore).plus(m.processOverhead(quietState))
 	return load
 }
 
@@ -93,22 +95,22 @@
 // quietCore is a second without reports, with changes of the list.
 func (m *Model) quietCore(s Situation, counts serverCounts, changes listChanges) Figure {
 	quiet := m.cost(scale.CPUPerQuietSecond, m.managerSizes(counts))
-	if changes.lines == 0 {
+	if changes.messages == 0 {
 		return quiet
 	}
-	return quiet.plus(m.listChangeCore(counts, changes.entries).times(changes.lines / s.Window))
+	return quiet.plus(m.listChangeCore(counts, changes.entries).times(changes.messages / s.Window))
 }
 
 // busyCore is a second in which reports come too: as measured, or the quiet second and each report's cost. It
 // was measured with changes of one entry each; what further entries of a change cost is added.
 func (m *Model) busyCore(s Situation, counts serverCounts, in inputs, changes listChanges) Figure {
 	if m.Costs.measured(scale.CPUPerBusySecond) {
-		busy := m.cost(scale.CPUPerBusySecond, m.busySizes(counts, in, changes.lines/s.Window))
+		busy := m.cost(scale.CPUPerBusySecond, m.busySizes(counts, in, changes.messages/s.Window))
 		if changes.entries <= 1 {
 			return busy
 		}
 		further := m.listChangeCore(counts, changes.entries).plus(m.listChangeCore(counts, 1).times(-1))
-		return busy.plus(further.times(changes.lines / s.Window))
+		return busy.plus(further.times(changes.messages / s.Window))
 	}
 	return m.quietCore(s, counts, changes).plus(m.cost(scale.CPUPerInput, m.managerSizes(counts)).times(in.loadReports + in.usageReports))
 }
@@ -142,6 +144,7 @@
 	return m.managerSizes(counts)
 }
 
+// openingBytes is a complete list on the wire.
 func (m *Model) openingBytes(counts serverCounts) Figure {
 	sizes := m.listSizes(scale.BytesOfOpening, counts.sent)
 	return m.recordSource(m.Costs.OrPlan(scale.BytesOfOpening, sizes, counts.sent*m.Plan.Messages.ListEntry))
@@ -159,19 +162,23 @@
 	return bytes
 }
 
+// collectorBytes is what collectors send a manager in a second.
 func (m *Model) collectorBytes(in inputs) Figure {
 	reports := m.bytesOf(scale.BytesOfReport, m.Plan.Messages.Report).times(in.loadReports)
 	return reports.plus(m.bytesOf(scale.BytesOfUsage, m.Plan.Messages.Usage).times(in.usageReports))
 }
 
+// relayEventBytes is what the relay's events come to in a second.
 func (m *Model) relayEventBytes(in inputs) Figure {
 	return m.bytesOf(scale.BytesOfRelayEvent, m.Plan.Messages.RelayEvent).times(in.relayEvents)
 }
 
+// heartbeatBytes is what the heartbeats of a watch come to in a second.
 func (m *Model) heartbeatBytes() Figure {
 	return m.bytesOf(scale.BytesOfHeartbeat, m.Plan.Messages.Heartbeat)
 }
 
+// callBytes is what a manager's calls to the relay come to in a second.
 func (m *Model) callBytes(counts serverCounts, in inputs, changes float64) Figure {
 	return m.bytesAt(scale.BytesOfCalls, m.busySizes(counts, in, changes), m.Plan.Messages.Calls)
 }
@@ -185,6 +192,7 @@
 	return known(m.Plan.Messages.UnansweredHealthCheck * in.healthChecks)
 }
 
+// openHealthChecks is how many health checks are in flight at one time.
 func (m *Model) openHealthChecks(perSecond float64) float64 {
 	return min(float64(m.Plan.Managers.MaxHealthChecks), perSecond*m.Plan.Managers.HealthCheckTimeout.Seconds())
 }
@@ -195,6 +203,6 @@
 		return known(0)
 	}
 	p := m.Plan
-	orders := m.tableWeights(counts)*float64(p.Managers.ProxyZones) + float64(p.Managers.Proxies)
-	return known(orders * p.Messages.Command / s.Window)
+	commands := m.tableWeights(counts)*float64(p.Managers.ProxyZones) + float64(p.Managers.Proxies)
+	return known(commands * p.Messages.Command / s.Window)
 }
--- a/internal/capacity/numbers.go
+++ b/internal/capacity/numbers.go
@@ -28,7 +28,7 @@
 
 func stateOf(n float64, what string) string { return formatNumber(n) + " " + what }
 
-// number3 is a number to three places, with thousands apart.
+// formatNumber is a number to three places, with thousands apart.
 func formatNumber(x float64) string {
 	switch size := math.Abs(x); {
 	case size == 0:
--- a/internal/capacity/other_roles.go
+++ b/internal/capacity/other_roles.go
@@ -2,7 +2,7 @@
 
 import "tamarindshore/internal/scale"
 
-// The roles of this file belong to others than this project: what they are sent and send is reckoned from the
+// The roles of this file belong to others than this project: what they receive and send is calculated from the
 // managers' side, and their own processor time and memory are not measured.
 
 // relay carries the calls of the managers of its zone to their proxies.
@@ -11,7 +11,7 @@
 	managers := p.perRelay()
 	counts := p.serverCounts(s, scope)
 	in := m.managerInputs(s, counts)
-	calls := m.callBytes(counts, in, p.listChanges(s, counts.share(s.OutsideHome)).lines/s.Window).plus(m.openingCommands(s, counts))
+	calls := m.callBytes(counts, in, p.listChanges(s, counts.share(s.OutsideHome)).messages/s.Window).plus(m.openingCommands(s, counts))
 	return Load{
 		State:       stateOf(managers*float64(p.Managers.Proxies), "proxies") + ", " + stateOf(managers, "managers"),
 		MessagesIn:  known(managers * callsPerSecond),
@@ -22,6 +22,7 @@
 	}
 }
 
+// perRelay is how many managers one relay serves.
 func (p Plan) perRelay() float64 {
 	return float64(p.Fleet.Managers) / float64(p.Fleet.Zones*p.Managers.RelaysPerZone)
 }
@@ -31,14 +32,14 @@
 	p := m.Plan
 	managers := float64(p.Fleet.Managers*p.Managers.ProxyZones) / float64(p.Fleet.Zones)
 	part := 1 / float64(p.Managers.ProxyZones*p.Managers.CollectorsPerZone)
-	lines := inputs{loadReports: p.loadReports(p.serverCounts(s, scope)) * part, usageReports: p.usageReports() * part}
+	sent := inputs{loadReports: p.loadReports(p.serverCounts(s, scope)) * part, usageReports: p.usageReports() * part}
 	requests := p.Fleet.RequestsPerSecond / float64(p.Fleet.Zones*p.Managers.CollectorsPerZone)
 	return Load{
 		State:       stateOf(requests, "requests a second"),
 		MessagesIn:  Figure{},
-		MessagesOut: known(managers * lines.decisions()),
+		MessagesOut: known(managers * sent.decisions()),
 		BytesIn:     Figure{},
-		BytesOut:    m.collectorBytes(lines).times(managers),
+		BytesOut:    m.collectorBytes(sent).times(managers),
 		Connections: known(managers),
 	}
 }
@@ -48,15 +49,15 @@
 	p := m.Plan
 	counts := p.serverCounts(s, scope)
 	requests := p.requestsPerManager() / float64(p.Managers.Proxies)
-	orders := known(0)
+	commands := known(0)
 	if s.Opening != NoOpening {
-		orders = known((m.tableWeights(counts) + 1) * p.Messages.Command / s.Window)
+		commands = known((m.tableWeights(counts) + 1) * p.Messages.Command / s.Window)
 	}
 	return Load{
 		State:       stateOf(m.tableWeights(counts), "lines at most") + ", " + stateOf(requests, "requests a second"),
 		MessagesIn:  known(callsPerSecond),
 		MessagesOut: known(callsPerSecond),
-		BytesIn:     orders,
+		BytesIn:     commands,
 		BytesOut:    m.bytesOf(scale.BytesOfRelayEvent, p.Messages.RelayEvent),
 		Connections: known(1 + m.tableWeights(counts)),
 	}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestUnmeasuredFiguresAreShownAsLowerBounds(t *testing.T) {
-	m := NewModel(planned(t), madeUp(t))
+	m := NewModel(repositoryPlan(t), exampleSlopes(t))
 	busiest := m.Plan.situations()[1]
 	load := m.Load(Manager, busiest, WholeList)
 	if load.Core.Known {
@@ -37,7 +37,7 @@
 // An unfinished table would pass for a whole one.
 func TestTableRowsHaveEqualColumns(t *testing.T) {
 	var out strings.Builder
-	NewModel(planned(t), madeUp(t)).WriteTables(&out)
+	NewModel(repositoryPlan(t), exampleSlopes(t)).WriteTables(&out)
 	columns := 0
 	for n, line := range strings.Split(out.String(), "\n") {
 		if !strings.HasPrefix(line, "|") {
@@ -61,12 +61,12 @@
 	if want := "before\n" + BeginMark + "new\n" + EndMark + "after\n"; renewed != want {
 		t.Errorf("%q", renewed)
 	}
-	for _, spoilt := range []string{"", BeginMark, EndMark + BeginMark} {
-		if _, err := ReplaceTables(spoilt, "new\n"); err == nil {
-			t.Errorf("%q: no error", spoilt)
+	for _, invalid := range []string{"", BeginMark, EndMark + BeginMark} {
+		if _, err := ReplaceTables(invalid, "new\n"); err == nil {
+			t.Errorf("%q: no error", invalid)
 		}
-		if _, err := ExtractTables(spoilt); err == nil {
-			t.Errorf("%q: no error", spoilt)
+		if _, err := ExtractTables(invalid); err == nil {
+			t.Errorf("%q: no error", invalid)
 		}
 	}
 }
--- a/internal/capacity/propagation_page_test.go
+++ b/internal/capacity/propagation_page_test.go
@@ -13,7 +13,7 @@
 }
 
 func TestPropagationAndFleetsAreShownAsMeasured(t *testing.T) {
-	r := madeUp(t)
+	r := exampleSlopes(t)
 	text := tablesOf(r, t)
 	for _, want := range []string{"| two of seven machines are lost | not measured |", "as many hollow managers\n\nThe slopes' file has none"} {
 		if !strings.Contains(text, want) {
@@ -37,7 +37,7 @@
 }
 
 func TestCoreIsShownForEachReadInterval(t *testing.T) {
-	r := madeUp(t)
+	r := exampleSlopes(t)
 	r.Processes = []scale.ProcessCase{
 		{Name: busyState, ReadInterval: 0.05, CPU: []float64{0.002}, HollowCPU: []float64{0.001}},
 		{Name: busyState, CPU: []float64{0.02}, HollowCPU: []float64{0.001}},
--- a/internal/capacity/repository_test.go
+++ b/internal/capacity/repository_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	var want strings.Builder
-	NewModel(planned(t), slopes).WriteTables(&want)
+	NewModel(repositoryPlan(t), slopes).WriteTables(&want)
 	if got != want.String() {
 		t.Errorf("the tables of %s are not those of the command; first difference: %s", filepath.Base(pageFile), difference(got, want.String()))
 	}
--- a/internal/capacity/restart_test.go
+++ b/internal/capacity/restart_test.go
@@ -3,17 +3,17 @@
 import "testing"
 
 func TestManagerWithStoredListReadsOnlyChanges(t *testing.T) {
-	p := small(t)
+	p := smallPlan(t)
 	whole := situation(t, p, "all managers restart")
 	p.Managers.ListStored = true
 	stored := situation(t, p, "all managers restart")
 	missed := p.busyHourEntries() / 3600 * 19 // the window of 19 s
-	near(t, "entries missed", stored.MissedEntries, missed)
-	m := NewModel(p, madeUp(t))
+	checkNear(t, "entries missed", stored.MissedEntries, missed)
+	m := NewModel(p, exampleSlopes(t))
 	h := p.normalServerCounts(WholeList)
-	resumed := m.listChangeBytes(listChanges{lines: 1, entries: max(1, missed)}).Value
-	near(t, "bytes of the list", m.listBytes(stored, h).Value, resumed/19)
-	near(t, "bytes of a whole list", m.listBytes(whole, h).Value, m.openingBytes(h).Value/19)
+	resumed := m.listChangeBytes(listChanges{messages: 1, entries: max(1, missed)}).Value
+	checkNear(t, "bytes of the list", m.listBytes(stored, h).Value, resumed/19)
+	checkNear(t, "bytes of a whole list", m.listBytes(whole, h).Value, m.openingBytes(h).Value/19)
 	if resumed >= m.openingBytes(h).Value {
 		t.Errorf("%g bytes of changes, %g of a whole list", resumed, m.openingBytes(h).Value)
 	}
--- a/internal/faultsim/fleet.go
+++ b/internal/faultsim/fleet.go
@@ -115,9 +115,9 @@
 // updateEndpoint delivers a changed entry of the endpoint list.
 func (s *Simulation) updateEndpoint(server *server, state balancer.ServerState, startedAt time.Duration) {
 	before := s.manager.endpoints[server.id]
-	entry := listedServer{state: state, toldAt: s.now, startedAt: startedAt}
+	entry := listedServer{state: state, notifiedAt: s.now, startedAt: startedAt}
 	if before.state != balancer.Ready && state != balancer.Ready {
-		entry.toldAt = before.toldAt
+		entry.notifiedAt = before.notifiedAt
 	}
 	s.manager.endpoints[server.id] = entry
 	s.deliver(func(now time.Duration) balancer.Commands {
--- a/internal/faultsim/inject.go
+++ b/internal/faultsim/inject.go
@@ -108,6 +108,7 @@
 		func(server *server) { server.errorFraction = 0 })
 }
 
+// injectDrain drains servers as in a rolling restart: announced, stopped, started again.
 func (s *Simulation) injectDrain(f Fault) {
 	begin := func(server *server) {
 		s.announce(server, balancer.Draining)
@@ -119,6 +120,7 @@
 	s.forTargets(f, begin, end)
 }
 
+// injectZoneOutage stops all servers of a zone, and starts them again at the fault's end.
 func (s *Simulation) injectZoneOutage(f Fault) {
 	zone := s.targetZone(f)
 	for _, server := range s.servers {
@@ -138,11 +140,13 @@
 	s.scheduleAfter(f.Duration, func() { s.advanceChannel(s.channel.speed * slowChannelFactor) })
 }
 
+// injectManagerStall lets the manager handle nothing for a time, as a stopped process.
 func (s *Simulation) injectManagerStall(f Fault) {
 	end := s.now + min(f.Duration, maxStall)
 	s.manager.stalledUntil = max(s.manager.stalledUntil, end)
 }
 
+// injectProxyReconnect disconnects proxies, each of which connects again after a delay of its own.
 func (s *Simulation) injectProxyReconnect(f Fault) {
 	rng := rand.New(rand.NewPCG(f.TargetSeed, reconnectStream))
 	for _, p := range s.proxies {
@@ -155,6 +159,7 @@
 	}
 }
 
+// injectWrongEndpointList lists running servers as removed.
 func (s *Simulation) injectWrongEndpointList(f Fault) {
 	s.forTargets(f,
 		func(server *server) { s.announce(server, balancer.Removed) },
--- a/internal/faultsim/manager.go
+++ b/internal/faultsim/manager.go
@@ -39,9 +39,9 @@
 
 // listedServer is a server's last entry of the endpoint list, as the manager got it.
 type listedServer struct {
-	state     balancer.ServerState
-	toldAt    time.Duration // when the manager got that the server is ready, or that it is not
-	startedAt time.Duration
+	state      balancer.ServerState
+	notifiedAt time.Duration // when the manager was notified that the server is ready, or that it is not
+	startedAt  time.Duration
 }
 
 // startManager starts a manager, in place of one that runs, with the endpoint list as it was last. The proxies reconnect
@@ -64,6 +64,7 @@
 	}
 }
 
+// resetManager replaces the manager by a new incarnation, which knows the endpoint list.
 func (s *Simulation) resetManager() {
 	incarnation := s.manager.incarnation + 1
 	settings := versions.DefaultSettings(uint64(incarnation))
@@ -127,6 +128,7 @@
 	}
 }
 
+// startHealthCheck checks a server; the manager gets the result after the check's latency, or its timeout.
 func (s *Simulation) startHealthCheck(id balancer.ServerID) {
 	server := s.serverByID[id]
 	result := balancer.HealthCheckPassed
--- a/internal/faultsim/rules.go
+++ b/internal/faultsim/rules.go
@@ -149,13 +149,13 @@
 		if listed.state == balancer.Ready || weight == 0 || p.withdrawn[server] {
 			continue
 		}
-		since := max(listed.toldAt, p.connectedAt)
+		since := max(listed.notifiedAt, p.connectedAt)
 		if s.now-since > grace && r.workingSince(since) > grace && (late == "" || server < late) {
 			late = server
 		}
 	}
 	if late != "" {
-		since := max(s.manager.endpoints[late].toldAt, p.connectedAt)
+		since := max(s.manager.endpoints[late].notifiedAt, p.connectedAt)
 		r.fail(RuleDrainsKept, proxyName(p), "sends to %s, told to drain or gone %.2fs ago", late, (s.now - since).Seconds())
 	}
 }
--- a/internal/faultsim/simulation.go
+++ b/internal/faultsim/simulation.go
@@ -75,6 +75,7 @@
 	return s.rules.violation, s
 }
 
+// newSimulation is a run at its start: all servers are warm and listed, no manager runs.
 func newSimulation(scenario Scenario, seed uint64, trace func(line string)) *Simulation {
 	s := &Simulation{
 		scenario:   scenario,
@@ -110,7 +111,7 @@
 	}
 	s.servers = append(s.servers, server)
 	s.serverByID[server.id] = server
-	s.manager.endpoints[server.id] = listedServer{state: balancer.Ready, toldAt: longAgo, startedAt: longAgo}
+	s.manager.endpoints[server.id] = listedServer{state: balancer.Ready, notifiedAt: longAgo, startedAt: longAgo}
 }
 
 // Digest is that of all lines of the trace so far, in hexadecimal.
--- a/internal/loadtest/plan.go
+++ b/internal/loadtest/plan.go
@@ -1,6 +1,6 @@
-// Package loadtest puts a manager under load on loopback, between stand-ins of the systems around it, and measures it.
-// The load is an open loop: each message has a time at which it is due, so that a stall of the manager is seen and not
-// left out. schedule.go decides rates and what is due, free of I/O; generator.go sends for the collectors; observer.go
+// Package loadtest puts a manager under load on loopback, between fakes of the systems around it, and measures it.
+// The load is an open loop: each message has a time at which it is due, so that a stall of the manager shows in the
+// latencies. schedule.go decides rates and what is due, free of I/O; generator.go sends for the collectors; observer.go
 // measures what the relay is commanded; run.go joins them; report.go shows results. The package must never be imported
 // by the daemon, nor change what the manager decides.
 package loadtest
@@ -17,10 +17,10 @@
 	HoldDuration      time.Duration // for which a rate is held
 	StepDuration      time.Duration // of the search
 	InitialRate       float64       // messages a second at which the search begins
-	Seed              uint64        // settles all that is drawn
-	MemoryMB          float64       // told to the manager
-	MaxSockets        int           // told to the manager
-	FaultFraction     float64       // of the relay's calls, which go wrong
+	Seed              uint64        // of the random numbers
+	MemoryMB          float64       // in the manager's configuration
+	MaxSockets        int           // in the manager's configuration
+	FaultFraction     float64       // of the calls to the relay that fail
 }
 
 // DefaultPlan is a plan that ends within about half a minute for each number of cores.
--- a/internal/scale/work_test.go
+++ b/internal/scale/work_test.go
@@ -52,8 +52,8 @@
 	return openedManager{r, t}
 }
 
-// tell steps the manager at the next instant.
-func (o openedManager) tell(messages ...node.Message) node.StepResult {
+// deliver steps the manager at the next instant.
+func (o openedManager) deliver(messages ...node.Message) node.StepResult {
 	o.now += time.Microsecond
 	result, err := o.manager.Step(o.now, messages...)
 	if err != nil {
@@ -129,8 +129,8 @@
 		t.Run(string(one.axis), func(t *testing.T) {
 			few := open(t, smaller().With(one.axis, one.small))
 			many := open(t, smaller().With(one.axis, one.large))
-			least := few.inputWork(func(m node.Message) { few.tell(m) })
-			most := many.inputWork(func(m node.Message) { many.tell(m) })
+			least := few.inputWork(func(m node.Message) { few.deliver(m) })
+			most := many.inputWork(func(m node.Message) { many.deliver(m) })
 			if grown := grows(least, most); grown != "" {
 				t.Errorf("an input: %s", grown)
 			}
@@ -149,7 +149,7 @@
 			if len(known) != o.scenario.Servers {
 				t.Fatal("no walk")
 			}
-			o.tell(m)
+			o.deliver(m)
 		})
 	}
 	few := open(t, smaller().With(Servers, 60))
@@ -196,7 +196,7 @@
 	size := func(servers int) (orders int, bytes int64) {
 		o := open(t, smaller().With(Servers, float64(servers)))
 		before := o.manager.Traffic(node.RelayCallMessage).Out
-		for _, call := range o.tell(o.nextListChange(o.now, 1)).RelayCalls {
+		for _, call := range o.deliver(o.nextListChange(o.now, 1)).RelayCalls {
 			orders += call.Count()
 		}
 		return orders, o.manager.Traffic(node.RelayCallMessage).Out - before
