--- a/cmd/tamarindshore/serve.go
+++ b/cmd/tamarindshore/serve.go
@@ -63,9 +63,9 @@
 
 // readConfig reads the platform's configuration and adds the operator's settings.
 func readConfig(read func(func(string) string) (config.Config, error), operator config.OperatorSettings) (config.Config, error) {
-	told, err := read(os.Getenv)
+	platform, err := read(os.Getenv)
 	if err != nil {
-		return told, err
+		return platform, err
 	}
-	return told.WithOperator(operator)
+	return platform.WithOperator(operator)
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,7 @@
-// Package config reads, checks and completes what a manager is started with: the environment, the JSON file that it
-// names, and the operator's settings. Nothing reads the environment after it. It decides nothing.
+// Package config reads and validates the configuration of a manager: the environment, the JSON file that it names, and
+// the operator's settings. No other package of the manager reads the environment.
 //
-// An error names the key that is at fault, and the line where the file has it. Nothing here is shared between
-// goroutines.
+// An error names the invalid key, and its line in the file. Nothing here is shared between goroutines.
 package config
 
 import (
@@ -17,7 +16,7 @@
 	"tamarindshore/internal/platformsettings"
 )
 
-// Config is all that a manager is told at its start.
+// Config is the configuration of a manager.
 type Config struct {
 	Name      string
 	Listen    string // address for collectors and proxies
@@ -29,9 +28,9 @@
 	Balancer           balancer.Settings
 	ClassNames         []string        // of the traffic classes, in their order
 	ServersReportLoad  bool            // in the answer to a health check
-	CachedEndpointList json.RawMessage // as last held, in discovery's form
+	CachedEndpointList json.RawMessage // the last list that was known, in discovery's format
 
-	// By the operator's settings.
+	// From the operator's settings.
 
 	LogLevel      string
 	LogFormat     string
@@ -42,7 +41,7 @@
 	KeyFile       string // keys that sign versions
 	Spill         int    // servers of other zones in a subset; 0: all servers are used
 
-	coresConfigured bool // the file states limits.cores
+	coresConfigured bool // the file has limits.cores
 }
 
 // Variables of the environment.
@@ -55,14 +54,15 @@
 
 const missing = "is missing"
 
-// Read takes the environment (through get) and the file that PROXY_CONFIG names. An error about a key is a
+// Read reads the environment (through get) and the file that PROXY_CONFIG names. An error about a key is a
 // *platformsettings.KeyError.
 func Read(get func(string) string) (Config, error) { return read(get, false) }
 
-// Reread takes the file again: where it names discovery's address, that wins over the environment, which was
-// told at the start.
+// Reread reads the file again, for a reload. Unlike at the start, discovery's address in the file overrides the
+// environment.
 func Reread(get func(string) string) (Config, error) { return read(get, true) }
 
+// read reads the file; reload says whether this is a reload.
 func read(get func(string) string, reload bool) (Config, error) {
 	path := get(variableConfig)
 	if path == "" {
@@ -101,18 +101,17 @@
 	Address string `json:"address"`
 }
 
-// wireReport is the part of the settings that says how servers tell their load.
+// wireReport is the part of the settings that says how servers report their load.
 type wireReport struct {
 	Report struct {
 		How string `json:"how"`
 	} `json:"report"`
 }
 
-// reportSilent is the value of report.how where servers do not tell their load.
+// reportSilent is the value of report.how where servers do not report their load.
 const reportSilent = "silent"
 
-// parse checks what is told. The environment wins over the file, but for discovery's address in a file that is taken
-// again.
+// parse decodes and validates the file. The environment overrides the file, except for discovery's address at a reload.
 func parse(get func(string) string, text []byte, reload bool) (Config, error) {
 	var wire wireConfig
 	if err := json.Unmarshal(text, &wire); err != nil {
@@ -135,7 +134,7 @@
 	return config, nil
 }
 
-// textSetting is a text that the file states and, for some, the environment.
+// textSetting is a text from the file or, for some, from the environment.
 type textSetting struct {
 	key       string // in the file
 	variable  string // in the environment; empty: none
@@ -163,14 +162,14 @@
 	return nil
 }
 
-// resolve gives the value that counts.
+// resolve is the value from the source that takes precedence.
 func (s textSetting) resolve(get func(string) string) (string, error) {
 	key := s.key
 	value := s.value
 	if s.variable != "" && (!s.fileWins || s.value == "") {
-		if stated := get(s.variable); stated != "" {
+		if fromEnvironment := get(s.variable); fromEnvironment != "" {
 			key = s.variable
-			value = stated
+			value = fromEnvironment
 		}
 	}
 	if value == "" {
@@ -210,7 +209,7 @@
 	return nil
 }
 
-// setSite sets the list as last held and the site's settings.
+// setSite sets the cached endpoint list and the site's settings.
 func (c *Config) setSite(wire wireConfig) error {
 	const settingsKey = "settings"
 	if len(wire.Known) == 0 {
@@ -233,20 +232,21 @@
 	}
 	c.Balancer = settings.Balancer
 	c.ClassNames = settings.ClassNames
-	var wanted wireReport
-	if err := json.Unmarshal(wire.Settings, &wanted); err != nil {
+	var load wireReport
+	if err := json.Unmarshal(wire.Settings, &load); err != nil {
 		return keyError("settings.report", "%v", err)
 	}
-	how := wanted.Report.How
+	how := load.Report.How
 	c.ServersReportLoad = how != "" && how != reportSilent
 	return nil
 }
 
+// keyError is an error about a key of the file.
 func keyError(key, format string, values ...any) error {
 	return &platformsettings.KeyError{Key: key, Problem: fmt.Sprintf(format, values...)}
 }
 
-// checkAddress looks that a text is host:port.
+// checkAddress returns an error unless a text is host:port.
 func checkAddress(text string) error {
 	host, port, err := net.SplitHostPort(text)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -171,7 +171,7 @@
 	}
 }
 
-// A caller can tell an error about a key apart also where the line is known.
+// An error with a line still unwraps to the error about its key.
 func TestLocatedErrorKeepsItsCause(t *testing.T) {
 	text := strings.Replace(validPlatformFile, `"sockets":1024`, `"sockets":1`, 1)
 	_, err := parse(emptyEnvironment, []byte(text), false)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -6,8 +6,8 @@
 	"tamarindshore/internal/sharding"
 )
 
-// Limits are the sizes, counts and times of the network code. They follow the machine, so that the smallest one is not
-// outgrown.
+// Limits are the sizes, counts and timeouts of the network code. They scale with the machine, so that the smallest one
+// can run a manager.
 type Limits struct {
 	Cores    int   // that the process may use
 	Shards   int   // cores that read connections beside the one that decides; up to 1: none
@@ -52,13 +52,13 @@
 	ProxyWatchIdleTimeout    time.Duration // between two signs of life of the relay's stream of proxies
 	EndpointWatchIdleTimeout time.Duration // between two signs of life of the stream of endpoints
 	StreamOpenTimeout        time.Duration // until a stream begins
-	ProxySnapshotTimeout     time.Duration // a sign of life later than that ends the proxies told at the stream's begin
+	ProxySnapshotTimeout     time.Duration // a sign of life after that ends the snapshot of proxies at the beginning of a stream
 	ConnectTimeout           time.Duration
 	WriteTimeout             time.Duration
 	RelayTimeout             time.Duration // of one call
 	HealthCheckTimeout       time.Duration // of one check
 	ProcessStallGrace        time.Duration // to read what arrived while this process was stalled
-	MaxWatchGap              time.Duration // until what a stream could not tell is asked for again
+	MaxWatchGap              time.Duration // until what a stream missed is requested again
 
 	// Start, reload, reconnecting and logging.
 
@@ -108,6 +108,7 @@
 	return limits
 }
 
+// setQueues sets the bounds of queues and batches.
 func (l *Limits) setQueues(m machine) {
 	l.MaxQueuedInputs = 4096
 	l.MaxInputBatch = 512
@@ -118,6 +119,7 @@
 	l.MaxQueuedLogLines = 1024
 }
 
+// setConnections sets how many connections there may be, and how much each may send.
 func (l *Limits) setConnections(m machine) {
 	l.MaxUnidentifiedConns = min(256, m.sockets/4)
 	l.MaxCollectorConns = min(32, m.sockets/16)
@@ -134,6 +136,7 @@
 	l.MaxReportInterval = time.Minute
 }
 
+// setConnectionTimeouts sets the timeouts of connections, streams and calls.
 func (l *Limits) setConnectionTimeouts() {
 	l.IdentifyTimeout = 1500 * time.Millisecond
 	l.CollectorIdleTimeout = 20 * time.Second
@@ -150,6 +153,7 @@
 	l.MaxWatchGap = time.Second
 }
 
+// setProcessTimes sets the times of start, reload, reconnecting and logging.
 func (l *Limits) setProcessTimes() {
 	l.MaxReadyDelay = 5 * time.Second
 	l.ListenTimeout = 2 * time.Second
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,8 +11,8 @@
 	"tamarindshore/internal/sharding"
 )
 
-// OperatorSettings are what the operator's own file states beside what the platform tells. What is not stated has its
-// default, under which the manager is as without the file.
+// OperatorSettings are the settings of the operator's file, beside the platform's configuration. A setting that the file
+// omits has its default, as if there were no file.
 type OperatorSettings struct {
 	File          string        // for errors; empty: none was read
 	Shards        int           // cores that read connections; 1: one core does all
@@ -34,7 +34,7 @@
 	maxShards = 64
 	maxSpill  = 1 << 20
 
-	// A longer interval would keep what must be known within a second from the decisions.
+	// A longer interval would delay the inputs that a decision needs within a second.
 	minReadInterval = time.Millisecond
 	maxReadInterval = 200 * time.Millisecond
 )
@@ -103,7 +103,7 @@
 	}
 }
 
-// check looks at what one key alone can't tell.
+// check validates the paths and addresses, and the keys that depend on one another.
 func (o *OperatorSettings) check() error {
 	for _, file := range []struct{ section, key, path string }{
 		{keyAdmin, keyAdminSocket, o.AdminSocket},
@@ -125,6 +125,7 @@
 	return nil
 }
 
+// isLoopback reports whether an address is on this machine's loopback interface.
 func isLoopback(address string) bool {
 	for _, prefix := range []string{"127.", "[::1]", "localhost:"} {
 		if strings.HasPrefix(address, prefix) {
@@ -134,8 +135,8 @@
 	return false
 }
 
-// WithOperator joins the operator's settings to what the platform told. Where both speak of cores, the platform's word
-// is the most that may be asked for.
+// WithOperator is the configuration with the operator's settings. Where the platform limits the cores, asking for more is
+// an error.
 func (c Config) WithOperator(o OperatorSettings) (Config, error) {
 	if c.coresConfigured && o.Shards > c.Limits.Cores {
 		return c, o.form.Child(keyCores).Errorf("%s: %d is more than the platform's limits.cores, %d", keyCores, o.Shards, c.Limits.Cores)
--- a/internal/fleetmodel/clock.go
+++ b/internal/fleetmodel/clock.go
@@ -22,6 +22,7 @@
 	timer     time.Duration    // when the manager's timer goes off; not after now: it is not set
 }
 
+// scheduleAfter delivers an input after a delay.
 func (c *clock) scheduleAfter(delay time.Duration, input input) {
 	next := scheduledInput{c.now + delay, input}
 	i, _ := slices.BinarySearchFunc(c.scheduled, next, func(a, b scheduledInput) int {
--- a/internal/fleetmodel/commands.go
+++ b/internal/fleetmodel/commands.go
@@ -119,6 +119,7 @@
 	})
 }
 
+// drawDuration draws a duration under a limit.
 func (f *Fleet) drawDuration(limit time.Duration) time.Duration {
 	return time.Duration(f.rng.Float64() * float64(limit))
 }
--- a/internal/fleetmodel/fleet.go
+++ b/internal/fleetmodel/fleet.go
@@ -91,6 +91,7 @@
 	return f
 }
 
+// addServer adds a warm server.
 func (f *Fleet) addServer(index int) {
 	const idFactor, idMask = 2654435761, 0xfffff // spread the order of identifiers
 	added := &server{
@@ -117,6 +118,7 @@
 	}
 }
 
+// endpoint is the server's entry of the endpoint list.
 func (s *server) endpoint() balancer.Endpoint {
 	return balancer.Endpoint{
 		Server:          s.id,
@@ -139,6 +141,7 @@
 	})
 }
 
+// connect connects a proxy, which is not assigned yet.
 func (f *Fleet) connect(index int) {
 	p := f.proxies[index]
 	p.away = false
@@ -148,6 +151,7 @@
 	})
 }
 
+// disconnect disconnects a proxy.
 func (f *Fleet) disconnect(index int) {
 	p := f.proxies[index]
 	p.away = true
--- a/internal/loadtest/churn.go
+++ b/internal/loadtest/churn.go
@@ -42,11 +42,13 @@
 	return c
 }
 
+// newChurn is a churn that does nothing yet, and the context of its workers.
 func newChurn(d *fakes.Deployment, o *observer) (*churn, context.Context) {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &churn{deployment: d, observer: o, cancel: cancel}, ctx
 }
 
+// stop ends the workers and waits for them.
 func (c *churn) stop() {
 	c.cancel()
 	c.workers.Wait()
@@ -91,6 +93,7 @@
 	c.deployment.Relay.ConnectProxies(proxy)
 }
 
+// checkRules checks the relay's state, and that no drained server still gets requests.
 func (c *churn) checkRules(int) {
 	relay := c.deployment.Relay
 	relay.CheckState()
--- a/internal/loadtest/collector.go
+++ b/internal/loadtest/collector.go
@@ -29,6 +29,7 @@
 	return loops
 }
 
+// addLoadReports adds a collector's part of the load reports.
 func (l *messageLoop) addLoadReports(site fakes.Site, collector, collectorsPerZone int) {
 	attempts := site.RequestRate * float64(site.Proxies) / float64(site.Servers*len(site.Zones))
 	for server := collector; server < site.Servers; server += collectorsPerZone {
@@ -39,6 +40,7 @@
 	}
 }
 
+// addUsageReports adds a collector's part of the usage reports.
 func (l *messageLoop) addUsageReports(site fakes.Site, zoneIndex, collector, collectorsPerZone int) {
 	for proxy := range site.Proxies {
 		inZone := proxy%len(site.Zones) == zoneIndex
@@ -53,6 +55,7 @@
 	}
 }
 
+// add adds one message.
 func (l *messageLoop) add(format string, values ...any) {
 	l.text = fmt.Appendf(l.text, format+"\r\n", values...)
 	l.ends = append(l.ends, len(l.text))
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -125,6 +125,7 @@
 	return fmt.Sprintf("%d of %d proxies bound within %v", e.Assigned, e.Proxies, e.Timeout)
 }
 
+// awaitAssigned waits until so many proxies are assigned.
 func awaitAssigned(relay *fakes.Relay, proxies int, timeout time.Duration) error {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(assignPolling) {
 		if relay.Counts().AssignedProxies >= proxies {
@@ -197,6 +198,7 @@
 	return acceptedMessages(counters), err
 }
 
+// acceptedMessages is how many messages a manager accepted, by its counters.
 func acceptedMessages(counters map[string]int64) int64 {
 	return counters["reports_in"] + counters["usages_in"]
 }
--- a/internal/scale/arrivals.go
+++ b/internal/scale/arrivals.go
@@ -31,6 +31,7 @@
 	change time.Duration // the change in a message of its own; 0: the list holds it
 }
 
+// transit draws how long a message takes across the network.
 func (c controlSide) transit() time.Duration {
 	if c.local {
 		return 0
@@ -96,6 +97,7 @@
 	return arrivals
 }
 
+// backoff draws how long a manager waits before it reconnects.
 func (c controlSide) backoff(settings reconnectSettings) time.Duration {
 	return settings.minBackoff + time.Duration(c.rng.Float64()*float64(settings.maxBackoff-settings.minBackoff))
 }
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -36,7 +36,7 @@
 	HeapBytes float64 `json:"heap"` // in use after a garbage collection, the goroutines' stacks included
 }
 
-// ServeControl runs discovery's stand-in with a list of so many servers, and answers requests until they end. It is the
+// ServeControl runs a fake discovery with a list of so many servers, and answers requests until they end. It is the
 // control process that measureControl starts.
 func ServeControl(servers int, requests io.Reader, answers io.Writer) error {
 	scenario := Reference().With(Servers, float64(servers))
@@ -70,6 +70,7 @@
 	return lines.Err()
 }
 
+// usageOfControl measures this process as a request asks for it.
 func usageOfControl(address, request string) controlUsage {
 	usage := controlUsage{Address: address}
 	if request == requestUsage {
@@ -227,6 +228,7 @@
 	return opened, nil
 }
 
+// closeReaders closes the connections of readers.
 func closeReaders(readers []*listReader) {
 	for _, r := range readers {
 		r.connection.Close()
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -58,6 +58,7 @@
 	return append(messages, node.Message{Kind: node.ProxySnapshotComplete}, noRequests)
 }
 
+// close closes all managers.
 func (f *hollowFleet) close() {
 	for _, m := range f.managers {
 		m.manager.Close()
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -181,6 +181,7 @@
 	return err
 }
 
+// healthChecksSent is how many health checks a manager has sent, by its counters.
 func healthChecksSent(deployment *fakes.Deployment) (float64, error) {
 	counters, err := deployment.Counters()
 	return float64(counters["probes_sent"]), err
--- a/internal/scale/process_fleet.go
+++ b/internal/scale/process_fleet.go
@@ -20,7 +20,7 @@
 // Limits of a fleet of real processes.
 const (
 	maxProcesses     = 300
-	bytesOfProcess   = 48 * mib // resident, the stand-ins that it needs included
+	bytesOfProcess   = 48 * mib // resident, the fakes that it needs included
 	maxFleetRuns     = 10       // each run drains two servers for good
 	concurrentStarts = 8        // while the fleet is started first
 	fleetDescriptors = 512      // limit in the configuration
@@ -94,7 +94,7 @@
 	return samples, nil
 }
 
-// startProcessFleet starts the stand-ins and all processes, and waits until their proxies are assigned. The fleet has to
+// startProcessFleet starts the fakes and all processes, and waits until their proxies are assigned. The fleet has to
 // be closed also where it returns an error.
 func startProcessFleet(ctx context.Context, program string, scenario Scenario, size int) (*processFleet, error) {
 	f := &processFleet{site: scenario.site(), program: program}
@@ -144,6 +144,7 @@
 	return nil
 }
 
+// newManager prepares one manager with its directory and its relay, to which all proxies connect.
 func (f *processFleet) newManager(number int, endpoints []fakes.Endpoint) (*managerProcess, error) {
 	m := &managerProcess{name: fmt.Sprintf("n%03d", number)}
 	m.dir = filepath.Join(f.dir, m.name)
@@ -211,6 +212,7 @@
 	return writeMessages(collector, []string{collectorGreeting(f.site), noRequests.Text})
 }
 
+// managerConfig is what a process of the fleet starts with.
 func (f *processFleet) managerConfig(m *managerProcess, list fakes.EndpointList, seed uint64) fakes.ManagerConfig {
 	return fakes.ManagerConfig{
 		Dir:              m.dir,
@@ -261,6 +263,7 @@
 	workers.Wait()
 }
 
+// close ends all processes and fakes, and removes their files.
 func (f *processFleet) close() {
 	f.stopAll()
 	for _, manager := range f.managers {
--- a/internal/scale/propagation.go
+++ b/internal/scale/propagation.go
@@ -26,6 +26,7 @@
 	managersPerCollection = 256              // that are opened between two collections of garbage
 )
 
+// propagationScenario is one manager of a fleet in which changes are timed.
 func propagationScenario(seed uint64) Scenario {
 	scenario := Reference()
 	scenario.Seed = seed
@@ -77,6 +78,7 @@
 	return samples, nil
 }
 
+// measurePropagationRun opens a fleet and measures one change in each state.
 func measurePropagationRun(ctx context.Context, options Options, inputs propagationInputs, managers int, run uint64) (sample, error) {
 	fleet, err := newHollowFleet(propagationScenario(options.Seed), managerCoreShare)
 	if err != nil {
--- a/internal/scale/proxies.go
+++ b/internal/scale/proxies.go
@@ -17,6 +17,7 @@
 	tablesWith map[balancer.ServerID]map[balancer.TableID]bool
 }
 
+// newProxyTables is a relay without proxies and tables.
 func newProxyTables() *proxyTables {
 	return &proxyTables{
 		tableOf:    map[balancer.ProxyID]balancer.TableID{},
@@ -38,6 +39,7 @@
 	return acks
 }
 
+// barrierAck is a proxy's acknowledgement of a barrier.
 func barrierAck(proxy balancer.ProxyID, barrier balancer.BarrierID) node.Message {
 	text := fmt.Sprintf("id=%d&seq=%d&ms=%.1f", proxy, barrier, milliseconds(ackDelay))
 	return node.Message{Kind: node.ProxyEventMessage, Event: "applied", Text: text}
@@ -70,6 +72,7 @@
 	return slices.Sorted(maps.Keys(reached))
 }
 
+// setWeight changes a server's weight in a table; 0 removes it.
 func (p *proxyTables) setWeight(w balancer.EndpointWeight) {
 	if w.Weight == 0 {
 		delete(p.tablesWith[w.Server], w.Table)
@@ -81,6 +84,7 @@
 	p.tablesWith[w.Server][w.Table] = true
 }
 
+// assign gives a proxy a table.
 func (p *proxyTables) assign(a balancer.TableAssignment) {
 	if before, assigned := p.tableOf[a.Proxy]; assigned {
 		delete(p.members[before], a.Proxy)
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -54,6 +54,7 @@
 	play  func() error
 }
 
+// play plays all parts of a scenario.
 func (r *recorder) play(quiet bool) error {
 	parts := []part{{PhaseList, r.playList}, {PhaseJoin, r.playJoin}}
 	if quiet {
@@ -75,6 +76,7 @@
 	return nil
 }
 
+// playPhase plays one part, and records its span and traffic.
 func (r *recorder) playPhase(part part) error {
 	before := r.traffic()
 	began := r.now
@@ -88,6 +90,7 @@
 	return nil
 }
 
+// traffic is the manager's traffic so far.
 func (r *recorder) traffic() trafficByKind {
 	var traffic trafficByKind
 	for kind := range traffic {
@@ -158,11 +161,13 @@
 	}
 }
 
+// playList delivers the complete endpoint list.
 func (r *recorder) playList() error {
 	list := r.scenario.completeList(r.site, r.listVersion)
 	return r.step(time.Millisecond, node.Message{Kind: node.EndpointListMessage, Text: list})
 }
 
+// playJoin connects all proxies.
 func (r *recorder) playJoin() error {
 	began := r.now
 	messages := []node.Message{{Kind: node.ProxyEventsOpened}}
--- a/internal/scale/session.go
+++ b/internal/scale/session.go
@@ -22,14 +22,17 @@
 	minListWriteTime   = time.Millisecond      // for a complete list and one reader where it wasn't
 )
 
+// measureManager measures hollow managers at a size.
 func (r *session) measureManager(ctx context.Context, size float64, s survey) ([]sample, error) {
 	return measure(ctx, r.reference.With(s.axis, size), r.options.Runs)
 }
 
+// scenarioFits checks that a hollow manager of a size fits into memory.
 func (r *session) scenarioFits(size float64, s survey) error {
 	return r.options.Memory.checkScenarioFits(s.axis, size, r.reference.With(s.axis, size))
 }
 
+// controlByManagers measures the control side with so many managers as readers.
 func (r *session) controlByManagers(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	samples, err := r.measureControl(ctx, controlServers, int(size), controlQuietSpan)
 	if err != nil {
@@ -39,16 +42,20 @@
 	return samples, nil
 }
 
+// readersFit checks that so many readers may connect.
 func (r *session) readersFit(size float64, s survey) error {
 	return checkConnections(s, size, MaxReaders)
 }
 
+// controlByList measures the control side with a list of so many servers.
 func (r *session) controlByList(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	return r.measureControl(ctx, int(size), controlReaders, 0)
 }
 
+// anyFits is the check of a survey without a limit of its own.
 func (r *session) anyFits(float64, survey) error { return nil }
 
+// measureControl measures the control side, all runs.
 func (r *session) measureControl(ctx context.Context, servers, readers int, quietSpan time.Duration) ([]sample, error) {
 	var samples []sample
 	for range r.options.Runs {
@@ -64,6 +71,7 @@
 	return samples, nil
 }
 
+// measureSubsetRead measures how a subset is read from a list of so many servers.
 func (r *session) measureSubsetRead(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	samples, err := measureSubsetRead(ctx, subsetScenario(r.options.Seed, int(size)), r.options.Runs)
 	if err != nil {
@@ -73,6 +81,7 @@
 	return samples, nil
 }
 
+// measurePropagation measures when a change reaches so many hollow managers.
 func (r *session) measurePropagation(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	inputs, err := r.propagationInputs(ctx)
 	if err != nil {
@@ -81,6 +90,7 @@
 	return measurePropagation(ctx, r.options, inputs, int(size))
 }
 
+// managersFit checks that so many hollow managers fit into memory.
 func (r *session) managersFit(size float64, s survey) error {
 	return r.options.Memory.checkFits(fmt.Sprintf("%s %g", s.axis, size), bytesOfHollow, int(size))
 }
@@ -120,18 +130,22 @@
 	return time.Duration(pointOf(0, cost, samples).Median() * float64(time.Second))
 }
 
+// measureProcessFleet measures so many real processes.
 func (r *session) measureProcessFleet(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	return measureProcessFleet(ctx, r.options, max(r.changeWriteTime, minChangeWriteTime), int(size))
 }
 
+// processesFit checks that so many real processes fit the limits.
 func (r *session) processesFit(size float64, _ survey) error {
 	return checkProcessesFit(r.options.Memory, int(size))
 }
 
+// measureConnections measures a process with so many connections.
 func (r *session) measureConnections(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	return measureConnections(ctx, r.options, int(size))
 }
 
+// connectionsFit checks that so many connections may be opened.
 func (r *session) connectionsFit(size float64, s survey) error {
 	return checkConnections(s, size, maxConnections)
 }
--- a/internal/scale/surveys.go
+++ b/internal/scale/surveys.go
@@ -145,6 +145,7 @@
 	ProxiesAssigned:                      unitProxies,
 }
 
+// unitOf is the unit of a cost.
 func unitOf(cost Cost) string {
 	if unit, named := units[cost]; named {
 		return unit
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -18,6 +18,7 @@
 // threadCPU is the processor time of the calling thread; the caller must be locked to it.
 func threadCPU() time.Duration { return readClock(unix.CLOCK_THREAD_CPUTIME_ID) }
 
+// readClock reads a clock of the system.
 func readClock(id int32) time.Duration {
 	var at unix.Timespec
 	if err := unix.ClockGettime(id, &at); err != nil {
@@ -54,6 +55,7 @@
 	return cpu, contextSwitches
 }
 
+// globFiles are the files that match a pattern.
 func globFiles(pattern string) []string {
 	files, err := filepath.Glob(pattern)
 	if err != nil {
