--- a/internal/faultsim/traffic.go
+++ b/internal/faultsim/traffic.go
@@ -47,7 +47,7 @@
 // sendReports sends the reports of one second, and ends the operator's pin where its time is over.
 func (s *Simulation) sendReports() {
 	s.scheduleAfter(reportInterval, s.sendReports)
-	ended, _ := s.manager.chain.ExpireHold(s.manager.clock, fleetView{s.manager.balancer})
+	_, ended := s.manager.chain.EndExpiredHold(s.manager.clock, fleetView{s.manager.balancer})
 	if ended && s.now >= s.manager.stalledUntil {
 		s.applyPin()
 	}
--- a/internal/versions/hold.go
+++ b/internal/versions/hold.go
@@ -177,15 +177,6 @@
 	return []balancer.LogRecord{{Event: eventHoldEnded, Fields: fields}}, true
 }
 
-// ExpireHold is EndExpiredHold with the log records as text.
-func (c *Chain) ExpireHold(now time.Duration, view FleetView) (ended bool, notes []string) {
-	records, ended := c.EndExpiredHold(now, view)
-	for _, record := range records {
-		notes = append(notes, record.String())
-	}
-	return ended, notes
-}
-
 // remainingFraction is the part of the held weight that available servers have.
 func (c *Chain) remainingFraction(view FleetView) float64 {
 	remaining := c.hold.pinned.sumWeights(func(server balancer.ServerID) bool { return view.ServerStatus(server).Available })
--- a/internal/versions/types.go
+++ b/internal/versions/types.go
@@ -93,7 +93,6 @@
 	Modified   bool              // they are not those proposed: the load balancer must be told the current tables
 	Version    *Version          // nil: no table changes
 	LogRecords []balancer.LogRecord
-	Notes      []string // the log records as text
 }
 
 // PinnedTables are tables in the load balancer's terms.
--- a/internal/versions/violation.go
+++ b/internal/versions/violation.go
@@ -20,9 +20,7 @@
 )
 
 func (r *Result) log(event balancer.LogEvent, fields ...balancer.LogField) {
-	record := balancer.LogRecord{Event: event, Fields: fields}
-	r.LogRecords = append(r.LogRecords, record)
-	r.Notes = append(r.Notes, record.String())
+	r.LogRecords = append(r.LogRecords, balancer.LogRecord{Event: event, Fields: fields})
 }
 
 // noTable is the table of a violation that affects none.
