--- a/internal/node/deployment_test.go
+++ b/internal/node/deployment_test.go
@@ -33,10 +33,12 @@
 // managerDeployment is a deployment whose manager has an admin socket, a store and a listener for replicas.
 type managerDeployment struct {
 	*fakes.Deployment
-	socket, feed string
-	settings     string // of the operator
-	store        string // file
-	manager      *inProcessManager
+	socket   string // file of the admin socket
+	feed     string // address for replicas
+	heldFeed net.Listener
+	settings string // of the operator
+	store    string // file
+	manager  *inProcessManager
 }
 
 // startReader reads the operator's settings, and with each call of the result the start's file joined to them.
@@ -54,27 +56,44 @@
 	}, nil
 }
 
+// startDeployment starts a manager with all that the operator's settings can name, and fakes of what it talks to, until the
+// test ends.
 func startDeployment(t testing.TB, site fakes.Site) *managerDeployment {
 	t.Helper()
 	dir := t.TempDir()
-	v := &managerDeployment{socket: filepath.Join(dir, "s"), feed: freeAddress(t)}
+	v := &managerDeployment{socket: filepath.Join(dir, "s"), store: filepath.Join(dir, "v.db")}
+	v.holdFeedAddress(t)
 	keys := filepath.Join(dir, "keys")
 	if err := os.WriteFile(keys, []byte(hex.EncodeToString(testKey)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	v.store = filepath.Join(dir, "v.db")
 	v.settings = fmt.Sprintf("(admin (socket %q)) (store (path %q)) (tables (listen %q) (keys %q))", v.socket, v.store, v.feed, keys)
-	r, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 1, OperatorSettings: v.settings}, v.begin)
+	options := fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 1, OperatorSettings: v.settings}
+	deployment, err := fakes.StartDeployment(site, options, v.begin)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.Deployment = r
-	t.Cleanup(r.Close)
+	v.Deployment = deployment
+	t.Cleanup(deployment.Close)
 	return v
 }
 
+// holdFeedAddress finds an address for replicas and listens there until the manager begins, so that the deployment does
+// not find the same address for something else.
+func (v *managerDeployment) holdFeedAddress(t testing.TB) {
+	t.Helper()
+	v.feed = freeAddress(t)
+	listener, err := net.Listen("tcp", v.feed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	v.heldFeed = listener
+	t.Cleanup(func() { listener.Close() })
+}
+
 // begin starts the manager in this process.
 func (v *managerDeployment) begin(start, settings string) (fakes.Manager, error) {
+	v.heldFeed.Close()
 	read, err := startReader(start, settings)
 	if err != nil {
 		return nil, err
