--- a/internal/capacity/load_test.go
+++ b/internal/capacity/load_test.go
@@ -48,9 +48,14 @@
 	p := planned(t)
 	p.Managers.ListStored = false
 	p.Fleet = Fleet{Managers: 10, Servers: 100, Services: 2, RequestsPerSecond: 100, Regions: 5, Zones: 10}
-	p.Managers.Proxies, p.Managers.TrafficClasses, p.Managers.AttemptsPerRequest = 50, 1, 1
+	p.Managers.Proxies = 50
+	p.Managers.TrafficClasses = 1
+	p.Managers.AttemptsPerRequest = 1
 	p.Control.Count = 5
-	p.Day.Failures, p.Day.Restarts, p.Day.Changes, p.Day.Batch = 1, 10, 69, 5
+	p.Day.Failures = 1
+	p.Day.Restarts = 10
+	p.Day.Changes = 69
+	p.Day.Batch = 5
 	p.Subset = SubsetSize{HomeZones: 1, Others: 9, WidenBelow: 0.7}
 	return p
 }
@@ -62,9 +67,11 @@
 	}
 }
 
-func TestSizesOfASubset(t *testing.T) {
+func TestSubsetSizes(t *testing.T) {
 	p := small(t)
-	whole, subset, cached := p.normalServerCounts(WholeList), p.normalServerCounts(Subset), p.normalServerCounts(CachedSubset)
+	whole := p.normalServerCounts(WholeList)
+	subset := p.normalServerCounts(Subset)
+	cached := p.normalServerCounts(CachedSubset)
 	near(t, "held, whole list", whole.held, 100)
 	near(t, "held, subset", subset.held, 19)               // 10 of the home zone and 9 others
 	near(t, "sent, subset", subset.sent, 100)              // dropped where it is decoded
@@ -77,21 +84,21 @@
 	near(t, "sent share", subset.sentShare(true), 1)
 }
 
-func TestHomeZonesThatAreTheWholeFleet(t *testing.T) {
+func TestHomeZonesMayCoverTheWholeFleet(t *testing.T) {
 	p := small(t)
 	p.Subset = SubsetSize{HomeZones: 10, Others: 50}
 	near(t, "held", p.normalServerCounts(Subset).held, 100)
 	near(t, "share of others", p.normalServerCounts(Subset).share(true), 1)
 }
 
-func TestCollectorsLines(t *testing.T) {
+func TestRatesOfLoadAndUsageReports(t *testing.T) {
 	p := small(t)
 	near(t, "reports, whole list", p.loadReports(p.normalServerCounts(WholeList)), 100*(1-math.Exp(-0.1))) // 10 tries on 100 servers
 	near(t, "reports, subset", p.loadReports(p.normalServerCounts(Subset)), 19*(1-math.Exp(-10.0/19)))
 	near(t, "usages", p.usageReports(), 50*(1-math.Exp(-0.2))) // 10 requests on 50 proxies
 }
 
-func TestProbesAreBounded(t *testing.T) {
+func TestHealthCheckRateIsBounded(t *testing.T) {
 	p := small(t)
 	near(t, "a few silent servers", p.healthChecks(10), 5) // each once in 2 s
 	near(t, "a silent fleet", p.healthChecks(1e6), 64/0.6) // 64 at once, 0.6 s each
@@ -121,10 +128,11 @@
 	}
 }
 
-func TestAManagersLoadReckonedByHand(t *testing.T) {
+func TestManagerLoadMatchesHandCalculation(t *testing.T) {
 	p := small(t)
 	m := NewModel(p, madeUp(t))
-	reports, usages := 100*(1-math.Exp(-0.1)), 50*(1-math.Exp(-0.2))
+	reports := 100 * (1 - math.Exp(-0.1))
+	usages := 50 * (1 - math.Exp(-0.2))
 
 	quiet := m.Load(Manager, p.situations()[0], WholeList)
 	near(t, "messages in", quiet.MessagesIn.Value, 2+reports+usages+1)
@@ -147,7 +155,7 @@
 	near(t, "probes of a subset that widened", m.Load(Manager, cut, Subset).MessagesOut.Value, 1+80.0/90*72/2)
 }
 
-func TestASubsetWidensWhereARegionIsCutOff(t *testing.T) {
+func TestSubsetWidensWhenARegionIsCutOff(t *testing.T) {
 	p := small(t)
 	// 10 of the 90 servers of other zones can be reached: of 9, 18, 36 and 72 others 1, 2, 4 and 8, where 6.3 are needed
 	near(t, "held", p.serverCounts(p.regionCut(), Subset).held, 10+72)
@@ -169,7 +177,7 @@
 	return Situation{}
 }
 
-func TestAControlMachinesLoadReckonedByHand(t *testing.T) {
+func TestControlMachineLoadMatchesHandCalculation(t *testing.T) {
 	p := small(t)
 	m := NewModel(p, madeUp(t))
 	quiet := m.Load(ControlMachine, p.situations()[0], WholeList)
@@ -182,7 +190,7 @@
 	near(t, "openings of those that moved", lost.BytesOut.Value-10.0/3*20, 4.0/3*(100+150*100)/19)
 }
 
-func TestEntriesThatChangeTogetherStandInOneLine(t *testing.T) {
+func TestEntriesThatChangeTogetherShareOneMessage(t *testing.T) {
 	p := small(t)
 	p.Day.Batch = 20
 	for _, one := range []struct {
@@ -204,7 +212,7 @@
 	}
 }
 
-func TestABusySecondAsMeasured(t *testing.T) {
+func TestBusySecondMatchesMeasurement(t *testing.T) {
 	r := madeUp(t)
 	r.Reference[scale.Reports] = 10
 	busy := scale.Slope{Cost: scale.CPUPerBusySecond, Axis: scale.Reports, Unit: "seconds", Shape: scale.Linear, Base: 0.5, PerUnit: 0.001, Fits: true}
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -23,7 +23,8 @@
 			continue
 		}
 		keys++
-		key, value := found[1], found[2]
+		key := found[1]
+		value := found[2]
 		whole := "(" + key + " " + value + ")"
 		for how, other := range map[string]string{
 			"missing":       "",
@@ -51,7 +52,7 @@
 	}
 }
 
-func TestFaultyPlans(t *testing.T) {
+func TestInvalidPlansNameFileLineAndKey(t *testing.T) {
 	plan := read(t, planFile)
 	change := func(from, to string) string {
 		if !strings.Contains(plan, from) {
--- a/internal/capacity/repository_test.go
+++ b/internal/capacity/repository_test.go
@@ -10,7 +10,7 @@
 
 // The page's tables are what the command prints from the plan and the slopes that stand in the repository:
 // tamarindshore capacity --page docs/CAPACITY.md renews them.
-func TestThePageHoldsWhatTheCommandPrints(t *testing.T) {
+func TestCapacityPageHoldsTheTablesOfTheCommand(t *testing.T) {
 	slopes, err := scale.ReadReport(slopesFile)
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,8 @@
 }
 
 func difference(a, b string) string {
-	was, is := strings.Split(a, "\n"), strings.Split(b, "\n")
+	was := strings.Split(a, "\n")
+	is := strings.Split(b, "\n")
 	for i := range min(len(was), len(is)) {
 		if was[i] != is[i] {
 			return "\npage:    " + was[i] + "\ncommand: " + is[i]
--- a/internal/fleetmodel/subset_test.go
+++ b/internal/fleetmodel/subset_test.go
@@ -184,14 +184,15 @@
 
 // A subset drops hardly more than the whole list does, and keeps more in its zone; where a home zone is lost, the
 // servers that are left are few until the subset is widened.
-func TestASubsetLosesLittleQuality(t *testing.T) {
+func TestSubsetLosesLittleQuality(t *testing.T) {
 	const seeds, spill = 2, 20
 	for _, d := range days {
 		more := 0.01
 		if d.lost {
 			more = 0.10
 		}
-		whole, some := d.quality(seeds, 0), d.quality(seeds, spill)
+		whole := d.quality(seeds, 0)
+		some := d.quality(seeds, spill)
 		if some.failed+some.shed > whole.failed+whole.shed+more || some.inZone < whole.inZone {
 			t.Errorf("%s: %+v with the whole list, %+v with a subset", d.Name, whole, some)
 		}
@@ -199,7 +200,7 @@
 }
 
 // The same seed gives the same run, with a subset as without.
-func TestARunWithASubsetIsRepeatable(t *testing.T) {
+func TestRunWithSubsetIsDeterministic(t *testing.T) {
 	d := days[len(days)-1]
 	if a, b := d.play(3, 20), d.play(3, 20); a != b {
 		t.Errorf("%+v and %+v", a, b)
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -35,7 +35,7 @@
 	return Options{Axes: axes, Seed: 1, Runs: 1, Small: true, Memory: Memory{2 << 30}, Progress: io.Discard}
 }
 
-func TestTheSameSeedDoesTheSameWork(t *testing.T) {
+func TestSameSeedDoesTheSameWork(t *testing.T) {
 	counts := func() map[Cost][]Point {
 		o := options(Servers)
 		o.Sizes = []float64{60, 240}
@@ -51,7 +51,8 @@
 		}
 		return all
 	}
-	first, second := counts(), counts()
+	first := counts()
+	second := counts()
 	if !reflect.DeepEqual(first, second) || len(first) < 8 {
 		t.Errorf("%v\n%v", first, second)
 	}
@@ -78,8 +79,14 @@
 		{"no runs", func(o *Options) { o.Runs = 0 }, "--runs", "0 is not from 1 to 100"},
 		{"too many runs", func(o *Options) { o.Runs = 101 }, "--runs", "101 is not from 1 to 100"},
 		{"sizes without an axis", func(o *Options) { o.Sizes = []float64{60} }, "--sizes", "one --axis is due"},
-		{"size of zero", func(o *Options) { o.Axes, o.Sizes = []Axis{Servers}, []float64{0} }, "--sizes", "0 is not from 1"},
-		{"size that is no number", func(o *Options) { o.Axes, o.Sizes = []Axis{Servers}, []float64{math.NaN()} }, "--sizes", "NaN is not from 1"},
+		{"size of zero", func(o *Options) {
+			o.Axes = []Axis{Servers}
+			o.Sizes = []float64{0}
+		}, "--sizes", "0 is not from 1"},
+		{"size that is no number", func(o *Options) {
+			o.Axes = []Axis{Servers}
+			o.Sizes = []float64{math.NaN()}
+		}, "--sizes", "NaN is not from 1"},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			o := options()
@@ -93,11 +100,12 @@
 	}
 }
 
-func TestASizeBeyondTheLimitIsRefusedBeforeAnythingIsMeasured(t *testing.T) {
+func TestSizeBeyondTheLimitIsRefusedBeforeMeasuring(t *testing.T) {
 	for _, axis := range []Axis{Servers, Proxies, Reports, ListChanges, Managers} {
 		o := options(axis)
 		progress := bytes.Buffer{}
-		o.Progress, o.Sizes = &progress, []float64{60, 1e8}
+		o.Progress = &progress
+		o.Sizes = []float64{60, 1e8}
 		_, err := Run(context.Background(), o)
 		var limit *LimitError
 		if !errors.As(err, &limit) || !strings.Contains(err.Error(), " fit") || progress.Len() > 0 {
@@ -118,7 +126,7 @@
 	}
 }
 
-func TestManagersThatTakeMoreThanEstimatedAreRefused(t *testing.T) {
+func TestManagersAboveTheMemoryEstimateAreRefused(t *testing.T) {
 	o := options(Managers)
 	o.Memory = Memory{64 << 20}
 	f, err := newHollowFleet(propagationScenario(1), managerCoreShare)
@@ -134,14 +142,14 @@
 	}
 }
 
-func TestMoreConnectionsThanTheLimitAreRefused(t *testing.T) {
+func TestConnectionsAboveTheLimitAreRefused(t *testing.T) {
 	session := &session{options: options()}
 	if err := session.readersFit(MaxReaders+1, survey{axis: Managers}); err == nil || !strings.Contains(err.Error(), "1200 fit") {
 		t.Error(err)
 	}
 }
 
-func TestTheEstimateOfMemoryIsAnUpperBound(t *testing.T) {
+func TestMemoryEstimateIsAnUpperBound(t *testing.T) {
 	for _, scenario := range []Scenario{smaller(), smaller().With(Servers, 2400), smaller().With(Proxies, 2000), smaller().With(Reports, 2000),
 		smaller().With(ListChanges, 10)} {
 		before := heapInUse()
@@ -163,7 +171,7 @@
 	}
 }
 
-func TestTheMachinesMemory(t *testing.T) {
+func TestMemoryLimitOfTheMachine(t *testing.T) {
 	if got, err := totalMemory([]byte("MemFree: 1 kB\nMemTotal:       2048 kB\n")); err != nil || got != 2<<20 {
 		t.Errorf("%g, %v", got, err)
 	}
@@ -175,7 +183,7 @@
 	}
 }
 
-func TestARunEndsWithinASecondOfItsContext(t *testing.T) {
+func TestRunEndsWithinASecondOfCancellation(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -201,7 +209,7 @@
 	}
 }
 
-func TestTheControlSideIsMeasured(t *testing.T) {
+func TestControlSideIsMeasured(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
