--- a/cmd/tamarindshore/version.go
+++ b/cmd/tamarindshore/version.go
@@ -13,19 +13,19 @@
 
 // Run prints the version, the revision that it was built from and the tool chain.
 func (versionCommand) Run() error {
-	fmt.Printf("tamarindshore %s (revision %s, %s)\n", release, buildRevision(), runtime.Version())
+	var settings []debug.BuildSetting
+	if info, ok := debug.ReadBuildInfo(); ok {
+		settings = info.Settings
+	}
+	fmt.Printf("tamarindshore %s (revision %s, %s)\n", release, revisionOf(settings), runtime.Version())
 	return nil
 }
 
-// buildRevision is the revision that the program was built from, and whether the source was changed since.
-func buildRevision() string {
+// revisionOf is the revision that a program was built from, and whether the source was changed since.
+func revisionOf(settings []debug.BuildSetting) string {
 	revision := "unknown"
 	changed := ""
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return revision
-	}
-	for _, setting := range info.Settings {
+	for _, setting := range settings {
 		switch {
 		case setting.Key == "vcs.revision":
 			revision = setting.Value[:min(revisionDigits, len(setting.Value))]
--- /dev/null
+++ b/cmd/tamarindshore/version_test.go
@@ -0,0 +1,27 @@
+package main
+
+import (
+	"runtime/debug"
+	"testing"
+)
+
+func TestRevisionOfABuild(t *testing.T) {
+	revision := debug.BuildSetting{Key: "vcs.revision", Value: "0123456789abcdef"}
+	clean := debug.BuildSetting{Key: "vcs.modified", Value: "false"}
+	modified := debug.BuildSetting{Key: "vcs.modified", Value: "true"}
+	short := debug.BuildSetting{Key: "vcs.revision", Value: "0123"}
+	for _, one := range []struct {
+		name     string
+		settings []debug.BuildSetting
+		want     string
+	}{
+		{"no revision", nil, "unknown"},
+		{"clean tree", []debug.BuildSetting{revision, clean}, "0123456789ab"},
+		{"changed tree", []debug.BuildSetting{revision, modified}, "0123456789ab, changed since"},
+		{"short revision", []debug.BuildSetting{short, clean}, "0123"},
+	} {
+		if got := revisionOf(one.settings); got != one.want {
+			t.Errorf("%s: %q, want %q", one.name, got, one.want)
+		}
+	}
+}
--- a/internal/scale/propagation_test.go
+++ b/internal/scale/propagation_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"maps"
 	"math/rand/v2"
 	"runtime"
 	"slices"
@@ -121,3 +122,36 @@
 		t.Errorf("%v, %v", samples, err)
 	}
 }
+
+func TestTimesAreSummarizedByMedianTailAndLast(t *testing.T) {
+	var hundred []float64
+	for second := range 100 {
+		hundred = append(hundred, float64(second))
+	}
+	for _, one := range []struct {
+		name               string
+		sorted             []float64
+		median, tail, last float64
+	}{
+		{"one manager", []float64{7}, 7, 7, 7},
+		{"two managers", []float64{1, 2}, 2, 2, 2},
+		{"a hundred managers", hundred, 50, 99, 99},
+	} {
+		got := sample{}
+		got.addTimes(one.sorted, PropagationMedian, PropagationTail, PropagationLast)
+		want := sample{PropagationMedian: one.median, PropagationTail: one.tail, PropagationLast: one.last}
+		if !maps.Equal(got, want) {
+			t.Errorf("%s: %v, want %v", one.name, got, want)
+		}
+	}
+}
+
+func TestUnknownPhaseOfAScriptIsNil(t *testing.T) {
+	recorded := script{phases: []phase{{name: PhaseList}}}
+	if found := recorded.phase(PhaseList); found == nil || found.name != PhaseList {
+		t.Errorf("%+v is not the phase %s", found, PhaseList)
+	}
+	if found := recorded.phase(PhaseBusy); found != nil {
+		t.Errorf("%+v is found for a phase that was not recorded", found)
+	}
+}
