--- a/internal/node/decoder.go
+++ b/internal/node/decoder.go
@@ -130,13 +130,13 @@
 	if report.Failed > report.Attempts {
 		f.fail("fail", "is more than count")
 	}
-	if _, told := f.value("mean"); told || report.Failed < report.Attempts { // where none was good it may be left out
+	if _, hasMean := f.value("mean"); hasMean || report.Failed < report.Attempts { // where none succeeded it may be missing
 		report.Latency = f.millis("mean")
 	}
 	if report.Latency > d.maxLatency || report.Failed < report.Attempts && report.Latency == 0 {
 		f.fail("mean", "is no time of an answer")
 	}
-	if text, told := f.value("util"); told && text != "" {
+	if text, hasLoad := f.value("util"); hasLoad && text != "" {
 		load, ok := parseLoad(text, ",", ":", d.maxRequests)
 		if !ok {
 			f.fail("util", "is no load report")
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -108,8 +108,8 @@
 // Traffic is what was counted of a kind so far.
 func (h *HollowManager) Traffic(kind MessageKind) Traffic { return h.traffic[kind] }
 
-// Step hands messages that come together to the router at a time since the start, lets it decide, and sends what it
-// ordered. The relay takes each call at once.
+// Step passes messages that come together to the router at a time since the start, lets it decide, and sends its
+// commands. The relay accepts each call at once. An error names the message that could not be decoded.
 func (h *HollowManager) Step(at time.Duration, messages ...Message) (StepResult, error) {
 	router := h.node.router
 	router.now = max(router.now+1, at)
@@ -144,7 +144,7 @@
 	h.Observe(false)
 }
 
-// decode counts a message and decodes it as the daemon's readers do; nil where the router isn't told of it.
+// decode counts a message and decodes it as the daemon's readers do; nil where it is no input of the router.
 func (h *HollowManager) decode(message Message) (in input, err error) {
 	decoder := h.node.decoder
 	switch message.Kind {
@@ -253,7 +253,7 @@
 	return <-reply
 }
 
-// call sends as many commands as a call holds and gives how many those are. The router is told that they were accepted.
+// call sends as many commands as a call holds and gives how many those are. The router is notified that they were accepted.
 func (h *HollowManager) call(all balancer.Commands) (sent int) {
 	if commands.IsEmpty(all) {
 		return 0
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -22,7 +22,7 @@
 // proxyEventsOpened says that the relay's event stream has opened. All connected proxies follow, as proxyConnected.
 type proxyEventsOpened struct{}
 
-// proxySnapshotComplete says that all connected proxies have been told since proxyEventsOpened.
+// proxySnapshotComplete says that all connected proxies have been notified since proxyEventsOpened.
 type proxySnapshotComplete struct{}
 
 // proxyConnected says that a proxy is connected to the relay.
--- a/internal/node/proxy_events.go
+++ b/internal/node/proxy_events.go
@@ -103,7 +103,7 @@
 	}
 	n.phase = proxyStreamLive
 	if n.eventSkipped {
-		return // guards against disconnecting a proxy that an unreadable event told
+		return // guards against disconnecting a proxy that an unreadable event was about
 	}
 	n.up.clearDecodeError()
 	n.enqueue(proxySnapshotComplete{})
--- a/internal/node/read_lines.go
+++ b/internal/node/read_lines.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// cutLines hands on the lines of a partial line and the data behind it, each without its line end, and gives the
+// cutLines passes on the lines of a partial line and the data behind it, each without its line end, and gives the
 // partial line that is left, in the memory of the first.
 func cutLines(partial, data []byte, take func(line []byte) error) (rest []byte, err error) {
 	for len(data) > 0 {
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -38,7 +38,7 @@
 	now          time.Duration // since startedAt
 	nextTimer    time.Duration // 0: none
 	proxies      map[balancer.ProxyID]bool
-	unconfirmed  map[balancer.ProxyID]bool    // connected before a gap of the event stream, and not told since
+	unconfirmed  map[balancer.ProxyID]bool    // connected before a gap of the event stream, not confirmed since
 	addresses    map[balancer.ServerID]string // of the servers that the balancer knows
 	sampleBuffer []any                        // reused by handleSamples
 	decisions    []balancer.Commands          // since the last flush
--- a/internal/node/router_inputs.go
+++ b/internal/node/router_inputs.go
@@ -17,7 +17,7 @@
 }
 
 // handleProxySnapshotComplete disconnects the proxies that were connected before the event stream opened and were not
-// told since: they left in the gap.
+// confirmed since: they left in the gap.
 func (r *router) handleProxySnapshotComplete() {
 	for _, proxy := range slices.Sorted(maps.Keys(r.unconfirmed)) {
 		r.handleProxyDisconnected(proxyDisconnected{proxy})
@@ -25,7 +25,7 @@
 	clear(r.unconfirmed)
 }
 
-// handleProxyConnected has a proxy assigned to a table. One that is told again after a gap of the event stream may have
+// handleProxyConnected has a proxy assigned to a table. One that connects again after a gap of the event stream may have
 // left and come back: the balancer assigns it again.
 func (r *router) handleProxyConnected(in proxyConnected) {
 	delete(r.unconfirmed, in.proxy)
@@ -52,7 +52,7 @@
 	r.apply(r.manager.HandleBarrierAck(r.now, in.proxy, in.barrier))
 }
 
-// handleHealthCheckResult hands on the outcome of a health check. One of an address that is no longer the server's is
+// handleHealthCheckResult passes on the outcome of a health check. One of an address that is no longer the server's is
 // dropped: it says nothing of the server.
 func (r *router) handleHealthCheckResult(in healthCheckResult) {
 	if r.addresses[in.server] != in.address {
--- a/internal/node/router_versions.go
+++ b/internal/node/router_versions.go
@@ -11,7 +11,7 @@
 // This file joins the router to the chain of table versions.
 
 // proposeVersion asks the chain which of some commands may go out, as a version of the tables. Where that is not all of
-// them, the balancer is told the tables that stand.
+// them, the balancer is notified of the tables that stand.
 func (r *router) proposeVersion(proposed balancer.Commands) balancer.Commands {
 	r.chain.SetLayout(r.manager.Layout())
 	result := r.chain.Propose(r.now, proposed, describeCommands(proposed), r.fleet())
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -40,7 +40,7 @@
 	return s.subset.HandleEndpointList(now, in.snapshot, servers)
 }
 
-// addProxyToSubset counts a proxy for its zone. One that is told again, as after a gap of the event stream, counts once.
+// addProxyToSubset counts a proxy for its zone. One that connects again, as after a gap of the event stream, counts once.
 func (r *router) addProxyToSubset(in proxyConnected) {
 	if r.subsetFilter == nil {
 		return
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -10,7 +10,7 @@
 	cancel       context.CancelFunc // of ctx
 	redialCtx    context.Context    // of dialling again; done once there is a successor
 	stopRedial   context.CancelFunc // of redialCtx
-	done         chan struct{}      // closed once it hands on nothing more
+	done         chan struct{}      // closed once it passes on nothing more
 	previous     *upstream          // still read; nil: none is
 	decodeFailed bool               // it ended at something unreadable, and has not been read completely since
 }
@@ -30,7 +30,7 @@
 	return next
 }
 
-// takeOver cancels the older upstreams; once it returns they hand on nothing more, so that nothing stale follows what
+// takeOver cancels the older upstreams; once it returns they pass on nothing more, so that nothing stale follows what
 // the new one opens with. They end at once, also in a dial.
 func (u *upstream) takeOver() {
 	for old := u.previous; old != nil; old = old.previous {
--- a/internal/node/watch_state.go
+++ b/internal/node/watch_state.go
@@ -53,7 +53,7 @@
 	return s.version
 }
 
-// resumeVersion is the version to ask from: that held, or the beginning where discovery brings only what is older.
+// resumeVersion is the version to ask from: that held, or the beginning where discovery sends only older lists.
 // Guards against a version that was never true, which a discovery may take for one to come.
 func (s *watchState) resumeVersion() int64 {
 	s.mu.Lock()
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -58,7 +58,7 @@
 	return now - time.Duration(since), true
 }
 
-// runWorker works for a shard until the worker is replaced or the receiver stops. A panic ends it; the assigner is told.
+// runWorker works for a shard until the worker is replaced or the receiver stops. A panic ends it; the assigner is notified.
 func (p *decoderPool) runWorker(w *worker) {
 	defer func() {
 		if cause := recover(); cause != nil {
