--- a/internal/fakes/config_file.go
+++ b/internal/fakes/config_file.go
@@ -70,21 +70,20 @@
 // ConfigFile is the manager's configuration file.
 func (s Site) ConfigFile(config ManagerConfig) []byte {
 	options := config.Options
-	return s.Start(config.Name, config.ListenAddress, config.DiscoveryAddress, config.RelayAddress, config.Endpoints,
-		options.Seed, float64(options.Cores), options.MemoryMB, options.MaxDescriptors)
-}
-
-// Start is the manager's configuration file, from its values one by one.
-func (s Site) Start(name, listen, discovery, relay string, list EndpointList, seed uint64, cores, memoryMB float64, sockets int) []byte {
+	limits := fileLimits{
+		Cores:    float64(options.Cores),
+		MemoryMB: options.MemoryMB,
+		Sockets:  options.MaxDescriptors,
+	}
 	text, err := json.MarshalIndent(configFile{
-		Discovery: discovery,
-		Known:     list,
-		Limits:    fileLimits{Cores: cores, MemoryMB: memoryMB, Sockets: sockets},
-		Listen:    listen,
-		Name:      name,
-		Seed:      fmt.Sprintf("%016x", seed),
+		Discovery: config.DiscoveryAddress,
+		Known:     config.Endpoints,
+		Limits:    limits,
+		Listen:    config.ListenAddress,
+		Name:      config.Name,
+		Seed:      fmt.Sprintf("%016x", options.Seed),
 		Settings:  s.fileSettings(),
-		Store:     fileStore{Address: relay},
+		Store:     fileStore{Address: config.RelayAddress},
 	}, "", " ")
 	if err != nil {
 		panic(err) // the file has no value that can't be encoded
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -146,7 +146,14 @@
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "start.json")
 	noEndpoints := fakes.EndpointList{Complete: true, Endpoints: []fakes.Endpoint{}}
-	text := site.Start("n1", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", noEndpoints, s.Seed, 1, memoryMB, maxSockets)
+	text := site.ConfigFile(fakes.ManagerConfig{
+		Name:             "n1",
+		ListenAddress:    "127.0.0.1:1",
+		DiscoveryAddress: "127.0.0.1:2",
+		RelayAddress:     "127.0.0.1:3",
+		Endpoints:        noEndpoints,
+		Options:          fakes.ManagerOptions{Cores: 1, MemoryMB: memoryMB, MaxDescriptors: maxSockets, Seed: s.Seed},
+	})
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return config.Config{}, err
 	}
