--- a/internal/node/collector_messages.go
+++ b/internal/node/collector_messages.go
@@ -1,6 +1,9 @@
 package node
 
-import "tamarindshore/balancer"
+import (
+	"tamarindshore/balancer"
+	"tamarindshore/internal/sharding"
+)
 
 // collectorMessage is what a line of a collector says. The set is closed: ping, collectorName and the samples.
 type collectorMessage interface{ isCollectorMessage() }
@@ -16,7 +19,7 @@
 	collectorMessage
 	input
 	counts() sampleCounts
-	mailboxValue() any
+	queued() sharding.Sample
 }
 
 // loadReport is a collector's report on one server.
@@ -33,9 +36,11 @@
 func (in loadReport) handleBy(r *router)  { r.handleLoadReport(in.LoadReport) }
 func (in usageReport) handleBy(r *router) { r.handleUsageReport(in.UsageReport) }
 
-// The values that a sharding.Mailbox holds and merges.
-func (in loadReport) mailboxValue() any  { return in.LoadReport }
-func (in usageReport) mailboxValue() any { return in.UsageReport }
+// queued is the sample as it waits for the router, where several cores decode.
+func (in loadReport) queued() sharding.Sample { return sharding.LoadSample{LoadReport: in.LoadReport} }
+func (in usageReport) queued() sharding.Sample {
+	return sharding.UsageSample{UsageReport: in.UsageReport}
+}
 
 // sampleCounts is how many samples of each kind were received.
 type sampleCounts struct {
--- a/internal/node/decoder_pool_test.go
+++ b/internal/node/decoder_pool_test.go
@@ -80,7 +80,7 @@
 			t.Fatalf("%d of %d samples came", n, count)
 		}
 		for _, s := range p.next(512, nil) {
-			u := s.(balancer.UsageReport)
+			u := s.(sharding.UsageSample)
 			got[u.Proxy] = append(got[u.Proxy], u.Requests)
 			n++
 		}
@@ -226,7 +226,7 @@
 			t.Fatalf("%d requests of %d", sum, want)
 		}
 		for _, one := range h.samples.next(512, nil) {
-			sum += one.(balancer.UsageReport).Requests
+			sum += one.(sharding.UsageSample).Requests
 		}
 	}
 	if sum != want {
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -10,6 +10,7 @@
 	"tamarindshore/balancer"
 	"tamarindshore/internal/commands"
 	"tamarindshore/internal/config"
+	"tamarindshore/internal/sharding"
 	"tamarindshore/internal/versions"
 )
 
@@ -40,7 +41,7 @@
 	proxies      map[balancer.ProxyID]bool
 	unconfirmed  map[balancer.ProxyID]bool    // connected before a gap of the event stream, not confirmed since
 	addresses    map[balancer.ServerID]string // of the servers that the balancer knows
-	sampleBuffer []any                        // reused by handleSamples
+	sampleBuffer []sharding.Sample            // reused by handleSamples
 	decisions    []balancer.Commands          // since the last flush
 }
 
@@ -123,12 +124,12 @@
 		return
 	}
 	r.sampleBuffer = r.sampleQueue.next(r.limits.MaxInputBatch, r.sampleBuffer)
-	for _, value := range r.sampleBuffer {
-		switch value := value.(type) { // what loadReport and usageReport put there
-		case balancer.LoadReport:
-			r.handleLoadReport(value)
-		case balancer.UsageReport:
-			r.handleUsageReport(value)
+	for _, sample := range r.sampleBuffer {
+		switch sample := sample.(type) {
+		case sharding.LoadSample:
+			r.handleLoadReport(sample.LoadReport)
+		case sharding.UsageSample:
+			r.handleUsageReport(sample.UsageReport)
 		}
 	}
 }
--- a/internal/node/sample_queue.go
+++ b/internal/node/sample_queue.go
@@ -40,7 +40,7 @@
 }
 
 // push queues samples for which there was room a moment ago.
-func (q *sampleQueue) push(samples []any) {
+func (q *sampleQueue) push(samples []sharding.Sample) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	mergedBefore := q.samples.Merged
@@ -49,7 +49,7 @@
 }
 
 // next takes up to limit of the oldest samples, in the memory of into.
-func (q *sampleQueue) next(limit int, into []any) []any {
+func (q *sampleQueue) next(limit int, into []sharding.Sample) []sharding.Sample {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	into = q.samples.Take(limit, into)
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -220,11 +220,11 @@
 	if full := p.samples.full(); full != nil {
 		return commitResult{full: full}
 	}
-	batch := sampleBatch{values: make([]any, 0, len(chunk.lines))}
+	batch := sampleBatch{samples: make([]sharding.Sample, 0, len(chunk.lines))}
 	outcome := p.handleLines(conn.collector, chunk, &batch)
 	batch.counts.addTo(p.receiver.metrics)
-	if len(batch.values) > 0 {
-		p.samples.push(batch.values)
+	if len(batch.samples) > 0 {
+		p.samples.push(batch.samples)
 	}
 	conn.chunks = conn.chunks[1:]
 	conn.partial = chunk.partial
@@ -259,12 +259,12 @@
 
 // sampleBatch is the samples of one chunk, with their counts: cores that write a counter for each line contend for it.
 type sampleBatch struct {
-	values []any // for the mailbox
-	counts sampleCounts
+	samples []sharding.Sample
+	counts  sampleCounts
 }
 
 func (b *sampleBatch) add(one sample) {
-	b.values = append(b.values, one.mailboxValue())
+	b.samples = append(b.samples, one.queued())
 	b.counts.add(one.counts())
 }
 
--- a/internal/sharding/mailbox.go
+++ b/internal/sharding/mailbox.go
@@ -6,14 +6,26 @@
 	"tamarindshore/balancer"
 )
 
+// Sample is a collector's report that waits in a Mailbox. The set is closed: LoadSample and UsageSample.
+type Sample interface {
+	// mergeIn adds the sample to the one of the same key that waits; false where none does.
+	mergeIn(m *Mailbox) bool
+}
+
+// LoadSample is a load report that waits.
+type LoadSample struct{ balancer.LoadReport }
+
+// UsageSample is a usage report that waits.
+type UsageSample struct{ balancer.UsageReport }
+
 // Mailbox holds the samples that wait for the one core that decides, in the order in which they were brought. Where more
 // wait than a bound, samples of the same pair of server and zone, or of the same proxy and traffic class, become one
 // over the sum of their intervals, so that what waits is bounded by what exists and rates stay as they are. Where even
 // that is too much, HasRoom is false and those who bring wait: the senders' buffers fill, and they decide.
 type Mailbox struct {
 	limit   int
-	samples []any // balancer.LoadReport or balancer.UsageReport
-	Merged  int   // samples that became part of another
+	samples []Sample
+	Merged  int // samples that became part of another
 
 	// Where each sample waits, while no two of the same wait; else nil.
 	reports map[reportKey]int
@@ -42,7 +54,7 @@
 }
 
 // Put adds samples behind those that wait.
-func (m *Mailbox) Put(samples []any) {
+func (m *Mailbox) Put(samples []Sample) {
 	if !m.isMerged() {
 		m.samples = append(m.samples, samples...)
 		return
@@ -53,7 +65,7 @@
 }
 
 // Take gives up to so many of the oldest, in the memory of those taken before.
-func (m *Mailbox) Take(limit int, into []any) []any {
+func (m *Mailbox) Take(limit int, into []Sample) []Sample {
 	n := min(limit, len(m.samples))
 	into = append(into[:0], m.samples[:n]...)
 	m.samples = m.samples[n:]
@@ -75,7 +87,7 @@
 
 func (m *Mailbox) mergeAll() {
 	all := m.samples
-	m.samples = make([]any, 0, len(all))
+	m.samples = make([]Sample, 0, len(all))
 	m.reports = map[reportKey]int{}
 	m.usages = map[usageKey]int{}
 	for _, sample := range all {
@@ -84,43 +96,37 @@
 }
 
 // merge adds a sample to the one of the same that waits, or behind all.
-func (m *Mailbox) merge(sample any) {
-	isMerged := false
-	switch sample := sample.(type) {
-	case balancer.LoadReport:
-		isMerged = m.mergeReport(sample)
-	case balancer.UsageReport:
-		isMerged = m.mergeUsage(sample)
-	}
-	if isMerged {
+func (m *Mailbox) merge(sample Sample) {
+	if sample.mergeIn(m) {
 		m.Merged++
 		return
 	}
 	m.samples = append(m.samples, sample)
 }
 
-func (m *Mailbox) mergeReport(report balancer.LoadReport) bool {
-	key := reportKey{report.Server, report.Zone}
+func (s LoadSample) mergeIn(m *Mailbox) bool {
+	key := reportKey{s.Server, s.Zone}
 	at, waits := m.reports[key]
 	if !waits {
 		m.reports[key] = len(m.samples)
 		return false
 	}
-	m.samples[at] = MergeReports(m.samples[at].(balancer.LoadReport), report)
+	waiting := m.samples[at].(LoadSample)
+	m.samples[at] = LoadSample{MergeReports(waiting.LoadReport, s.LoadReport)}
 	return true
 }
 
-func (m *Mailbox) mergeUsage(usage balancer.UsageReport) bool {
-	key := usageKey{usage.Proxy, usage.Class}
+func (s UsageSample) mergeIn(m *Mailbox) bool {
+	key := usageKey{s.Proxy, s.Class}
 	at, waits := m.usages[key]
 	if !waits {
 		m.usages[key] = len(m.samples)
 		return false
 	}
-	sum := m.samples[at].(balancer.UsageReport)
-	sum.Requests += usage.Requests
-	sum.Dropped += usage.Dropped
-	sum.Interval += usage.Interval
+	sum := m.samples[at].(UsageSample)
+	sum.Requests += s.Requests
+	sum.Dropped += s.Dropped
+	sum.Interval += s.Interval
 	m.samples[at] = sum
 	return true
 }
--- a/internal/sharding/mailbox_test.go
+++ b/internal/sharding/mailbox_test.go
@@ -9,23 +9,23 @@
 
 func TestMergeKeepsCountsAndRates(t *testing.T) {
 	m := NewMailbox(4)
-	usage := balancer.UsageReport{Proxy: 1, Class: 2, Requests: 3, Dropped: 1, Interval: time.Second}
-	report := balancer.LoadReport{Server: "s", Zone: "a", Attempts: 10, Failed: 5, Latency: time.Second, Interval: time.Second, InFlight: 7}
-	late := balancer.LoadReport{Server: "s", Zone: "a", Attempts: 5, Latency: 2 * time.Second, Interval: time.Second, InFlight: -1}
-	m.Put([]any{usage, report, usage, late})
+	usage := UsageSample{balancer.UsageReport{Proxy: 1, Class: 2, Requests: 3, Dropped: 1, Interval: time.Second}}
+	report := LoadSample{balancer.LoadReport{Server: "s", Zone: "a", Attempts: 10, Failed: 5, Latency: time.Second, Interval: time.Second, InFlight: 7}}
+	late := LoadSample{balancer.LoadReport{Server: "s", Zone: "a", Attempts: 5, Latency: 2 * time.Second, Interval: time.Second, InFlight: -1}}
+	m.Put([]Sample{usage, report, usage, late})
 	if !m.HasRoom() || m.Len() != 2 || m.Merged != 2 {
 		t.Fatalf("%d wait after %d merges", m.Len(), m.Merged)
 	}
-	m.Put([]any{usage})
+	m.Put([]Sample{usage})
 	got := m.Take(9, nil)
-	if sum := got[0].(balancer.UsageReport); sum.Requests != 9 || sum.Dropped != 3 || sum.Interval != 3*time.Second {
+	if sum := got[0].(UsageSample); sum.Requests != 9 || sum.Dropped != 3 || sum.Interval != 3*time.Second {
 		t.Errorf("%+v", sum)
 	}
-	if sum := got[1].(balancer.LoadReport); sum.Attempts != 15 || sum.Failed != 5 || sum.Latency != 1500*time.Millisecond || sum.InFlight != 7 {
+	if sum := got[1].(LoadSample); sum.Attempts != 15 || sum.Failed != 5 || sum.Latency != 1500*time.Millisecond || sum.InFlight != 7 {
 		t.Errorf("%+v", sum)
 	}
 	for i := range 4 {
-		m.Put([]any{balancer.UsageReport{Proxy: balancer.ProxyID(i)}})
+		m.Put([]Sample{UsageSample{balancer.UsageReport{Proxy: balancer.ProxyID(i)}}})
 	}
 	if m.HasRoom() || m.Len() != 4 {
 		t.Errorf("%d wait: as many as exist, and no room for more", m.Len())
