--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -168,7 +168,7 @@
 	}
 	m.updateAdmissionLimit()
 	if !math.IsInf(m.admission.limit, 1) {
-		t.Errorf("limit %.0f at less than twice the calmest pressure", m.admission.limit)
+		t.Errorf("limit %.0f at less than twice the baseline load", m.admission.limit)
 	}
 }
 
--- a/internal/node/admin_commands.go
+++ b/internal/node/admin_commands.go
@@ -35,7 +35,7 @@
 	case AdminRollback:
 		return r.finishAdmin(r.chain.RollBack(r.now, call.version, call.Key, call.Duration, r.fleet()))
 	case AdminHold:
-		return r.finishAdmin(r.chain.Hold(r.now, call.Key, call.Duration, r.fleet()))
+		return r.finishAdmin(r.chain.Hold(r.now, call.Key, call.Duration))
 	case AdminResume:
 		return r.finishAdmin(r.chain.Resume(r.now, call.Key))
 	}
--- a/internal/versions/chain_test.go
+++ b/internal/versions/chain_test.go
@@ -50,7 +50,7 @@
 func TestRecoveredVersionsAreKeptAndNotCurrent(t *testing.T) {
 	earlier := newTestChain(t)
 	earlier.Propose(2*time.Second, weights(weight(0, "a0", 20)), "health", allReady)
-	completed, _, err := earlier.Hold(2*time.Second, "k", 0, allReady)
+	completed, _, err := earlier.Hold(2*time.Second, "k", 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 	if _, err := chain.FindVersion(tables.ID{Epoch: 7, Number: 2}); err != nil {
 		t.Error(err)
 	}
-	if again, fresh, err := chain.Hold(3*time.Second, "k", 0, allReady); fresh || err != nil || again != completed {
+	if again, fresh, err := chain.Hold(3*time.Second, "k", 0); fresh || err != nil || again != completed {
 		t.Errorf("%+v %v %v", again, fresh, err)
 	}
 }
--- a/internal/versions/hold.go
+++ b/internal/versions/hold.go
@@ -121,7 +121,7 @@
 
 // Hold keeps the tables as they are. Under the key of a completed hold it does nothing, and fresh is false. Errors wrap
 // ErrRefused.
-func (c *Chain) Hold(now time.Duration, key string, duration time.Duration, _ FleetView) (completed CompletedCommand, fresh bool, err error) {
+func (c *Chain) Hold(now time.Duration, key string, duration time.Duration) (completed CompletedCommand, fresh bool, err error) {
 	return c.runOnce(now, key, "hold", func() error {
 		duration, err := c.holdDuration(duration)
 		if err != nil {
--- a/internal/versions/hold_test.go
+++ b/internal/versions/hold_test.go
@@ -120,9 +120,9 @@
 	}
 	_, _, err := chain.Resume(0, "k")
 	expectRefused(t, err, "nothing is held")
-	_, _, err = New(DefaultSettings(1)).Hold(0, "k", 0, allReady)
+	_, _, err = New(DefaultSettings(1)).Hold(0, "k", 0)
 	expectRefused(t, err, "no version was sent yet")
-	_, _, err = chain.Hold(0, "k", time.Millisecond, allReady)
+	_, _, err = chain.Hold(0, "k", time.Millisecond)
 	expectRefused(t, err, "a hold lasts from")
 	if _, held := chain.Pinned(); held || len(chain.CompletedCommands()) != 0 {
 		t.Error("a refused command took effect")
@@ -145,15 +145,15 @@
 			t.Errorf("ended %v with %v, want %s", ended, records, want)
 		}
 	}
-	chain.Hold(0, "h1", time.Minute, allReady)
+	chain.Hold(0, "h1", time.Minute)
 	if _, ended := chain.EndExpiredHold(59*time.Second, allReady); ended {
 		t.Error("ended early")
 	}
 	expectEnd(time.Minute, allReady, "event=hold_ended key=h1 reason=expired held_seconds=60")
-	chain.Hold(0, "h2", time.Minute, allReady)
+	chain.Hold(0, "h2", time.Minute)
 	mostGone := fleet{"a0": unavailable, "a1": unavailable, "b0": unavailable}
 	expectEnd(time.Second, mostGone, "event=hold_ended key=h2 reason=servers_unavailable remaining_fraction=0.25 limit=0.50")
-	chain.Hold(0, "h3", time.Minute, allReady)
+	chain.Hold(0, "h3", time.Minute)
 	if _, fresh, err := chain.Resume(0, "r"); !fresh || err != nil {
 		t.Error(err)
 	}
