--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -110,7 +110,7 @@
 	reloadsFailed:        "reloads_failed",
 	shardMoves:           "shard_moves",
 	shardRestarts:        "shard_restarts",
-	decoderPanics:        "decoder_panics",
+	decoderPanics:        "decoder_crashes",
 	samplesMerged:        "samples_folded",
 	versionsPublished:    "versions_published",
 	versionsWithheld:     "versions_withheld",
@@ -119,7 +119,7 @@
 	versionsAcked:        "versions_acked",
 	versionsRejected:     "versions_rejected",
 	replicasRejected:     "replicas_rejected",
-	readerPanics:         "reader_panics",
+	readerPanics:         "reader_crashes",
 	outsideSubset:        "outside_subset",
 }
 
