--- a/internal/versions/chain.go
+++ b/internal/versions/chain.go
@@ -9,27 +9,27 @@
 	"tamarindshore/client/tables"
 )
 
-// Chain holds the versions that were sent, each with the digest of the one before it, and the hold in force.
+// Chain holds the history of sent versions, each linked to the previous one by its digest, and the hold in force.
 type Chain struct {
 	settings    Settings
 	now         time.Duration
 	versions    []*Version // oldest first
-	size        int        // estimated bytes of versions
-	layout      string     // how the tables are numbered now
+	size        int        // estimated size of versions in bytes
+	layout      string     // how tables are numbered now
 	state       *tables.State
-	failedCheck string // name of the check that the last proposal failed; empty: it passed
+	failedCheck string // name of the check that the last proposal failed; empty if it passed all
 	phase       phase
-	hold        hold // while phase is holding
-	completed   []CompletedCommand
+	hold        hold               // valid only in phase holding
+	completed   []CompletedCommand // oldest first
 }
 
-// New returns a chain without versions.
+// New returns a Chain without versions.
 func New(settings Settings) *Chain {
 	return &Chain{settings: settings, state: tables.EmptyState()}
 }
 
-// Recover takes over the versions and commands of earlier epochs: rollbacks may lead to these versions, and a completed
-// command is not carried out again. The current state stays empty, as the tables of a manager that starts are.
+// Recover adds the stored versions and commands of earlier epochs: these versions are valid targets of a rollback, and a
+// completed command is not carried out again. The current state stays empty, like the tables of a starting manager.
 func (c *Chain) Recover(versions []*Version, completed []CompletedCommand) {
 	for _, version := range versions {
 		version.Acknowledged = true
@@ -41,29 +41,31 @@
 	c.dropOldest()
 }
 
-// Verify follows the kept versions from each to the next and compares their states. It returns one line for each version
-// that can't be followed, and a summary.
+// Verify checks the digest of each kept version, and that its operations lead from the previous version to it. It returns
+// one line for each version whose previous version is not kept, and a summary.
 func (c *Chain) Verify() (lines []string, err error) {
 	for i, version := range c.versions {
 		if digest := version.State.Digest(); digest != version.Digest {
-			return lines, fmt.Errorf("version %v: its state is %v, not %v", version.ID, digest, version.Digest)
+			return lines, fmt.Errorf("version %v: its state has digest %v, recorded is %v", version.ID, digest, version.Digest)
 		}
 		if i == 0 || c.versions[i-1].Digest != version.Parent {
-			lines = append(lines, fmt.Sprintf("%v %v holds; what it came from is not kept", version.ID, version.Digest))
+			lines = append(lines, fmt.Sprintf("version %v (%v): the state matches its digest; the previous version is not kept",
+				version.ID, version.Digest))
 			continue
 		}
 		state, err := c.versions[i-1].State.Apply(version.Ops)
 		if err != nil || state.Digest() != version.Digest {
-			return lines, fmt.Errorf("version %v does not follow from the one before it", version.ID)
+			return lines, fmt.Errorf("version %v does not follow from version %v: its operations don't lead to digest %v",
+				version.ID, c.versions[i-1].ID, version.Digest)
 		}
 	}
-	return append(lines, fmt.Sprintf("%d versions hold", len(c.versions))), nil
+	return append(lines, fmt.Sprintf("the digests of all %d versions hold", len(c.versions))), nil
 }
 
-// SetLayout tells how the tables are numbered from now on.
+// SetLayout sets the numbering of the tables from now on.
 func (c *Chain) SetLayout(layout string) { c.layout = layout }
 
-// Head returns the newest version of this epoch; nil before the first.
+// Head returns the newest version of this epoch, or nil if there is none.
 func (c *Chain) Head() *Version {
 	if len(c.versions) == 0 {
 		return nil
@@ -75,16 +77,16 @@
 	return newest
 }
 
-// State returns the state of the newest version of this epoch.
+// State returns the state of the newest version of this epoch, which is empty before the first.
 func (c *Chain) State() *tables.State { return c.state }
 
-// CurrentTables returns that state in the load balancer's terms.
+// CurrentTables returns State as the load balancer's types.
 func (c *Chain) CurrentTables() PinnedTables { return pinnedTables(c.state) }
 
 // Versions returns the kept versions, oldest first. The caller must not change them.
 func (c *Chain) Versions() []*Version { return c.versions }
 
-// FindVersion returns a kept version.
+// FindVersion returns the kept version with the given ID.
 func (c *Chain) FindVersion(id tables.ID) (*Version, error) {
 	for _, version := range c.versions {
 		if version.ID == id {
@@ -96,12 +98,12 @@
 	}
 	oldest := c.versions[0].ID
 	newest := c.versions[len(c.versions)-1].ID
-	return nil, fmt.Errorf("version %v is not kept: %v to %v are", id, oldest, newest)
+	return nil, fmt.Errorf("version %v is not kept: the kept versions are %v to %v", id, oldest, newest)
 }
 
 var errNoVersion = errors.New("no version was sent yet")
 
-// appendVersion makes a state the newest version, and drops the oldest ones beyond the limits.
+// appendVersion adds a state as the newest version, and drops the oldest versions beyond the limits.
 func (c *Chain) appendVersion(state *tables.State, cause string, barrier balancer.BarrierID, ops []tables.Op) *Version {
 	number := uint64(1)
 	if head := c.Head(); head != nil {
@@ -117,7 +119,7 @@
 		Ops:       ops,
 		State:     state,
 		Barrier:   barrier,
-		size:      estimateSize(len(ops), changedWeights(state, ops)),
+		size:      estimateSize(len(ops), countCopiedWeights(state, ops)),
 	}
 	if c.phase == holding {
 		version.CommandKey = c.hold.key
@@ -133,9 +135,9 @@
 	return c.settings.StartedAt.Add(sinceStart)
 }
 
-// changedWeights is how many weights the tables have that operations change: they are copied for the version, the other
-// tables are shared with the one before it.
-func changedWeights(state *tables.State, ops []tables.Op) int {
+// countCopiedWeights returns the number of weights in the tables that ops change. These tables are copied for the
+// version; all others are shared with the previous version.
+func countCopiedWeights(state *tables.State, ops []tables.Op) int {
 	changed := map[uint32]bool{}
 	for _, op := range ops {
 		changed[op.Table] = true
@@ -147,17 +149,17 @@
 	return weights
 }
 
-// estimateSize is about how many bytes a version takes.
-func estimateSize(ops, weights int) int {
+// estimateSize returns the approximate memory use of a version in bytes.
+func estimateSize(opCount, weightCount int) int {
 	const (
 		versionBytes = 200
 		opBytes      = 64
 		weightBytes  = 48
 	)
-	return versionBytes + opBytes*ops + weightBytes*weights
+	return versionBytes + opBytes*opCount + weightBytes*weightCount
 }
 
-// dropOldest drops the oldest versions beyond the limits; the newest stays.
+// dropOldest drops the oldest versions beyond the limits. It always keeps the newest.
 func (c *Chain) dropOldest() {
 	for len(c.versions) > 1 && (len(c.versions) > c.settings.MaxVersions || c.size > c.settings.MaxVersionBytes) {
 		c.size -= c.versions[0].size
@@ -166,7 +168,7 @@
 	}
 }
 
-// HandleBarrierAck tells that the commands before a barrier were carried out.
+// HandleBarrierAck records that the proxies carried out all commands up to a barrier.
 func (c *Chain) HandleBarrierAck(now time.Duration, barrier balancer.BarrierID) {
 	c.now = now
 	if barrier == 0 {
@@ -180,15 +182,15 @@
 	}
 }
 
-// acknowledgeUpTo marks a version and those before it, back to the last that is marked.
+// acknowledgeUpTo marks a version and all earlier unacknowledged ones as acknowledged.
 func (c *Chain) acknowledgeUpTo(index int) {
 	for ; index >= 0 && !c.versions[index].Acknowledged; index-- {
 		c.versions[index].Acknowledged = true
 	}
 }
 
-// PossibleBases returns the versions that may be in force at the proxies, newest first: the newest, and those before it
-// that were not acknowledged, back to the last that was.
+// PossibleBases returns the versions that the proxies may be using, newest first: every version sent since the last
+// acknowledged one, and that one.
 func (c *Chain) PossibleBases() (ids []tables.ID) {
 	for i := len(c.versions) - 1; i >= 0; i-- {
 		ids = append(ids, c.versions[i].ID)
--- a/internal/versions/checks.go
+++ b/internal/versions/checks.go
@@ -7,13 +7,13 @@
 	"tamarindshore/client/tables"
 )
 
-// check is a rule that a version must keep; find returns nil where it does.
+// check is a rule for every version. find returns the first violation of the rule, or nil.
 type check struct {
 	name string
 	find func(c *Chain, p *proposal) *violation
 }
 
-// checks are made in this order; what the first finds is held back.
+// checks are run in this order. The commands affected by the first violation are held back.
 var checks = []check{
 	{"invalid_number", (*Chain).findInvalidNumber},
 	{"unknown_server", (*Chain).findUnknownServer},
@@ -23,22 +23,22 @@
 	{"too_many_commands", (*Chain).findTooManyCommands},
 }
 
-// findViolation returns what the first check finds that fails; nil: all pass.
+// findViolation returns the violation found by the first check that fails, or nil if all pass.
 func (c *Chain) findViolation(p *proposal) *violation {
-	for _, one := range checks {
-		if found := one.find(c, p); found != nil {
-			found.check = one.name
+	for _, check := range checks {
+		if found := check.find(c, p); found != nil {
+			found.check = check.name
 			return found
 		}
 	}
 	return nil
 }
 
-// isValid tells whether a weight or level is finite and at least 0.
+// isValid reports whether a weight or admission level is finite and not negative.
 func isValid(number float64) bool { return number >= 0 && !math.IsInf(number, 1) }
 
-// isUrgent tells whether a weight must go out whatever else is wrong: it takes weight from a server that is unavailable
-// or warming up, or it is for a table without a usable server.
+// isUrgent reports whether a weight must be sent even if checks fail: it lowers the weight of a server that is
+// unavailable or warming up, or it gives an available server to a table without a usable one.
 func (p *proposal) isUrgent(weight balancer.EndpointWeight) bool {
 	if !isValid(weight.Weight) {
 		return false
@@ -51,7 +51,7 @@
 	return status.Available && status.Known && !p.hasUsableServer(p.current, uint32(weight.Table))
 }
 
-// hasUsableServer tells whether a table has a server that can get requests.
+// hasUsableServer reports whether a table has a usable server with a positive weight.
 func (p *proposal) hasUsableServer(state *tables.State, table uint32) bool {
 	for server, weight := range state.Table(table).Weights {
 		if weight > 0 && p.isUsable(state, server) {
@@ -61,56 +61,57 @@
 	return false
 }
 
-// isUsable tells whether a server of a state is available and not withdrawn.
+// isUsable reports whether a server is available and not withdrawn in a state.
 func (p *proposal) isUsable(state *tables.State, server string) bool {
 	return !state.IsWithdrawn(server) && p.view.ServerStatus(balancer.ServerID(server)).Available
 }
 
-// findInvalidNumber finds a weight or level that is infinite, negative or not a number.
+// findInvalidNumber finds a weight or admission level that is infinite, negative or NaN.
 func (c *Chain) findInvalidNumber(p *proposal) *violation {
 	for _, weight := range p.commands.Weights {
 		if !isValid(weight.Weight) {
-			found := wholeVersion(field("table", weight.Table), field("server", weight.Server), field("weight", weight.Weight))
+			found := globalViolation(logField("table", weight.Table), logField("server", weight.Server), logField("weight", weight.Weight))
 			return &found
 		}
 	}
 	for _, level := range p.commands.AdmissionLevels {
 		if !isValid(level.Amount) {
-			found := wholeVersion(field("table", level.Table), field("admission_level", level.Amount))
+			found := globalViolation(logField("table", level.Table), logField("admission_level", level.Amount))
 			return &found
 		}
 	}
 	return nil
 }
 
-// findUnknownServer finds a weight for a server that the manager doesn't know.
+// findUnknownServer finds a positive weight for a server that the manager doesn't know.
 func (c *Chain) findUnknownServer(p *proposal) *violation {
 	for _, weight := range p.commands.Weights {
 		if weight.Weight > 0 && !p.view.ServerStatus(weight.Server).Known {
-			return ofServer(weight.Server, field("table", weight.Table))
+			return serverViolation(weight.Server, logField("table", weight.Table))
 		}
 	}
 	return nil
 }
 
-// findUnavailableServer finds a weight that is raised, or a withdrawal that ends, for a server that is draining, gone or
+// findUnavailableServer finds a raised weight, or the end of a withdrawal, for a server that is draining, gone or
 // unresponsive.
 func (c *Chain) findUnavailableServer(p *proposal) *violation {
 	for _, weight := range p.commands.Weights {
 		current := p.currentWeight(weight)
 		if weight.Weight > current && !p.view.ServerStatus(weight.Server).Available {
-			return ofServer(weight.Server, field("table", weight.Table), field("weight", weight.Weight), field("current_weight", current))
+			return serverViolation(weight.Server,
+				logField("table", weight.Table), logField("weight", weight.Weight), logField("current_weight", current))
 		}
 	}
 	for _, server := range p.commands.Restore {
 		if !p.view.ServerStatus(server).Available {
-			return ofServer(server, field("restored", true))
+			return serverViolation(server, logField("restored", true))
 		}
 	}
 	return nil
 }
 
-// findEmptyTable finds a table that loses its last usable server while some servers are available.
+// findEmptyTable finds a table that loses its last usable server although the fleet has available servers.
 func (c *Chain) findEmptyTable(p *proposal) *violation {
 	if available, _ := p.view.ReadyServers(); available == 0 {
 		return nil
@@ -118,14 +119,14 @@
 	for _, weight := range p.commands.Weights {
 		table := uint32(weight.Table)
 		if weight.Weight == 0 && p.hasUsableServer(p.current, table) && !p.hasUsableServer(p.next, table) {
-			return ofTable(weight.Table, field("server", weight.Server))
+			return tableViolation(weight.Table, logField("server", weight.Server))
 		}
 	}
 	return nil
 }
 
-// findOverloadedWarmingServer finds a warming server that would get far more than its warm fraction of an equal share
-// of all requests, while others are warm.
+// findOverloadedWarmingServer finds a warming server whose request rate would exceed MaxWarmUpFactor times its warm
+// fraction of an equal share of all requests. It finds nothing while no server is warm.
 func (c *Chain) findOverloadedWarmingServer(p *proposal) *violation {
 	available, warm := p.view.ReadyServers()
 	if warm == 0 {
@@ -142,11 +143,11 @@
 		checked[weight.Server] = true
 		rate := p.requestRateOf(weight.Server)
 		if rate > c.settings.MaxWarmUpFactor*status.WarmFraction*equalShare && total > 0 {
-			return ofServer(weight.Server,
-				decimals("warm_fraction", status.WarmFraction, 2),
-				decimals("request_rate", rate, 1),
-				decimals("total_request_rate", total, 1),
-				field("servers", available))
+			return serverViolation(weight.Server,
+				decimalLogField("warm_fraction", status.WarmFraction, 2),
+				decimalLogField("request_rate", rate, 1),
+				decimalLogField("total_request_rate", total, 1),
+				logField("servers", available))
 		}
 	}
 	return nil
@@ -160,7 +161,7 @@
 	return total
 }
 
-// requestRateOf is how many requests a second a server would get from all tables.
+// requestRateOf returns the requests per second that a server would get from all tables.
 func (p *proposal) requestRateOf(server balancer.ServerID) float64 {
 	rate := 0.0
 	for _, id := range p.next.TableIDs() {
@@ -180,9 +181,10 @@
 	return total
 }
 
+// findTooManyCommands finds a version with more than MaxCommands commands.
 func (c *Chain) findTooManyCommands(p *proposal) *violation {
 	if count := p.commands.Count(); count > c.settings.MaxCommands {
-		found := wholeVersion(field("commands", count), field("limit", c.settings.MaxCommands))
+		found := globalViolation(logField("commands", count), logField("limit", c.settings.MaxCommands))
 		return &found
 	}
 	return nil
--- a/internal/versions/helpers_test.go
+++ b/internal/versions/helpers_test.go
@@ -8,26 +8,26 @@
 	"tamarindshore/client/tables"
 )
 
-// fleet is what a test says of servers; those that it does not name are available and warm.
-type fleet map[balancer.ServerID]ServerStatus
+// fakeFleet is a FleetView with the given server statuses. All other servers are available and warm.
+type fakeFleet map[balancer.ServerID]ServerStatus
 
-func (f fleet) ServerStatus(server balancer.ServerID) ServerStatus {
-	if status, named := f[server]; named {
+func (f fakeFleet) ServerStatus(server balancer.ServerID) ServerStatus {
+	if status, exists := f[server]; exists {
 		return status
 	}
 	return ServerStatus{Known: true, Available: true, WarmFraction: 1}
 }
 
-func (f fleet) RequestRate(balancer.TableID) float64 { return 40 }
-func (f fleet) ReadyServers() (all, warm int)        { return 4, 3 }
+func (f fakeFleet) RequestRate(balancer.TableID) float64 { return 40 }
+func (f fakeFleet) ReadyServers() (available, warm int)  { return 4, 3 }
 
 var (
-	allReady = fleet{}
+	allReady = fakeFleet{}
 
 	unavailable = ServerStatus{Known: true}
 )
 
-// warming is the status of a server in its slow start.
+// warming returns the status of a server in its slow start.
 func warming(fraction float64) ServerStatus {
 	return ServerStatus{Known: true, Available: true, WarmFraction: fraction}
 }
@@ -40,7 +40,7 @@
 	return balancer.Commands{Weights: weights}
 }
 
-// newTestChain is a chain whose first version has two tables with two servers each.
+// newTestChain returns a chain with one version, which has two tables with two servers each.
 func newTestChain(t testing.TB) *Chain {
 	t.Helper()
 	chain := New(DefaultSettings(7))
@@ -48,12 +48,12 @@
 	commands.Barrier = 1
 	result := chain.Propose(time.Second, commands, "list", allReady)
 	if result.Modified || result.Version == nil || result.Version.ID != (tables.ID{Epoch: 7, Number: 1}) {
-		t.Fatalf("%+v", result)
+		t.Fatalf("first version: %+v, want version 7.1 with unmodified commands", result)
 	}
 	return chain
 }
 
-// weightOf is the current weight of a server.
+// weightOf returns the current weight of a server.
 func weightOf(chain *Chain, table uint32, server string) float64 {
 	return chain.State().Table(table).Weights[server]
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-// fieldOf is a field of a log record; empty: it has none of that name.
+// fieldOf returns the value of a field of a log record, or an empty string if the record has no such field.
 func fieldOf(record balancer.LogRecord, name string) string {
 	for _, field := range record.Fields {
 		if field.Name == name {
--- a/internal/versions/hold.go
+++ b/internal/versions/hold.go
@@ -10,31 +10,31 @@
 	"tamarindshore/client/tables"
 )
 
-// phase is whether the tables follow the load balancer's decisions.
+// phase says how far the tables follow the load balancer's decisions.
 type phase int
 
 const (
-	following phase = iota // they do
-	holding                // an operator holds them, but for what is urgent
-	resuming               // after a hold: by small steps, until a version needs none
+	following phase = iota // the tables follow the load balancer's decisions
+	holding                // an operator holds the tables; only urgent changes are made
+	resuming               // after a hold, the tables change in small steps until a version needs no limit
 )
 
-// hold is a time in which the tables are held.
+// hold is a period in which the load balancer must keep the tables as they were, or as a rollback restored them.
 type hold struct {
-	key          string    // of the operator's command
-	target       tables.ID // the version rolled back to; zero: the tables are held as they were
-	pinned       PinnedTables
-	pinnedWeight float64 // in all
+	key          string       // idempotency key of the operator's command
+	target       tables.ID    // version rolled back to; zero if the tables are held without a rollback
+	pinned       PinnedTables // tables that the load balancer must keep
+	pinnedWeight float64      // total weight of pinned
 	since        time.Duration
 	until        time.Duration
 }
 
 // HoldStatus describes the hold in force.
 type HoldStatus struct {
-	Key               string    // of the operator's command
-	Target            tables.ID // the version rolled back to; zero: the tables are held as they were
+	Key               string    // idempotency key of the operator's command
+	Target            tables.ID // version rolled back to; zero if the tables are held without a rollback
 	Since, Until      time.Time
-	RemainingFraction float64 // of the held weight that available servers have
+	RemainingFraction float64 // fraction of the held weight on servers that are available now
 }
 
 func (c *Chain) beginHold(key string, target tables.ID, pinned PinnedTables, duration time.Duration) {
@@ -54,28 +54,30 @@
 	c.hold = hold{}
 }
 
-// endResuming tells that a version needed no limit.
+// endResuming ends the small steps after a hold, once a version needed no limit.
 func (c *Chain) endResuming() {
 	if c.phase == resuming {
 		c.phase = following
 	}
 }
 
-// holdDuration checks for how long tables are to be held; 0: the default.
+// holdDuration validates the requested duration of a hold; 0 selects the default.
 func (c *Chain) holdDuration(requested time.Duration) (time.Duration, error) {
 	if requested == 0 {
 		return c.settings.DefaultHold, nil
 	}
 	if requested < time.Second || requested > c.settings.MaxHold {
-		return 0, fmt.Errorf("%w: a hold lasts from 1s to %v", ErrRefused, c.settings.MaxHold)
+		return 0, fmt.Errorf("%w: a hold must last from 1s to %v, not %v", ErrRefused, c.settings.MaxHold, requested)
 	}
 	return requested, nil
 }
 
-// RollBack goes back to the weights of a version, as far as its servers are available now, and holds them. It is refused
-// where that would leave a table without a server, and where the tables were numbered otherwise. Under the key of a
-// completed rollback to that version it does nothing, and fresh is false. Errors wrap ErrRefused.
-func (c *Chain) RollBack(now time.Duration, target tables.ID, key string, duration time.Duration, view FleetView) (completed CompletedCommand, fresh bool, err error) {
+// RollBack restores the weights of a version for the servers that are available now, and holds them. It is refused if a
+// table would be left without a server, or if the tables have been renumbered since. If a rollback to the version was
+// completed under the same key, it does nothing and executed is false. Errors wrap ErrRefused.
+func (c *Chain) RollBack(
+	now time.Duration, target tables.ID, key string, duration time.Duration, view FleetView,
+) (completed CompletedCommand, executed bool, err error) {
 	return c.runOnce(now, key, "rollback to "+target.String(), func() error {
 		duration, err := c.holdDuration(duration)
 		if err != nil {
@@ -86,7 +88,7 @@
 			return fmt.Errorf("%w: %w", ErrRefused, err)
 		}
 		if version.Layout != c.layout {
-			return fmt.Errorf("%w: the tables were laid out otherwise: %s then, %s now", ErrRefused, version.Layout, c.layout)
+			return fmt.Errorf("%w: version %v has the table layout %q, the current layout is %q", ErrRefused, target, version.Layout, c.layout)
 		}
 		pinned, err := c.withAvailableServers(version.State, view)
 		if err != nil {
@@ -97,8 +99,8 @@
 	})
 }
 
-// withAvailableServers returns the tables of a state with the servers that are available now; a warming one gets its
-// warm fraction.
+// withAvailableServers returns the tables of a state, restricted to servers that are available now. The weight of a
+// warming server is multiplied by its warm fraction.
 func (c *Chain) withAvailableServers(state *tables.State, view FleetView) (PinnedTables, error) {
 	pinned := pinnedTables(state)
 	for _, id := range c.state.TableIDs() {
@@ -112,16 +114,17 @@
 			}
 		}
 		if len(weights) == 0 && len(c.state.Table(id).Weights) > 0 {
-			return pinned, fmt.Errorf("table %d would have no server: all %d that it named then are gone, drain or don't answer",
+			return pinned, fmt.Errorf(
+				"table %d would have no server: all %d servers that it had in the target version are gone, draining or unresponsive",
 				id, len(state.Table(id).Weights))
 		}
 	}
 	return pinned, nil
 }
 
-// Hold keeps the tables as they are. Under the key of a completed hold it does nothing, and fresh is false. Errors wrap
-// ErrRefused.
-func (c *Chain) Hold(now time.Duration, key string, duration time.Duration) (completed CompletedCommand, fresh bool, err error) {
+// Hold keeps the tables as they are. If a hold was completed under the same key, it does nothing and executed is false.
+// Errors wrap ErrRefused.
+func (c *Chain) Hold(now time.Duration, key string, duration time.Duration) (completed CompletedCommand, executed bool, err error) {
 	return c.runOnce(now, key, "hold", func() error {
 		duration, err := c.holdDuration(duration)
 		if err != nil {
@@ -135,19 +138,19 @@
 	})
 }
 
-// Resume ends the hold in force. Under the key of a completed resume it does nothing, and fresh is false. Errors wrap
-// ErrRefused.
-func (c *Chain) Resume(now time.Duration, key string) (completed CompletedCommand, fresh bool, err error) {
+// Resume ends the hold in force. If a resume was completed under the same key, it does nothing and executed is false.
+// Errors wrap ErrRefused.
+func (c *Chain) Resume(now time.Duration, key string) (completed CompletedCommand, executed bool, err error) {
 	return c.runOnce(now, key, "resume", func() error {
 		if c.phase != holding {
-			return fmt.Errorf("%w: nothing is held", ErrRefused)
+			return fmt.Errorf("%w: no hold is in force", ErrRefused)
 		}
 		c.endHold()
 		return nil
 	})
 }
 
-// Pinned returns the tables that the load balancer is to keep; false: there is no hold.
+// Pinned returns the tables that the load balancer must keep, or false if no hold is in force.
 func (c *Chain) Pinned() (PinnedTables, bool) {
 	if c.phase != holding {
 		return PinnedTables{}, false
@@ -155,21 +158,22 @@
 	return c.hold.pinned, true
 }
 
-// EndExpiredHold ends a hold whose time is over, or whose servers have become unavailable, and tells whether it did.
+// EndExpiredHold ends a hold that has expired, or of whose weight too little is left on available servers. It reports
+// whether it ended the hold.
 func (c *Chain) EndExpiredHold(now time.Duration, view FleetView) (records []balancer.LogRecord, ended bool) {
 	c.now = now
 	if c.phase != holding {
 		return nil, false
 	}
 	remaining := c.remainingFraction(view)
-	fields := []balancer.LogField{field("key", c.hold.key)}
+	fields := []balancer.LogField{logField("key", c.hold.key)}
 	switch {
 	case now >= c.hold.until:
 		held := c.hold.until - c.hold.since
-		fields = append(fields, field("reason", "expired"), decimals("held_seconds", held.Seconds(), 0))
+		fields = append(fields, logField("reason", "expired"), decimalLogField("held_seconds", held.Seconds(), 0))
 	case remaining < c.settings.MinHeldFraction:
-		fields = append(fields, field("reason", "servers_unavailable"),
-			decimals("remaining_fraction", remaining, 2), decimals("limit", c.settings.MinHeldFraction, 2))
+		fields = append(fields, logField("reason", "servers_unavailable"),
+			decimalLogField("remaining_fraction", remaining, 2), decimalLogField("limit", c.settings.MinHeldFraction, 2))
 	default:
 		return nil, false
 	}
@@ -177,26 +181,27 @@
 	return []balancer.LogRecord{{Event: eventHoldEnded, Fields: fields}}, true
 }
 
-// remainingFraction is the part of the held weight that available servers have.
+// remainingFraction returns the fraction of the held weight on servers that are available now.
 func (c *Chain) remainingFraction(view FleetView) float64 {
 	remaining := c.hold.pinned.sumWeights(func(server balancer.ServerID) bool { return view.ServerStatus(server).Available })
 	return remaining / max(c.hold.pinnedWeight, minPinnedWeight)
 }
 
-// minPinnedWeight stands in for the weight of a hold of empty tables, which ends at once.
+// minPinnedWeight replaces the total weight if empty tables are held; such a hold ends at once.
 const minPinnedWeight = 1e-9
 
 func (p PinnedTables) totalWeight() float64 {
 	return p.sumWeights(func(balancer.ServerID) bool { return true })
 }
 
-// sumWeights adds up the weights of some servers, in a fixed order so that the sum is the same each time.
-func (p PinnedTables) sumWeights(counts func(balancer.ServerID) bool) float64 {
+// sumWeights returns the total weight of the included servers. The order of summation is fixed, because rounding would
+// otherwise make the result vary between calls.
+func (p PinnedTables) sumWeights(include func(balancer.ServerID) bool) float64 {
 	sum := 0.0
 	for _, table := range slices.Sorted(maps.Keys(p.Weights)) {
 		weights := p.Weights[table]
 		for _, server := range slices.Sorted(maps.Keys(weights)) {
-			if counts(server) {
+			if include(server) {
 				sum += weights[server]
 			}
 		}
@@ -204,7 +209,7 @@
 	return sum
 }
 
-// CurrentHold describes the hold in force; false: there is none.
+// CurrentHold returns the status of the hold in force, or false if there is none.
 func (c *Chain) CurrentHold(view FleetView) (HoldStatus, bool) {
 	if c.phase != holding {
 		return HoldStatus{}, false
--- a/internal/versions/movement.go
+++ b/internal/versions/movement.go
@@ -8,28 +8,29 @@
 	"tamarindshore/client/tables"
 )
 
-// minRequestRate stands in for the rate of a table without requests, so that it counts a little.
+// minRequestRate replaces the request rate of a table without requests, so that its changes still count.
 const minRequestRate = 1e-9
 
-// weightPrecision is the number of parts of 1 to which a weight on the way is rounded.
+// weightPrecision is the number of steps per unit to which limited weights are rounded.
 const weightPrecision = 1000
 
-// limitMovement goes part of the way where a version would move more of all requests than one may: it keeps one version
-// from turning the fleet over, and the end of a hold from a jump to what was decided meanwhile. One table among many may
-// change as a whole: it is small, and its servers are replaced together. Later versions go the rest of the way. Urgent
-// weights are not limited.
+// limitMovement changes weights only partly if the version would move more than the permitted fraction of all requests;
+// later versions change them further. This keeps one version from moving most requests of the fleet at once, and the end
+// of a hold from applying all decisions made during the hold in one step. The limit applies to the fleet, not to each
+// table: a single table among many may change completely, because it is small and its servers are replaced together.
+// Urgent weights are not limited.
 func (c *Chain) limitMovement(p *proposal, result *Result) {
-	resuming := c.phase == resuming
+	afterHold := c.phase == resuming
 	limit := c.settings.MaxMovedFraction
-	if resuming {
+	if afterHold {
 		limit = c.settings.MaxStepAfterHold
 	}
-	moved, total := p.movedRequests()
+	moved, total := p.movedRequestRate()
 	limited := moved > limit*total
 	if limited {
 		p.limitWeights(limit, total, moved)
 	}
-	if resuming && p.limitLevels(c.settings.MaxStepAfterHold) {
+	if afterHold && p.limitAdmissionLevels(c.settings.MaxStepAfterHold) {
 		limited = true
 	}
 	if !limited {
@@ -37,14 +38,14 @@
 		return
 	}
 	result.Modified = true
-	result.log(eventLimited, decimals("moved_fraction", moved/total, 2), decimals("limit", limit, 2))
-	if err := p.apply(); err != nil { // the numbers lie between valid ones: a bug of this package
-		panic("a limited version can't be applied: " + err.Error())
+	result.log(eventLimited, decimalLogField("moved_fraction", moved/total, 2), decimalLogField("limit", limit, 2))
+	if err := p.apply(); err != nil { // only a bug of this package: limited values lie between valid ones
+		panic("limited commands can't be applied: " + err.Error())
 	}
 }
 
-// movedRequests is how many requests a second a version moves to other servers, of how many in all.
-func (p *proposal) movedRequests() (moved, total float64) {
+// movedRequestRate returns the requests per second that a version moves to other servers, and those of all tables.
+func (p *proposal) movedRequestRate() (moved, total float64) {
 	changed := map[uint32]bool{}
 	for _, weight := range p.commands.Weights {
 		changed[uint32(weight.Table)] = true
@@ -59,8 +60,8 @@
 	return moved, total
 }
 
-// movedFraction is the part of a table's weight that moves between available servers: what unavailable ones lose does
-// not count.
+// movedFraction returns the fraction of a table's weight that moves between usable servers. Weight that unusable servers
+// lose does not count.
 func (p *proposal) movedFraction(id uint32) float64 {
 	currentTotal := p.usableWeight(p.current, id)
 	nextTotal := p.usableWeight(p.next, id)
@@ -77,7 +78,7 @@
 	return moved
 }
 
-// usableWeight is the weight of a table's usable servers.
+// usableWeight returns the total weight of a table's usable servers.
 func (p *proposal) usableWeight(state *tables.State, id uint32) float64 {
 	total := 0.0
 	for server, weight := range state.Table(id).Weights {
@@ -88,8 +89,8 @@
 	return total
 }
 
-// limitWeights sets all weights but the urgent ones to that part of the way from the current ones which moves the limit
-// of the total.
+// limitWeights scales down the changes of all weights except urgent ones, so that about limit*total requests per second
+// move instead of moved.
 func (p *proposal) limitWeights(limit, total, moved float64) {
 	for i, weight := range p.commands.Weights {
 		if p.isUrgent(weight) {
@@ -101,15 +102,16 @@
 	}
 }
 
-// limitLevels limits the change of each admission level that is a share, and tells whether it limited any.
-func (p *proposal) limitLevels(maxStep float64) (limited bool) {
+// limitAdmissionLevels limits the change of each existing admission level that is a fraction (at most 1) to maxStep. It
+// reports whether it limited any.
+func (p *proposal) limitAdmissionLevels(maxStep float64) (limited bool) {
 	for i, level := range p.commands.AdmissionLevels {
 		current, exists := p.current.Table(uint32(level.Table)).AdmissionLevels[uint64(level.Classes)]
-		isShare := max(current.Amount, level.Amount) <= 1
-		if !exists || !isShare || math.Abs(level.Amount-current.Amount) <= maxStep {
+		isFraction := max(current.Amount, level.Amount) <= 1
+		if !exists || !isFraction || math.Abs(level.Amount-current.Amount) <= maxStep {
 			continue
 		}
-		if !limited { // the slice is the caller's
+		if !limited { // the slice belongs to the caller
 			p.commands.AdmissionLevels = slices.Clone(p.commands.AdmissionLevels)
 		}
 		limited = true
--- a/internal/versions/peer.go
+++ b/internal/versions/peer.go
@@ -6,13 +6,13 @@
 	"tamarindshore/client/tables"
 )
 
-// RetrySettings say how often something is sent to a replica that does not answer or rejects it.
+// RetrySettings controls how soon a delta is sent again to a replica that does not answer or rejects it.
 type RetrySettings struct {
-	AckTimeout time.Duration // from a delta sent until it counts as lost
-	Backoff    tables.RetrySettings
+	AckTimeout time.Duration        // time without an answer after which a delta counts as lost
+	Backoff    tables.RetrySettings // intervals between attempts
 }
 
-// DefaultRetrySettings are for replicas on a network of one's own.
+// DefaultRetrySettings returns settings for replicas on a private network.
 func DefaultRetrySettings() RetrySettings {
 	return RetrySettings{
 		AckTimeout: 2 * time.Second,
@@ -20,40 +20,43 @@
 	}
 }
 
-// Peer decides what one replica is sent: the newest version, as a delta where the replica's version is kept, else as a
-// snapshot; one at a time; again with growing backoff where the replica rejects it or does not answer; nothing any more
-// once another manager has taken over. It is not safe for use by several goroutines.
+// Peer decides which delta to send to one replica, and when. It sends the newest version: as a delta if the replica's own
+// version is still kept, otherwise or if the replica needs it as a snapshot. Only one is in flight at a time. If the
+// replica rejects it or does not answer, the peer retries with growing backoff. It stops sending once another manager has
+// taken over the replica. A Peer is not safe for concurrent use.
 type Peer struct {
-	settings      RetrySettings
-	rng           jitter
-	version       tables.VersionRef // that the replica last said it runs
-	inFlight      *Version          // nil: none
-	sentAt        time.Duration
-	notBefore     time.Duration // of the next attempt
-	failures      int           // since the last success
-	needsSnapshot bool          // it asked for one, or rejected a delta
-	superseded    bool
-	lastOutcome   tables.Outcome
+	settings       RetrySettings
+	rng            jitter
+	replicaVersion tables.VersionRef // version that the replica last reported
+	inFlight       *Version          // version awaiting an answer; nil if none
+	sentAt         time.Duration
+	nextAttemptAt  time.Duration  // earliest time of the next attempt
+	failures       int            // failed attempts since the last success
+	needsSnapshot  bool           // the replica asked for a snapshot, rejected a delta or did not answer
+	superseded     bool           // a manager with a later epoch has taken over the replica
+	lastOutcome    tables.Outcome // outcome in the replica's last answer
 }
 
-// NewPeer returns a peer for a replica that runs a version. The seed spreads the attempts of many peers.
+// NewPeer returns a Peer for a replica that runs the given version. Different seeds spread the retries of many peers.
 func NewPeer(settings RetrySettings, version tables.VersionRef, seed uint64) *Peer {
-	return &Peer{settings: settings, version: version, rng: newJitter(seed)}
+	return &Peer{settings: settings, replicaVersion: version, rng: newJitter(seed)}
 }
 
-// Version returns the version that the replica last said it runs.
-func (p *Peer) Version() tables.VersionRef { return p.version }
+// Version returns the version that the replica last reported.
+func (p *Peer) Version() tables.VersionRef { return p.replicaVersion }
 
-// Superseded tells that another manager, with a later epoch, has taken over the replica.
+// Superseded reports whether another manager, with a later epoch, has taken over the replica.
 func (p *Peer) Superseded() bool { return p.superseded }
 
-// FailedAttempts returns how many attempts failed since the last success, and what the replica answered last.
+// FailedAttempts returns the number of failed attempts since the last success, and the outcome of the replica's last
+// answer.
 func (p *Peer) FailedAttempts() (int, tables.Outcome) { return p.failures, p.lastOutcome }
 
-// NextDelta returns what to send now. Otherwise wake is when to ask again; 0: once there is a newer version or an answer.
+// NextDelta returns the delta to send now, or nil. wake is the time at which to call it again; 0 means only after a newer
+// version or a message from the replica.
 func (p *Peer) NextDelta(now time.Duration, view View) (delta *tables.Delta, wake time.Duration) {
 	head := view.Head()
-	if head == nil || p.superseded || p.version == refOf(head) {
+	if head == nil || p.superseded || p.replicaVersion == versionRef(head) {
 		return nil, 0
 	}
 	if p.inFlight != nil {
@@ -62,39 +65,39 @@
 			return nil, timeout
 		}
 		// The delta or its answer was lost.
-		p.fail(now)
+		p.recordFailure(now)
 		p.needsSnapshot = true
 	}
-	if now < p.notBefore {
-		return nil, p.notBefore
+	if now < p.nextAttemptAt {
+		return nil, p.nextAttemptAt
 	}
 	p.inFlight = head
 	p.sentAt = now
-	return view.deltaFrom(p.version, p.needsSnapshot), now + p.settings.AckTimeout
+	return view.deltaFrom(p.replicaVersion, p.needsSnapshot), now + p.settings.AckTimeout
 }
 
-// fail gives up what is in flight and sets the time of the next attempt.
-func (p *Peer) fail(now time.Duration) {
+// recordFailure abandons the delta in flight and schedules the next attempt.
+func (p *Peer) recordFailure(now time.Duration) {
 	p.inFlight = nil
-	p.notBefore = now + p.settings.Backoff.Delay(p.failures, p.rng.next())
+	p.nextAttemptAt = now + p.settings.Backoff.Delay(p.failures, p.rng.next())
 	p.failures++
 }
 
-// HandleAck tells that the replica runs a version.
+// HandleAck records that the replica runs a version.
 func (p *Peer) HandleAck(version tables.VersionRef) {
-	p.version = version
+	p.replicaVersion = version
 	p.lastOutcome = tables.Applied
 	if p.inFlight != nil && version.ID == p.inFlight.ID {
 		p.inFlight = nil
 		p.failures = 0
 		p.needsSnapshot = false
-		p.notBefore = 0
+		p.nextAttemptAt = 0
 	}
 }
 
-// HandleRejection tells that the replica rejected what it was sent, and which version it runs.
+// HandleRejection records that the replica rejected a delta with the given outcome, and which version it runs.
 func (p *Peer) HandleRejection(now time.Duration, outcome tables.Outcome, version tables.VersionRef) {
-	p.version = version
+	p.replicaVersion = version
 	p.lastOutcome = outcome
 	switch outcome {
 	case tables.AlreadyApplied:
@@ -105,23 +108,23 @@
 	case tables.Gap, tables.UnknownBase, tables.WrongDigest, tables.Conflict:
 		p.needsSnapshot = true
 	}
-	p.fail(now)
+	p.recordFailure(now)
 }
 
-// HandleSnapshotRequest tells that the replica wants a snapshot. What is in flight is given up.
+// HandleSnapshotRequest records that the replica asked for a snapshot, and abandons the delta in flight.
 func (p *Peer) HandleSnapshotRequest(version tables.VersionRef) {
-	p.version = version
+	p.replicaVersion = version
 	p.needsSnapshot = true
 	p.inFlight = nil
 }
 
-// jitter is a linear congruential generator: as cheap as it is predictable, which is enough to spread attempts.
+// jitter is a linear congruential generator. Its numbers are predictable, which is good enough for spreading retries.
 type jitter uint64
 
-// newJitter scatters a seed: those of peers follow each other.
+// newJitter returns a generator. It scrambles the seed, because the seeds of peers are consecutive numbers.
 func newJitter(seed uint64) jitter { return jitter(seed*2862933555777941757 + 3037000493) }
 
-// next returns a number from 0 up to 1.
+// next returns a number in [0, 1).
 func (j *jitter) next() float64 {
 	*j = *j*6364136223846793005 + 1442695040888963407
 	return float64(*j>>11) / (1 << 53)
--- a/internal/versions/peer_faults_test.go
+++ b/internal/versions/peer_faults_test.go
@@ -10,7 +10,7 @@
 	"tamarindshore/client/tables"
 )
 
-// deliveryFault is what happens to a delta between chain and replica.
+// deliveryFault is a fault injected between the chain and a replica.
 type deliveryFault string
 
 const (
@@ -25,30 +25,31 @@
 	olderEpoch       deliveryFault = "older epoch"
 	wrongOps         deliveryFault = "wrong operations"
 	replicaRestarted deliveryFault = "replica restarted"
-	replicaEmptied   deliveryFault = "replica emptied"
+	replicaStateLost deliveryFault = "replica lost state"
 )
 
 var deliveryFaults = []deliveryFault{noFault, deltaLost, answerLost, duplicated, reordered, bitFlipped, truncated, unknownKey,
-	olderEpoch, wrongOps, replicaRestarted, replicaEmptied}
+	olderEpoch, wrongOps, replicaRestarted, replicaStateLost}
 
-// mustBeRejected tells whether a replica must not apply what it receives.
+// mustBeRejected reports whether a replica must not apply a delta delivered with this fault.
 func (f deliveryFault) mustBeRejected() bool {
 	return f == bitFlipped || f == truncated || f == unknownKey || f == wrongOps
 }
 
-// answerIsLost tells whether the peer hears nothing: an older epoch is another manager's, and so is the answer to it.
+// answerIsLost reports whether the peer gets no answer. A delta of an older epoch comes from another manager, which also
+// gets the answer.
 func (f deliveryFault) answerIsLost() bool { return f == answerLost || f == olderEpoch }
 
-// testReplica is a replica at the far end of a faulty network.
+// testReplica is a replica that receives deltas through a faulty network.
 type testReplica struct {
 	seed    uint64
 	replica *tables.Replica
 	peer    *Peer
-	delayed []byte            // a delta that comes later
-	applied map[tables.ID]int // how often each version took effect
+	delayed []byte            // delta that a reordering fault delivers later
+	applied map[tables.ID]int // number of times that each version was applied
 }
 
-// faultyNetwork carries the versions of a chain to replicas.
+// faultyNetwork delivers the versions of a chain to replicas, with faults.
 type faultyNetwork struct {
 	chain     *Chain
 	rng       *rand.Rand
@@ -86,7 +87,7 @@
 	return n
 }
 
-// receive hands a replica a delta and counts what takes effect.
+// receive passes an encoded delta to the replica and counts the applied versions.
 func (r *testReplica) receive(now time.Duration, encoded []byte) tables.Outcome {
 	outcome, _ := r.replica.Receive(now, encoded)
 	if outcome == tables.Applied {
@@ -95,7 +96,7 @@
 	return outcome
 }
 
-// answer tells the peer what became of a delta.
+// answer reports the outcome of a delta to the peer.
 func (r *testReplica) answer(now time.Duration, outcome tables.Outcome) {
 	if outcome == tables.Applied {
 		r.peer.HandleAck(r.replica.Version())
@@ -113,7 +114,7 @@
 	return encoded
 }
 
-// encodeWith encodes a delta as a fault leaves it.
+// encodeWith encodes a delta with the damage that a fault causes.
 func (n *faultyNetwork) encodeWith(t *testing.T, fault deliveryFault, delta tables.Delta) []byte {
 	t.Helper()
 	encoded := encode(t, delta, n.keys)
@@ -135,7 +136,7 @@
 	return encoded
 }
 
-// deliver carries one delta to a replica through a fault; false: none was due.
+// deliver delivers one delta to a replica with a fault. It returns false if the peer had none to send.
 func (n *faultyNetwork) deliver(t *testing.T, now time.Duration, r *testReplica, fault deliveryFault) bool {
 	t.Helper()
 	delta, _ := r.peer.NextDelta(now, n.chain.View())
@@ -151,15 +152,15 @@
 	case deltaLost:
 		return true
 	case reordered:
-		if len(r.delayed) > 0 { // an older one comes first
+		if len(r.delayed) > 0 { // the older delta arrives first
 			n.outcomes[fault][r.receive(now, r.delayed)]++
 		}
 		r.delayed = encoded
-	case replicaRestarted: // after it received the delta: it keeps its version, the answer is lost
+	case replicaRestarted: // the replica restarts after receiving the delta: it keeps its version, but the answer is lost
 		r.receive(now, encoded)
 		r.peer = NewPeer(DefaultRetrySettings(), r.replica.Version(), r.seed)
 		return true
-	case replicaEmptied:
+	case replicaStateLost:
 		r.replica = newReplica(n.keys, r.seed)
 		r.peer = NewPeer(DefaultRetrySettings(), r.replica.Version(), r.seed)
 		r.applied = map[tables.ID]int{}
@@ -168,11 +169,11 @@
 	outcome := r.receive(now, encoded)
 	n.outcomes[fault][outcome]++
 	if fault.mustBeRejected() && (outcome == tables.Applied || r.replica.Version() != before) {
-		t.Fatalf("%s: %v, version %v after %v", fault, outcome, r.replica.Version(), before)
+		t.Fatalf("%s: outcome %v, version changed from %v to %v, want a rejection", fault, outcome, before, r.replica.Version())
 	}
 	if fault == duplicated {
 		if again, _ := r.replica.Receive(now, encoded); again == tables.Applied {
-			t.Fatal("applied twice")
+			t.Fatal("the replica applied a duplicated delta twice")
 		}
 		r.peer.HandleAck(r.replica.Version())
 	} else if !fault.answerIsLost() {
@@ -181,8 +182,8 @@
 	return true
 }
 
-// change makes the next version, and at times a rollback in the middle of a push.
-func (n *faultyNetwork) change(t *testing.T, now time.Duration, step int) {
+// proposeChange creates a new version at some steps, and rarely a rollback while deltas are in flight.
+func (n *faultyNetwork) proposeChange(t *testing.T, now time.Duration, step int) {
 	t.Helper()
 	if step%3 == 0 {
 		server := fmt.Sprintf("%c%d", 'a'+step%2, step%4/2)
@@ -193,8 +194,8 @@
 	}
 	kept := n.chain.Versions()
 	target := kept[len(kept)/2].ID
-	if _, fresh, err := n.chain.RollBack(now, target, fmt.Sprint("k", step), time.Hour, allReady); err != nil || !fresh {
-		t.Fatal(fresh, err)
+	if _, executed, err := n.chain.RollBack(now, target, fmt.Sprint("k", step), time.Hour, allReady); err != nil || !executed {
+		t.Fatal(executed, err)
 	}
 	pinned, _ := n.chain.Pinned()
 	var commands balancer.Commands
@@ -206,10 +207,11 @@
 	n.chain.Propose(now, commands, "rollback", allReady)
 }
 
+// deliveryStep is the simulated time between two deliveries to the same replica.
 const deliveryStep = 20 * time.Millisecond
 
-// Each replica always runs a state that was once current, none applies a version twice, and once faults end all run the
-// newest, also where that is a rollback.
+// Under faults, each replica must always run a state that was current at some time, and must not apply a version twice.
+// Once the faults end, all replicas must run the newest version, even if a rollback created it.
 func TestTenThousandFaultsWithFiftyReplicas(t *testing.T) {
 	n := newFaultyNetwork(t, 50)
 	wasCurrent := map[tables.Digest]bool{tables.EmptyState().Digest(): true, n.chain.Head().Digest: true}
@@ -217,7 +219,7 @@
 	delivered := 0
 	for step := 0; delivered < 10_000 && step < 100_000; step++ {
 		now += deliveryStep
-		n.change(t, now, step)
+		n.proposeChange(t, now, step)
 		wasCurrent[n.chain.Head().Digest] = true
 		for i, r := range n.replicas {
 			if n.deliver(t, now, r, deliveryFaults[n.rng.IntN(len(deliveryFaults))]) {
@@ -225,7 +227,7 @@
 			}
 			version := r.replica.Version()
 			if !wasCurrent[version.Digest] || r.replica.State().Digest() != version.Digest {
-				t.Fatalf("replica %d runs %v, which never was current", i, version)
+				t.Fatalf("replica %d runs version %v, which was never current", i, version)
 			}
 		}
 	}
@@ -241,18 +243,18 @@
 func (n *faultyNetwork) expectAllRunTheNewest(t *testing.T) {
 	t.Helper()
 	for i, r := range n.replicas {
-		if r.replica.Version() != refOf(n.chain.Head()) {
-			t.Errorf("replica %d runs %v, not %v", i, r.replica.Version().ID, n.chain.Head().ID)
+		if r.replica.Version() != versionRef(n.chain.Head()) {
+			t.Errorf("replica %d runs version %v, want %v", i, r.replica.Version().ID, n.chain.Head().ID)
 		}
 		for id, times := range r.applied {
 			if times > 1 {
-				t.Errorf("replica %d: version %v took effect %d times", i, id, times)
+				t.Errorf("replica %d applied version %v %d times", i, id, times)
 			}
 		}
 	}
 }
 
-// expectOutcomes makes sure that the faults led to these outcomes at all.
+// expectOutcomes checks that the faults led to each of these outcomes at least once.
 func (n *faultyNetwork) expectOutcomes(t *testing.T, outcomes ...tables.Outcome) {
 	t.Helper()
 	total := map[tables.Outcome]int{}
--- a/internal/versions/peer_test.go
+++ b/internal/versions/peer_test.go
@@ -16,28 +16,28 @@
 	return tables.Keys{key}
 }
 
-func TestAPeerIsSentADeltaFromItsVersion(t *testing.T) {
+func TestPeerSendsDeltaFromReplicaVersion(t *testing.T) {
 	chain := newTestChain(t)
-	peer := NewPeer(DefaultRetrySettings(), refOf(chain.Head()), 1)
+	peer := NewPeer(DefaultRetrySettings(), versionRef(chain.Head()), 1)
 	if delta, wake := peer.NextDelta(0, chain.View()); delta != nil || wake != 0 {
-		t.Error("sent what it runs")
+		t.Errorf("sent %+v, wake %v, although the replica runs the newest version", delta, wake)
 	}
 	chain.Propose(time.Second, weights(weight(0, "a0", 50)), "health", allReady)
 	chain.Propose(time.Second, weights(weight(0, "a1", 60)), "health", allReady)
 	delta, _ := peer.NextDelta(time.Second, chain.View())
 	if delta == nil || delta.IsSnapshot() || len(delta.Ops) != 2 || delta.ID != chain.Head().ID {
-		t.Fatalf("%+v", delta)
+		t.Fatalf("sent %+v, want a delta of 2 operations to the newest version", delta)
 	}
 	if delta, wake := peer.NextDelta(time.Second, chain.View()); delta != nil || wake != 3*time.Second {
-		t.Error("two are in flight")
+		t.Errorf("sent %+v, wake %v, while another delta is in flight", delta, wake)
 	}
-	peer.HandleAck(refOf(chain.Head()))
+	peer.HandleAck(versionRef(chain.Head()))
 	if delta, _ := peer.NextDelta(time.Second, chain.View()); delta != nil {
-		t.Error("sent again")
+		t.Errorf("sent %+v after the acknowledgement", delta)
 	}
 }
 
-func TestAPeerThatDoesNotAnswerIsTriedEverMoreSlowly(t *testing.T) {
+func TestPeerBacksOffFromSilentReplica(t *testing.T) {
 	chain := newTestChain(t)
 	peer := NewPeer(DefaultRetrySettings(), tables.VersionRef{}, 1)
 	attempts := 0
@@ -47,18 +47,18 @@
 			continue
 		}
 		if attempts++; attempts > 1 && !delta.IsSnapshot() {
-			t.Fatal("a delta again")
+			t.Fatal("a retry was not a snapshot")
 		}
 	}
 	if attempts < 15 || attempts > 50 {
-		t.Errorf("%d attempts in ten minutes", attempts)
+		t.Errorf("%d attempts in ten minutes, want 15 to 50", attempts)
 	}
 	if failures, _ := peer.FailedAttempts(); failures < attempts-1 || failures > attempts {
-		t.Errorf("%d failures of %d attempts", failures, attempts)
+		t.Errorf("%d failures recorded for %d attempts", failures, attempts)
 	}
 }
 
-func TestAPeerOfAnotherManagerIsSentNothing(t *testing.T) {
+func TestSupersededPeerSendsNothing(t *testing.T) {
 	chain := newTestChain(t)
 	peer := NewPeer(DefaultRetrySettings(), tables.VersionRef{}, 1)
 	peer.NextDelta(0, chain.View())
@@ -69,12 +69,12 @@
 	}
 }
 
-// The attempts for a seed stay where they were: the sequence is that of the release before.
-func TestTheJitterOfASeedStaysTheSame(t *testing.T) {
+// The retry times for a seed must not change: the expected sequence is that of the previous release.
+func TestJitterSequenceOfASeedIsStable(t *testing.T) {
 	rng := newJitter(7)
 	for _, want := range []float64{0.9104513683222774, 0.06796886211480158} {
 		if got := rng.next(); got != want {
-			t.Errorf("%v, want %v", got, want)
+			t.Errorf("next number is %v, want %v", got, want)
 		}
 	}
 }
--- a/internal/versions/propose.go
+++ b/internal/versions/propose.go
@@ -9,20 +9,20 @@
 	"tamarindshore/client/tables"
 )
 
-// proposal is a version before it is sent.
+// proposal is a version under review, before it is sent.
 type proposal struct {
 	current  *tables.State
-	next     *tables.State // what commands lead to
+	next     *tables.State // state after commands
 	commands *balancer.Commands
 	view     FleetView
 }
 
-// currentWeight is the weight that a server has now in the table of a new weight.
+// currentWeight returns the weight that the server of a proposed weight has now in the same table.
 func (p *proposal) currentWeight(weight balancer.EndpointWeight) float64 {
 	return p.current.Table(uint32(weight.Table)).Weights[string(weight.Server)]
 }
 
-// apply follows the commands, as they are now, to the next state.
+// apply recomputes the next state from the current state and commands.
 func (p *proposal) apply() error {
 	next, err := p.current.Apply(tableOps(*p.commands))
 	if err != nil {
@@ -32,9 +32,9 @@
 	return nil
 }
 
-// Propose checks commands before they go out, and makes a version of those that may. What is urgent goes out whatever
-// else is wrong: withdrawals, assignments, weights taken from servers that may get no requests, weights for a table
-// without a usable server.
+// Propose checks commands before they are sent, and creates a version from those that may be sent. Urgent commands pass
+// even if checks fail: withdrawals, assignments, lower weights of unavailable or warming servers, and weights of
+// available servers for a table without a usable one.
 func (c *Chain) Propose(now time.Duration, commands balancer.Commands, cause string, view FleetView) Result {
 	c.now = now
 	result := Result{Commands: commands}
@@ -43,7 +43,7 @@
 		return result
 	}
 	p := &proposal{current: c.state, next: c.state, commands: &result.Commands, view: view}
-	// An error leaves the next state as the current one: the first check finds the invalid number.
+	// On an error p.next remains the current state, and the first check reports the invalid number.
 	if err := p.apply(); err == nil {
 		c.limitMovement(p, &result)
 	}
@@ -57,12 +57,12 @@
 	return result
 }
 
-// changesTables tells whether any command changes a table: assignments and barriers don't.
+// changesTables reports whether any command changes a table; assignments and barriers don't.
 func changesTables(commands balancer.Commands) bool {
 	return len(commands.Withdraw)+len(commands.Weights)+len(commands.AdmissionLevels)+len(commands.Restore) > 0
 }
 
-// tableOps are commands as changes of a state, in the order in which proxies apply them.
+// tableOps converts commands to operations on a state, in the order in which proxies apply them.
 func tableOps(commands balancer.Commands) (ops []tables.Op) {
 	for _, server := range commands.Withdraw {
 		ops = append(ops, tables.Op{Kind: tables.Withdraw, Server: string(server)})
@@ -89,32 +89,33 @@
 	return ops
 }
 
-// maxSeparateViolations is how many servers or tables of one version may violate a check, each held back by itself.
+// maxSeparateViolations is the maximum number of servers or tables in one version that are held back individually. Beyond
+// it, all commands that are not urgent are held back.
 const maxSeparateViolations = 64
 
-// holdBackViolations holds back the commands for each server or table that violates a check, so that one of them does
-// not hold up all others.
+// holdBackViolations removes the commands for each server or table that violates a check, so that a violation for one
+// does not delay the commands for all others.
 func (c *Chain) holdBackViolations(p *proposal, result *Result) {
 	found := c.findViolation(p)
-	c.logCheck(found, result)
-	for separate := 0; found != nil; separate++ {
+	c.logCheckTransition(found, result)
+	for heldBack := 0; found != nil; heldBack++ {
 		result.Modified = true
-		onlyPart := separate < maxSeparateViolations && p.keepUrgent(*found)
-		if !onlyPart { // the violation is in what is urgent, or there are too many
-			p.keepUrgent(wholeVersion())
+		partial := heldBack < maxSeparateViolations && p.removeAffected(*found)
+		if !partial { // all commands are affected, none could be removed, or there are too many violations
+			p.removeAffected(globalViolation())
 		}
-		if err := p.apply(); err != nil { // its numbers were checked: a bug of this package
-			panic(fmt.Sprintf("the urgent part of a version can't be applied: %v", err))
+		if err := p.apply(); err != nil { // only a bug of this package: the numbers were checked
+			panic(fmt.Sprintf("the remaining commands of a version can't be applied: %v", err))
 		}
-		if !onlyPart {
+		if !partial {
 			return
 		}
 		found = c.findViolation(p)
 	}
 }
 
-// logCheck logs that another check fails than for the last version, or none any more.
-func (c *Chain) logCheck(found *violation, result *Result) {
+// logCheckTransition logs a change since the previous proposal: a different check fails, or all checks pass again.
+func (c *Chain) logCheckTransition(found *violation, result *Result) {
 	failed := ""
 	if found != nil {
 		failed = found.check
@@ -128,9 +129,9 @@
 	c.failedCheck = failed
 }
 
-// keepUrgent removes the commands that a violation affects, but for those that are urgent. It tells whether commands were
-// removed and others were not affected.
-func (p *proposal) keepUrgent(found violation) (onlyPart bool) {
+// removeAffected removes the commands that a violation affects, except urgent ones. It reports whether it removed any and
+// the violation affects only part of the commands.
+func (p *proposal) removeAffected(found violation) (partial bool) {
 	commands := p.commands
 	before := commands.Count()
 	all := found.affectsAll()
--- a/internal/versions/recovery.go
+++ b/internal/versions/recovery.go
@@ -7,16 +7,17 @@
 	"tamarindshore/balancer"
 )
 
-// StoredListIsNewer tells whether a manager that starts is to begin with its stored server list rather than with the one
-// of its start options: where the stored one has servers and a later generation. Where service discovery restarted
-// meanwhile, its generation is lower; its list then replaces the stored one as it would in a running manager.
+// StoredListIsNewer reports whether a starting manager should use its stored server list instead of the one given by its
+// start options: the stored list must have servers and a later generation. If service discovery restarted in the
+// meantime, its generation is lower; its list then replaces the stored one later, as it would in a running manager.
 func StoredListIsNewer(configured, stored int64, storedServers int) bool {
 	return storedServers > 0 && stored > configured
 }
 
-// ApplyStoredDrains corrects a server list by the drains that were in force when the manager ended: a list older than a
-// drain would give that server requests again. A server that started since then is another process. The start times of
-// entries count from startedAt, the manager's start.
+// ApplyStoredDrains returns a copy of a server list in which the servers that were draining when the previous manager
+// process ended are marked as draining. Without this, a list older than a drain would send requests to that server again.
+// A server that started after its drain began is a new process and stays ready. The start times of entries count from
+// startedAt, the manager's start.
 func ApplyStoredDrains(entries []balancer.Endpoint, drains map[string]time.Time, startedAt time.Time) []balancer.Endpoint {
 	entries = slices.Clone(entries)
 	for i, entry := range entries {
--- a/internal/versions/recovery_test.go
+++ b/internal/versions/recovery_test.go
@@ -7,8 +7,8 @@
 	"tamarindshore/balancer"
 )
 
-func TestAManagerBeginsWithTheNewerList(t *testing.T) {
-	for _, one := range []struct {
+func TestStoredListIsNewer(t *testing.T) {
+	for _, test := range []struct {
 		configured, stored int64
 		servers            int
 		want               bool
@@ -17,16 +17,16 @@
 		{41, 40, 10, false},
 		{41, 41, 10, false},
 		{41, 42, 10, true},
-		{41, 42, 0, false}, // an empty list is not used
+		{41, 42, 0, false}, // an empty stored list is not used
 		{0, 1, 1, true},
 	} {
-		if got := StoredListIsNewer(one.configured, one.stored, one.servers); got != one.want {
-			t.Errorf("%+v: %v", one, got)
+		if got := StoredListIsNewer(test.configured, test.stored, test.servers); got != test.want {
+			t.Errorf("%+v: got %v", test, got)
 		}
 	}
 }
 
-func TestADrainOutlivesAListThatIsOlder(t *testing.T) {
+func TestDrainSurvivesOlderServerList(t *testing.T) {
 	startedAt := time.Unix(1000, 0)
 	drainedAt := startedAt.Add(-5 * time.Second)
 	drains := map[string]time.Time{"old": drainedAt, "restarted": drainedAt}
@@ -42,6 +42,6 @@
 		}
 	}
 	if list[0].State != balancer.Ready {
-		t.Error("the caller's list changed")
+		t.Error("the caller's list was changed")
 	}
 }
--- a/internal/versions/types.go
+++ b/internal/versions/types.go
@@ -1,11 +1,11 @@
-// Package versions decides what becomes of the tables as versions: which commands may be sent as the next version, how
-// far one version may move requests, what a rollback leads to, how long tables are held, and what a replica is sent. It
-// is free of I/O, clocks and goroutines, and not safe for use by several goroutines. It never chooses a server or a
-// weight: it lets commands pass, holds them back, or goes part of the way.
+// Package versions manages the versions of the routing tables. It decides which commands may be sent as the next
+// version, how many requests one version may move, which tables a rollback restores, how long tables are held, and which
+// delta a replica receives. It uses no I/O, clocks or goroutines, and is not safe for concurrent use. It never chooses a
+// server or a weight itself: it passes commands on, holds them back, or limits how far they change a value.
 //
-// A Chain is made by New. Propose is asked before commands go out, and HandleBarrierAck told that they were carried out.
-// RollBack, Hold and Resume are operators' commands; EndExpiredHold is called once a second. Pinned returns the tables
-// that the load balancer is to keep. Every time is the time since the manager's start.
+// New creates a Chain. Call Propose before sending commands, and HandleBarrierAck once the proxies have carried them out.
+// RollBack, Hold and Resume implement the operators' commands; call EndExpiredHold once a second. Pinned returns the
+// tables that the load balancer must keep during a hold. Times of type time.Duration count from the manager's start.
 package versions
 
 import (
@@ -15,29 +15,29 @@
 	"tamarindshore/client/tables"
 )
 
-// Settings bound what a Chain lets pass and keeps.
+// Settings holds the limits of a Chain.
 type Settings struct {
-	Epoch     uint64    // of this manager
-	StartedAt time.Time // of this manager: the times of versions are told by it
+	Epoch     uint64    // epoch of this manager
+	StartedAt time.Time // wall-clock time of the manager's start, from which all other wall-clock times are derived
 
 	// Limits of one version.
-	MaxMovedFraction float64 // of all requests that it may move between available servers
-	MaxStepAfterHold float64 // the same, and the step of an admission level, in versions after a hold
-	MaxWarmUpFactor  float64 // times its warm fraction of an equal share that a warming server may get
-	MaxCommands      int
+	MaxMovedFraction float64 // maximum fraction of all requests that move between available servers
+	MaxStepAfterHold float64 // maximum moved fraction, and maximum change of an admission level, in versions after a hold
+	MaxWarmUpFactor  float64 // limit for a warming server, as a multiple of its warm fraction of an equal share of requests
+	MaxCommands      int     // maximum number of commands
 
-	// Limits of what is kept.
-	MaxVersions          int
-	MaxVersionBytes      int // estimated, of all versions
-	MaxCompletedCommands int
+	// Limits of the history.
+	MaxVersions          int // maximum number of kept versions
+	MaxVersionBytes      int // maximum estimated size of all kept versions
+	MaxCompletedCommands int // maximum number of remembered operators' commands
 
 	// Limits of a hold.
-	DefaultHold     time.Duration // where the operator names no duration
-	MaxHold         time.Duration
-	MinHeldFraction float64 // of the held weight: a hold ends once available servers have less
+	DefaultHold     time.Duration // duration of a hold if the operator gives none
+	MaxHold         time.Duration // maximum duration of a hold
+	MinHeldFraction float64       // a hold ends once available servers have less than this fraction of the held weight
 }
 
-// DefaultSettings are the settings of a manager.
+// DefaultSettings returns the settings of a manager with the given epoch.
 func DefaultSettings(epoch uint64) Settings {
 	return Settings{
 		Epoch:                epoch,
@@ -54,54 +54,55 @@
 	}
 }
 
-// ServerStatus is what the manager knows of a server now.
+// ServerStatus describes the current state of a server as known to the manager.
 type ServerStatus struct {
-	Known        bool
-	Available    bool    // it may get requests: it is neither draining nor gone, and it answers
-	WarmFraction float64 // progress of its slow start; 1: warm
+	Known        bool    // whether the manager knows the server
+	Available    bool    // whether the server may get requests: it is listed, not draining and responsive
+	WarmFraction float64 // progress of the slow start, from 0 to 1; 1 means warm
 }
 
-// FleetView is the manager's view of the fleet now.
+// FleetView provides the manager's current view of the fleet.
 type FleetView interface {
+	// ServerStatus returns the status of a server.
 	ServerStatus(balancer.ServerID) ServerStatus
-	// RequestRate is how many requests a second come to the proxies of a table.
+	// RequestRate returns the requests per second received by the proxies that use a table.
 	RequestRate(balancer.TableID) float64
-	// ReadyServers is how many servers are available, and how many of these are warm.
-	ReadyServers() (all, warm int)
+	// ReadyServers returns the number of available servers, and how many of these are warm.
+	ReadyServers() (available, warm int)
 }
 
-// Version is one state of all tables that was sent.
+// Version is a state of all tables that was sent, with the operations that led to it.
 type Version struct {
 	ID           tables.ID
-	Parent       tables.Digest // of the state before it
-	Digest       tables.Digest // of State
+	Parent       tables.Digest // digest of the previous version's state
+	Digest       tables.Digest // digest of State
 	CreatedAt    time.Time
-	Cause        string
-	Layout       string      // how the tables were numbered
-	CommandKey   string      // of the operator's command whose hold was in force
-	Ops          []tables.Op // that lead from the state before it
+	Cause        string      // why the load balancer changed the tables
+	Layout       string      // how tables were numbered when the version was created
+	CommandKey   string      // idempotency key of the command whose hold was in force; empty if none was
+	Ops          []tables.Op // operations that lead from the previous state to State
 	State        *tables.State
-	Barrier      balancer.BarrierID // of the commands that carried it
-	Acknowledged bool               // the commands were carried out; until then the version before it may be in force
+	Barrier      balancer.BarrierID // barrier sent with the version's commands
+	Acknowledged bool               // proxies carried out the commands; until then they may use the previous version
 
-	size int // estimated bytes
+	size int // estimated size in bytes
 }
 
-// Result is what becomes of a proposal.
+// Result is the outcome of a proposal.
 type Result struct {
-	Commands   balancer.Commands // that may go out
-	Modified   bool              // they are not those proposed: the load balancer must be told the current tables
-	Version    *Version          // nil: no table changes
+	Commands   balancer.Commands // the commands that may be sent
+	Modified   bool              // Commands differ from the proposed ones: the load balancer must be given the current tables
+	Version    *Version          // the new version; nil if no table changes
 	LogRecords []balancer.LogRecord
 }
 
-// PinnedTables are tables in the load balancer's terms.
+// PinnedTables holds the contents of tables as the load balancer's types.
 type PinnedTables struct {
 	Weights         map[balancer.TableID]map[balancer.ServerID]float64
-	AdmissionLevels map[balancer.TableID]map[uint]balancer.AdmissionLevel // by mask of traffic classes
+	AdmissionLevels map[balancer.TableID]map[uint]balancer.AdmissionLevel // keyed by the bit mask of traffic classes
 }
 
-// pinnedTables converts a state.
+// pinnedTables converts a state to the load balancer's types.
 func pinnedTables(state *tables.State) PinnedTables {
 	pinned := PinnedTables{
 		Weights:         map[balancer.TableID]map[balancer.ServerID]float64{},
--- a/internal/versions/view.go
+++ b/internal/versions/view.go
@@ -6,20 +6,20 @@
 	"tamarindshore/client/tables"
 )
 
-// View is the versions that a chain keeps at one time. It never changes, so it is safe for use by several goroutines.
+// View is an immutable copy of the version list of a Chain, safe for concurrent use.
 type View struct {
 	versions []*Version
 	head     *Version
 }
 
-// View returns the versions that are kept now.
+// View returns the currently kept versions.
 func (c *Chain) View() View { return View{versions: slices.Clone(c.versions), head: c.Head()} }
 
-// Head returns the newest version; nil before the first.
+// Head returns the newest version of the manager's epoch, or nil if there is none.
 func (v View) Head() *Version { return v.head }
 
-// deltaFrom returns the delta that leads a replica to the newest version: from its own version if that is kept and no
-// snapshot is needed, else from the empty state.
+// deltaFrom returns a delta to the newest version. Its base is the replica's version if that is kept and no snapshot is
+// needed, otherwise the empty state, which makes the delta a snapshot.
 func (v View) deltaFrom(version tables.VersionRef, needsSnapshot bool) *tables.Delta {
 	base := tables.EmptyState()
 	delta := &tables.Delta{
@@ -30,7 +30,7 @@
 		Cause:       v.head.Cause,
 	}
 	for _, kept := range v.versions {
-		if !needsSnapshot && refOf(kept) == version {
+		if !needsSnapshot && versionRef(kept) == version {
 			base = kept.State
 			delta.Base = kept.ID
 			delta.BaseDigest = kept.Digest
@@ -40,6 +40,6 @@
 	return delta
 }
 
-func refOf(version *Version) tables.VersionRef {
+func versionRef(version *Version) tables.VersionRef {
 	return tables.VersionRef{ID: version.ID, Digest: version.Digest}
 }
