--- a/internal/versions/hold_test.go
+++ b/internal/versions/hold_test.go
@@ -110,7 +110,7 @@
 		"all 2 servers that it had in the target version are gone": rollBack(chain, first, "k", 0, fakeFleet{"a0": unavailable, "a1": {}}),
 		"is not kept":              rollBack(chain, tables.ID{Epoch: 1, Number: 1}, "k", 0, allReady),
 		"key must have 1 to 64":    rollBack(chain, first, "", 0, allReady),
-		"to 64 bytes":              rollBack(chain, first, strings.Repeat("k", 65), 0, allReady),
+		"must have 1 to 64 bytes":  rollBack(chain, first, strings.Repeat("k", 65), 0, allReady),
 		"a hold must last from 1s": rollBack(chain, first, "k", time.Millisecond, allReady),
 		"to 24h0m0s, not 25h0m0s":  rollBack(chain, first, "k", 25*time.Hour, allReady),
 		`has the table layout "", the current layout is "3 blocks"`: rollBack(renumbered, first, "k", 0, allReady),
