--- a/client/examples/relay/main.go
+++ b/client/examples/relay/main.go
@@ -1,5 +1,5 @@
-// Relay shows how a relay or proxy embeds a replica of versioned tables: it follows a manager, keeps the last valid
-// version while the manager is away, and picks servers by weight from it.
+// Relay is an example of a relay or proxy that embeds a replica of versioned tables. It follows a manager, keeps the last
+// valid version while the manager is unreachable, and picks servers by their weights in that version.
 //
 //	go run ./client/examples/relay 127.0.0.1:9802 KEYFILE TABLE
 package main
@@ -50,7 +50,7 @@
 	os.Exit(code)
 }
 
-// readKeys reads a file with the 64 hex digits of a key in each line.
+// readKeys reads a file of keys: the 64 hex digits of one secret per line.
 func readKeys(path string) (tables.Keys, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -71,11 +71,11 @@
 	return keys, nil
 }
 
-// newFollower follows a manager and prints each version that takes effect or is rejected.
+// newFollower returns a follower that prints each version that it applies or rejects.
 func newFollower(address string, keys tables.Keys, table uint32) *follow.Follower {
 	retries := tables.RetrySettings{InitialInterval: time.Second, MaxInterval: time.Minute}
 	dialer := &net.Dialer{Timeout: time.Second}
-	var current atomic.Pointer[picker] // read by all requests of a proxy
+	var current atomic.Pointer[picker] // a real proxy reads it for each request
 	return &follow.Follower{
 		Name:    "example",
 		Keys:    keys,
@@ -87,10 +87,10 @@
 			p := newPicker(state, table)
 			current.Store(p)
 			server, found := current.Load().pick(rand.Float64())
-			fmt.Printf("version %v %v: %d servers to pick from, such as %q %v\n", version.ID, version.Digest, len(p.servers), server, found)
+			fmt.Printf("version %v (digest %v): %d servers, picked %q (found: %v)\n", version.ID, version.Digest, len(p.servers), server, found)
 		},
 		OnRejected: func(outcome tables.Outcome, err error) {
-			fmt.Printf("rejected: %v: %v\n", outcome, err)
+			fmt.Printf("delta rejected (%v): %v\n", outcome, err)
 		},
 	}
 }
--- a/client/examples/relay/picker.go
+++ b/client/examples/relay/picker.go
@@ -6,10 +6,11 @@
 	"tamarindshore/client/tables"
 )
 
-// picker picks servers of a table by weight. It is made once for each version and never changes, so requests may share it.
+// picker picks servers from a table at random, in proportion to their weights. Each version gets a new picker; a picker is
+// immutable, so concurrent requests can share it.
 type picker struct {
 	servers           []string
-	cumulativeWeights []float64
+	cumulativeWeights []float64 // sum of the weights of servers[0] to servers[i]
 }
 
 func newPicker(state *tables.State, table uint32) *picker {
@@ -29,7 +30,7 @@
 	return p
 }
 
-// pick returns a server for a random number from 0 up to 1; false: there is none.
+// pick returns the server that a random number in [0, 1) selects. found is false if the table has no servers.
 func (p *picker) pick(random float64) (server string, found bool) {
 	if p == nil || len(p.servers) == 0 {
 		return "", false
--- a/client/examples/relay/picker_test.go
+++ b/client/examples/relay/picker_test.go
@@ -19,15 +19,15 @@
 	p := newPicker(state, 1)
 	for random, want := range map[float64]string{0: "a", 0.2: "a", 0.3: "b", 0.9999: "b"} {
 		if server, found := p.pick(random); server != want || !found {
-			t.Errorf("%v: %q %v, want %q", random, server, found, want)
+			t.Errorf("random number %v: picked %q (found: %v), want %q", random, server, found, want)
 		}
 	}
 }
 
-func TestAnEmptyTableHasNoServerToPick(t *testing.T) {
+func TestEmptyTableHasNoServerToPick(t *testing.T) {
 	for _, p := range []*picker{nil, newPicker(tables.EmptyState(), 1)} {
 		if server, found := p.pick(0.5); found {
-			t.Errorf("picked %q", server)
+			t.Errorf("picked %q from an empty table", server)
 		}
 	}
 }
--- a/client/follow/fixture_test.go
+++ b/client/follow/fixture_test.go
@@ -10,8 +10,8 @@
 	"tamarindshore/client/tables"
 )
 
-// readFrames reads lines of a name and the hex digits of a frame, written by the release before the Go names of the
-// frames changed.
+// readFrames reads a file with a name and the hex digits of a frame in each line. It was written by the release before the
+// Go names of the frames changed.
 func readFrames(t *testing.T) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/frames.txt")
@@ -50,7 +50,7 @@
 
 var fixtureNonce = []byte("0123456789abcdef")
 
-// The versions that the frames of the fixture name.
+// emptyVersion, snapshotVersion and deltaVersion return the versions that the recorded frames contain.
 func emptyVersion() tables.VersionRef {
 	return tables.VersionRef{Digest: tables.EmptyState().Digest()}
 }
@@ -67,15 +67,15 @@
 	return tables.VersionRef{ID: tables.ID{Epoch: 41, Number: 2}, Digest: digest}
 }
 
-func TestFramesOfAnEarlierReleaseAreRead(t *testing.T) {
+func TestFramesOfEarlierReleaseAreRead(t *testing.T) {
 	frames := readFrames(t)
 	key := testKeys(t)[0]
 	ref := func(prefix []byte, version tables.VersionRef) []byte { return AppendVersionRef(prefix, version) }
 	hello := func(version tables.VersionRef) []byte { return EncodeHello(fixtureNonce, key, "proxy-1", version) }
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name string
 		kind byte
-		body []byte // nil: a delta, which TestAFollowerAnswersAsAnEarlierRelease applies
+		body []byte // nil for a delta: TestFollowerRepliesLikeEarlierRelease checks its content
 	}{
 		{"nonce", 'N', fixtureNonce},
 		{"hello-empty", 'H', hello(emptyVersion())},
@@ -88,28 +88,28 @@
 		{"ack-delta", 'A', ref(nil, deltaVersion(t))},
 		{"refused-older-epoch", 'R', ref([]byte{4}, deltaVersion(t))},
 		{"refused-unreadable", 'R', ref([]byte{2}, deltaVersion(t))},
-		{"whole", 'W', ref(nil, deltaVersion(t))},
+		{"whole", 'W', ref(nil, deltaVersion(t))}, // a snapshot request
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			kind, body, err := ReadFrame(bytes.NewReader(frames[one.name]), tables.MaxDeltaBytes)
+		t.Run(test.name, func(t *testing.T) {
+			kind, body, err := ReadFrame(bytes.NewReader(frames[test.name]), tables.MaxDeltaBytes)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if kind != one.kind {
-				t.Errorf("kind %q, want %q", kind, one.kind)
+			if kind != test.kind {
+				t.Errorf("kind %q, want %q", kind, test.kind)
 			}
-			if one.body != nil && !bytes.Equal(body, one.body) {
-				t.Errorf("body %x, want %x", body, one.body)
+			if test.body != nil && !bytes.Equal(body, test.body) {
+				t.Errorf("body %x, want %x", body, test.body)
 			}
 			var written bytes.Buffer
-			if err := WriteFrame(&written, kind, body); err != nil || !bytes.Equal(written.Bytes(), frames[one.name]) {
-				t.Errorf("written again as %x, error %v", written.Bytes(), err)
+			if err := WriteFrame(&written, kind, body); err != nil || !bytes.Equal(written.Bytes(), frames[test.name]) {
+				t.Errorf("re-encoded as %x, error %v, want %x", written.Bytes(), err, frames[test.name])
 			}
 		})
 	}
 }
 
-func TestHelloOfAnEarlierReleaseIsVerified(t *testing.T) {
+func TestHelloOfEarlierReleaseIsVerified(t *testing.T) {
 	frames := readFrames(t)
 	for name, want := range map[string]tables.VersionRef{
 		"hello-empty":    emptyVersion(),
@@ -121,7 +121,7 @@
 		}
 		proxy, version, err := VerifyHello(fixtureNonce, testKeys(t), body)
 		if err != nil || proxy != "proxy-1" || version != want {
-			t.Errorf("%s: %q at %v, error %v", name, proxy, version, err)
+			t.Errorf("%s: proxy %q with version %v, error %v, want proxy-1 with version %v", name, proxy, version, err, want)
 		}
 	}
 }
--- a/client/follow/follower.go
+++ b/client/follow/follower.go
@@ -11,25 +11,27 @@
 	"tamarindshore/client/tables"
 )
 
-// Follower keeps a replica up to date. Its fields are set before Run and not changed from then on; its functions are
-// called by the goroutine that runs Run, which also owns the replica.
+// Follower keeps a replica up to date with a manager. Its fields must not be changed after Run has been called. The
+// goroutine that calls Run also calls the function fields and owns the replica: no other goroutine may use the replica.
 type Follower struct {
-	Name    string // of the replica, up to 64 bytes
-	Keys    tables.Keys
+	Name    string      // of the replica, at most 64 bytes
+	Keys    tables.Keys // at least one; the first signs the hello
 	Replica *tables.Replica
 	Dial    func(ctx context.Context) (net.Conn, error)
 
-	OnApplied  func(version tables.VersionRef, state *tables.State) // after each version that took effect
-	OnRejected func(outcome tables.Outcome, err error)              // after each that did not; may be nil
+	OnApplied  func(version tables.VersionRef, state *tables.State) // called after each applied version
+	OnRejected func(outcome tables.Outcome, err error)              // may be nil; called for each delta that is not applied
 
-	// Backoff between connections, doubled each time up to the most; 0: 100 ms and 5 s.
+	// Backoff between connections. It doubles with each attempt up to MaxBackoff and starts again from InitialBackoff after
+	// a connection that lasted longer than MaxBackoff. The defaults, 100 ms and 5 s, apply if InitialBackoff is not
+	// positive or exceeds MaxBackoff.
 	InitialBackoff time.Duration
 	MaxBackoff     time.Duration
 
-	IOTimeout time.Duration // for the greeting, and for each write; 0: 5 s
+	IOTimeout time.Duration // for the handshake and for each write; defaults to 5 s
 }
 
-// Defaults of a Follower.
+// Defaults for the fields of a Follower.
 const (
 	defaultInitialBackoff = 100 * time.Millisecond
 	defaultMaxBackoff     = 5 * time.Second
@@ -50,14 +52,14 @@
 	return f.IOTimeout
 }
 
-// Run follows a manager until the context ends, and returns the context's error. Where a connection ends it dials again;
-// meanwhile the replica keeps its last valid version.
+// Run follows a manager until the context is done and returns the context's error. When a connection ends, it dials again
+// after a backoff; meanwhile the replica keeps its last valid version.
 func (f *Follower) Run(ctx context.Context) error {
 	backoff := f.backoff()
 	startedAt := time.Now()
 	for failures := 0; ctx.Err() == nil; failures++ {
 		dialedAt := time.Now()
-		f.followOnce(ctx, startedAt) // whatever ended the connection, another one follows
+		f.followConnection(ctx, startedAt) // Run reconnects whatever the error is
 		if time.Since(dialedAt) > backoff.MaxInterval {
 			failures = 0
 		}
@@ -66,7 +68,7 @@
 	return ctx.Err()
 }
 
-// sleep waits, or until the context ends.
+// sleep waits for the duration or until the context is done.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -76,8 +78,8 @@
 	}
 }
 
-// followOnce follows over one connection until it ends, and returns why it did.
-func (f *Follower) followOnce(ctx context.Context, startedAt time.Time) error {
+// followConnection dials and follows the manager over one connection until it fails, and returns the reason.
+func (f *Follower) followConnection(ctx context.Context, startedAt time.Time) error {
 	conn, err := f.Dial(ctx)
 	if err != nil {
 		return err
@@ -86,8 +88,8 @@
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	s := &session{follower: f, conn: conn, startedAt: startedAt, timeout: f.ioTimeout()}
-	if err := s.greet(); err != nil {
-		return fmt.Errorf("greeting: %w", err)
+	if err := s.handshake(); err != nil {
+		return fmt.Errorf("handshake with the manager: %w", err)
 	}
 	for {
 		if err := s.receive(); err != nil {
@@ -100,31 +102,32 @@
 type session struct {
 	follower  *Follower
 	conn      net.Conn
-	startedAt time.Time // of the follower: the replica's times count from it
+	startedAt time.Time // when Run started; the replica's times are relative to it
 	timeout   time.Duration
 }
 
-// greet answers the manager's nonce by a hello.
-func (s *session) greet() error {
+// handshake reads the manager's nonce and replies with a hello.
+func (s *session) handshake() error {
 	keys := s.follower.Keys
 	if len(keys) == 0 {
 		return tables.ErrNoKey
 	}
 	s.conn.SetDeadline(time.Now().Add(s.timeout))
-	kind, nonce, err := ReadFrame(s.conn, maxNonceFrame)
+	kind, nonce, err := ReadFrame(s.conn, maxNonceFrameBody)
 	if err != nil {
 		return err
 	}
 	if kind != FrameNonce || len(nonce) != nonceLen {
-		return fmt.Errorf("%w: kind %q with %d bytes, expected a nonce of %d", ErrUnexpected, kind, len(nonce), nonceLen)
+		return fmt.Errorf("%w: kind %q with %d bytes, expected a nonce (kind %q) with %d bytes",
+			ErrUnexpected, kind, len(nonce), FrameNonce, nonceLen)
 	}
 	hello := EncodeHello(nonce, keys[0], s.follower.Name, s.follower.Replica.Version())
 	return WriteFrame(s.conn, FrameHello, hello)
 }
 
-// receive waits for one frame and answers it. Where a snapshot request becomes due first, it sends that.
+// receive waits for one frame and replies to it. If a snapshot request becomes due first, it sends that request instead.
 func (s *session) receive() error {
-	s.conn.SetReadDeadline(s.nextRequest())
+	s.conn.SetReadDeadline(s.nextRequestTime())
 	kind, body, err := ReadFrame(s.conn, tables.MaxDeltaBytes)
 	if isTimeout(err) {
 		return s.requestSnapshot()
@@ -133,13 +136,13 @@
 		return err
 	}
 	if kind != FrameDelta {
-		return nil // a kind of a later release
+		return nil // ignore frame kinds of later releases
 	}
 	return s.handleDelta(body)
 }
 
-// nextRequest is when the next snapshot request is due; the zero time: none is wanted.
-func (s *session) nextRequest() time.Time {
+// nextRequestTime returns when the next snapshot request is due, or the zero time if none is wanted.
+func (s *session) nextRequestTime() time.Time {
 	at, wanted := s.follower.Replica.NextSnapshotRequest()
 	if !wanted {
 		return time.Time{}
@@ -160,7 +163,7 @@
 	return s.write(FrameSnapshotRequest, AppendVersionRef(nil, replica.Version()))
 }
 
-// handleDelta hands a delta to the replica and tells the manager what became of it.
+// handleDelta passes a delta to the replica and reports the outcome to the manager.
 func (s *session) handleDelta(encoded []byte) error {
 	replica := s.follower.Replica
 	outcome, rejection := replica.Receive(time.Since(s.startedAt), encoded)
--- a/client/follow/follower_test.go
+++ b/client/follow/follower_test.go
@@ -12,20 +12,20 @@
 	"tamarindshore/client/tables"
 )
 
-// testTimeout bounds each step of a test: it passes only where something hangs.
+// testTimeout limits each step of a test. It expires only if something hangs.
 const testTimeout = 10 * time.Second
 
-// runningFollower is a follower whose connections end at the test.
+// runningFollower is a running Follower whose connections are accepted by the test.
 type runningFollower struct {
 	t        *testing.T
 	frames   map[string][]byte
 	dialed   chan net.Conn
 	applied  chan tables.VersionRef
 	rejected chan tables.Outcome
-	stop     func() error // returns what Run returned
+	stop     func() error // stops the follower and returns the result of Run
 }
 
-// startFollower runs a follower until the test ends. It starts with some failed dials.
+// startFollower runs a follower until the test ends. Its first dials, as many as failedDials, fail.
 func startFollower(t *testing.T, failedDials int) *runningFollower {
 	t.Helper()
 	keys := testKeys(t)
@@ -46,10 +46,10 @@
 				failedDials--
 				return nil, errors.New("no route")
 			}
-			ours, theirs := net.Pipe()
+			followerEnd, managerEnd := net.Pipe()
 			select {
-			case f.dialed <- theirs:
-				return ours, nil
+			case f.dialed <- managerEnd:
+				return followerEnd, nil
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
@@ -75,7 +75,7 @@
 	return f
 }
 
-// managerConn is the manager's end of a connection, played from recorded frames.
+// managerConn simulates the manager's end of a connection with recorded frames.
 type managerConn struct {
 	t      *testing.T
 	conn   net.Conn
@@ -91,7 +91,7 @@
 		f.t.Cleanup(func() { conn.Close() })
 		return managerConn{f.t, conn, f.frames}
 	case <-time.After(testTimeout):
-		f.t.Fatal("the follower does not dial")
+		f.t.Fatal("the follower did not dial within the timeout")
 		return managerConn{}
 	}
 }
@@ -99,14 +99,14 @@
 func (m managerConn) send(name string) {
 	m.t.Helper()
 	if _, err := m.conn.Write(m.frames[name]); err != nil {
-		m.t.Fatalf("sending %s: %v", name, err)
+		m.t.Fatalf("sending frame %s: %v", name, err)
 	}
 }
 
 func (m managerConn) sendFrame(kind byte, body string) {
 	m.t.Helper()
 	if err := WriteFrame(m.conn, kind, []byte(body)); err != nil {
-		m.t.Fatalf("sending %q: %v", kind, err)
+		m.t.Fatalf("sending a frame of kind %q: %v", kind, err)
 	}
 }
 
@@ -114,21 +114,21 @@
 	m.t.Helper()
 	got := make([]byte, len(m.frames[name]))
 	if _, err := io.ReadFull(m.conn, got); err != nil {
-		m.t.Fatalf("waiting for %s: %v", name, err)
+		m.t.Fatalf("waiting for frame %s: %v", name, err)
 	}
 	if !bytes.Equal(got, m.frames[name]) {
-		m.t.Errorf("%s: %x, want %x", name, got, m.frames[name])
+		m.t.Errorf("frame %s: received %x, want %x", name, got, m.frames[name])
 	}
 }
 
 func (m managerConn) expectClosed() {
 	m.t.Helper()
 	if _, err := m.conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		m.t.Errorf("error %v, want %v", err, io.EOF)
+		m.t.Errorf("reading from the connection: error %v, want %v", err, io.EOF)
 	}
 }
 
-func TestAFollowerAnswersAsAnEarlierRelease(t *testing.T) {
+func TestFollowerRepliesLikeEarlierRelease(t *testing.T) {
 	follower := startFollower(t, 0)
 	first := follower.connect()
 	first.send("nonce")
@@ -146,29 +146,29 @@
 	second.expect("refused-older-epoch")
 	second.send("unreadable")
 	second.expect("refused-unreadable")
-	second.expect("whole")
+	second.expect("whole") // a snapshot request
 
 	if err := follower.stop(); !errors.Is(err, context.Canceled) {
-		t.Errorf("the follower ended with %v", err)
+		t.Errorf("Run returned %v, want %v", err, context.Canceled)
 	}
-	if one, two := <-follower.applied, <-follower.applied; one != snapshotVersion(t) || two != deltaVersion(t) {
-		t.Errorf("applied %v and %v", one, two)
+	if older, newer := <-follower.applied, <-follower.applied; older != snapshotVersion(t) || newer != deltaVersion(t) {
+		t.Errorf("applied versions %v and %v, want %v and %v", older, newer, snapshotVersion(t), deltaVersion(t))
 	}
-	if one, two := <-follower.rejected, <-follower.rejected; one != tables.OlderEpoch || two != tables.Malformed {
-		t.Errorf("rejected as %v and %v", one, two)
+	if olderEpoch, unreadable := <-follower.rejected, <-follower.rejected; olderEpoch != tables.OlderEpoch || unreadable != tables.Malformed {
+		t.Errorf("rejected with outcomes %v and %v, want %v and %v", olderEpoch, unreadable, tables.OlderEpoch, tables.Malformed)
 	}
 }
 
-func TestAFollowerDialsAgainAfterFailures(t *testing.T) {
+func TestFollowerRedialsAfterFailures(t *testing.T) {
 	follower := startFollower(t, 3)
 	conn := follower.connect()
 	conn.send("nonce")
 	conn.expect("hello-empty")
 }
 
-func TestAFollowerEndsAConnectionWithoutAValidNonce(t *testing.T) {
+func TestFollowerClosesConnectionWithoutValidNonce(t *testing.T) {
 	follower := startFollower(t, 0)
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name string
 		kind byte
 		body string
@@ -176,9 +176,9 @@
 		{"other kind", FrameDelta, "0123456789abcdef"},
 		{"short nonce", FrameNonce, "0123456789abcde"},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			conn := follower.connect()
-			conn.sendFrame(one.kind, one.body)
+			conn.sendFrame(test.kind, test.body)
 			conn.expectClosed()
 		})
 	}
@@ -187,7 +187,7 @@
 	conn.expect("hello-empty")
 }
 
-func TestAFollowerIgnoresFramesOfALaterRelease(t *testing.T) {
+func TestFollowerIgnoresFramesOfLaterRelease(t *testing.T) {
 	follower := startFollower(t, 0)
 	conn := follower.connect()
 	conn.send("nonce")
@@ -197,27 +197,27 @@
 	conn.expect("ack-snapshot")
 }
 
-func TestAFollowerWithoutKeysDoesNotGreet(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	follower := &Follower{Dial: func(context.Context) (net.Conn, error) { return ours, nil }}
-	if err := follower.followOnce(t.Context(), time.Now()); !errors.Is(err, tables.ErrNoKey) {
+func TestFollowerWithoutKeysSendsNoHello(t *testing.T) {
+	followerEnd, managerEnd := net.Pipe()
+	defer managerEnd.Close()
+	follower := &Follower{Dial: func(context.Context) (net.Conn, error) { return followerEnd, nil }}
+	if err := follower.followConnection(t.Context(), time.Now()); !errors.Is(err, tables.ErrNoKey) {
 		t.Errorf("error %v, want %v", err, tables.ErrNoKey)
 	}
 }
 
-func TestDefaultsReplaceUnusableSettings(t *testing.T) {
+func TestDefaultsReplaceInvalidSettings(t *testing.T) {
 	defaults := tables.RetrySettings{InitialInterval: defaultInitialBackoff, MaxInterval: defaultMaxBackoff}
 	if got := (&Follower{}).backoff(); got != defaults {
-		t.Errorf("%+v, want %+v", got, defaults)
+		t.Errorf("backoff %+v, want %+v", got, defaults)
 	}
 	if got := (&Follower{InitialBackoff: time.Second, MaxBackoff: time.Millisecond}).backoff(); got != defaults {
-		t.Errorf("%+v, want %+v", got, defaults)
+		t.Errorf("backoff %+v, want %+v", got, defaults)
 	}
 	if got := (&Follower{}).ioTimeout(); got != defaultIOTimeout {
-		t.Errorf("%v, want %v", got, defaultIOTimeout)
+		t.Errorf("I/O timeout %v, want %v", got, defaultIOTimeout)
 	}
 	if got := (&Follower{IOTimeout: time.Second}).ioTimeout(); got != time.Second {
-		t.Errorf("%v, want 1s", got)
+		t.Errorf("I/O timeout %v, want 1s", got)
 	}
 }
--- a/client/follow/frames.go
+++ b/client/follow/frames.go
@@ -1,5 +1,5 @@
-// Package follow keeps a tables.Replica up to date from a manager, over connections that the user dials. It owns the
-// frames of such a connection and when to dial again; the Replica decides what becomes of a version.
+// Package follow keeps a tables.Replica up to date with a manager, over connections that the user's code dials. It
+// implements the frames of the protocol and the reconnection with backoff; the Replica decides which versions to apply.
 package follow
 
 import (
@@ -13,37 +13,37 @@
 	"tamarindshore/client/tables"
 )
 
-// Kinds of frames, the first byte of each; docs/tables-format.md specifies their bodies.
+// Frame kinds. The kind is the first byte of a frame; docs/tables-format.md specifies the bodies.
 const (
-	FrameNonce           = 'N' // from the manager: random bytes that the hello must answer
-	FrameHello           = 'H' // from the replica: its name and version, authenticated
+	FrameNonce           = 'N' // from the manager: random bytes that the signature of the hello must cover
+	FrameHello           = 'H' // from the replica: its name and version, signed
 	FrameDelta           = 'D' // from the manager: an encoded delta
-	FrameAck             = 'A' // from the replica: it applied a delta; its version
-	FrameRejection       = 'R' // from the replica: the outcome of a delta that it rejected; its version
-	FrameSnapshotRequest = 'W' // from the replica: its version
+	FrameAck             = 'A' // from the replica: it applied a delta; contains its new version
+	FrameRejection       = 'R' // from the replica: it rejected a delta; contains the outcome and its version
+	FrameSnapshotRequest = 'W' // from the replica: it needs a snapshot; contains its version
 )
 
 const (
-	frameHeaderLen = 1 + 4 // kind, length of the body
-	nonceLen       = 16
-	maxNonceFrame  = 64
-	versionRefLen  = 8 + 8 + 32
-	maxNameLen     = 64
-	keyIDLen       = len(tables.KeyID{})
-	signatureLen   = 32
+	frameHeaderLen    = 1 + 4 // kind and length of the body
+	nonceLen          = 16
+	maxNonceFrameBody = 64         // maximum length of the body of a nonce frame
+	versionRefLen     = 8 + 8 + 32 // epoch, number and digest
+	maxNameLen        = 64         // of a replica's name
+	keyIDLen          = len(tables.KeyID{})
+	signatureLen      = 32
 
-	// helloDomain keeps what a hello signs apart from other signed content.
+	// helloDomain is the domain separation prefix of signed hellos.
 	helloDomain = "TSHello1"
 )
 
-// Errors of frames. Each is wrapped with what was found.
+// Errors for invalid frames. Each is wrapped with the details of what was found.
 var (
 	ErrTooLong    = errors.New("frame too long")
 	ErrMalformed  = errors.New("malformed frame")
 	ErrUnexpected = errors.New("unexpected frame")
 )
 
-// WriteFrame writes one frame, by one call of Write.
+// WriteFrame writes one frame with a single call of Write.
 func WriteFrame(w io.Writer, kind byte, body []byte) error {
 	frame := make([]byte, 0, frameHeaderLen+len(body))
 	frame = append(frame, kind)
@@ -53,7 +53,7 @@
 	return err
 }
 
-// ReadFrame reads one frame with a body of up to maxBody bytes. Errors wrap ErrTooLong, or are those of the reader.
+// ReadFrame reads one frame with a body of at most maxBody bytes. Errors wrap ErrTooLong or come from the reader.
 func ReadFrame(r io.Reader, maxBody int) (kind byte, body []byte, err error) {
 	var header [frameHeaderLen]byte
 	if _, err = io.ReadFull(r, header[:]); err != nil {
@@ -61,24 +61,25 @@
 	}
 	length := binary.BigEndian.Uint32(header[1:])
 	if int64(length) > int64(maxBody) {
-		return 0, nil, fmt.Errorf("%w: a frame of %d bytes is longer than %d", ErrTooLong, length, maxBody)
+		return 0, nil, fmt.Errorf("%w: body of %d bytes, expected at most %d", ErrTooLong, length, maxBody)
 	}
 	body = make([]byte, length)
 	_, err = io.ReadFull(r, body)
 	return header[0], body, err
 }
 
-// AppendVersionRef appends the bytes of a version's ID and digest.
+// AppendVersionRef appends the encoded ID and digest of a version.
 func AppendVersionRef(b []byte, version tables.VersionRef) []byte {
 	b = binary.BigEndian.AppendUint64(b, version.ID.Epoch)
 	b = binary.BigEndian.AppendUint64(b, version.ID.Number)
 	return append(b, version.Digest[:]...)
 }
 
-// ParseVersionRef reads what AppendVersionRef wrote, and returns the bytes behind it. Errors wrap ErrMalformed.
+// ParseVersionRef parses the encoding of AppendVersionRef at the start of b and returns the remaining bytes. Errors wrap
+// ErrMalformed.
 func ParseVersionRef(b []byte) (version tables.VersionRef, rest []byte, err error) {
 	if len(b) < versionRefLen {
-		return version, nil, fmt.Errorf("%w: a version has %d bytes, expected %d", ErrMalformed, len(b), versionRefLen)
+		return version, nil, fmt.Errorf("%w: version reference of %d bytes, expected at least %d", ErrMalformed, len(b), versionRefLen)
 	}
 	version.ID.Epoch = binary.BigEndian.Uint64(b)
 	version.ID.Number = binary.BigEndian.Uint64(b[8:])
@@ -86,8 +87,8 @@
 	return version, b[versionRefLen:], nil
 }
 
-// EncodeHello returns the body of a hello: the version that the replica runs, its name of up to 64 bytes, and a signature
-// that answers the manager's nonce.
+// EncodeHello returns the body of a hello frame: the version that the replica runs, its name of at most 64 bytes, the ID of
+// the key, and a signature that also covers the manager's nonce.
 func EncodeHello(nonce []byte, key tables.Key, name string, version tables.VersionRef) []byte {
 	body := AppendVersionRef(nil, version)
 	body = append(body, name...)
@@ -96,7 +97,7 @@
 	return append(body, signature[:]...)
 }
 
-// helloDigest is what a hello signs.
+// helloDigest returns the digest that the signature of a hello covers.
 func helloDigest(nonce, body []byte) []byte {
 	message := append([]byte(helloDomain), nonce...)
 	message = append(message, body...)
@@ -104,20 +105,20 @@
 	return digest[:]
 }
 
-// VerifyHello reads the body of a hello and verifies that one of the keys signed it for this nonce. Errors wrap
+// VerifyHello parses the body of a hello frame and verifies that one of the keys signed it for this nonce. Errors wrap
 // ErrMalformed or tables.ErrUnauthenticated.
 func VerifyHello(nonce []byte, keys tables.Keys, hello []byte) (name string, version tables.VersionRef, err error) {
 	const minLen = versionRefLen + keyIDLen + signatureLen
 	const maxLen = minLen + maxNameLen
 	if len(hello) < minLen || len(hello) > maxLen {
-		return "", version, fmt.Errorf("%w: a hello has %d bytes, expected %d to %d", ErrMalformed, len(hello), minLen, maxLen)
+		return "", version, fmt.Errorf("%w: hello of %d bytes, expected %d to %d", ErrMalformed, len(hello), minLen, maxLen)
 	}
 	signed := hello[:len(hello)-signatureLen]
 	signature := [signatureLen]byte(hello[len(hello)-signatureLen:])
 	content := signed[:len(signed)-keyIDLen]
 	keyID := tables.KeyID(signed[len(signed)-keyIDLen:])
 	if !keys.Verify(keyID, helloDigest(nonce, signed), signature) {
-		return "", version, fmt.Errorf("%w: key %x is not valid here, or its signature is wrong", tables.ErrUnauthenticated, keyID)
+		return "", version, fmt.Errorf("%w: key %x is not one of the valid keys, or the signature is wrong", tables.ErrUnauthenticated, keyID)
 	}
 	version, rest, err := ParseVersionRef(content)
 	return string(rest), version, err
--- a/client/follow/frames_test.go
+++ b/client/follow/frames_test.go
@@ -10,8 +10,8 @@
 	"tamarindshore/client/tables"
 )
 
-func TestBadFramesAreRejected(t *testing.T) {
-	for _, one := range []struct {
+func TestInvalidFramesAreRejected(t *testing.T) {
+	for _, test := range []struct {
 		name  string
 		bytes string
 		want  error
@@ -23,27 +23,27 @@
 		{"too long", "D\x00\x00\x00\x05abcde", ErrTooLong},
 		{"length of 4 GiB", "D\xff\xff\xff\xff", ErrTooLong},
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			if _, _, err := ReadFrame(strings.NewReader(one.bytes), 4); !errors.Is(err, one.want) {
-				t.Errorf("error %v, want %v", err, one.want)
+		t.Run(test.name, func(t *testing.T) {
+			if _, _, err := ReadFrame(strings.NewReader(test.bytes), 4); !errors.Is(err, test.want) {
+				t.Errorf("error %v, want %v", err, test.want)
 			}
 		})
 	}
 }
 
-func TestBadHellosAreRejected(t *testing.T) {
+func TestInvalidHellosAreRejected(t *testing.T) {
 	keys := testKeys(t)
 	otherKey, err := tables.NewKey(bytes.Repeat([]byte{8}, 32))
 	if err != nil {
 		t.Fatal(err)
 	}
 	valid := EncodeHello(fixtureNonce, keys[0], "proxy-1", emptyVersion())
-	changed := func(index int) []byte {
+	flipBit := func(index int) []byte {
 		hello := bytes.Clone(valid)
 		hello[index] ^= 1
 		return hello
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name  string
 		hello []byte
 		want  error
@@ -51,32 +51,32 @@
 		{"nothing", nil, ErrMalformed},
 		{"too short", valid[:versionRefLen+keyIDLen+signatureLen-1], ErrMalformed},
 		{"long name", EncodeHello(fixtureNonce, keys[0], strings.Repeat("x", maxNameLen+1), emptyVersion()), ErrMalformed},
-		{"a byte short", valid[:len(valid)-1], tables.ErrUnauthenticated},
-		{"changed version", changed(0), tables.ErrUnauthenticated},
-		{"changed name", changed(versionRefLen), tables.ErrUnauthenticated},
-		{"changed signature", changed(len(valid) - 1), tables.ErrUnauthenticated},
+		{"last byte cut", valid[:len(valid)-1], tables.ErrUnauthenticated},
+		{"changed version", flipBit(0), tables.ErrUnauthenticated},
+		{"changed name", flipBit(versionRefLen), tables.ErrUnauthenticated},
+		{"changed signature", flipBit(len(valid) - 1), tables.ErrUnauthenticated},
 		{"other nonce", EncodeHello([]byte("another nonce"), keys[0], "proxy-1", emptyVersion()), tables.ErrUnauthenticated},
 		{"unknown key", EncodeHello(fixtureNonce, otherKey, "proxy-1", emptyVersion()), tables.ErrUnauthenticated},
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			if _, _, err := VerifyHello(fixtureNonce, keys, one.hello); !errors.Is(err, one.want) {
-				t.Errorf("error %v, want %v", err, one.want)
+		t.Run(test.name, func(t *testing.T) {
+			if _, _, err := VerifyHello(fixtureNonce, keys, test.hello); !errors.Is(err, test.want) {
+				t.Errorf("error %v, want %v", err, test.want)
 			}
 		})
 	}
 	longest := EncodeHello(fixtureNonce, keys[0], strings.Repeat("x", maxNameLen), emptyVersion())
 	if name, _, err := VerifyHello(fixtureNonce, keys, longest); err != nil || len(name) != maxNameLen {
-		t.Errorf("a name of %d bytes: %q, error %v", maxNameLen, name, err)
+		t.Errorf("hello with a name of %d bytes: name %q, error %v", maxNameLen, name, err)
 	}
 }
 
-func TestAShortVersionRefIsMalformed(t *testing.T) {
+func TestParseVersionRefRejectsShortInput(t *testing.T) {
 	valid := AppendVersionRef(nil, snapshotVersion(t))
 	if _, _, err := ParseVersionRef(valid[:len(valid)-1]); !errors.Is(err, ErrMalformed) {
 		t.Errorf("error %v, want %v", err, ErrMalformed)
 	}
 	version, rest, err := ParseVersionRef(append(valid, "rest"...))
 	if err != nil || version != snapshotVersion(t) || string(rest) != "rest" {
-		t.Errorf("%v with %q left, error %v", version, rest, err)
+		t.Errorf("version %v, remaining bytes %q, error %v", version, rest, err)
 	}
 }
--- a/client/tables/delta.go
+++ b/client/tables/delta.go
@@ -7,76 +7,77 @@
 	"math"
 )
 
-// ID is the place of a version. Numbers count within an epoch; a later epoch is that of another manager, or of the same
-// one after a restart.
+// ID identifies a version and orders it among the others. Numbers increase within an epoch. A new epoch begins when
+// another manager takes over or the same one restarts.
 type ID struct {
 	Epoch  uint64 `json:"Epoch"`
 	Number uint64 `json:"Number"`
 }
 
-// String returns EPOCH.NUMBER.
+// String returns the ID in the form EPOCH.NUMBER.
 func (id ID) String() string { return fmt.Sprintf("%d.%d", id.Epoch, id.Number) }
 
-// Before tells whether a version is older than another.
+// Before reports whether the version is older than the other.
 func (id ID) Before(other ID) bool {
 	return id.Epoch < other.Epoch || id.Epoch == other.Epoch && id.Number < other.Number
 }
 
-// Delta leads from one state to the next. A snapshot is a delta that leads from the empty state.
+// Delta is a list of operations that change the state of one version, its base, into that of another. A snapshot is a
+// delta whose base is the empty state.
 type Delta struct {
 	ID          ID
-	Base        ID     // the version that it leads from; zero: it is a snapshot
-	BaseDigest  Digest // of the state that it leads from
-	Digest      Digest // of the state that it leads to
+	Base        ID     // the version that the delta applies to; zero for a snapshot
+	BaseDigest  Digest // of the state before the operations
+	Digest      Digest // of the state after the operations
 	CreatedAtMs uint64 // Unix milliseconds
-	Cause       string
+	Cause       string // why the manager made the version, in words for operators
 	Ops         []Op
-	KeyID       KeyID // of the key that signed it; Encode signs by the first key
+	KeyID       KeyID // the key that signed the delta; set by Decode, ignored by Encode, which signs with the first key
 }
 
-// IsSnapshot tells whether a delta leads from the empty state.
+// IsSnapshot reports whether the base of the delta is the empty state.
 func (d *Delta) IsSnapshot() bool { return d.Base == ID{} }
 
-// MaxDeltaBytes is the most bytes of an encoded delta.
+// MaxDeltaBytes is the maximum length of an encoded delta.
 const MaxDeltaBytes = 16 << 20
 
 const (
 	magic       = "TSD1"
 	maxCauseLen = 4096
 
-	keyIDLen     = len(KeyID{})
-	digestLen    = len(Digest{})
-	minDeltaLen  = len(magic) + 5 /* numbers */ + 2*digestLen + 2 /* cause and count of operations */ + keyIDLen + macLen
-	headerLen    = 160 // about, of an encoded delta without operations
-	usualOpBytes = 24
+	keyIDLen        = len(KeyID{})
+	digestLen       = len(Digest{})
+	minDeltaLen     = len(magic) + 5 /* numbers */ + 2*digestLen + 2 /* cause and count of operations */ + keyIDLen + macLen
+	approxHeaderLen = 160 // approximate length of an encoded delta without operations
+	approxOpLen     = 24  // approximate length of an encoded operation
 )
 
-// Errors of Decode. Each is wrapped with what was found.
+// Errors that Decode wraps with the details of what was found.
 var (
 	ErrMalformed       = errors.New("malformed")
 	ErrUnauthenticated = errors.New("not authenticated")
 )
 
-// Errors of Encode.
+// Errors that Encode wraps or returns.
 var (
 	ErrNoKey    = errors.New("no key to sign with")
-	ErrTooLarge = errors.New("the delta is too large")
+	ErrTooLarge = errors.New("delta too large")
 )
 
-// Encode returns the bytes of a delta, signed by the first key. Errors wrap ErrNoKey or ErrTooLarge.
+// Encode returns the encoded delta, signed with the first key. Errors wrap ErrNoKey or ErrTooLarge.
 func (d *Delta) Encode(keys Keys) ([]byte, error) {
 	if len(keys) == 0 {
 		return nil, ErrNoKey
 	}
 	key := keys[0]
-	b := make([]byte, 0, headerLen+len(d.Ops)*usualOpBytes)
+	b := make([]byte, 0, approxHeaderLen+len(d.Ops)*approxOpLen)
 	b = append(b, magic...)
 	for _, number := range []uint64{d.ID.Epoch, d.ID.Number, d.Base.Epoch, d.Base.Number, d.CreatedAtMs} {
 		b = binary.AppendUvarint(b, number)
 	}
 	b = append(b, d.BaseDigest[:]...)
 	b = append(b, d.Digest[:]...)
-	b = appendText(b, d.Cause)
+	b = appendString(b, d.Cause)
 	b = binary.AppendUvarint(b, uint64(len(d.Ops)))
 	for i := range d.Ops {
 		b = d.Ops[i].append(b)
@@ -85,36 +86,37 @@
 	mac := key.mac(b)
 	b = append(b, mac[:]...)
 	if len(b) > MaxDeltaBytes {
-		return nil, fmt.Errorf("%w: a delta of %d bytes is longer than %d", ErrTooLarge, len(b), MaxDeltaBytes)
+		return nil, fmt.Errorf("%w: %d bytes, expected at most %d", ErrTooLarge, len(b), MaxDeltaBytes)
 	}
 	return b, nil
 }
 
-// append appends the bytes of an operation.
+// append appends the encoded operation to b.
 func (o *Op) append(b []byte) []byte {
 	b = append(b, byte(o.Kind))
 	switch o.Kind {
 	case SetWeight:
 		b = binary.AppendUvarint(b, uint64(o.Table))
-		b = appendText(b, o.Server)
-		return appendNumber(b, o.Weight)
+		b = appendString(b, o.Server)
+		return appendFloat64(b, o.Weight)
 	case SetAdmissionLevel:
 		b = binary.AppendUvarint(b, uint64(o.Table))
 		b = binary.AppendUvarint(b, o.Classes)
-		b = appendNumber(b, o.AdmissionLevel.Amount)
+		b = appendFloat64(b, o.AdmissionLevel.Amount)
 		return append(b, o.AdmissionLevel.Retry)
 	case ClearTable:
 		return binary.AppendUvarint(b, uint64(o.Table))
 	default: // Withdraw, Restore
-		return appendText(b, o.Server)
+		return appendString(b, o.Server)
 	}
 }
 
-// Decode reads a delta, verifies that one of the keys signed it, and validates its operations; it applies nothing. Errors
-// wrap ErrMalformed or ErrUnauthenticated.
+// Decode decodes a delta, verifies that one of the keys signed it, and validates its operations without applying them.
+// Errors wrap ErrMalformed or ErrUnauthenticated.
 func Decode(encoded []byte, keys Keys) (*Delta, error) {
 	if len(encoded) > MaxDeltaBytes || len(encoded) < minDeltaLen || string(encoded[:len(magic)]) != magic {
-		return nil, fmt.Errorf("%w: %d bytes are no delta", ErrMalformed, len(encoded))
+		return nil, fmt.Errorf("%w: not a delta: %d bytes, expected %d to %d bytes that start with %q",
+			ErrMalformed, len(encoded), minDeltaLen, MaxDeltaBytes, magic)
 	}
 	signed := encoded[:len(encoded)-macLen]
 	mac := [macLen]byte(encoded[len(encoded)-macLen:])
@@ -122,16 +124,16 @@
 	keyID := KeyID(signed[len(signed)-keyIDLen:])
 	key, valid := keys.find(keyID)
 	if !valid {
-		return nil, fmt.Errorf("%w: key %x is not valid here", ErrUnauthenticated, keyID)
+		return nil, fmt.Errorf("%w: key %x is not one of the valid keys", ErrUnauthenticated, keyID)
 	}
 	if !equalMACs(key.mac(signed), mac) {
-		return nil, fmt.Errorf("%w: the signature by key %x is wrong", ErrUnauthenticated, keyID)
+		return nil, fmt.Errorf("%w: the signature does not match key %x", ErrUnauthenticated, keyID)
 	}
 	d := decoder{rest: body}
-	delta := d.delta()
+	delta := d.readDelta()
 	delta.KeyID = keyID
 	if d.err == nil && len(d.rest) > 0 {
-		d.fail("%d bytes are left over", len(d.rest))
+		d.fail("%d unexpected bytes after the last operation", len(d.rest))
 	}
 	if d.err != nil {
 		return nil, d.err
@@ -139,7 +141,7 @@
 	return delta, nil
 }
 
-// decoder reads the body of a delta. After the first error, which stays in err, it returns zero values.
+// decoder reads the body of a delta. It keeps the first error in err and returns zero values from then on.
 type decoder struct {
 	rest []byte
 	err  error
@@ -152,41 +154,41 @@
 	d.rest = nil
 }
 
-// delta reads the fields in the order of the format.
-func (d *decoder) delta() *Delta {
+// readDelta reads the fields in the order in which they are encoded.
+func (d *decoder) readDelta() *Delta {
 	delta := &Delta{}
-	delta.ID = d.id()
-	delta.Base = d.id()
-	delta.CreatedAtMs = d.uvarint()
-	delta.BaseDigest = d.digest()
-	delta.Digest = d.digest()
-	delta.Cause = d.text(maxCauseLen)
-	count := d.uvarint()
+	delta.ID = d.readID()
+	delta.Base = d.readID()
+	delta.CreatedAtMs = d.readUvarint()
+	delta.BaseDigest = d.readDigest()
+	delta.Digest = d.readDigest()
+	delta.Cause = d.readString(maxCauseLen)
+	count := d.readUvarint()
 	if count > uint64(len(d.rest)) {
-		d.fail("%d operations in %d bytes", count, len(d.rest))
+		d.fail("%d operations, but only %d bytes are left", count, len(d.rest))
 	}
 	for i := uint64(0); i < count && d.err == nil; i++ {
-		delta.Ops = append(delta.Ops, d.op())
+		delta.Ops = append(delta.Ops, d.readOp())
 	}
 	return delta
 }
 
-func (d *decoder) op() Op {
-	op := Op{Kind: OpKind(d.byte())}
+func (d *decoder) readOp() Op {
+	op := Op{Kind: OpKind(d.readByte())}
 	switch op.Kind {
 	case SetWeight:
-		op.Table = d.table()
-		op.Server = d.text(maxServerLen)
-		op.Weight = d.number()
+		op.Table = d.readTableID()
+		op.Server = d.readString(maxServerLen)
+		op.Weight = d.readFloat64()
 	case SetAdmissionLevel:
-		op.Table = d.table()
-		op.Classes = d.uvarint()
-		op.AdmissionLevel.Amount = d.number()
-		op.AdmissionLevel.Retry = d.byte()
+		op.Table = d.readTableID()
+		op.Classes = d.readUvarint()
+		op.AdmissionLevel.Amount = d.readFloat64()
+		op.AdmissionLevel.Retry = d.readByte()
 	case ClearTable:
-		op.Table = d.table()
+		op.Table = d.readTableID()
 	default:
-		op.Server = d.text(maxServerLen)
+		op.Server = d.readString(maxServerLen)
 	}
 	if err := op.validate(); err != nil {
 		d.fail("%w", err)
@@ -194,33 +196,33 @@
 	return op
 }
 
-func (d *decoder) id() ID {
-	epoch := d.uvarint()
-	number := d.uvarint()
+func (d *decoder) readID() ID {
+	epoch := d.readUvarint()
+	number := d.readUvarint()
 	return ID{Epoch: epoch, Number: number}
 }
 
-func (d *decoder) digest() (digest Digest) {
-	copy(digest[:], d.bytes(digestLen))
+func (d *decoder) readDigest() (digest Digest) {
+	copy(digest[:], d.readBytes(digestLen))
 	return digest
 }
 
-// uvarint reads an unsigned LEB128 number in its shortest form: each number has one form.
-func (d *decoder) uvarint() uint64 {
+// readUvarint reads an unsigned LEB128 number. It accepts only the shortest form, so that each number has one encoding.
+func (d *decoder) readUvarint() uint64 {
 	number, n := binary.Uvarint(d.rest)
-	isLonger := n > 1 && d.rest[n-1] == 0
-	if n <= 0 || isLonger {
-		d.fail("a number is cut off or too long")
+	isOverlong := n > 1 && d.rest[n-1] == 0
+	if n <= 0 || isOverlong {
+		d.fail("a number is truncated or not in its shortest form")
 		return 0
 	}
 	d.rest = d.rest[n:]
 	return number
 }
 
-// bytes reads n bytes; nil: there are not as many.
-func (d *decoder) bytes(n int) []byte {
+// readBytes reads n bytes. It fails and returns nil if fewer than n bytes are left.
+func (d *decoder) readBytes(n int) []byte {
 	if n > len(d.rest) {
-		d.fail("it ends %d bytes too early", n-len(d.rest))
+		d.fail("truncated: expected %d bytes, found %d", n, len(d.rest))
 		return nil
 	}
 	read := d.rest[:n]
@@ -228,33 +230,33 @@
 	return read
 }
 
-func (d *decoder) byte() byte {
-	if read := d.bytes(1); read != nil {
+func (d *decoder) readByte() byte {
+	if read := d.readBytes(1); read != nil {
 		return read[0]
 	}
 	return 0
 }
 
-func (d *decoder) text(maxLen int) string {
-	n := d.uvarint()
+func (d *decoder) readString(maxLen int) string {
+	n := d.readUvarint()
 	if n > uint64(maxLen) {
-		d.fail("a text has %d bytes, expected up to %d", n, maxLen)
+		d.fail("a string of %d bytes, expected at most %d", n, maxLen)
 		return ""
 	}
-	return string(d.bytes(int(n)))
+	return string(d.readBytes(int(n)))
 }
 
-func (d *decoder) table() uint32 {
-	number := d.uvarint()
+func (d *decoder) readTableID() uint32 {
+	number := d.readUvarint()
 	if number > math.MaxUint32 {
-		d.fail("table %d is above %d", number, uint32(math.MaxUint32))
+		d.fail("table ID %d, expected at most %d", number, uint32(math.MaxUint32))
 		return 0
 	}
 	return uint32(number)
 }
 
-func (d *decoder) number() float64 {
-	if read := d.bytes(8); read != nil {
+func (d *decoder) readFloat64() float64 {
+	if read := d.readBytes(8); read != nil {
 		return math.Float64frombits(binary.BigEndian.Uint64(read))
 	}
 	return 0
--- a/client/tables/delta_test.go
+++ b/client/tables/delta_test.go
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// The vectors of docs/tables-format.md.
+// Checks the test vectors of docs/tables-format.md.
 func TestVectors(t *testing.T) {
 	state := exampleState(t)
 	keyID := testKey(t, 7).ID
-	for name, pair := range map[string][2]string{
+	for name, gotAndWant := range map[string][2]string{
 		"empty state": {toHex(EmptyState().Digest()), "c296e466d3a3c04967adaefc7f3585e50555b18e960678bdc1fc3c921c68e2f2"},
 		"state":       {toHex(state.Digest()), "829320f60405661aa54ec2a155fa64ea8b842c451118548d044d68ea36394535"},
 		"table 0": {hex.EncodeToString(state.Table(0).appendCanonical([]byte(tableDomain))),
@@ -27,14 +27,14 @@
 				"00000000010003732d32404f4000000000000200023fe80000000000000101ac0203732d313ff000000000000001e90df8d191ced5" +
 				"1563ef110805014a5b9c9fb837e6ec5e98867b1af510c4a31a04fd75"},
 	} {
-		if got, want := pair[0], pair[1]; got != want {
+		if got, want := gotAndWant[0], gotAndWant[1]; got != want {
 			t.Errorf("%s: %s, want %s", name, got, want)
 		}
 	}
 }
 
-// signed is a body with the signature that fits it, whatever it holds.
-func signed(t testing.TB, body []byte) []byte {
+// signBody returns an encoded delta with the given body and a valid signature. The body itself may be malformed.
+func signBody(t testing.TB, body []byte) []byte {
 	t.Helper()
 	key := testKey(t, 7)
 	b := append([]byte(magic), body...)
@@ -43,43 +43,43 @@
 	return append(b, mac[:]...)
 }
 
-// deltaBody is the body of a delta with one operation, given by its bytes.
+// deltaBody returns the body of a delta with one operation, which is already encoded.
 func deltaBody(cause string, op ...byte) []byte {
 	body := []byte{3, 1, 0, 0, 0}
 	body = append(body, make([]byte, 2*digestLen)...)
-	body = appendText(body, cause)
+	body = appendString(body, cause)
 	body = append(body, 1)
 	return append(body, op...)
 }
 
-// malformedBody is the body of a delta that must be rejected for a reason.
+// malformedBody is the body of a delta that must be rejected, and a part of the expected error text.
 type malformedBody struct {
-	name   string
-	body   []byte
-	reason string
+	name      string
+	body      []byte
+	errorText string
 }
 
 func malformedBodies(valid []byte, withdrawX []byte) []malformedBody {
 	setWeight := func(table uint64, weight float64) []byte {
 		op := binary.AppendUvarint([]byte{byte(SetWeight)}, table)
-		return appendNumber(append(op, 1, 'x'), weight)
+		return appendFloat64(append(op, 1, 'x'), weight)
 	}
-	replaced := func(index int, bytes ...byte) []byte {
+	replaceByte := func(index int, bytes ...byte) []byte {
 		return append(append(append([]byte{}, valid[:index]...), bytes...), valid[index+1:]...)
 	}
 	return []malformedBody{
-		{"too short", valid[:20], "are no delta"},
-		{"longer form of a number", replaced(0, 0x83, 0), "a number is cut off or too long"},
-		{"number of 11 bytes", replaced(0, bytes.Repeat([]byte{0xff}, 11)...), "a number is cut off or too long"},
-		{"long cause", deltaBody(strings.Repeat("x", maxCauseLen+1), withdrawX...), "a text has 4097 bytes, expected up to 4096"},
-		{"more operations than bytes", replaced(len(valid)-4, 4), "4 operations in 3 bytes"},
-		{"cut operation", valid[:len(valid)-1], "it ends 1 bytes too early"},
-		{"cut weight", deltaBody("", setWeight(0, 1)[:11]...), "it ends 1 bytes too early"},
-		{"bytes left over", append(append([]byte{}, valid...), 0), "1 bytes are left over"},
-		{"unknown kind", deltaBody("", 6, 1, 'x'), "kind 6 of an operation is unknown"},
-		{"no server", deltaBody("", byte(Withdraw), 0), "a server's ID has 0 bytes"},
-		{"infinite weight", deltaBody("", setWeight(0, math.Inf(1))...), "weight +Inf of x is not finite"},
-		{"table above 32 bits", deltaBody("", setWeight(1<<32, 1)...), "table 4294967296 is above 4294967295"},
+		{"too short", valid[:20], "not a delta: 60 bytes"},
+		{"longer form of a number", replaceByte(0, 0x83, 0), "a number is truncated or not in its shortest form"},
+		{"number of 11 bytes", replaceByte(0, bytes.Repeat([]byte{0xff}, 11)...), "a number is truncated or not in its shortest form"},
+		{"long cause", deltaBody(strings.Repeat("x", maxCauseLen+1), withdrawX...), "a string of 4097 bytes, expected at most 4096"},
+		{"more operations than bytes", replaceByte(len(valid)-4, 4), "4 operations, but only 3 bytes are left"},
+		{"cut operation", valid[:len(valid)-1], "truncated: expected 1 bytes, found 0"},
+		{"cut weight", deltaBody("", setWeight(0, 1)[:11]...), "truncated: expected 8 bytes, found 7"},
+		{"extra byte", append(append([]byte{}, valid...), 0), "1 unexpected bytes after the last operation"},
+		{"unknown kind", deltaBody("", 6, 1, 'x'), "unknown operation kind 6, expected 1 to 5"},
+		{"no server", deltaBody("", byte(Withdraw), 0), "server ID of 0 bytes, expected 1 to 255 bytes"},
+		{"infinite weight", deltaBody("", setWeight(0, math.Inf(1))...), `weight +Inf of server "x", expected a finite number`},
+		{"table above 32 bits", deltaBody("", setWeight(1<<32, 1)...), "table ID 4294967296, expected at most 4294967295"},
 	}
 }
 
@@ -87,29 +87,29 @@
 	keys := testKeys(t)
 	withdrawX := []byte{byte(Withdraw), 1, 'x'}
 	valid := deltaBody("", withdrawX...)
-	if _, err := Decode(signed(t, valid), keys); err != nil {
-		t.Fatalf("the delta that the others differ from: %v", err)
+	if _, err := Decode(signBody(t, valid), keys); err != nil {
+		t.Fatalf("the valid delta that the malformed ones are made from: %v", err)
 	}
-	for _, one := range malformedBodies(valid, withdrawX) {
-		t.Run(one.name, func(t *testing.T) {
-			delta, err := Decode(signed(t, one.body), keys)
-			if delta != nil || !errors.Is(err, ErrMalformed) || !strings.Contains(err.Error(), one.reason) {
-				t.Errorf("delta %v, error %v, want %s", delta, err, one.reason)
+	for _, test := range malformedBodies(valid, withdrawX) {
+		t.Run(test.name, func(t *testing.T) {
+			delta, err := Decode(signBody(t, test.body), keys)
+			if delta != nil || !errors.Is(err, ErrMalformed) || !strings.Contains(err.Error(), test.errorText) {
+				t.Errorf("delta %v, error %v, want an error with the text %q", delta, err, test.errorText)
 			}
 		})
 	}
-	otherMagic := signed(t, valid)
-	otherMagic[0] = 'X'
-	for name, encoded := range map[string][]byte{"other magic": otherMagic, "too long": make([]byte, MaxDeltaBytes+1)} {
+	wrongMagic := signBody(t, valid)
+	wrongMagic[0] = 'X'
+	for name, encoded := range map[string][]byte{"other magic": wrongMagic, "too long": make([]byte, MaxDeltaBytes+1)} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Decode(encoded, keys); !errors.Is(err, ErrMalformed) {
-				t.Errorf("error %v", err)
+				t.Errorf("error %v, want %v", err, ErrMalformed)
 			}
 		})
 	}
 }
 
-func TestDeltasThatCantBeEncodedAreReported(t *testing.T) {
+func TestEncodeReportsErrors(t *testing.T) {
 	large := Delta{Cause: strings.Repeat("x", MaxDeltaBytes)}
 	if _, err := large.Encode(testKeys(t)); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("error %v, want %v", err, ErrTooLarge)
@@ -119,10 +119,10 @@
 	}
 }
 
-func TestAKeyHas32Bytes(t *testing.T) {
+func TestNewKeyRejectsWrongLength(t *testing.T) {
 	for _, length := range []int{0, 31, 33} {
 		if _, err := NewKey(make([]byte, length)); !errors.Is(err, ErrKeyLength) {
-			t.Errorf("%d bytes: error %v", length, err)
+			t.Errorf("key of %d bytes: error %v, want %v", length, err, ErrKeyLength)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	keys := testKeys(f)
 	f.Add(encodeSnapshot(f, ID{3, 1}, exampleState(f), keys)[len(magic):])
 	f.Fuzz(func(t *testing.T, body []byte) {
-		encoded := signed(t, body)
+		encoded := signBody(t, body)
 		delta, err := Decode(encoded, keys)
 		if err != nil {
 			if !errors.Is(err, ErrMalformed) {
@@ -139,9 +139,9 @@
 			}
 			return
 		}
-		again, err := delta.Encode(keys)
-		if err != nil || !bytes.Equal(again, encoded) {
-			t.Errorf("a delta has two forms, error %v", err)
+		reencoded, err := delta.Encode(keys)
+		if err != nil || !bytes.Equal(reencoded, encoded) {
+			t.Errorf("the decoded delta is not re-encoded to the same bytes, error %v", err)
 		}
 	})
 }
@@ -149,19 +149,19 @@
 func BenchmarkDelta(b *testing.B) {
 	keys := testKeys(b)
 	for _, servers := range []int{50, 500, 5000} {
-		var all, moved []Op
+		var initial, changed []Op
 		for i := range servers {
 			name := "s-" + hex.EncodeToString([]byte{byte(i >> 8), byte(i), 3})
-			all = append(all, Op{Kind: SetWeight, Table: uint32(i / 50), Server: name, Weight: 100 + float64(i%9)})
+			initial = append(initial, Op{Kind: SetWeight, Table: uint32(i / 50), Server: name, Weight: 100 + float64(i%9)})
 			if i%100 == 7 {
-				moved = append(moved, Op{Kind: SetWeight, Table: uint32(i / 50), Server: name, Weight: 50})
+				changed = append(changed, Op{Kind: SetWeight, Table: uint32(i / 50), Server: name, Weight: 50})
 			}
 		}
-		base := apply(b, EmptyState(), all...)
-		next := apply(b, base, moved...)
+		base := apply(b, EmptyState(), initial...)
+		next := apply(b, base, changed...)
 		for name, encoded := range map[string][]byte{
 			"whole": encodeSnapshot(b, ID{1, 2}, next, keys),
-			"delta": encodeBetween(b, ID{1, 2}, ID{1, 1}, base, next, keys),
+			"delta": encodeDiff(b, ID{1, 2}, ID{1, 1}, base, next, keys),
 		} {
 			b.Run(fmt.Sprintf("%s/%d", name, servers), func(b *testing.B) {
 				for b.Loop() {
--- a/client/tables/diff.go
+++ b/client/tables/diff.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Diff returns the operations, in a fixed order, that lead from one state to another: withdrawals first, then weights and
-// admission levels by table, then restored servers.
+// Diff returns the operations that change one state into another. Their order is fixed: withdrawals first, then the weights
+// and admission levels of each table, then restored servers.
 func Diff(from, to *State) (ops []Op) {
 	for _, server := range to.WithdrawnServers() {
 		if !from.withdrawn[server] {
@@ -33,7 +33,7 @@
 	if to.isEmpty() {
 		return append(ops, Op{Kind: ClearTable, Table: id})
 	}
-	if losesLevel(from, to) { // no operation removes a single level
+	if removesLevel(from, to) { // no operation removes a single admission level
 		ops = append(ops, Op{Kind: ClearTable, Table: id})
 		from = &Table{}
 	}
@@ -54,8 +54,8 @@
 	return ops
 }
 
-// losesLevel tells whether a table has an admission level that another has not.
-func losesLevel(from, to *Table) bool {
+// removesLevel reports whether from has an admission level that is absent from to.
+func removesLevel(from, to *Table) bool {
 	for classes := range from.AdmissionLevels {
 		if _, stays := to.AdmissionLevels[classes]; !stays {
 			return true
--- a/client/tables/example_test.go
+++ b/client/tables/example_test.go
@@ -8,7 +8,8 @@
 	"tamarindshore/client/tables"
 )
 
-// A manager encodes a snapshot and then a delta; a replica applies them and rejects what it can't authenticate.
+// A manager encodes a snapshot and then a delta. A replica applies both, ignores a repeated delta and rejects bytes that are
+// not a delta.
 func ExampleReplica() {
 	key, err := tables.NewKey(bytes.Repeat([]byte{7}, 32))
 	if err != nil {
@@ -51,5 +52,5 @@
 	// 1.1 applied map[s-1:100]
 	// 1.2 applied map[s-1:100 s-2:50]
 	// 1.2 already applied map[s-1:100 s-2:50]
-	// malformed malformed: 11 bytes are no delta 1.2
+	// malformed malformed: not a delta: 11 bytes, expected 111 to 16777216 bytes that start with "TSD1" 1.2
 }
--- a/client/tables/fixture_test.go
+++ b/client/tables/fixture_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// readFixtures reads lines of a name and hex digits, written by the release before the Go names of the format changed.
+// readFixtures reads a file with a name and hex digits in each line. The files were written by the release before the Go
+// names of the format changed.
 func readFixtures(t *testing.T, path string) map[string][]byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -28,7 +29,7 @@
 	return fixtures
 }
 
-// deltaFixture is what an encoded delta of testdata/deltas.txt says, and the tables that it leads to.
+// deltaFixture is the expected content of an encoded delta in testdata/deltas.txt, and the state after applying it.
 type deltaFixture struct {
 	name  string
 	delta Delta
@@ -61,7 +62,7 @@
 	}}
 }
 
-func followingFixture(keyID KeyID, snapshotDigest, deltaDigest Digest) deltaFixture {
+func incrementalFixture(keyID KeyID, snapshotDigest, deltaDigest Digest) deltaFixture {
 	return deltaFixture{"delta", Delta{
 		ID:          ID{41, 2},
 		Base:        ID{41, 1},
@@ -88,50 +89,50 @@
 	}}
 }
 
-func TestDeltasOfAnEarlierReleaseAreRead(t *testing.T) {
+func TestDeltasOfEarlierReleaseAreDecoded(t *testing.T) {
 	fixtures := readFixtures(t, "testdata/deltas.txt")
 	keys := testKeys(t)
 	replica := NewReplica(keys, RetrySettings{}, 1)
 	snapshotDigest := Digest(fixtures["snapshot-digest"])
 	deltaDigest := Digest(fixtures["delta-digest"])
-	for _, one := range []deltaFixture{
+	for _, test := range []deltaFixture{
 		snapshotFixture(keys[0].ID, snapshotDigest),
-		followingFixture(keys[0].ID, snapshotDigest, deltaDigest),
+		incrementalFixture(keys[0].ID, snapshotDigest, deltaDigest),
 	} {
-		encoded := fixtures[one.name]
+		encoded := fixtures[test.name]
 		decoded, err := Decode(encoded, keys)
 		if err != nil {
-			t.Fatalf("%s: %v", one.name, err)
+			t.Fatalf("%s: %v", test.name, err)
 		}
-		if !reflect.DeepEqual(*decoded, one.delta) {
-			t.Errorf("%s:\n%+v\nwant\n%+v", one.name, *decoded, one.delta)
+		if !reflect.DeepEqual(*decoded, test.delta) {
+			t.Errorf("%s: decoded as\n%+v\nwant\n%+v", test.name, *decoded, test.delta)
 		}
-		if again, err := decoded.Encode(keys); err != nil || !bytes.Equal(again, encoded) {
-			t.Errorf("%s is encoded again as %x, error %v", one.name, again, err)
+		if reencoded, err := decoded.Encode(keys); err != nil || !bytes.Equal(reencoded, encoded) {
+			t.Errorf("%s: re-encoded as %x, error %v, want the original bytes", test.name, reencoded, err)
 		}
 		if outcome, err := replica.Receive(0, encoded); outcome != Applied {
-			t.Fatalf("%s: %v, %v", one.name, outcome, err)
+			t.Fatalf("%s: outcome %v, error %v, want outcome applied", test.name, outcome, err)
 		}
-		expectVersion(t, replica, VersionRef{one.delta.ID, one.delta.Digest})
-		expectSameTables(t, replica.State(), one.state)
+		expectVersion(t, replica, VersionRef{test.delta.ID, test.delta.Digest})
+		expectSameTables(t, replica.State(), test.state)
 	}
 }
 
 func expectVersion(t *testing.T, replica *Replica, want VersionRef) {
 	t.Helper()
 	if got := replica.Version(); got != want || replica.State().Digest() != want.Digest {
-		t.Errorf("version %v with state %v, want %v", got, replica.State().Digest(), want)
+		t.Errorf("version %v with state digest %v, want version %v", got, replica.State().Digest(), want)
 	}
 }
 
-// expectSameTables compares what two states hold, without their digests.
+// expectSameTables compares the content of two states, but not their digests.
 func expectSameTables(t *testing.T, got, want *State) {
 	t.Helper()
 	if !reflect.DeepEqual(got.withdrawn, want.withdrawn) {
-		t.Errorf("withdrawn %v, want %v", got.withdrawn, want.withdrawn)
+		t.Errorf("withdrawn servers %v, want %v", got.withdrawn, want.withdrawn)
 	}
 	if !reflect.DeepEqual(got.TableIDs(), want.TableIDs()) {
-		t.Fatalf("tables %v, want %v", got.TableIDs(), want.TableIDs())
+		t.Fatalf("table IDs %v, want %v", got.TableIDs(), want.TableIDs())
 	}
 	for _, id := range want.TableIDs() {
 		gotTable := got.Table(id)
--- a/client/tables/helpers_test.go
+++ b/client/tables/helpers_test.go
@@ -20,7 +20,7 @@
 	return Keys{testKey(t, 7)}
 }
 
-// exampleOps lead to the state of docs/tables-format.md.
+// exampleOps returns the operations that make the example state of docs/tables-format.md.
 func exampleOps() []Op {
 	return []Op{
 		{Kind: SetWeight, Table: 0, Server: "s-1", Weight: 100},
@@ -45,8 +45,8 @@
 	return next
 }
 
-// encodeBetween encodes the delta between two states.
-func encodeBetween(t testing.TB, id, base ID, from, to *State, keys Keys) []byte {
+// encodeDiff encodes the delta between two states.
+func encodeDiff(t testing.TB, id, base ID, from, to *State, keys Keys) []byte {
 	t.Helper()
 	return encode(t, keys, Delta{
 		ID:          id,
@@ -71,7 +71,7 @@
 // encodeSnapshot encodes a state as a snapshot.
 func encodeSnapshot(t testing.TB, id ID, state *State, keys Keys) []byte {
 	t.Helper()
-	return encodeBetween(t, id, ID{}, EmptyState(), state, keys)
+	return encodeDiff(t, id, ID{}, EmptyState(), state, keys)
 }
 
 func toHex(digest Digest) string { return hex.EncodeToString(digest[:]) }
--- a/client/tables/keys.go
+++ b/client/tables/keys.go
@@ -8,34 +8,34 @@
 	"github.com/zeebo/blake3"
 )
 
-// KeyID names a key without revealing it.
+// KeyID identifies a key without revealing its secret.
 type KeyID [4]byte
 
-// secretLen is the length of a key's secret, macLen that of a message authentication code.
+// Lengths in bytes.
 const (
-	secretLen = 32
-	macLen    = 32
+	secretLen = 32 // secret of a key
+	macLen    = 32 // message authentication code
 )
 
-// Prefixes of what is hashed or authenticated besides deltas.
+// Domain separation prefixes of hashed and authenticated content other than deltas.
 const (
-	keyIDDomain = "TSKey1"
-	signDomain  = "TSSum1"
+	keyIDDomain = "TSKey1" // for the digest that a key's ID is taken from
+	signDomain  = "TSSum1" // for messages authenticated by Key.Sign
 )
 
-// ErrKeyLength is wrapped by the error for a secret of the wrong length.
-var ErrKeyLength = errors.New("wrong length of a key")
+// ErrKeyLength is wrapped by the error that NewKey returns for a secret of the wrong length.
+var ErrKeyLength = errors.New("wrong key length")
 
-// Key authenticates deltas and greetings by a shared secret.
+// Key authenticates deltas and hello frames with a shared secret.
 type Key struct {
 	ID     KeyID
 	secret [secretLen]byte
 }
 
-// NewKey makes a key of 32 secret bytes. Its ID is the start of their digest.
+// NewKey returns the key with the given secret of 32 bytes. Its ID is the first bytes of the secret's digest.
 func NewKey(secret []byte) (Key, error) {
 	if len(secret) != secretLen {
-		return Key{}, fmt.Errorf("%w: a key has %d bytes, not %d", ErrKeyLength, secretLen, len(secret))
+		return Key{}, fmt.Errorf("%w: expected %d bytes, found %d", ErrKeyLength, secretLen, len(secret))
 	}
 	key := Key{secret: [secretLen]byte(secret)}
 	digest := blake3.Sum256(append([]byte(keyIDDomain), secret...))
@@ -43,21 +43,21 @@
 	return key, nil
 }
 
-// mac is BLAKE3 keyed by the secret.
+// mac returns the message authentication code of a message: BLAKE3 keyed with the secret.
 func (k Key) mac(message []byte) (mac [macLen]byte) {
 	hasher, err := blake3.NewKeyed(k.secret[:])
 	if err != nil {
-		panic(err) // only for a key of another length
+		panic(err) // NewKeyed fails only for a secret of the wrong length
 	}
 	hasher.Write(message)
 	hasher.Sum(mac[:0])
 	return mac
 }
 
-// Sign authenticates a message that is not a delta.
+// Sign returns the signature of a message that is not a delta. It is a message authentication code.
 func (k Key) Sign(message []byte) [32]byte { return k.mac(append([]byte(signDomain), message...)) }
 
-// Keys are the valid keys, the one that signs first. Two are valid while one replaces the other.
+// Keys holds the valid keys. The first one signs. During key rotation, both the old and the new key are valid.
 type Keys []Key
 
 func (k Keys) find(id KeyID) (Key, bool) {
@@ -69,11 +69,11 @@
 	return Key{}, false
 }
 
-// Verify tells whether a message was signed by the key with an ID, and that key is valid.
+// Verify reports whether the key with the given ID is valid and has signed the message.
 func (k Keys) Verify(id KeyID, message []byte, signature [32]byte) bool {
 	key, valid := k.find(id)
 	return valid && equalMACs(key.Sign(message), signature)
 }
 
-// equalMACs compares in constant time: the time must not tell where the first difference is.
+// equalMACs compares in constant time, so that the duration does not reveal the position of the first difference.
 func equalMACs(a, b [macLen]byte) bool { return subtle.ConstantTimeCompare(a[:], b[:]) == 1 }
--- a/client/tables/op.go
+++ b/client/tables/op.go
@@ -8,55 +8,55 @@
 	"github.com/zeebo/blake3"
 )
 
-// OpKind is what an operation does.
+// OpKind is the kind of an operation.
 type OpKind uint8
 
-// Kinds of operations. Their numbers are part of the format.
+// Operation kinds. The encoding of deltas contains these numbers, so they must not change.
 const (
-	SetWeight         OpKind = 1 + iota // of a server in a table; 0 removes it
-	SetAdmissionLevel                   // of a mask of traffic classes in a table
-	Withdraw                            // a server from all tables
-	Restore                             // a withdrawn server
-	ClearTable                          // its weights and admission levels
+	SetWeight         OpKind = 1 + iota // sets the weight of a server in a table; weight 0 removes the server
+	SetAdmissionLevel                   // sets the admission level of a set of traffic classes in a table
+	Withdraw                            // withdraws a server from all tables
+	Restore                             // ends the withdrawal of a server
+	ClearTable                          // removes all weights and admission levels of a table
 )
 
-// Op is one change of a state. Fields that its kind does not use are zero.
+// Op is a single change to a State. Fields that its kind does not use are zero.
 type Op struct {
 	Kind           OpKind         `json:"Kind"`
 	Table          uint32         `json:"Table"`
 	Server         string         `json:"Server"`
 	Weight         float64        `json:"Weight"`
-	Classes        uint64         `json:"Mask"` // mask of traffic classes
+	Classes        uint64         `json:"Mask"` // bit mask of traffic classes
 	AdmissionLevel AdmissionLevel `json:"Level"`
 }
 
-// maxServerLen is the most bytes of a server's ID.
+// maxServerLen is the maximum length of a server ID in bytes.
 const maxServerLen = 255
 
 func (o *Op) changesWithdrawn() bool { return o.Kind == Withdraw || o.Kind == Restore }
 
-func (o *Op) namesServer() bool { return o.Kind == SetWeight || o.changesWithdrawn() }
+func (o *Op) hasServer() bool { return o.Kind == SetWeight || o.changesWithdrawn() }
 
-// InvalidOpError reports an operation that no state can apply.
+// InvalidOpError reports an operation that is invalid for every state.
 type InvalidOpError struct {
 	Op     Op
 	Reason string
 }
 
-// Error returns the reason.
+// Error returns the reason why the operation is invalid.
 func (e *InvalidOpError) Error() string { return e.Reason }
 
-// validate returns an *InvalidOpError where an operation is wrong by itself.
+// validate returns an *InvalidOpError if the operation is invalid for every state.
 func (o *Op) validate() error {
 	switch {
 	case o.Kind < SetWeight || o.Kind > ClearTable:
-		return o.invalid("kind %d of an operation is unknown, expected %d to %d", o.Kind, SetWeight, ClearTable)
-	case o.namesServer() && (o.Server == "" || len(o.Server) > maxServerLen):
-		return o.invalid("a server's ID has %d bytes, expected 1 to %d", len(o.Server), maxServerLen)
-	case o.Kind == SetWeight && !isValidNumber(o.Weight):
-		return o.invalid("weight %v of %s is not finite and at least 0", o.Weight, o.Server)
-	case o.Kind == SetAdmissionLevel && !isValidNumber(o.AdmissionLevel.Amount):
-		return o.invalid("admission level %v of table %d is not finite and at least 0", o.AdmissionLevel.Amount, o.Table)
+		return o.invalid("unknown operation kind %d, expected %d to %d", o.Kind, SetWeight, ClearTable)
+	case o.hasServer() && (o.Server == "" || len(o.Server) > maxServerLen):
+		return o.invalid("server ID of %d bytes, expected 1 to %d bytes", len(o.Server), maxServerLen)
+	case o.Kind == SetWeight && !isFiniteNonNegative(o.Weight):
+		return o.invalid("weight %v of server %q, expected a finite number of at least 0", o.Weight, o.Server)
+	case o.Kind == SetAdmissionLevel && !isFiniteNonNegative(o.AdmissionLevel.Amount):
+		return o.invalid("admission level %v of table %d, expected a finite number of at least 0", o.AdmissionLevel.Amount, o.Table)
 	}
 	return nil
 }
@@ -65,11 +65,11 @@
 	return &InvalidOpError{Op: *o, Reason: fmt.Sprintf(format, values...)}
 }
 
-// isValidNumber tells whether a weight or level is finite and at least 0.
-func isValidNumber(number float64) bool { return number >= 0 && !math.IsInf(number, 1) }
+// isFiniteNonNegative reports whether a weight or an admission level is finite and at least 0.
+func isFiniteNonNegative(number float64) bool { return number >= 0 && !math.IsInf(number, 1) }
 
-// Apply returns the state that operations lead to, one after another: all of them, or an error and nothing. The error
-// wraps an *InvalidOpError.
+// Apply returns the state that results from applying the operations in order; s itself does not change. If any operation
+// is invalid, it applies none of them and returns an error that wraps an *InvalidOpError.
 func (s *State) Apply(ops []Op) (*State, error) {
 	changesWithdrawn := false
 	for i := range ops {
@@ -82,28 +82,29 @@
 	if changesWithdrawn {
 		next.withdrawn = maps.Clone(s.withdrawn)
 	}
-	changed := tableCopies{}
+	copies := tableCopies{}
 	for i := range ops {
-		next.apply(&ops[i], changed)
+		next.apply(&ops[i], copies)
 	}
-	changed.finish(next)
+	copies.finalize(next)
 	next.digest = next.computeDigest()
 	return next, nil
 }
 
-// apply changes a state that is not complete yet; its withdrawn servers are its own.
-func (s *State) apply(op *Op, changed tableCopies) {
+// apply applies one operation to a state under construction. The caller has copied s.withdrawn if any of the operations
+// changes it; copies holds the tables that have been copied so far.
+func (s *State) apply(op *Op, copies tableCopies) {
 	switch op.Kind {
 	case SetWeight:
-		weights := changed.of(s, op.Table).Weights
+		weights := copies.copyOf(s, op.Table).Weights
 		if op.Weight == 0 {
 			delete(weights, op.Server)
 		} else {
 			weights[op.Server] = op.Weight
 		}
 	case SetAdmissionLevel:
-		const positiveZero = 0 // a negative zero plus it is a positive one
-		changed.of(s, op.Table).AdmissionLevels[op.Classes] = AdmissionLevel{
+		const positiveZero = 0 // -0 + 0 is +0, so both zeros get the same canonical form
+		copies.copyOf(s, op.Table).AdmissionLevels[op.Classes] = AdmissionLevel{
 			Amount: op.AdmissionLevel.Amount + positiveZero,
 			Retry:  op.AdmissionLevel.Retry,
 		}
@@ -112,18 +113,18 @@
 	case Restore:
 		delete(s.withdrawn, op.Server)
 	case ClearTable:
-		table := changed.of(s, op.Table)
+		table := copies.copyOf(s, op.Table)
 		clear(table.Weights)
 		clear(table.AdmissionLevels)
 	}
 }
 
-// tableCopies are the tables of a state that is not complete yet which are its own and may be changed, by number. The
-// others are shared with the state before it.
+// tableCopies holds, by table ID, the tables that a state under construction has copied and may change. Its other tables
+// are shared with the previous state.
 type tableCopies map[uint32]*Table
 
-// of returns the copy of a table, and puts it into the state where there is none yet.
-func (c tableCopies) of(state *State, id uint32) *Table {
+// copyOf returns the state's own copy of a table. On first use it makes the copy and stores it in the state.
+func (c tableCopies) copyOf(state *State, id uint32) *Table {
 	if table := c[id]; table != nil {
 		return table
 	}
@@ -137,8 +138,8 @@
 	return table
 }
 
-// finish computes the digests of the copies, and removes from the state those that hold nothing any more.
-func (c tableCopies) finish(state *State) {
+// finalize computes the digests of the copied tables and removes the empty ones from the state.
+func (c tableCopies) finalize(state *State) {
 	for id, table := range c {
 		if table.isEmpty() {
 			delete(state.tables, id)
--- a/client/tables/replica.go
+++ b/client/tables/replica.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Outcome is what became of a delta that a replica received. Its number is part of the protocol.
+// Outcome is the result of receiving a delta. Its numeric value is part of the protocol.
 type Outcome int
 
-// Outcomes of a delta.
+// Outcomes of Replica.Receive. A delta with any outcome other than Applied leaves the replica unchanged.
 const (
-	Applied         Outcome = iota
-	AlreadyApplied          // nothing changes
-	Malformed               // it can't be read
-	Unauthenticated         // no valid key signed it
-	OlderEpoch              // another manager has taken over
-	Gap                     // versions before it are missing
-	UnknownBase             // it leads from another state than the replica's
-	WrongDigest             // its operations lead to another state than the one that it names
-	Conflict                // the replica has another version of the same ID: two managers write
+	Applied         Outcome = iota // the replica now runs the delta's version
+	AlreadyApplied                 // the replica already runs this version or a later one of the same epoch
+	Malformed                      // the delta can't be decoded
+	Unauthenticated                // the delta is not signed by a valid key
+	OlderEpoch                     // the delta's epoch is older: another manager has taken over
+	Gap                            // the replica has missed versions that precede the delta
+	UnknownBase                    // the delta's base is not the replica's state
+	WrongDigest                    // the delta's operations don't result in the state that its digest identifies
+	Conflict                       // the replica has different content under the same version ID: two managers are writing
 )
 
 var outcomeNames = [...]string{
@@ -35,7 +35,7 @@
 	Conflict:        "conflict",
 }
 
-// String returns the name of an outcome.
+// String returns the name of the outcome.
 func (o Outcome) String() string {
 	if o < 0 || int(o) >= len(outcomeNames) {
 		return fmt.Sprintf("outcome %d", int(o))
@@ -43,14 +43,14 @@
 	return outcomeNames[o]
 }
 
-// VersionRef names a version by its ID and content.
+// VersionRef identifies a version by its ID and the digest of its content.
 type VersionRef struct {
 	ID     ID
 	Digest Digest
 }
 
-// Replica holds the last valid version of the tables. It applies a delta completely or not at all; what it rejects changes
-// nothing. It is not safe for use by several goroutines.
+// Replica holds the last valid version of the tables. It applies each delta completely or not at all: a rejected delta
+// changes neither its version nor its state. It is not safe for concurrent use.
 type Replica struct {
 	keys     Keys
 	version  VersionRef
@@ -59,10 +59,10 @@
 	outcomes [len(outcomeNames)]int
 }
 
-// NewReplica returns a replica without a version. The settings say how often it requests a snapshot, the seed spreads the
-// requests of many replicas.
+// NewReplica returns a replica that has no version yet. The settings determine the intervals between its snapshot
+// requests. The seed determines their jitter: replicas with different seeds don't all send their requests at once.
 func NewReplica(keys Keys, settings RetrySettings, seed uint64) *Replica {
-	const stream = 11
+	const stream = 11 // second seed of the random number generator
 	state := EmptyState()
 	return &Replica{
 		keys:    keys,
@@ -72,20 +72,21 @@
 	}
 }
 
-// SetKeys replaces the valid keys, as while one key replaces another.
+// SetKeys replaces the valid keys, for example during key rotation.
 func (r *Replica) SetKeys(keys Keys) { r.keys = keys }
 
-// Version returns the version that the replica runs; its ID is zero before the first.
+// Version returns the version that the replica runs. Its ID is zero until the first version has been applied.
 func (r *Replica) Version() VersionRef { return r.version }
 
-// State returns the state of that version.
+// State returns the state of the version that the replica runs.
 func (r *Replica) State() *State { return r.state }
 
-// OutcomeCount returns how many deltas had an outcome.
+// OutcomeCount returns how many received deltas had the given outcome.
 func (r *Replica) OutcomeCount(outcome Outcome) int { return r.outcomes[outcome] }
 
-// Receive applies an encoded delta, unless it must be rejected; then err says why, and the version stays. now is the time
-// since the replica's start. Where only a snapshot helps, NextSnapshotRequest says when to request one.
+// Receive decodes and verifies a delta and applies it if it follows the replica's version. If it rejects the delta, err
+// is the reason and the version stays; for AlreadyApplied, err is nil. now is the time since the replica's start. After an
+// outcome from which only a snapshot can recover, NextSnapshotRequest returns when to request one.
 func (r *Replica) Receive(now time.Duration, encoded []byte) (Outcome, error) {
 	outcome, err := r.apply(encoded)
 	r.outcomes[outcome]++
@@ -119,38 +120,38 @@
 		return WrongDigest, err
 	}
 	if next.Digest() != delta.Digest {
-		return WrongDigest, fmt.Errorf("version %v leads to %v, not to %v", delta.ID, next.Digest(), delta.Digest)
+		return WrongDigest, fmt.Errorf("applying version %v gives digest %v, expected %v", delta.ID, next.Digest(), delta.Digest)
 	}
 	r.state = next
 	r.version = VersionRef{ID: delta.ID, Digest: delta.Digest}
 	return Applied, nil
 }
 
-// checkOrder tells whether a delta follows the replica's version: then the outcome is Applied.
+// checkOrder checks whether a delta can be applied to the replica's version. If so, it returns Applied.
 func (r *Replica) checkOrder(delta *Delta) (Outcome, error) {
 	current := r.version
 	switch {
 	case delta.ID.Epoch < current.ID.Epoch:
-		return OlderEpoch, fmt.Errorf("version %v is of an older epoch than %v", delta.ID, current.ID)
+		return OlderEpoch, fmt.Errorf("version %v has an older epoch than the current version %v", delta.ID, current.ID)
 	case delta.ID == current.ID && delta.Digest != current.Digest:
-		return Conflict, fmt.Errorf("version %v is %v here and %v there", delta.ID, current.Digest, delta.Digest)
+		return Conflict, fmt.Errorf("version %v has digest %v in this replica, but %v in the delta", delta.ID, current.Digest, delta.Digest)
 	case delta.ID == current.ID || delta.ID.Before(current.ID):
 		return AlreadyApplied, nil
 	case delta.IsSnapshot() || delta.BaseDigest == current.Digest:
 		return Applied, nil
 	case delta.ID.Epoch == current.ID.Epoch && current.ID.Before(delta.Base):
-		return Gap, fmt.Errorf("version %v leads from %v, the replica runs %v", delta.ID, delta.Base, current.ID)
+		return Gap, fmt.Errorf("version %v has base version %v, but the replica runs version %v", delta.ID, delta.Base, current.ID)
 	}
-	return UnknownBase, fmt.Errorf("version %v leads from %v, the replica runs %v", delta.ID, delta.BaseDigest, current.Digest)
+	return UnknownBase, fmt.Errorf("version %v has base digest %v, but the replica has digest %v", delta.ID, delta.BaseDigest, current.Digest)
 }
 
-// NextSnapshotRequest returns when to request a snapshot, as the time since the replica's start; false: none is wanted.
+// NextSnapshotRequest returns when to request a snapshot, as the time since the replica's start, and whether one is wanted.
 func (r *Replica) NextSnapshotRequest() (at time.Duration, wanted bool) {
 	return r.request.at, r.request.wanted
 }
 
-// SnapshotRequestDue tells whether a snapshot is to be requested now. The next request, should this one bring nothing,
-// then comes later, with growing intervals.
+// SnapshotRequestDue reports whether the caller must request a snapshot now. If so, it also schedules the next request,
+// in case this one is not answered; the intervals grow with each request until a version is applied.
 func (r *Replica) SnapshotRequestDue(now time.Duration) bool {
 	if !r.request.wanted || now < r.request.at {
 		return false
@@ -160,16 +161,16 @@
 	return true
 }
 
-// snapshotRequest is when a replica requests a snapshot.
+// snapshotRequest schedules the snapshot requests of a replica.
 type snapshotRequest struct {
 	settings RetrySettings
 	rng      *rand.Rand
 	wanted   bool
-	at       time.Duration // while wanted
-	attempts int           // since the last version that was applied
+	at       time.Duration // since the replica's start; valid while wanted is true
+	attempts int           // requests scheduled since the last applied version
 }
 
-// schedule sets the time of a request unless one is wanted already.
+// schedule sets the time of the next request unless one is already scheduled.
 func (r *snapshotRequest) schedule(now time.Duration) {
 	if r.wanted {
 		return
--- a/client/tables/replica_test.go
+++ b/client/tables/replica_test.go
@@ -12,8 +12,8 @@
 	return NewReplica(testKeys(t), settings, seed)
 }
 
-// replicaOfExample runs the example state as version 3.5.
-func replicaOfExample(t testing.TB) (*Replica, *State) {
+// newExampleReplica returns a replica that runs the example state as version 3.5, and that state.
+func newExampleReplica(t testing.TB) (*Replica, *State) {
 	t.Helper()
 	replica := newTestReplica(t, 1)
 	state := exampleState(t)
@@ -24,42 +24,42 @@
 func expectOutcome(t testing.TB, replica *Replica, encoded []byte, want Outcome) {
 	t.Helper()
 	if got, err := replica.Receive(0, encoded); got != want {
-		t.Errorf("%v (%v), want %v", got, err, want)
+		t.Errorf("outcome %v (error %v), want %v", got, err, want)
 	}
 }
 
-func TestAReplicaKeepsItsLastValidVersion(t *testing.T) {
+func TestReplicaKeepsLastValidVersion(t *testing.T) {
 	keys := testKeys(t)
-	replica, state := replicaOfExample(t)
+	replica, state := newExampleReplica(t)
 	next := apply(t, state, Op{Kind: SetWeight, Table: 0, Server: "s-1", Weight: 50})
 	other := apply(t, state, Op{Kind: SetWeight, Table: 0, Server: "s-9", Weight: 50})
-	valid := encodeBetween(t, ID{3, 6}, ID{3, 5}, state, next, keys)
+	valid := encodeDiff(t, ID{3, 6}, ID{3, 5}, state, next, keys)
 	wrongDigest := Delta{ID: ID{3, 6}, Base: ID{3, 5}, BaseDigest: state.Digest(), Digest: other.Digest(), Ops: Diff(state, next)}
 	wrongSignature := bytes.Clone(valid)
 	wrongSignature[len(wrongSignature)-1] ^= 1
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		encoded []byte
 		want    Outcome
 	}{
 		"wrong signature": {wrongSignature, Unauthenticated},
-		"unknown key":     {encodeBetween(t, ID{3, 6}, ID{3, 5}, state, next, Keys{testKey(t, 8)}), Unauthenticated},
-		"half of it":      {valid[:len(valid)/2], Malformed},
-		"a byte short":    {valid[:len(valid)-1], Unauthenticated},
+		"unknown key":     {encodeDiff(t, ID{3, 6}, ID{3, 5}, state, next, Keys{testKey(t, 8)}), Unauthenticated},
+		"first half":      {valid[:len(valid)/2], Malformed},
+		"last byte cut":   {valid[:len(valid)-1], Unauthenticated},
 		"nothing":         {nil, Malformed},
 		"wrong digest":    {encode(t, keys, wrongDigest), WrongDigest},
-		"gap":             {encodeBetween(t, ID{3, 8}, ID{3, 7}, next, state, keys), Gap},
-		"unknown base":    {encodeBetween(t, ID{3, 6}, ID{3, 5}, other, next, keys), UnknownBase},
+		"gap":             {encodeDiff(t, ID{3, 8}, ID{3, 7}, next, state, keys), Gap},
+		"unknown base":    {encodeDiff(t, ID{3, 6}, ID{3, 5}, other, next, keys), UnknownBase},
 		"older epoch":     {encodeSnapshot(t, ID{2, 99}, next, keys), OlderEpoch},
 		"older number":    {encodeSnapshot(t, ID{3, 4}, next, keys), AlreadyApplied},
-		"two managers":    {encodeBetween(t, ID{3, 5}, ID{3, 4}, state, other, keys), Conflict},
+		"two managers":    {encodeDiff(t, ID{3, 5}, ID{3, 4}, state, other, keys), Conflict},
 		"twice":           {encodeSnapshot(t, ID{3, 5}, state, keys), AlreadyApplied},
 	} {
-		outcome, err := replica.Receive(0, one.encoded)
-		if outcome != one.want || (err == nil) != (outcome == AlreadyApplied) {
-			t.Errorf("%s: %v, error %v", name, outcome, err)
+		outcome, err := replica.Receive(0, test.encoded)
+		if outcome != test.want || (err == nil) != (outcome == AlreadyApplied) {
+			t.Errorf("%s: outcome %v, error %v, want %v", name, outcome, err, test.want)
 		}
 		if replica.Version() != (VersionRef{ID{3, 5}, state.Digest()}) || replica.State().Digest() != state.Digest() {
-			t.Fatalf("%s: the replica runs %v", name, replica.Version())
+			t.Fatalf("%s: the replica changed to version %v", name, replica.Version())
 		}
 	}
 	expectOutcome(t, replica, valid, Applied)
@@ -68,39 +68,39 @@
 	}
 	expectOutcome(t, replica, valid, AlreadyApplied)
 	if applied, repeated := replica.OutcomeCount(Applied), replica.OutcomeCount(AlreadyApplied); applied != 2 || repeated != 3 {
-		t.Errorf("%d applied and %d repeated, want 2 and 3", applied, repeated)
+		t.Errorf("%d deltas applied and %d already applied, want 2 and 3", applied, repeated)
 	}
 }
 
-func TestALaterEpochGoesOnFromTheSameContent(t *testing.T) {
-	replica, state := replicaOfExample(t)
+func TestLaterEpochAppliesToSameBaseDigest(t *testing.T) {
+	replica, state := newExampleReplica(t)
 	next := apply(t, state, Op{Kind: Withdraw, Server: "s-1"})
-	expectOutcome(t, replica, encodeBetween(t, ID{4, 1}, ID{3, 2}, state, next, testKeys(t)), Applied)
-	expectOutcome(t, replica, encodeBetween(t, ID{3, 6}, ID{3, 5}, state, next, testKeys(t)), OlderEpoch)
+	expectOutcome(t, replica, encodeDiff(t, ID{4, 1}, ID{3, 2}, state, next, testKeys(t)), Applied)
+	expectOutcome(t, replica, encodeDiff(t, ID{3, 6}, ID{3, 5}, state, next, testKeys(t)), OlderEpoch)
 }
 
-func TestBothKeysAreValidWhileOneReplacesTheOther(t *testing.T) {
+func TestBothKeysAreValidDuringKeyRotation(t *testing.T) {
 	oldKey, newKey := testKey(t, 7), testKey(t, 8)
-	replica, state := replicaOfExample(t)
+	replica, state := newExampleReplica(t)
 	next := apply(t, state, Op{Kind: Withdraw, Server: "s-1"})
 	replica.SetKeys(Keys{newKey, oldKey})
-	expectOutcome(t, replica, encodeBetween(t, ID{3, 6}, ID{3, 5}, state, next, Keys{newKey, oldKey}), Applied)
-	expectOutcome(t, replica, encodeBetween(t, ID{3, 7}, ID{3, 6}, next, state, Keys{oldKey}), Applied)
+	expectOutcome(t, replica, encodeDiff(t, ID{3, 6}, ID{3, 5}, state, next, Keys{newKey, oldKey}), Applied)
+	expectOutcome(t, replica, encodeDiff(t, ID{3, 7}, ID{3, 6}, next, state, Keys{oldKey}), Applied)
 	replica.SetKeys(Keys{newKey})
-	expectOutcome(t, replica, encodeBetween(t, ID{3, 8}, ID{3, 7}, state, next, Keys{oldKey}), Unauthenticated)
+	expectOutcome(t, replica, encodeDiff(t, ID{3, 8}, ID{3, 7}, state, next, Keys{oldKey}), Unauthenticated)
 }
 
-func TestSnapshotRequestsAreBoundedAndSpread(t *testing.T) {
+func TestSnapshotRequestsAreLimitedAndJittered(t *testing.T) {
 	firstTimes := map[time.Duration]bool{}
 	for seed := range uint64(50) {
 		replica := newTestReplica(t, seed)
 		if _, wanted := replica.NextSnapshotRequest(); wanted {
-			t.Fatal("a snapshot is wanted before anything was rejected")
+			t.Fatal("a snapshot is wanted before any delta was rejected")
 		}
 		replica.Receive(0, nil)
 		first, wanted := replica.NextSnapshotRequest()
 		if !wanted {
-			t.Fatal("no snapshot is wanted")
+			t.Fatal("no snapshot is wanted after a rejected delta")
 		}
 		firstTimes[first] = true
 		requests := 0
@@ -108,29 +108,29 @@
 			if replica.SnapshotRequestDue(now) {
 				requests++
 			}
-			replica.Receive(now, nil) // rejected again and again: no further request for that
+			replica.Receive(now, nil) // further rejected deltas must not cause additional requests
 		}
 		if requests < 60 || requests > 130 {
-			t.Fatalf("%d requests in a minute", requests)
+			t.Fatalf("%d requests in a minute, want 60 to 130", requests)
 		}
 	}
 	if len(firstTimes) < 40 {
-		t.Errorf("50 replicas send their first request at %d times", len(firstTimes))
+		t.Errorf("50 replicas send their first request at only %d different times, want at least 40", len(firstTimes))
 	}
 }
 
-func TestAnAppliedVersionEndsTheRequests(t *testing.T) {
+func TestAppliedVersionCancelsSnapshotRequest(t *testing.T) {
 	replica := newTestReplica(t, 1)
 	replica.Receive(0, nil)
 	expectOutcome(t, replica, encodeSnapshot(t, ID{3, 5}, exampleState(t), testKeys(t)), Applied)
 	if _, wanted := replica.NextSnapshotRequest(); wanted || replica.SnapshotRequestDue(time.Hour) {
-		t.Error("a snapshot is still wanted")
+		t.Error("a snapshot is still wanted after a version was applied")
 	}
 }
 
-func TestDelaysDoubleUpToTheMost(t *testing.T) {
+func TestDelayDoublesUpToMaxInterval(t *testing.T) {
 	settings := RetrySettings{InitialInterval: 100 * time.Millisecond, MaxInterval: time.Second}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		failures int
 		random   float64
 		want     time.Duration
@@ -141,17 +141,17 @@
 		{4, 0, 500 * time.Millisecond},
 		{1000, 0, 500 * time.Millisecond},
 	} {
-		if got := settings.Delay(one.failures, one.random); got != one.want {
-			t.Errorf("after %d failures with %v: %v, want %v", one.failures, one.random, got, one.want)
+		if got := settings.Delay(test.failures, test.random); got != test.want {
+			t.Errorf("delay after %d failures with random number %v: %v, want %v", test.failures, test.random, got, test.want)
 		}
 	}
 	overflowing := RetrySettings{InitialInterval: 1 << 45, MaxInterval: time.Minute}
 	if got := overflowing.Delay(1000, 0); got != 30*time.Second {
-		t.Errorf("%v, want 30s", got)
+		t.Errorf("delay %v, want 30s", got)
 	}
 }
 
-func TestOutcomesKeepTheirNumbers(t *testing.T) {
+func TestOutcomeNumbersAreFixed(t *testing.T) {
 	names := []string{"applied", "already applied", "malformed", "unauthenticated", "older epoch", "gap", "unknown base",
 		"wrong digest", "conflict", "outcome 9"}
 	for number, want := range names {
--- a/client/tables/state_test.go
+++ b/client/tables/state_test.go
@@ -9,50 +9,50 @@
 	"pgregory.net/rapid"
 )
 
-func TestADigestDependsOnContentAlone(t *testing.T) {
+func TestDigestDependsOnlyOnContent(t *testing.T) {
 	ops := exampleOps()
 	state := exampleState(t)
 	reordered := apply(t, EmptyState(), ops[4], ops[3], ops[2], ops[1], ops[0],
 		Op{Kind: SetWeight, Table: 9, Server: "x", Weight: 1}, Op{Kind: ClearTable, Table: 9})
 	if state.Digest() != reordered.Digest() {
-		t.Error("the order of operations, or an empty table, changes the digest")
+		t.Error("the digest depends on the order of the operations or on an empty table")
 	}
 	nextWeight := Op{Kind: SetWeight, Table: 0, Server: "s-1", Weight: math.Nextafter(100, 101)}
 	if apply(t, state, nextWeight).Digest() == state.Digest() {
-		t.Error("a weight does not change the digest")
+		t.Error("the digest does not change with a weight")
 	}
 	if state.Table(0).Weights["s-1"] != 100 {
-		t.Error("a state changed")
+		t.Error("Apply changed the state that it was called on")
 	}
 }
 
-func TestApplyTakesAllOperationsOrNone(t *testing.T) {
+func TestApplyIsAtomic(t *testing.T) {
 	state := exampleState(t)
 	for name, op := range map[string]Op{
-		"weight is not a number": {Kind: SetWeight, Server: "x", Weight: math.NaN()},
-		"negative weight":        {Kind: SetWeight, Server: "x", Weight: -1},
-		"infinite weight":        {Kind: SetWeight, Server: "x", Weight: math.Inf(1)},
-		"weight of no server":    {Kind: SetWeight, Weight: 1},
-		"withdrawal of none":     {Kind: Withdraw},
-		"unknown kind":           {Kind: 9},
-		"no kind":                {},
-		"negative level":         {Kind: SetAdmissionLevel, AdmissionLevel: AdmissionLevel{Amount: -1}},
-		"long server":            {Kind: Restore, Server: strings.Repeat("x", 256)},
+		"weight is not a number":    {Kind: SetWeight, Server: "x", Weight: math.NaN()},
+		"negative weight":           {Kind: SetWeight, Server: "x", Weight: -1},
+		"infinite weight":           {Kind: SetWeight, Server: "x", Weight: math.Inf(1)},
+		"weight without server":     {Kind: SetWeight, Weight: 1},
+		"withdrawal without server": {Kind: Withdraw},
+		"unknown kind":              {Kind: 9},
+		"zero kind":                 {},
+		"negative level":            {Kind: SetAdmissionLevel, AdmissionLevel: AdmissionLevel{Amount: -1}},
+		"long server ID":            {Kind: Restore, Server: strings.Repeat("x", 256)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			next, err := state.Apply([]Op{{Kind: ClearTable, Table: 0}, op})
 			var invalid *InvalidOpError
 			if next != nil || !errors.As(err, &invalid) || !strings.HasPrefix(err.Error(), "op 1: ") {
-				t.Errorf("state %v, error %v", next, err)
+				t.Errorf("state %v, error %v, want no state and an *InvalidOpError for op 1", next, err)
 			}
 		})
 	}
 	if state.Digest() != exampleState(t).Digest() {
-		t.Error("a state changed")
+		t.Error("Apply changed the state that it was called on")
 	}
 }
 
-func TestDiffLeadsFromAnyStateToAnyOther(t *testing.T) {
+func TestDiffChangesAnyStateIntoAnyOther(t *testing.T) {
 	op := rapid.Custom(func(t *rapid.T) Op {
 		return Op{
 			Kind:    OpKind(rapid.IntRange(1, 5).Draw(t, "kind")),
@@ -70,12 +70,12 @@
 		from := apply(t, EmptyState(), rapid.SliceOfN(op, 0, 30).Draw(rt, "from")...)
 		to := apply(t, EmptyState(), rapid.SliceOfN(op, 0, 30).Draw(rt, "to")...)
 		if got := apply(t, from, Diff(from, to)...); got.Digest() != to.Digest() {
-			rt.Fatalf("%v leads to %v", Diff(from, to), got)
+			rt.Fatalf("the operations %v give the state %v, want %v", Diff(from, to), got, to)
 		}
 	})
 }
 
-func TestWeightCountIsThatOfAllTables(t *testing.T) {
+func TestWeightCountIncludesAllTables(t *testing.T) {
 	if got := exampleState(t).WeightCount(); got != 3 {
 		t.Errorf("%d weights, want 3", got)
 	}
