--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -8,64 +8,69 @@
 )
 
 const (
-	// freshReportAge is how long a report tells of the present load.
+	// freshReportAge is how long a load report counts towards the current load.
 	freshReportAge = 1500 * time.Millisecond
-	// demandWindow is the seconds of usage that make the present demand of a class.
-	demandWindow = 0.9
-	// loadPercentile is the part of the fresh successful attempts whose latency is the observed load.
-	loadPercentile = 0.6
-	// lowLoad is the load (latency over objective) under which the admission limit rises.
+	// demandWindowSeconds is the number of seconds of usage from which the current demand of a class is computed.
+	demandWindowSeconds = 0.9
+	// loadQuantile is the percentile, as a fraction, of the latency of recent successful attempts that gives the
+	// observed load.
+	loadQuantile = 0.6
+	// lowLoad is the load (latency divided by the latency objective) below which the admission limit is raised.
 	lowLoad = 0.26
-	// highLoad is the load over which it falls.
+	// highLoad is the load above which the admission limit is lowered.
 	highLoad = 0.32
-	// lowLoadOfBaseline and highLoadOfBaseline are the same as multiples of the baseline load, if these are more.
-	lowLoadOfBaseline  = 1.5
-	highLoadOfBaseline = 2.0
-	// maxBaselineLoad is the most that a baseline load counts for: a manager may start under load.
+	// lowLoadBaselineFactor and highLoadBaselineFactor are the same bounds as multiples of the baseline load. The
+	// higher of the two bounds applies.
+	lowLoadBaselineFactor  = 1.5
+	highLoadBaselineFactor = 2.0
+	// maxBaselineLoad caps the baseline load, because a manager that starts under load observes one that is too high.
 	maxBaselineLoad = 0.3
-	// highFailureRate is the failure rate at which the limit falls between the low and the high load.
+	// highFailureRate is the failure rate above which the limit is lowered even between the low and the high load.
 	highFailureRate = 0.25
 
-	// limitLowerInterval is the least time between two falls of the limit.
-	limitLowerInterval = 3 * time.Second
-	// limitFallOfDelivered is what the limit falls to, as a part of what is delivered.
-	limitFallOfDelivered = 0.92
-	// limitFallOfSaturation is the least that it falls to, as a part of the saturation rate.
-	limitFallOfSaturation = 0.6
-	// saturationShare is the part of the saturation rate up to which the limit rises quickly.
-	saturationShare = 0.85
-	// limitRise is the relative rise in a tick without load, up to there.
-	limitRise = 0.3
-	// limitSlowRise is the same beyond it.
-	limitSlowRise = 0.05
-	// limitConfidence is the time without a fall that doubles the slow rise.
-	limitConfidence = 4 * time.Second
-	// limitOpenFactor is the multiple of the offered rate over which the limit is lifted.
-	limitOpenFactor = 1.2
-	// surgeOfSaturation is the most that is admitted at once, as a multiple of the saturation rate.
-	surgeOfSaturation = 1.5
-	// minDeliveries is how many samples of what is delivered make a saturation rate.
-	minDeliveries = 5
-	// logLimitRise is the factor of a rise that is logged.
-	logLimitRise = 2
-	// minReportedShare is the part of what proxies announced that must be reported on before the limit moves.
+	// limitDecreaseInterval is the minimum time between two decreases of the limit.
+	limitDecreaseInterval = 3 * time.Second
+	// decreasedLimitDeliveredShare is the limit after a decrease, as a share of the delivered rate, or of the previous
+	// limit if that was lower.
+	decreasedLimitDeliveredShare = 0.92
+	// minLimitSaturationShare is the lowest limit that a decrease may set, as a share of the saturation rate.
+	minLimitSaturationShare = 0.6
+	// fastIncreaseSaturationShare is the share of the saturation rate up to which the limit is raised quickly.
+	fastIncreaseSaturationShare = 0.85
+	// fastLimitIncrease is the relative increase per tick at zero load, up to fastIncreaseSaturationShare.
+	fastLimitIncrease = 0.3
+	// slowLimitIncrease is the relative increase per tick at zero load beyond fastIncreaseSaturationShare.
+	slowLimitIncrease = 0.05
+	// slowIncreaseDoublingTime is the time without a decrease after which the slow increase has doubled.
+	slowIncreaseDoublingTime = 4 * time.Second
+	// limitRemovalFactor is the multiple of the offered rate above which the limit is removed.
+	limitRemovalFactor = 1.2
+	// surgeSaturationFactor is the highest limit during a surge, as a multiple of the saturation rate.
+	surgeSaturationFactor = 1.5
+	// minDeliverySamples is the number of samples of the delivered rate above which the saturation rate is trusted.
+	minDeliverySamples = 5
+	// loggedLimitIncrease is the factor by which the limit must increase for the change to be logged.
+	loggedLimitIncrease = 2
+	// minReportedShare is the share of the announced rate whose proxies must have reported usage before the limit is
+	// changed.
 	minReportedShare = 0.5
 
-	// minInFlightRate is the attempts per second from which on a server's requests in flight tell of its latency.
+	// minInFlightRate is the attempts per second above which a server's in-flight requests indicate its latency.
 	minInFlightRate = 0.3
-	// loadCheckCount is how many servers are checked for their latency in a tick.
-	loadCheckCount = 4
-	// idleCheckShare is the part of the observed latency under which health checks show idle servers.
-	idleCheckShare = 0.3
+	// loadChecksPerTick is the number of random servers per tick that may get a health check to measure their latency.
+	loadChecksPerTick = 4
+	// idleCheckLatencyShare is the share of the observed latency below which the duration of health checks shows that
+	// the servers are idle.
+	idleCheckLatencyShare = 0.3
 
-	// levelTolerance is the relative change of an admission level that is not published.
+	// levelTolerance is the relative change of an admission level up to which the change is not published.
 	levelTolerance = 0.04
-	// unlimitedRate is the admission level, in requests per second, that admits all.
+	// unlimitedRate is the admission level, in requests per second, that admits all requests.
 	unlimitedRate = 1e6
 )
 
-// retryPolicyFor is the platform's retry policy as far as a class bears it: a request that may have been executed is
-// not sent again, or only while its copies are still dropped.
+// retryPolicyFor returns the platform's retry policy, restricted to what is safe for a class: a request that may have
+// been executed is sent again only if it is idempotent or if servers drop duplicates until its deadline.
 func retryPolicyFor(platform RetryPolicy, class TrafficClass) RetryPolicy {
 	copiesDropped := class.Idempotency == IdempotencyKeyed && class.DedupWindow >= class.Deadline
 	if class.Idempotency == Idempotent || copiesDropped {
@@ -74,79 +79,81 @@
 	return min(platform, RetryIfNotExecuted)
 }
 
-// admissionControl adapts how many requests per second are admitted, the classes of the highest priority first.
+// admissionControl adjusts how many requests per second are admitted. Classes of higher priority are admitted first.
 type admissionControl struct {
-	limit        float64 // requests per second; unlimited: all
-	loweredAt    time.Duration
-	capacity     float64   // that the limit was last set for: announced rate reported on, times the usable weight
-	baselineLoad float64   // the least load so far
-	deliveries   []float64 // requests per second delivered for each unit of capacity, by tick
+	limit         float64 // requests per second; unlimited: all requests are admitted
+	loweredAt     time.Duration
+	capacity      float64   // announced rate of the reporting proxies times usable weight, as of the last update
+	baselineLoad  float64   // lowest load observed so far
+	deliveryRates []float64 // requests per second delivered per unit of capacity, one sample per tick
 }
 
 func newAdmissionControl() admissionControl {
 	return admissionControl{limit: unlimited, baselineLoad: math.Inf(1)}
 }
 
-// loadBounds are the loads under which the limit rises, and over which it falls. Requests that take long by themselves
-// are no overload.
+// loadBounds returns the load below which the limit is raised and the load above which it is lowered. The bounds follow
+// the baseline load, because requests that take long even on idle servers are no sign of overload.
 func (a *admissionControl) loadBounds() (low, high float64) {
 	baseline := min(a.baselineLoad, maxBaselineLoad)
-	return max(lowLoad, lowLoadOfBaseline*baseline), max(highLoad, highLoadOfBaseline*baseline)
+	return max(lowLoad, lowLoadBaselineFactor*baseline), max(highLoad, highLoadBaselineFactor*baseline)
 }
 
-// scaleTo adapts the limit to what it is for, so that a limit set by the first few proxies reported on does not stay
-// when another manager's proxies connect, nor one for servers that are gone.
+// scaleTo scales the limit in proportion to the capacity. Otherwise a limit derived from the first few reporting
+// proxies would remain when another manager's proxies connect, and a limit derived from servers that have left would
+// remain too.
 func (a *admissionControl) scaleTo(capacity float64) {
 	a.limit *= cmp.Or(capacity, a.capacity, 1) / cmp.Or(a.capacity, capacity, 1)
 	a.capacity = cmp.Or(capacity, a.capacity)
 }
 
-// saturationRate is the most that was delivered lately, for the present capacity.
-func (a *admissionControl) saturationRate() float64 { return slices.Max(a.deliveries) * a.capacity }
+// saturationRate returns the highest recently delivered rate, scaled to the current capacity.
+func (a *admissionControl) saturationRate() float64 { return slices.Max(a.deliveryRates) * a.capacity }
 
-// settled tells whether there are enough samples to trust the saturation rate.
-func (a *admissionControl) settled() bool { return len(a.deliveries) > minDeliveries }
+// hasSaturationRate reports whether there are enough samples to trust the saturation rate.
+func (a *admissionControl) hasSaturationRate() bool { return len(a.deliveryRates) > minDeliverySamples }
 
-// boundSurge lowers the limit under a surge that would fill all queues before the first late answer is reported.
-func (a *admissionControl) boundSurge(offered float64) {
-	most := surgeOfSaturation * a.saturationRate()
-	if a.settled() && min(offered, a.limit) > most {
-		a.limit = most
+// limitSurge lowers the limit during a surge that would otherwise fill all queues before the first late response is
+// reported.
+func (a *admissionControl) limitSurge(offered float64) {
+	maxLimit := surgeSaturationFactor * a.saturationRate()
+	if a.hasSaturationRate() && min(offered, a.limit) > maxLimit {
+		a.limit = maxLimit
 	}
 }
 
-// trafficSample is what the last reports say of the requests.
+// trafficSample summarizes the traffic according to the latest reports.
 type trafficSample struct {
 	offered     float64 // requests per second
 	delivered   float64 // requests per second
-	load        float64 // latency over objective
+	load        float64 // latency divided by the latency objective
 	failureRate float64
 }
 
-// adjust lowers the limit to what the servers deliver when they are late as a whole or drop requests, and raises it
-// slowly while they are not.
+// adjust lowers the limit to about the delivered rate while the servers as a whole are slow or drop requests, and
+// raises it gradually while the load is low.
 func (a *admissionControl) adjust(now time.Duration, traffic trafficSample) {
 	low, high := a.loadBounds()
 	saturation := a.saturationRate()
-	failing := traffic.load > low && traffic.failureRate > highFailureRate && a.settled()
+	failing := traffic.load > low && traffic.failureRate > highFailureRate && a.hasSaturationRate()
 	switch {
 	case traffic.load > high || failing:
-		if now-a.loweredAt >= limitLowerInterval {
-			a.limit = max(limitFallOfDelivered*min(a.limit, traffic.delivered), limitFallOfSaturation*saturation)
+		if now-a.loweredAt >= limitDecreaseInterval {
+			a.limit = max(decreasedLimitDeliveredShare*min(a.limit, traffic.delivered), minLimitSaturationShare*saturation)
 			a.loweredAt = now
 		}
-	case traffic.load < low && a.limit > limitOpenFactor*traffic.offered:
+	case traffic.load < low && a.limit > limitRemovalFactor*traffic.offered:
 		a.limit = unlimited
-	case traffic.load < low && a.limit > saturationShare*saturation:
-		// the saturation rate may be an effect of the limit itself, so that it rises faster with time
-		confidence := 1 + (now-a.loweredAt).Seconds()/limitConfidence.Seconds()
-		a.limit *= 1 + limitSlowRise*(1-traffic.load/low)*confidence
+	case traffic.load < low && a.limit > fastIncreaseSaturationShare*saturation:
+		// The limit itself may have kept the saturation rate low, so the increase accelerates over time.
+		confidence := 1 + (now-a.loweredAt).Seconds()/slowIncreaseDoublingTime.Seconds()
+		a.limit *= 1 + slowLimitIncrease*(1-traffic.load/low)*confidence
 	case traffic.load < low:
-		a.limit *= 1 + limitRise*(1-traffic.load/low)
+		a.limit *= 1 + fastLimitIncrease*(1-traffic.load/low)
 	}
 }
 
-// updateAdmissionLimit moves the limit by what the proxies reported since the last tick.
+// updateAdmissionLimit adjusts the limit according to what the proxies reported since the last tick.
 func (m *Manager) updateAdmissionLimit() {
 	a := &m.admission
 	traffic := m.trafficSample()
@@ -158,10 +165,10 @@
 	if reportedRate < minReportedShare*announcedRate || capacity == 0 || m.admissionUnit == AdmitNone {
 		return
 	}
-	a.deliveries = lastN(append(a.deliveries, traffic.delivered/capacity), maxSamples)
-	a.boundSurge(traffic.offered)
+	a.deliveryRates = lastN(append(a.deliveryRates, traffic.delivered/capacity), maxSamples)
+	a.limitSurge(traffic.offered)
 	a.adjust(m.now, traffic)
-	if a.limit < previous || a.limit > logLimitRise*previous {
+	if a.limit < previous || a.limit > loggedLimitIncrease*previous {
 		m.log(EventAdmissionLimit,
 			numberField("limit", a.limit, 0),
 			numberField("offered", traffic.offered, 0),
@@ -171,9 +178,9 @@
 	}
 }
 
-// trafficSample works out the load, and lowers the baseline load where it is less.
+// trafficSample computes the current traffic and load, and lowers the baseline load if the observed load is lower.
 func (m *Manager) trafficSample() trafficSample {
-	latency, failureRate := m.observedLatency(loadPercentile)
+	latency, failureRate := m.observedLatency(loadQuantile)
 	objective := m.meanLatencyObjective()
 	load := latency / objective
 	if load > lowLoad && len(m.servers) > 0 {
@@ -186,34 +193,36 @@
 	return trafficSample{offered: offered, delivered: delivered, load: load, failureRate: failureRate}
 }
 
-// serverLatency is the latency that the servers themselves show: by their requests in flight, or else by health
-// checks, which may be answered beside the queue. Requests that are late elsewhere call for no admission control.
+// serverLatency returns the latency that the servers themselves cause, estimated from their in-flight requests, or else
+// from the duration of health checks. Health checks may bypass the request queue, so they count only if they show idle
+// servers. Latency that arises elsewhere, such as in the network, must not trigger admission control.
 func (m *Manager) serverLatency(latency float64) float64 {
 	inFlightTimes := m.inFlightTimes(minInFlightRate)
-	m.checkLoad()
+	m.checkRandomServers()
 	if len(inFlightTimes) > 0 {
 		return min(latency, median(inFlightTimes))
 	}
 	checkTimes := m.recentCheckTimes()
-	if m.healthChecks && len(checkTimes) > 0 && median(checkTimes) < idleCheckShare*latency {
+	if m.healthChecks && len(checkTimes) > 0 && median(checkTimes) < idleCheckLatencyShare*latency {
 		return median(checkTimes)
 	}
 	return latency
 }
 
-// checkLoad checks some servers for how long they take to answer, where they don't tell their requests in flight.
-func (m *Manager) checkLoad() {
-	for range loadCheckCount {
+// checkRandomServers sends health checks to some random servers to measure their latency, unless servers report their
+// in-flight requests.
+func (m *Manager) checkRandomServers() {
+	for range loadChecksPerTick {
 		s := m.servers[int(m.random()*float64(len(m.servers)))]
-		sound := m.mayServe(s) && !s.ejected && s.health > degradedHealth
-		if m.healthChecks && !m.inFlightReported && sound {
+		eligible := m.mayServe(s) && !s.ejected && s.health > degradedHealth
+		if m.healthChecks && !m.inFlightReported && eligible {
 			m.commands.HealthCheck = append(m.commands.HealthCheck, s.id)
 		}
 	}
 }
 
-// levelChanges are the changes of a table's admission levels: the classes by priority, each gets what those before it
-// left of the limit.
+// levelChanges returns the changes of a table's admission levels. The limit is given to the classes in order of
+// priority; each class gets what the classes before it left over.
 func (m *Manager) levelChanges(id TableID, demand []float64) []tableChange {
 	if m.pinned != nil {
 		return m.pinnedLevelChanges(id)
@@ -221,11 +230,11 @@
 	var changes []tableChange
 	total := max(sum(demand), 1e-9)
 	remaining := m.admission.limit
-	localShare := m.zoneLocalAdmission(id, demand, total)
+	localShare := m.zoneLocalAdmissionShare(id, demand, total)
 	for _, class := range m.classesByPriority {
 		share := min(1, remaining/max(demand[class], 1e-9))
 		remaining = max(0, remaining-demand[class])
-		level := AdmissionLevel{Table: id, Classes: class.mask(), Retry: m.retryPolicyNow(class)}
+		level := AdmissionLevel{Table: id, Classes: class.mask(), Retry: m.currentRetryPolicy(class)}
 		if m.isZoneLocalClass(class) {
 			level.Amount = m.admissionAmount(min(share, localShare), id, class)
 		} else {
@@ -233,8 +242,8 @@
 		}
 		published := m.publishedLevel(id, class)
 		changed := math.Abs(level.Amount-published.Amount) / max(level.Amount, published.Amount, 1e-9)
-		opened := share == 1 && level.Amount != published.Amount
-		if changed > levelTolerance || level.Retry != published.Retry || opened {
+		admitsAllAgain := share == 1 && level.Amount != published.Amount
+		if changed > levelTolerance || level.Retry != published.Retry || admitsAllAgain {
 			rate := m.distributedRates[id] * demand[class] / total * max(changed, levelTolerance)
 			changes = append(changes, levelChange(level, rate))
 		}
@@ -242,25 +251,27 @@
 	return changes
 }
 
-// retryPolicyNow is a class's retry policy; under overload each retry takes the place of a first attempt.
-func (m *Manager) retryPolicyNow(class ClassID) RetryPolicy {
+// currentRetryPolicy returns the current retry policy of a class. It allows no retries while requests are limited,
+// because under overload each retry takes the place of a first attempt.
+func (m *Manager) currentRetryPolicy(class ClassID) RetryPolicy {
 	if math.IsInf(m.admission.limit, 1) {
 		return m.retryPolicies[class]
 	}
 	return NoRetry
 }
 
-// publishedLevel is what a table admits of a class as published, or as proxies begin.
+// publishedLevel returns a class's published admission level in a table, or the level with which proxies start if none
+// is published.
 func (m *Manager) publishedLevel(id TableID, class ClassID) AdmissionLevel {
-	if level, published := m.tables[id].publishedLevels[class.mask()]; published {
+	if level, found := m.tables[id].publishedLevels[class.mask()]; found {
 		return level
 	}
 	return AdmissionLevel{Amount: m.admissionAmount(1, id, class), Retry: m.defaultRetry}
 }
 
-// zoneLocalAdmission is the share of the zone-local classes that a table admits: in a zone that lost most of its
-// servers, as much as those left are to get.
-func (m *Manager) zoneLocalAdmission(id TableID, demand []float64, total float64) float64 {
+// zoneLocalAdmissionShare returns the share of the zone-local classes' requests that a table admits. In a zone that
+// lost most of its servers, it admits only as much as the remaining servers should get.
+func (m *Manager) zoneLocalAdmissionShare(id TableID, demand []float64, total float64) float64 {
 	zoneLocalDemand := 0.0
 	for class := range demand {
 		if m.isZoneLocalClass(ClassID(class)) {
@@ -273,7 +284,7 @@
 	return min(1, maxWarmingFill*m.zoneLocalShare(m.tables[id])*total/zoneLocalDemand)
 }
 
-// admissionAmount is a share of a class's requests in the unit that proxies take.
+// admissionAmount converts a share of a class's requests to the unit that the proxies expect.
 func (m *Manager) admissionAmount(share float64, id TableID, class ClassID) float64 {
 	switch {
 	case m.admissionUnit != AdmitRate:
@@ -281,12 +292,13 @@
 	case share >= 1:
 		return unlimitedRate
 	default:
-		return evenRate(m.proxyRates(id, class), share)
+		return equalRateLimit(m.proxyRates(id, class), share)
 	}
 }
 
-// evenRate is the rate limit, equal at each proxy, that admits a share of what comes to all of them.
-func evenRate(rates []float64, share float64) float64 {
+// equalRateLimit returns the rate limit that, applied equally at each proxy, admits the given share of the total rate
+// of all proxies.
+func equalRateLimit(rates []float64, share float64) float64 {
 	if share >= 1 {
 		return unlimitedRate
 	}
@@ -296,8 +308,8 @@
 		remaining += share * rate
 	}
 	for i, rate := range rates {
-		if even := remaining / float64(len(rates)-i); rate >= even {
-			return even
+		if limit := remaining / float64(len(rates)-i); rate >= limit {
+			return limit
 		}
 		remaining -= rate
 	}
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -15,7 +15,7 @@
 }
 
 func TestLevelsByRateAdmitTheSameShare(t *testing.T) {
-	wantNear(t, "rate", evenRate([]float64{2, 8, 10}, 0.6), 5)
+	wantNear(t, "rate", equalRateLimit([]float64{2, 8, 10}, 0.6), 5)
 	m := newTestManager(2)
 	m.admissionUnit = AdmitRate
 	m.admission.limit = 50
@@ -65,7 +65,7 @@
 	if !math.IsInf(m.admission.limit, 1) {
 		t.Errorf("limit %.0f by the failures of a first second", m.admission.limit)
 	}
-	m.admission.deliveries = make([]float64, minDeliveries)
+	m.admission.deliveryRates = make([]float64, minDeliverySamples)
 	m.updateAdmissionLimit()
 	if math.IsInf(m.admission.limit, 1) {
 		t.Error("all admitted though late answers and failures go on")
@@ -113,7 +113,7 @@
 	m := newTestManager(5)
 	m.healthChecks = false
 	m.now = 4 * time.Second
-	m.admission.deliveries = make([]float64, minDeliveries)
+	m.admission.deliveryRates = make([]float64, minDeliverySamples)
 	m.proxies[0].announcedRate = 40
 	m.proxies[1].announcedRate = 40
 	for _, s := range m.servers {
@@ -127,7 +127,7 @@
 		s.state = Draining
 	}
 	m.updateAdmissionLimit()
-	if m.admission.limit > 1.1*surgeOfSaturation*4*8 {
+	if m.admission.limit > 1.1*surgeSaturationFactor*4*8 {
 		t.Errorf("limit %.0f for four servers of ten, which delivered 8 each", m.admission.limit)
 	}
 	for _, s := range m.servers[:6] {
@@ -135,7 +135,7 @@
 		s.reports = nil
 	}
 	m.updateAdmissionLimit()
-	if m.admission.limit < 2*surgeOfSaturation*4*8 {
+	if m.admission.limit < 2*surgeSaturationFactor*4*8 {
 		t.Errorf("limit %.0f once all are back", m.admission.limit)
 	}
 }
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// This file works figures out from the usage reports kept; it decides nothing.
+// This file computes demand from the stored usage reports. It makes no decisions.
 
-// samples sums a proxy's last requests of a class, and the seconds that they cover, up to so many seconds.
-func (p *proxy) samples(class int, now time.Duration, window float64) (requests, seconds float64) {
+// sumLatestRequests sums a proxy's latest requests of a class and the seconds that they cover, newest first, until they
+// cover the window in seconds.
+func (p *proxy) sumLatestRequests(class int, now time.Duration, window float64) (requests, seconds float64) {
 	usage := p.usage[class]
 	for i := len(usage) - 1; i >= 0 && seconds < window; i-- {
 		if now-usage[i].at <= maxSampleAge {
@@ -19,13 +20,14 @@
 	return requests, seconds
 }
 
-// requestRate is how many requests of a class per second come to a proxy, by the samples of so many seconds.
+// requestRate returns a proxy's requests per second of a class, computed from the latest samples that cover the window
+// in seconds.
 func (p *proxy) requestRate(class int, now time.Duration, window float64) float64 {
-	requests, seconds := p.samples(class, now, window)
+	requests, seconds := p.sumLatestRequests(class, now, window)
 	return requests / max(seconds, minInterval)
 }
 
-// proxyRates are the requests per second of a class at each proxy of a table.
+// proxyRates returns the requests per second of a class at each proxy of a table.
 func (m *Manager) proxyRates(id TableID, class ClassID) []float64 {
 	m.updatePlacement()
 	var rates []float64
@@ -35,8 +37,8 @@
 	return rates
 }
 
-// demandByPartition is the requests per second of each partition's proxies; the listed weight before any usage is
-// reported.
+// demandByPartition returns the requests per second of each partition's proxies. Before any usage is reported, it
+// returns the listed weight of each partition's servers instead.
 func (m *Manager) demandByPartition() []float64 {
 	demand := make([]float64, len(m.tables))
 	if m.usageReported {
@@ -61,7 +63,8 @@
 	return demand
 }
 
-// demandDiffers tells whether the demand of some partition is not within a tolerance of what was last distributed.
+// demandDiffers reports whether the demand of some partition differs from the last distributed rate by more than the
+// relative tolerance.
 func (m *Manager) demandDiffers(tolerance float64) bool {
 	for partition, rate := range m.demandByPartition() {
 		if partition >= len(m.distributedRates) {
@@ -75,8 +78,9 @@
 	return false
 }
 
-// demandByClass is the requests per second of all proxies by traffic class: all requests over all seconds, since a
-// sample ends when some request came and the sum of each proxy's last rate is far too high where it gets few.
+// demandByClass returns the requests per second of all proxies by traffic class: the mean rate of the reporting
+// proxies, times their number. The mean is taken over all requests and all seconds, because a sample ends when a
+// request arrives, so the sum of each proxy's latest rate is far too high where proxies get few requests.
 func (m *Manager) demandByClass() []float64 {
 	demand := make([]float64, len(m.latencyObjectives))
 	for class := range demand {
@@ -84,7 +88,7 @@
 		seconds := 0.0
 		reporting := 0.0
 		for _, p := range m.proxies {
-			if n, covered := p.samples(class, m.now, demandWindow); covered > 0 {
+			if n, covered := p.sumLatestRequests(class, m.now, demandWindowSeconds); covered > 0 {
 				requests += n
 				seconds += covered
 				reporting++
@@ -95,7 +99,8 @@
 	return demand
 }
 
-// traffic is what is offered, and what is delivered by the servers that get requests, in requests per second.
+// traffic returns the offered rate, and the rate delivered by the servers that may get requests, in requests per
+// second.
 func (m *Manager) traffic() (offered, delivered float64) {
 	for _, s := range m.servers {
 		if m.mayServe(s) && !s.ejected {
@@ -105,14 +110,14 @@
 	return sum(m.demandByClass()), delivered
 }
 
-// meanLatencyObjective is the mean of the classes' objectives in seconds, by their requests.
+// meanLatencyObjective returns the mean of the classes' latency objectives in seconds, weighted by their request rates.
 func (m *Manager) meanLatencyObjective() float64 {
 	weighted := 0.0
 	total := 0.0
 	for class, objective := range m.latencyObjectives {
 		rate := 1e-6
 		for _, p := range m.proxies {
-			rate += p.requestRate(class, m.now, demandWindow)
+			rate += p.requestRate(class, m.now, demandWindowSeconds)
 		}
 		weighted += objective * rate
 		total += rate
@@ -120,7 +125,7 @@
 	return weighted / total
 }
 
-// meanAnnouncedRate is the requests per second that a proxy announced, on average.
+// meanAnnouncedRate returns the mean of the rates, in requests per second, that the proxies announced.
 func (m *Manager) meanAnnouncedRate() float64 {
 	total := 0.0
 	for _, p := range m.proxies {
@@ -129,7 +134,7 @@
 	return total / max(1, float64(len(m.proxies)))
 }
 
-// reportedProxyRate is the announced rate of the proxies whose usage was reported lately.
+// reportedProxyRate returns the total announced rate of the proxies that reported their usage recently.
 func (m *Manager) reportedProxyRate() float64 {
 	total := 0.0
 	for _, p := range m.proxies {
@@ -140,13 +145,14 @@
 	return total
 }
 
+// usageIsRecent reports whether a proxy reported usage of some class within maxSampleAge.
 func (m *Manager) usageIsRecent(p *proxy) bool {
 	return slices.ContainsFunc(p.usage, func(samples []sample) bool {
 		return len(samples) > 0 && m.now-samples[len(samples)-1].at <= maxSampleAge
 	})
 }
 
-// updateExpectedRates works out the attempts per second that should come to each server by the published tables.
+// updateExpectedRates computes the attempts per second that each server should get according to the published tables.
 func (m *Manager) updateExpectedRates() {
 	for _, s := range m.servers {
 		s.expectedRate = 0
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -6,48 +6,49 @@
 )
 
 const (
-	// maxSamples is how many reports of a server, or samples of a proxy, are kept.
+	// maxSamples is the number of reports kept per server, and of samples kept per proxy and class.
 	maxSamples = 24
-	// maxSampleAge is how long they count.
+	// maxSampleAge is the age up to which reports and samples are used.
 	maxSampleAge = 5 * time.Second
-	// fullAttempts is how many attempts make a server's statistics.
+	// fullAttempts is the number of attempts that a server's statistics should cover.
 	fullAttempts = 6
-	// minAttempts is how many make it a peer.
+	// minAttempts is the minimum number of attempts for a server to count as a peer.
 	minAttempts = 3
 
-	// unresponsiveAfter is the time without a sign of life after which a server is checked, and may be ejected.
+	// unresponsiveAfter is the time without a response after which a server is checked and may be ejected.
 	unresponsiveAfter = 2 * time.Second
-	// minUnansweredAttempts is how many attempts must have been due in that time.
+	// minUnansweredAttempts is the number of attempts that must have been expected during that time.
 	minUnansweredAttempts = 4.0
-	// removedRetention is how long a removed server is remembered.
+	// removedRetention is how long the state of a removed server is kept.
 	removedRetention = time.Minute
 
-	// slowLatencyFactor is the multiple of the peers' latency up to which a server is not slow.
+	// slowLatencyFactor is the multiple of the peers' latency above which a server counts as slow.
 	slowLatencyFactor = 1.25
-	// toleratedExcess is how far a server's failure rate may lie over its peers' without harm to its health.
-	toleratedExcess = 0.15
-	// worstExcess is the excess at which its health is the least.
-	worstExcess = 0.35
-	// priorAttempts is how many attempts like the peers' a server's statistics begin with.
+	// toleratedExcessFailureRate is how far a server's failure rate may exceed that of its peers without lowering its
+	// health.
+	toleratedExcessFailureRate = 0.15
+	// maxExcessFailureRate is the excess of the failure rate at which the health reaches its minimum.
+	maxExcessFailureRate = 0.35
+	// priorAttempts is the weight, in attempts, of the peers' average as the prior of a server's statistics.
 	priorAttempts = 2
 
-	// minHealth leaves a server some requests by which it is heard of.
+	// minHealth is the minimum health, which leaves a server some requests so that it can still be observed.
 	minHealth = 0.02
-	// restoredHealth is the health of a server that answers again.
+	// restoredHealth is the health of a server whose ejection ends. A server of lower health gets health checks.
 	restoredHealth = 0.15
-	// degradedHealth is the health from which on a server is logged as degraded.
+	// degradedHealth is the health at or below which a server is logged as degraded.
 	degradedHealth = 0.5
-	// soundHealth is the health under which a server has no floor in the distribution.
+	// soundHealth is the health below which the distribution guarantees a server no minimum rate.
 	soundHealth = 0.97
-	// maxHealthFall is the least factor of health in a tick.
-	maxHealthFall = 0.8
-	// healthSmoothing is the part of the way to its new health that a server goes in a tick, in logarithms.
+	// minHealthFactor is the smallest factor by which the health may be multiplied in a tick.
+	minHealthFactor = 0.8
+	// healthSmoothing is the smoothing factor per tick with which the logarithm of the health follows its target.
 	healthSmoothing = 0.3
-	// healthTolerance is the change of health that calls for a new distribution.
+	// healthTolerance is the change of health above which the load is redistributed.
 	healthTolerance = 0.05
 )
 
-// ejectReason says why a server was ejected.
+// ejectReason is the reason for which a server was ejected.
 type ejectReason string
 
 const (
@@ -55,13 +56,13 @@
 	zoneUnreachable    ejectReason = "zone_unreachable"
 )
 
-// mayServe tells whether requests may be sent to a server by what the list says.
+// mayServe reports whether requests may be sent to a server according to the endpoint list.
 func (m *Manager) mayServe(s *server) bool {
 	return s.state == Ready || s.state == Removed && m.removedMayServe && m.healthChecks
 }
 
-// forgettable tells whether a server was removed too long ago to come back: its weights are removed, then all that is
-// known of it.
+// forgettable reports whether a server was removed so long ago that it is not expected to return. First its weights are
+// removed from the tables, then its state is deleted.
 func (m *Manager) forgettable(s *server) bool {
 	expired := s.removedAt > 0 && m.now-s.removedAt > removedRetention
 	return expired && (!m.mayServe(s) || s.ejected)
@@ -75,7 +76,7 @@
 	}
 }
 
-// eject takes a server out of the distribution until it passes a health check.
+// eject excludes a server from the distribution until it passes a health check.
 func (m *Manager) eject(s *server, reason ejectReason) {
 	s.ejected = true
 	s.health = restoredHealth
@@ -86,7 +87,7 @@
 		textField("cause", string(reason)))
 }
 
-// endEjection takes a server back that passed a health check.
+// endEjection returns a server that passed a health check to the distribution.
 func (m *Manager) endEjection(s *server) {
 	s.ejected = false
 	s.lastSeen = m.now
@@ -95,7 +96,7 @@
 		s.health = restoredHealth
 	}
 	if s.state == Removed {
-		// it may be a new process that the list does not know yet
+		// This may be a new process that is not on the endpoint list yet.
 		s.warmingUp = true
 		s.warmUpFrom = m.now
 		m.serverSetsValid = false
@@ -103,8 +104,9 @@
 	m.log(EventServerRestored, textField("server", string(s.id)))
 }
 
-// updateServerHealth lowers the health of a server that fails more often than its peers or is slower, whatever the
-// reason, and raises it gradually. It is of no use where few proxies cause what all servers show.
+// updateServerHealth lowers the health of servers that fail more often than their peers or are slower, whatever the
+// reason, and raises it again gradually. It cannot help when a few proxies cause the problem, because then all servers
+// are affected alike.
 func (m *Manager) updateServerHealth() {
 	peers := m.peerBaseline()
 	for _, s := range m.servers {
@@ -114,17 +116,19 @@
 	}
 }
 
+// updateHealth moves a server's health towards the target that follows from its failure rate and latency relative to
+// its peers.
 func (m *Manager) updateHealth(s *server, peers baseline) {
 	stats := m.serverStatistics(s)
 	attempts := stats.attempts + priorAttempts
 	excess := (stats.failed+priorAttempts*peers.failureRate)/attempts - peers.failureRate
 	latency := (stats.latency*stats.attempts + priorAttempts*peers.latency) / attempts
-	aim := max(minHealth, 1-max(0, excess-toleratedExcess)/(worstExcess-toleratedExcess))
+	target := max(minHealth, 1-max(0, excess-toleratedExcessFailureRate)/(maxExcessFailureRate-toleratedExcessFailureRate))
 	if latency > 0 {
-		aim = min(aim, slowLatencyFactor*peers.latency/latency)
+		target = min(target, slowLatencyFactor*peers.latency/latency)
 	}
 	previous := s.health
-	s.health *= max(maxHealthFall, math.Pow(max(minHealth, aim)/previous, healthSmoothing))
+	s.health *= max(minHealthFactor, math.Pow(max(minHealth, target)/previous, healthSmoothing))
 	if previous-s.health > healthTolerance || s.health-previous > healthTolerance*previous {
 		m.redistribution = healthChanged
 	}
@@ -140,14 +144,14 @@
 	}
 }
 
-// checkUnresponsive checks servers that may no longer answer, before the list says so. That nothing was heard of a
-// server may have other causes, so nothing else follows from it.
+// checkUnresponsive sends health checks to servers that may have stopped answering, without waiting for the endpoint
+// list. Missing responses may have other causes, so they lead to a health check and to nothing else.
 func (m *Manager) checkUnresponsive() {
 	m.updateExpectedRates()
 	for _, s := range m.servers {
-		quiet := m.now - s.lastSeen
-		unresponsive := quiet >= unresponsiveAfter && s.expectedRate*quiet.Seconds() >= minUnansweredAttempts
-		removed := s.state == Removed && quiet >= unresponsiveAfter
+		silence := m.now - s.lastSeen
+		unresponsive := silence >= unresponsiveAfter && s.expectedRate*silence.Seconds() >= minUnansweredAttempts
+		removed := s.state == Removed && silence >= unresponsiveAfter
 		suspect := unresponsive || removed || s.ejected || s.health < restoredHealth
 		if suspect && m.now-s.checkedAt >= unresponsiveAfter {
 			m.checkServer(s)
--- a/balancer/pinning.go
+++ b/balancer/pinning.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// minPinnedShare is the part of a pinned table's weight that warm servers must have: with less, the pin gives way.
+// minPinnedShare is the share of a pinned table's weight that warm servers must have. With less, the pin is ignored.
 const minPinnedShare = 0.5
 
-// pinnedTables are the weights and admission levels that staff hold the tables at.
+// pinnedTables holds the weights and admission levels at which operators pinned the tables.
 type pinnedTables struct {
 	weights map[TableID]map[ServerID]float64
 	levels  map[TableID]map[uint]AdmissionLevel
 }
 
-// HandlePin holds the tables at the weights and admission levels given, or ends the pin where weights is nil. While
-// tables are pinned, only what the rules demand changes them: withdrawals, slow start, proxies without an endpoint.
+// HandlePin pins the tables to the given weights and admission levels, or ends the pin if weights is nil. Pinned tables
+// change only where the rules require it: for withdrawals, for slow start, and for proxies left without an endpoint.
 func (m *Manager) HandlePin(now time.Duration, weights map[TableID]map[ServerID]float64, levels map[TableID]map[uint]AdmissionLevel) Commands {
 	m.now = now
 	m.redistribution = pinChanged
@@ -29,8 +29,8 @@
 	return m.decide()
 }
 
-// HandleTablesReset takes over what the tables hold, where that is not what was commanded because commands were held
-// back on their way. withdrawn tells which servers are withdrawn.
+// HandleTablesReset adopts the actual contents of the tables where they differ from what this manager commanded,
+// because commands were held back before they took effect. withdrawn reports whether a server is withdrawn.
 func (m *Manager) HandleTablesReset(now time.Duration, weights map[TableID]map[ServerID]float64, levels map[TableID]map[uint]AdmissionLevel, withdrawn func(ServerID) bool) {
 	m.now = now
 	for i, t := range m.tables {
@@ -50,9 +50,10 @@
 	m.redistribution = tablesReset
 }
 
-// applyPinned replaces a table's target by its pinned weights, of the servers that may get requests; a server in its
-// warm-up gets its progress's part. Where too little of the weight is warm the target stays, so that a pin leaves no
-// proxy without an endpoint and no warming server with the requests of its lost peers.
+// applyPinned replaces a table's target with the pinned weights of the servers that may get requests. The weight of a
+// warming server is scaled by its warm-up progress. If warm servers have too little of the pinned weight, the target
+// stays as it is, so that a pin neither leaves proxies without an endpoint nor gives warming servers the requests of
+// their lost peers.
 func (m *Manager) applyPinned(t *table, anyUsable bool) {
 	weights := map[ServerID]float64{}
 	usable := 0.0
@@ -83,7 +84,7 @@
 	}
 }
 
-// pinnedServers are the known servers of a table's pin, by id.
+// pinnedServers returns the known servers that a table's pin names, sorted by ID.
 func (m *Manager) pinnedServers(id TableID) []*server {
 	if m.pinned == nil {
 		return nil
@@ -98,7 +99,7 @@
 	return servers
 }
 
-// pinnedLevelChanges are the pinned admission levels that a table does not have yet.
+// pinnedLevelChanges returns changes for the pinned admission levels that a table does not have yet.
 func (m *Manager) pinnedLevelChanges(id TableID) []tableChange {
 	var changes []tableChange
 	for _, classes := range slices.Sorted(maps.Keys(m.pinned.levels[id])) {
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -1,26 +1,27 @@
 package balancer
 
 const (
-	// warmUpStartShare is the largest share of its target with which a server begins its warm-up.
+	// warmUpStartShare is the maximum share of its target that a server gets at the start of its warm-up.
 	warmUpStartShare = 0.1
-	// warmUpStartOfCold is the part of the stated cold capacity with which it begins, if that is less.
+	// warmUpStartOfCold is the share of the configured cold capacity with which the warm-up starts if that is less.
 	warmUpStartOfCold = 0.6
-	// maxWarmingFill is the multiple of its share of a sound fleet that a server in its warm-up gets at most.
+	// maxWarmingFill is the maximum load of a warming server, as a multiple of its share in a fully healthy fleet.
 	maxWarmingFill = 1.5
-	// maxWarmingRise is the most by which withdrawals beside them may raise the part of servers in their warm-up.
+	// maxWarmingRise is the maximum factor by which withdrawals of other servers may increase the share of warming
+	// servers.
 	maxWarmingRise = 2.0
 
-	// pauseFailureRate is the peers' failure rate at which no server goes on with its warm-up.
+	// pauseFailureRate is the failure rate of the peers above which slow start is paused for all warming servers.
 	pauseFailureRate = 0.4
-	// pauseUnreported is the progress of a warm-up under which servers wait until half of their peers are heard of.
+	// pauseUnreported is the warm-up progress below which servers wait until half of their peers have been reported on.
 	pauseUnreported = 0.5
-	// pauseAll is the progress under which servers wait where all of them do.
+	// pauseAll is the warm-up progress below which servers wait while all warming servers are paused.
 	pauseAll = 1.0
-	// noPause lets all servers go on with their warm-up.
-	noPause = 0.0
+	// pauseNone lets all servers continue their warm-up.
+	pauseNone = 0.0
 )
 
-// warmUpProgress is the part of its target that a server gets by now, from 0 to 1.
+// warmUpProgress returns the share of its target that a server gets now, from 0 to 1.
 func (m *Manager) warmUpProgress(s *server) float64 {
 	if !s.warmingUp {
 		return 1
@@ -29,17 +30,17 @@
 	return min(1, m.warmUpStart+(1-m.warmUpStart)*elapsed/m.warmUpDuration.Seconds())
 }
 
-// isWarmingUp tells whether a server may serve and is in its warm-up.
+// isWarmingUp reports whether a server may serve and is in its warm-up.
 func (m *Manager) isWarmingUp(s *server) bool { return s.warmingUp && m.mayServe(s) }
 
-// slowStartPaused tells whether a server gets no requests until its peers do better.
+// slowStartPaused reports whether a warming server gets no requests until its peers recover or are reported on.
 func (m *Manager) slowStartPaused(s *server) bool {
 	return s.warmingUp && m.warmUpProgress(s) < m.slowStartPause
 }
 
-// updateSlowStart pauses the warm-up of servers while their peers reject requests, which would all come to them: until
-// the peers answer most requests, and early in the warm-up until half of the peers are heard of. It ends warm-ups that
-// are over.
+// updateSlowStart pauses warming servers while their peers fail too many requests, because all of these requests would
+// come to the warming servers. Early in the warm-up, a server also waits until half of its peers have been reported on.
+// updateSlowStart also ends warm-ups whose duration has passed.
 func (m *Manager) updateSlowStart() {
 	peers := m.peerBaseline()
 	warm := count(m.servers, func(s *server) bool { return m.mayServe(s) && !s.ejected && !s.warmingUp })
@@ -63,21 +64,22 @@
 	}
 }
 
-// slowStartPauseFor is the progress of a warm-up below which servers wait.
+// slowStartPauseFor returns the warm-up progress below which servers wait, given their peers and the number of warm
+// servers.
 func (m *Manager) slowStartPauseFor(peers baseline, warm int) float64 {
 	switch {
 	case warm == 0:
-		return noPause
+		return pauseNone
 	case peers.failureRate > pauseFailureRate:
 		return pauseAll
 	case 2*peers.servers < warm:
 		return pauseUnreported
 	default:
-		return noPause
+		return pauseNone
 	}
 }
 
-// wouldOverloadWarmingServers tells whether withdrawals leave a table's servers in their warm-up with too much.
+// wouldOverloadWarmingServers reports whether withdrawals would leave a table's warming servers with too large a share.
 func (m *Manager) wouldOverloadWarmingServers(id TableID) bool {
 	return m.warmingShareRise(m.tables[id]) > maxWarmingRise
 }
--- a/balancer/zone_outage.go
+++ b/balancer/zone_outage.go
@@ -1,32 +1,33 @@
 package balancer
 
 const (
-	// minUnreachableServers is the least number of unreachable servers that make a zone outage.
+	// minUnreachableServers is the minimum number of unreachable servers in a zone outage.
 	minUnreachableServers = 3.0
-	// zoneOutageShare is the share of a zone's checked servers that must be unreachable.
+	// zoneOutageShare is the minimum share of unreachable servers among a zone's checked servers in a zone outage.
 	zoneOutageShare = 0.9
-	// zoneCheckValidity is how long the results of a check of a whole zone count.
+	// zoneCheckValidity is how long the results of a check of a whole zone are used.
 	zoneCheckValidity = 2 * unresponsiveAfter
 
-	// pairLatencyFactor is the multiple of its usual latency at which a zone pair is closed.
+	// pairLatencyFactor is the multiple of its usual latency above which a zone pair is closed.
 	pairLatencyFactor = 2.0
-	// pairFailureRate is the failure rate at which a zone pair is closed.
+	// pairFailureRate is the failure rate above which a zone pair is closed.
 	pairFailureRate = 0.5
-	// pairAgreeing is how many of the last samples must agree on it.
+	// pairAgreeing is the number of latest samples that must all exceed these bounds.
 	pairAgreeing = 3
-	// minPairLatencies is how many samples make a usual latency.
+	// minPairLatencies is the minimum number of samples that define a usual latency.
 	minPairLatencies = 3 * pairAgreeing
-	// maxPairSamples is how many samples of a zone pair are kept.
+	// maxPairSamples is the number of samples kept per zone pair.
 	maxPairSamples = 64
 )
 
 // zonePair is a circuit breaker for requests from the proxies of one zone to the servers of another.
 type zonePair struct {
-	latencies    []float64 // seconds, by report
-	failureRates []float64 // by report
-	closed       bool      // to new spill
+	latencies    []float64 // in seconds, one per report with successful attempts
+	failureRates []float64 // one per report
+	closed       bool      // gets spill only if open pairs leave some
 }
 
+// record adds the latency and the failure rate of a load report.
 func (p *zonePair) record(report LoadReport) {
 	failureRate := float64(report.Failed) / float64(report.Attempts)
 	p.failureRates = lastN(append(p.failureRates, failureRate), maxPairSamples)
@@ -35,15 +36,15 @@
 	}
 }
 
-// troubled tells whether the last samples all lie over the bounds of latency or failure rate.
-func (p *zonePair) troubled(usualLatency float64) bool {
+// isImpaired reports whether the latest samples all exceed the bound of latency or of failure rate.
+func (p *zonePair) isImpaired(usualLatency float64) bool {
 	if len(p.failureRates) < pairAgreeing {
 		return false
 	}
-	for back := 1; back <= pairAgreeing; back++ {
+	for age := 1; age <= pairAgreeing; age++ {
 		slow := len(p.latencies) >= minPairLatencies &&
-			p.latencies[len(p.latencies)-back] > pairLatencyFactor*usualLatency
-		failing := p.failureRates[len(p.failureRates)-back] > pairFailureRate
+			p.latencies[len(p.latencies)-age] > pairLatencyFactor*usualLatency
+		failing := p.failureRates[len(p.failureRates)-age] > pairFailureRate
 		if !slow && !failing {
 			return false
 		}
@@ -51,14 +52,13 @@
 	return true
 }
 
-// updateZonePairs closes a pair of zones to new spill while its latency is a multiple of the usual one or most attempts
-// fail.
+// updateZonePairs closes a zone pair while its latency is a multiple of the usual latency or most attempts fail.
 func (m *Manager) updateZonePairs() {
 	for from := range m.zonePairs {
 		for to := range m.zonePairs[from] {
 			pair := &m.zonePairs[from][to]
 			usualLatency := median(pair.latencies)
-			closed := pair.troubled(usualLatency)
+			closed := pair.isImpaired(usualLatency)
 			if from == to || closed == pair.closed {
 				continue
 			}
@@ -73,17 +73,19 @@
 	}
 }
 
-// suspectZone has a zone's servers checked, but not again while the results of the last check may still come.
+// suspectZone schedules a health check of all servers of a zone, unless results of its last check may still arrive.
 func (m *Manager) suspectZone(zone int) {
 	if m.now-m.zoneCheckedAt[zone] >= unresponsiveAfter {
 		m.suspectedZone = zone
 	}
 }
 
+// zoneSuspected reports whether a health check of a whole zone is scheduled.
 func (m *Manager) zoneSuspected() bool { return m.suspectedZone != noZone }
 
-// checkSuspectedZone checks all servers of a zone in which one stopped answering: load reports of a large fleet cover
-// seconds and come seconds late, so that a lost zone would be found server by server.
+// checkSuspectedZone sends health checks to all servers of a zone in which one stopped answering. Load reports of a
+// large fleet cover several seconds and arrive seconds late, so without it a lost zone would be detected server by
+// server.
 func (m *Manager) checkSuspectedZone() {
 	for _, s := range m.servers {
 		if s.zone == m.suspectedZone && !s.ejected {
@@ -95,12 +97,13 @@
 }
 
 // detectZoneOutage ejects the unreachable servers of a zone in which hardly any server can be reached, whatever older
-// reports say. A health check that timed out does not count: under overload all servers may answer late.
+// reports say. Health checks that timed out do not count as unreachable, because under overload all servers may answer
+// late.
 func (m *Manager) detectZoneOutage() {
 	checked := make([]float64, len(m.zones))
 	unreachable := make([]float64, len(m.zones))
 	for _, s := range m.servers {
-		if !m.checkedWithZone(s) {
+		if !m.checkedSinceZoneCheck(s) {
 			continue
 		}
 		checked[s.zone]++
@@ -110,14 +113,15 @@
 	}
 	for _, s := range m.servers {
 		outage := unreachable[s.zone] >= max(minUnreachableServers, zoneOutageShare*checked[s.zone])
-		if outage && s.unreachable && !s.ejected && m.checkedWithZone(s) {
+		if outage && s.unreachable && !s.ejected && m.checkedSinceZoneCheck(s) {
 			m.eject(s, zoneUnreachable)
 		}
 	}
 }
 
-// checkedWithZone tells whether a server's last health check ended since its whole zone was checked lately.
-func (m *Manager) checkedWithZone(s *server) bool {
+// checkedSinceZoneCheck reports whether its whole zone was checked recently and a server's last health check ended
+// after that.
+func (m *Manager) checkedSinceZoneCheck(s *server) bool {
 	zoneCheckedAt := m.zoneCheckedAt[s.zone]
 	return m.mayServe(s) && m.now-zoneCheckedAt <= zoneCheckValidity && s.checkEndedAt >= zoneCheckedAt
 }
