--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -10,31 +10,31 @@
 	m := newTestManager(2)
 	m.admission.limit = 50
 	got := m.levelChanges(0, m.demandByClass())
-	wantNear(t, "most useful", got[0].level.Amount, 1)
-	wantNear(t, "the rest", got[1].level.Amount, 0.5)
+	wantNear(t, "class of the highest priority", got[0].level.Amount, 1)
+	wantNear(t, "class of the lower priority", got[1].level.Amount, 0.5)
 }
 
-func TestLevelsByRateAdmitTheSameShare(t *testing.T) {
-	wantNear(t, "rate", equalRateLimit([]float64{2, 8, 10}, 0.6), 5)
+func TestLevelsInRatesAdmitTheSameShare(t *testing.T) {
+	wantNear(t, "limit per proxy", equalRateLimit([]float64{2, 8, 10}, 0.6), 5)
 	m := newTestManager(2)
 	m.admissionUnit = AdmitRate
 	m.admission.limit = 50
-	wantNear(t, "a proxy", m.levelChanges(0, m.demandByClass())[1].level.Amount, 15)
-	wantNear(t, "open", m.levelChanges(0, m.demandByClass())[0].level.Amount, unlimitedRate)
+	wantNear(t, "limited class, per proxy", m.levelChanges(0, m.demandByClass())[1].level.Amount, 15)
+	wantNear(t, "class admitted in full", m.levelChanges(0, m.demandByClass())[0].level.Amount, unlimitedRate)
 }
 
-func TestLevelsAllowNoRetriesUnderALimit(t *testing.T) {
+func TestLevelsAllowNoRetriesWhileLimited(t *testing.T) {
 	m := newTestManager(2)
 	if got := m.levelChanges(0, m.demandByClass()); len(got) != 0 {
-		t.Errorf("levels %v while all is admitted", got)
+		t.Errorf("got level changes %v while all requests are admitted", got)
 	}
 	m.admission.limit = 1000
 	if got := m.levelChanges(0, m.demandByClass()); got[0].level.Retry != NoRetry || got[1].level.Retry != NoRetry {
-		t.Error("retries under overload")
+		t.Error("retries are allowed under overload")
 	}
 }
 
-func TestTheLimitMovesOnlyWhenServersShowLoad(t *testing.T) {
+func TestLimitIsLoweredOnlyIfTheServersAreLoaded(t *testing.T) {
 	m := newTestManager(2)
 	m.now = 4 * time.Second
 	for _, s := range m.servers {
@@ -44,16 +44,16 @@
 	m.admission.baselineLoad = 0.1
 	m.updateAdmissionLimit()
 	if !math.IsInf(m.admission.limit, 1) {
-		t.Errorf("limit %.0f over idle servers", m.admission.limit)
+		t.Errorf("limit %.0f although the servers are idle", m.admission.limit)
 	}
 	m.checkTimes = []sample{{at: m.now, value: 0.9}, {at: m.now, value: math.Inf(1)}, {at: m.now, value: 0.8}}
 	m.updateAdmissionLimit()
 	if math.IsInf(m.admission.limit, 1) {
-		t.Error("all admitted at full servers")
+		t.Error("all requests are admitted although the servers are overloaded")
 	}
 }
 
-func TestTheLimitIsNotMovedByFailuresOfTheFirstSeconds(t *testing.T) {
+func TestLimitIsNotLoweredByFailuresInTheFirstSeconds(t *testing.T) {
 	m := newTestManager(2)
 	m.healthChecks = false
 	m.now = 4 * time.Second
@@ -63,17 +63,18 @@
 	}
 	m.updateAdmissionLimit()
 	if !math.IsInf(m.admission.limit, 1) {
-		t.Errorf("limit %.0f by the failures of a first second", m.admission.limit)
+		t.Errorf("limit %.0f after failures in the first second only", m.admission.limit)
 	}
 	m.admission.deliveryRates = make([]float64, minDeliverySamples)
 	m.updateAdmissionLimit()
 	if math.IsInf(m.admission.limit, 1) {
-		t.Error("all admitted though late answers and failures go on")
+		t.Error("all requests are admitted although late responses and failures continue")
 	}
 }
 
-// A limit set by the first few proxies reported on after a start would reject nearly all requests that come then.
-func TestTheLimitWaitsUntilMostProxiesAreReportedOn(t *testing.T) {
+// A limit derived from the first few proxies that report after a start would reject nearly all requests of the proxies
+// that follow.
+func TestLimitIsUnchangedUntilMostProxiesReport(t *testing.T) {
 	m := newTestManager(2)
 	m.healthChecks = false
 	m.now = 4 * time.Second
@@ -86,12 +87,12 @@
 	}
 	m.updateAdmissionLimit()
 	if !math.IsInf(m.admission.limit, 1) {
-		t.Errorf("limit %.0f though a tenth is reported", m.admission.limit)
+		t.Errorf("limit %.0f although only a tenth of the announced rate is reported on", m.admission.limit)
 	}
 }
 
-// A limit for half of the proxies must not stay when another manager's proxies connect.
-func TestTheLimitFollowsTheProxiesReportedOn(t *testing.T) {
+// A limit that was set for a few proxies must not remain when another manager's proxies connect.
+func TestLimitScalesWithTheReportingProxies(t *testing.T) {
 	m := newTestManager(2)
 	m.now = 4 * time.Second
 	m.admission.baselineLoad = 0.1
@@ -103,13 +104,13 @@
 	m.proxies[1].usage[0][0].value = 300
 	m.updateAdmissionLimit()
 	if m.admission.limit < 160 {
-		t.Errorf("limit %.0f for four times the proxies", m.admission.limit)
+		t.Errorf("limit %.0f after the announced rate of the reporting proxies rose fourfold from 10, want at least 160", m.admission.limit)
 	}
 }
 
-// The limit must not go by what servers delivered that are drained by now, nor stay low once their replacements can
-// serve.
-func TestTheLimitFollowsTheUsableWeight(t *testing.T) {
+// The limit must not be based on the delivered rate of servers that are draining by now, and must not stay low once
+// their replacements can serve.
+func TestLimitScalesWithTheUsableWeight(t *testing.T) {
 	m := newTestManager(5)
 	m.healthChecks = false
 	m.now = 4 * time.Second
@@ -121,14 +122,14 @@
 	}
 	m.updateAdmissionLimit()
 	if !math.IsInf(m.admission.limit, 1) {
-		t.Errorf("limit %.0f with all servers", m.admission.limit)
+		t.Errorf("limit %.0f while all servers are ready", m.admission.limit)
 	}
 	for _, s := range m.servers[:6] {
 		s.state = Draining
 	}
 	m.updateAdmissionLimit()
 	if m.admission.limit > 1.1*surgeSaturationFactor*4*8 {
-		t.Errorf("limit %.0f for four servers of ten, which delivered 8 each", m.admission.limit)
+		t.Errorf("limit %.0f for four of ten servers, which delivered 8 requests per second each", m.admission.limit)
 	}
 	for _, s := range m.servers[:6] {
 		s.state = Ready
@@ -136,12 +137,12 @@
 	}
 	m.updateAdmissionLimit()
 	if m.admission.limit < 2*surgeSaturationFactor*4*8 {
-		t.Errorf("limit %.0f once all are back", m.admission.limit)
+		t.Errorf("limit %.0f once all servers are ready again", m.admission.limit)
 	}
 }
 
-// The limit must not stay while a part of the servers fails.
-func TestTheLimitFollowsTheServersHealth(t *testing.T) {
+// The limit must be lowered while some of the servers fail.
+func TestLimitScalesWithTheHealthOfServers(t *testing.T) {
 	m := newTestManager(4)
 	m.healthChecks = false
 	m.now = 4 * time.Second
@@ -154,11 +155,11 @@
 	}
 	m.updateAdmissionLimit()
 	if m.admission.limit > 60*0.7 {
-		t.Errorf("limit %.0f though half of the servers do a fifth", m.admission.limit)
+		t.Errorf("limit %.0f although half of the servers have a health of only 0.2", m.admission.limit)
 	}
 }
 
-func TestTheLimitStaysOpenWhereRequestsTakeLongByThemselves(t *testing.T) {
+func TestLimitIsNotLoweredForInherentlySlowRequests(t *testing.T) {
 	m := newTestManager(2)
 	m.healthChecks = false
 	m.now = 10 * time.Second
@@ -172,7 +173,7 @@
 	}
 }
 
-func TestTheLimitStaysOpenOverQuickServersThatDropRequests(t *testing.T) {
+func TestLimitIsNotLoweredForQuickServersThatDropRequests(t *testing.T) {
 	m := newTestManager(2)
 	m.now = 10 * time.Second
 	for _, s := range m.servers {
@@ -180,64 +181,65 @@
 	}
 	m.updateAdmissionLimit()
 	if !math.IsInf(m.admission.limit, 1) {
-		t.Errorf("limit %.0f", m.admission.limit)
+		t.Errorf("limit %.0f although the responses are quick", m.admission.limit)
 	}
 }
 
-// A rate that is not a number would put a table's changes behind all others.
-func TestLevelsHaveARateWhereNothingIsOffered(t *testing.T) {
+// A rate that is NaN would sort a table's changes after all others.
+func TestLevelChangesHaveARateWithoutOfferedRequests(t *testing.T) {
 	m := newTestManager(2)
 	m.now = time.Minute
 	m.admission.limit = 0
-	for _, l := range append(m.levelChanges(0, m.demandByClass()), m.levelChanges(1, []float64{0, 0})...) {
-		if math.IsNaN(l.rate) {
-			t.Errorf("%+v", l)
+	for _, change := range append(m.levelChanges(0, m.demandByClass()), m.levelChanges(1, []float64{0, 0})...) {
+		if math.IsNaN(change.rate) {
+			t.Errorf("the rate of change %+v is NaN", change)
 		}
 	}
 	m.tables[0].publishedLevels[1] = AdmissionLevel{0, 1, 0.5, NoRetry}
 	if got := m.levelChanges(0, []float64{0, 0}); len(got) == 0 || math.IsNaN(got[0].rate) {
-		t.Errorf("%+v", got)
+		t.Errorf("got changes %+v, want at least one and no NaN rate", got)
 	}
 }
 
-// A sample ends when a request came, so that the rates of single samples add up to more than the demand where each
-// proxy gets few requests; the limit would then reject a quarter too much.
-func TestDemandIsNotTheSumOfLastRates(t *testing.T) {
+// A sample ends when a request arrives. Where each proxy gets few requests, the rates of single samples therefore add
+// up to more than the demand, and the limit would reject a quarter too many requests.
+func TestDemandIsNotTheSumOfLatestRates(t *testing.T) {
 	m := newTestManager(1)
 	m.proxies = nil
-	// half a request a second at each: the last spans of eight, as often as they come at that rate
+	// Eight proxies with half a request per second each. The spans of their latest samples are distributed as they
+	// occur at that rate.
 	for i, span := range []float64{1, 1, 1, 1, 2, 2, 3, 5} {
 		m.proxies = append(m.proxies, &proxy{id: ProxyID(i), usage: [][]sample{{{m.now, 1, span}}, nil}})
 	}
-	sums := m.demandByClass()
-	wantNear(t, "asked", sums[0], 4)
+	demand := m.demandByClass()
+	wantNear(t, "demand", demand[0], 4)
 }
 
-// Where the platform retries after any failure, a class that does not bear it gets another policy before a proxy is
-// assigned to the table, so that no request takes effect twice.
-func TestRetryPoliciesAreWhatAClassBears(t *testing.T) {
-	groups := []TrafficClass{
+// If the platform retries after any failure, a class whose requests must not be executed twice gets a stricter policy
+// before a proxy is assigned to the table, so that no request takes effect twice.
+func TestRetryPolicyIsSafeForEachClass(t *testing.T) {
+	classes := []TrafficClass{
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: Idempotent},
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: IdempotencyKeyed, DedupWindow: 4 * time.Second},
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1, Idempotency: IdempotencyKeyed, DedupWindow: 3 * time.Second},
 		{LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1},
 	}
-	for usual, want := range map[RetryPolicy][]RetryPolicy{NoRetry: {0, 0, 0, 0}, RetryIfNotExecuted: {1, 1, 1, 1}, 2: {2, 2, 1, 1}, 3: {3, 3, 1, 1}} {
-		site := testSettings
-		site.Classes = groups
-		site.DefaultRetryPolicy = usual
-		m := New(1, site)
+	for platform, want := range map[RetryPolicy][]RetryPolicy{NoRetry: {0, 0, 0, 0}, RetryIfNotExecuted: {1, 1, 1, 1}, 2: {2, 2, 1, 1}, 3: {3, 3, 1, 1}} {
+		settings := testSettings
+		settings.Classes = classes
+		settings.DefaultRetryPolicy = platform
+		m := New(1, settings)
 		m.distributedRates = []float64{40, 40}
 		m.tables[0].published["a0"] = 1
-		for g, way := range want {
-			got := usual
-			for _, l := range m.levelChanges(0, []float64{1, 1, 1, 1}) {
-				if l.level.Classes == 1<<g {
-					got = l.level.Retry
+		for class, wantPolicy := range want {
+			got := platform
+			for _, change := range m.levelChanges(0, []float64{1, 1, 1, 1}) {
+				if change.level.Classes == 1<<class {
+					got = change.level.Retry
 				}
 			}
-			if got != way {
-				t.Errorf("the site's way %d, class %d: %d, not %d", usual, g, got, way)
+			if got != wantPolicy {
+				t.Errorf("platform policy %d, class %d: got policy %d, want %d", platform, class, got, wantPolicy)
 			}
 		}
 	}
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -10,12 +10,12 @@
 	m.servers[0].warmingUp = true
 	m.redistribution = warmUpAdvanced
 	m.redistribute()
-	if x := m.tables[0].target["a0"] / m.tables[0].target["a1"]; x <= 0 || x >= testSettings.ColdCapacity {
-		t.Errorf("a warming server gets %.2f of its peer's weight", x)
+	if ratio := m.tables[0].target["a0"] / m.tables[0].target["a1"]; ratio <= 0 || ratio >= testSettings.ColdCapacity {
+		t.Errorf("a warming server gets %.2f of the weight of its peer, want more than 0 and less than its cold capacity", ratio)
 	}
 }
 
-func TestAWarmingServerGetsNoPartOfItsLostPeers(t *testing.T) {
+func TestAWarmingServerGetsNoRequestsOfItsLostPeers(t *testing.T) {
 	m := newTestManager(3)
 	for _, s := range m.servers[1:] {
 		s.ejected = s.zone == 0
@@ -23,12 +23,12 @@
 	m.servers[0].warmingUp = true
 	m.now = testSettings.WarmUpDuration - time.Second
 	m.redistribute()
-	sum := 0.0
-	for z := range m.tables {
-		sum += m.tables[z].target["a0"] * m.distributedRates[z]
+	rate := 0.0
+	for partition := range m.tables {
+		rate += m.tables[partition].target["a0"] * m.distributedRates[partition]
 	}
-	if sum > 80.0/6+1e-6 {
-		t.Errorf("a warming server is to take %.1f of 80 requests as one of six", sum)
+	if rate > 80.0/6+1e-6 {
+		t.Errorf("a warming server, one of six, gets %.1f of 80 requests per second", rate)
 	}
 }
 
@@ -42,7 +42,7 @@
 	m.updateSlowStart()
 	m.redistribute()
 	if m.slowStartPause != 1 || m.tables[0].target["a0"] != 0 {
-		t.Errorf("wanted %v", m.tables[0].target)
+		t.Errorf("slow start is not paused, or a0 has a target: %v", m.tables[0].target)
 	}
 }
 
@@ -53,16 +53,17 @@
 	m.slowStartPause = pauseUnreported
 	m.updateSlowStart()
 	if m.slowStartPause != pauseUnreported || m.nextRestore() != nil {
-		t.Error("a warming server comes back though no peer is reported")
+		t.Error("a withdrawn warming server is restored although no peer has been reported on")
 	}
 	m.servers[0].warmUpFrom = -m.warmUpDuration * 3 / 4
 	if m.nextRestore() == nil {
-		t.Error("a server that is nearly warm waits for reports")
+		t.Error("a server late in its warm-up waits for reports on its peers")
 	}
 }
 
-// A limit that already rejects requests must not also lower the part of warming servers, which would stay idle.
-func TestAnAdmissionLimitDoesNotLowerAWarmingServersPart(t *testing.T) {
+// An admission limit already rejects requests. It must not also lower the share of warming servers, which would then
+// stay idle.
+func TestAnAdmissionLimitDoesNotLowerTheShareOfAWarmingServer(t *testing.T) {
 	m := newTestManager(4)
 	m.now = 4 * time.Second
 	m.servers[0].warmingUp = true
@@ -71,51 +72,52 @@
 	open := m.tables[0].target["a0"]
 	m.admission.limit = 20
 	m.redistribute()
-	wantNear(t, "its part of the table under a limit", m.tables[0].target["a0"], open)
+	wantNear(t, "share of a0 in its table under a limit", m.tables[0].target["a0"], open)
 }
 
-// Warming servers must not get the requests of all that drain beside them until the next tick.
-func TestWarmingServersDoNotGetTheRequestsOfThoseThatDrain(t *testing.T) {
+// Until the next tick, warming servers must not get the requests of all the servers that start to drain.
+func TestWarmingServersDoNotGetTheRequestsOfDrainingServers(t *testing.T) {
 	m := newTestManager(4)
-	t0, cold := m.tables[0], m.servers[0]
+	table, cold := m.tables[0], m.servers[0]
 	cold.warmingUp = true
 	cold.warmUpFrom = 0
 	cold.listedStart = 0
-	t0.target = map[ServerID]float64{"a0": 0.04, "a1": 0.32, "a2": 0.32, "a3": 0.32}
-	t0.published = map[ServerID]float64{"a0": 12.5, "a1": 100, "a2": 100, "a3": 100}
+	table.target = map[ServerID]float64{"a0": 0.04, "a1": 0.32, "a2": 0.32, "a3": 0.32}
+	table.published = map[ServerID]float64{"a0": 12.5, "a1": 100, "a2": 100, "a3": 100}
 	m.listReceived = true
-	o := m.HandleEndpointList(time.Second, false, []Endpoint{{Server: "a1", Zone: "a", State: Draining}, {Server: "a2", Zone: "a", State: Draining}, {Server: "a3", Zone: "a", State: Draining}})
-	all := 0.0
-	for id, w := range t0.published {
+	commands := m.HandleEndpointList(time.Second, false, []Endpoint{{Server: "a1", Zone: "a", State: Draining}, {Server: "a2", Zone: "a", State: Draining}, {Server: "a3", Zone: "a", State: Draining}})
+	total := 0.0
+	for id, weight := range table.published {
 		if !m.server(id).withdrawn {
-			all += w
+			total += weight
 		}
 	}
-	if len(o.Withdraw) != 3 || t0.published["a0"] > 0.2*all {
-		t.Errorf("%v withdrawn, the cold one gets %.2f of the table", o.Withdraw, t0.published["a0"]/all)
+	if len(commands.Withdraw) != 3 || table.published["a0"] > 0.2*total {
+		t.Errorf("withdrawn %v, want three servers; the warming server gets %.2f of the table, want at most 0.2",
+			commands.Withdraw, table.published["a0"]/total)
 	}
 }
 
-// In a fleet of which most is cold, the few warm servers would be overloaded while the cold ones wait.
-func TestWarmingServersTakeMoreWhileMostAreWarmingUp(t *testing.T) {
-	for _, since := range []time.Duration{8 * time.Second, time.Second} {
+// When most servers are warming up, they must get more than usual. Otherwise the few warm servers would be overloaded.
+func TestWarmingServersGetMoreWhileMostServersWarmUp(t *testing.T) {
+	for _, elapsed := range []time.Duration{8 * time.Second, time.Second} {
 		m := newTestManager(4)
 		m.now = time.Second
 		for _, s := range m.servers[:6] {
 			s.warmingUp = true
-			s.warmUpFrom = m.now - since
+			s.warmUpFrom = m.now - elapsed
 		}
 		m.redistribute()
-		gets, climbed := 0.0, m.warmUpProgress(m.servers[0])
-		for z, t := range m.tables {
-			gets += t.target["a0"] * m.distributedRates[z]
+		rate, progress := 0.0, m.warmUpProgress(m.servers[0])
+		for partition, table := range m.tables {
+			rate += table.target["a0"] * m.distributedRates[partition]
 		}
-		wantNear(t, "a cold one's flows", gets, climbed*80/max(2+6*climbed, 8/maxWarmingFill))
+		wantNear(t, "requests per second of a warming server", rate, progress*80/max(2+6*progress, 8/maxWarmingFill))
 	}
 }
 
-// A restarted manager must not begin the warm-up of all servers anew.
-func TestAWarmUpCountsFromAStartBeforeTheManagers(t *testing.T) {
+// A restarted manager must not restart the warm-up of servers that started before it.
+func TestAWarmUpCountsFromAStartBeforeTheManagerStarted(t *testing.T) {
 	m := New(1, testSettings)
 	m.HandleEndpointList(0, true, []Endpoint{{Server: "old", Zone: "a", Weight: 1, Started: -8 * time.Second, RecentlyStarted: true},
 		{Server: "back", Zone: "a", Weight: 1}})
@@ -123,7 +125,7 @@
 		{Server: "new", Zone: "a", Weight: 1, Started: time.Second / 2, RecentlyStarted: true}})
 	for id, want := range map[ServerID]time.Duration{"old": -8 * time.Second, "back": -8 * time.Second, "new": time.Second} {
 		if s := m.server(id); !s.warmingUp || s.warmUpFrom != want {
-			t.Errorf("%s: warming up %v from %v", id, s.warmingUp, s.warmUpFrom)
+			t.Errorf("%s: warming up: %v, since %v; want true, since %v", id, s.warmingUp, s.warmUpFrom, want)
 		}
 	}
 }
