--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -12,8 +12,7 @@
 	freshReportAge = 1500 * time.Millisecond
 	// demandWindowSeconds is the number of seconds of usage from which the current demand of a class is computed.
 	demandWindowSeconds = 0.9
-	// loadQuantile is the percentile, as a fraction, of the latency of recent successful attempts that gives the
-	// observed load.
+	// loadQuantile is the quantile of the latency of recent successful attempts that gives the observed load.
 	loadQuantile = 0.6
 	// lowLoad is the load (latency divided by the latency objective) below which the admission limit is raised.
 	lowLoad = 0.26
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -17,7 +17,7 @@
 
 	// unresponsiveAfter is the time without a response after which a server is checked and may be ejected.
 	unresponsiveAfter = 2 * time.Second
-	// minUnansweredAttempts is the number of attempts that must have been expected during that time.
+	// minUnansweredAttempts is the number of attempts that a server must have been expected to get during that time.
 	minUnansweredAttempts = 4.0
 	// removedRetention is how long the state of a removed server is kept.
 	removedRetention = time.Minute
@@ -29,7 +29,7 @@
 	toleratedExcessFailureRate = 0.15
 	// maxExcessFailureRate is the excess of the failure rate at which the health reaches its minimum.
 	maxExcessFailureRate = 0.35
-	// priorAttempts is the weight, in attempts, of the peers' average as the prior of a server's statistics.
+	// priorAttempts is the weight, in attempts, with which the peers' medians enter a server's statistics as a prior.
 	priorAttempts = 2
 
 	// minHealth is the minimum health, which leaves a server some requests so that it can still be observed.
--- a/balancer/zone_outage.go
+++ b/balancer/zone_outage.go
@@ -24,7 +24,7 @@
 type zonePair struct {
 	latencies    []float64 // in seconds, one per report with successful attempts
 	failureRates []float64 // one per report
-	closed       bool      // gets spill only if open pairs leave some
+	closed       bool      // requests spill over it only after all open pairs
 }
 
 // record adds the latency and the failure rate of a load report.
@@ -36,7 +36,7 @@
 	}
 }
 
-// isImpaired reports whether the latest samples all exceed the bound of latency or of failure rate.
+// isImpaired reports whether each of the latest samples exceeds the bound of latency or of failure rate.
 func (p *zonePair) isImpaired(usualLatency float64) bool {
 	if len(p.failureRates) < pairAgreeing {
 		return false
