--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -2,10 +2,11 @@
 
 func (m *Manager) proxyConnected() bool { return m.connectedTable != nil }
 
-// awaitDistribution has a proxy that has just connected wait for its table while servers warm up. No table counts its
-// requests yet, and that of a partition that had no proxies may name servers in their warm-up only. It waits for the
-// next tick with the table that it holds, since hundreds connect one by one after a restart. While servers drain, which
-// the tables of other managers may name, it waits only where its table is colder than the fleet.
+// awaitDistribution makes a newly connected proxy wait for its table until the next distribution if servers are warming
+// up. No table accounts for the proxy's requests yet, and the table of a partition without proxies may name warming
+// servers only. Because hundreds of proxies connect one by one after a restart, the proxy keeps its previous table and
+// waits for the next tick. While servers are draining, the tables of other managers may still name them; the proxy then
+// waits only if its new table gives warming servers more than maxWarmingRise times their share in the whole fleet.
 func (m *Manager) awaitDistribution() {
 	t := m.connectedTable
 	m.connectedTable = nil
@@ -14,13 +15,13 @@
 	}
 	m.redistribution = proxyAwaitsTable
 	m.cheapestAssign = 0
-	colderThanFleet := m.warmingShareOf(t) > maxWarmingRise*m.warmingShare
-	if m.sets().withdrawnUnusable == 0 || colderThanFleet {
+	warmingShareTooHigh := m.warmingShareOf(t) > maxWarmingRise*m.warmingShare
+	if m.sets().withdrawnUnusable == 0 || warmingShareTooHigh {
 		t.awaitsDistribution = true
 	}
 }
 
-// endDistributionWait lets proxies be put on tables that awaited a distribution.
+// endDistributionWait allows assignments to tables that awaited a distribution.
 func (m *Manager) endDistributionWait() {
 	for _, t := range m.tables {
 		t.awaitsDistribution = false
@@ -28,14 +29,14 @@
 	m.cheapestAssign = 0
 }
 
-// nextAssignment is the next proxy to be put on its partition's table, the first connected first; nil without any or
-// without room.
+// nextAssignment returns the next proxy to assign to its partition's table, in order of connection, or nil if no proxy is
+// unassigned or no assignment fits into the channel.
 func (m *Manager) nextAssignment() *proxy {
 	priority := urgentPriority
 	if m.assignsBeforeDrains() {
 		priority = drainPriority
 	}
-	for _, p := range m.assignableWithin(m.available(priority)) {
+	for _, p := range m.assignableProxies(m.available(priority)) {
 		t := m.tables[p.partition]
 		if m.assignable(t) && m.fits([]*proxy{p}, m.assignmentCost(t), priority) {
 			return p
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// assignable tells whether proxies may be put on a table.
+// assignable reports whether proxies may be assigned to a table.
 func (m *Manager) assignable(t *table) bool { return !t.awaitsDistribution && !m.isEmptyTable(t) }
 
 func (m *Manager) assignmentReady() bool { return m.partitioned && m.nextAssignment() != nil }
@@ -55,8 +56,8 @@
 	m.reserve([]*proxy{p}, m.assignmentCost(m.tables[p.partition]))
 }
 
-// recordAssignment commands that a proxy is put on its partition's table, and on its zone-local part for the classes
-// that stay in their zone.
+// recordAssignment adds the commands that assign a proxy to its partition's table, and to the table's zone-local part for
+// zone-local classes.
 func (m *Manager) recordAssignment(p *proxy) {
 	m.updatePlacement()
 	m.stopWaiting(p, m.tables[p.partition])
@@ -73,9 +74,9 @@
 	m.commands.Assign = append(m.commands.Assign, TableAssignment{p.id, ZoneLocalTables + id, m.zoneLocal})
 }
 
-// assignableWithin are the proxies without a table, none where no table that they wait for costs so little: thousands
-// may wait after a restart, and each input would go through them.
-func (m *Manager) assignableWithin(available float64) []*proxy {
+// assignableProxies returns the unassigned proxies, or nil if even the cheapest assignment costs more commands than are
+// available: thousands of proxies may be unassigned after a restart, and each input would iterate over them.
+func (m *Manager) assignableProxies(available float64) []*proxy {
 	if m.cheapestAssignment() > available {
 		return nil
 	}
--- a/balancer/assignment_test.go
+++ b/balancer/assignment_test.go
@@ -172,7 +172,7 @@
 	m.proxies[0].assigned = false
 	m.sendableSoon[urgentPriority] = 7
 	m.queueLimits[urgentPriority] = 7
-	if some := m.assignableWithin(m.available(urgentPriority)); some != nil || m.nextAssignment() != nil {
+	if some := m.assignableProxies(m.available(urgentPriority)); some != nil || m.nextAssignment() != nil {
 		t.Error("gone through for a table of 3 commands and 5 of the message")
 	}
 	m.sendableSoon[urgentPriority] = 8
--- a/balancer/distribution.go
+++ b/balancer/distribution.go
@@ -3,28 +3,28 @@
 import "slices"
 
 const (
-	// bandFloor is the least part of its target that a sound server gets.
+	// bandFloor is the smallest multiple of its target that a healthy server gets.
 	bandFloor = 0.8
-	// bandCeiling is the largest part of its target that a sound server gets while there is room elsewhere.
+	// bandCeiling is the largest multiple of its target that a healthy server gets while other servers have capacity.
 	bandCeiling = 1.2
-	// maxListedShare is the most that a server gets, as a multiple of its share of the listed weight.
-	maxListedShare = 2.0
+	// maxListedShareFactor is the most that a server gets, as a multiple of its share of the listed weight.
+	maxListedShareFactor = 2.0
 
-	// minWeightShare is the least share of a table's requests for which a server is named in it.
+	// minWeightShare is the smallest share of a table's requests for which a server is named in the table.
 	minWeightShare = 0.005
-	// minWeightOfLargest is that least share as a part of the table's largest, which holds in tables of hundreds of
-	// equal servers.
-	minWeightOfLargest = 0.5
+	// minShareOfLargest replaces minWeightShare in tables of hundreds of equal servers, each of which gets less than
+	// minWeightShare: a server is named if it gets more than this multiple of the table's largest share.
+	minShareOfLargest = 0.5
 
-	// rateTolerance is the relative change of a partition's requests that calls for a new distribution.
+	// rateTolerance is the relative change of a partition's request rate that triggers a redistribution.
 	rateTolerance = 0.2
-	// rateWindow is the seconds of usage that make a proxy's rate in the distribution.
+	// rateWindow is how many seconds of usage a proxy's request rate in the distribution is computed from.
 	rateWindow = 6.0
-	// minAnnouncedShare is the least part of its announced rate for which a proxy counts while servers warm up.
+	// minAnnouncedShare is the smallest multiple of its announced rate that a proxy counts for while servers warm up.
 	minAnnouncedShare = 0.5
 )
 
-// redistributionReason says why the tables' targets are to be worked out anew.
+// redistributionReason is the reason why the tables' target weights must be recomputed.
 type redistributionReason int
 
 const (
@@ -40,14 +40,15 @@
 	proxyAwaitsTable
 	pinChanged
 	tablesReset
-	changesUnpublished // the last ones did not all fit into the channel
+	changesUnpublished // the last publication had no room in the channel for some changes
 )
 
 func (m *Manager) redistributionDue() bool {
 	return m.redistribution != upToDate && m.partitioned && (m.publication.due || m.publication.urgent)
 }
 
-// redistribute works out every table's target weights from the requests of each partition and the servers' targets.
+// redistribute computes every table's target weights from the request rate of each partition and the target rate of
+// each server.
 func (m *Manager) redistribute() {
 	m.redistribution = upToDate
 	m.publication.open()
@@ -55,74 +56,78 @@
 	m.distributedRates = m.demandByPartition()
 	m.endDistributionWait()
 	anyUsable := m.anyUsable()
-	servers, parts := m.distributionParts(anyUsable)
-	shares := distribute(m.distributedRates, parts, m.nearestPartitions(), m.pairClosed)
+	servers, targets := m.serverTargets(anyUsable)
+	result := distribute(m.distributedRates, targets, m.nearestPartitions(), m.pairClosed)
 	for partition, t := range m.tables {
 		rate := m.distributedRates[partition]
 		clear(t.target)
-		least := min(minWeightShare*rate, minWeightOfLargest*shares.largest(partition))
-		shares.forEachAbove(partition, least, func(i int, share float64) { t.target[servers[i].id] = share / rate })
+		threshold := min(minWeightShare*rate, minShareOfLargest*result.largestRate(partition))
+		result.forEachAbove(partition, threshold, func(i int, serverRate float64) { t.target[servers[i].id] = serverRate / rate })
 		m.applyPinned(t, anyUsable)
 		m.keepZoneLocalServers(t)
 	}
 }
 
-// distributionParts gives the servers that get requests and what each is to get. Ejection never takes the last one.
-func (m *Manager) distributionParts(anyUsable bool) ([]*server, []distributionPart) {
+// serverTargets returns the servers that get requests and the target of each. Ejected servers are left out, unless no
+// other server is usable.
+func (m *Manager) serverTargets(anyUsable bool) ([]*server, []distributionPart) {
 	var servers []*server
-	var parts []distributionPart
-	total := sum(m.distributedRates)
+	var targets []distributionPart
+	totalRate := sum(m.distributedRates)
 	listedWeight := m.listedWeight()
 	usableWeight := max(m.usableWeight(), listedWeight/maxWarmingFill)
-	warm := 0.0    // weight of the servers that are not in their warm-up
-	warming := 0.0 // requests per second for the others
+	warmWeight := 0.0  // of the servers that are not warming up
+	warmingRate := 0.0 // requests per second for the servers that are warming up
 	for _, s := range m.servers {
 		if !m.mayServe(s) || s.ejected && anyUsable || m.slowStartPaused(s) {
 			continue
 		}
-		part := m.distributionPartOf(s)
+		target := m.serverTarget(s)
 		if s.warmingUp {
-			// It gets its progress's part of what it would get of a sound fleet, and little of its lost peers' part,
-			// so that it is not overloaded when others fail.
-			part.target *= m.warmUpProgress(s) * total / usableWeight
-			warming += part.target
+			// A warming server gets its warm-up progress times its share of the usable weight. The lower bound of
+			// usableWeight limits that share to maxWarmingFill times the one in a healthy fleet, so that the server
+			// is not overloaded when others fail.
+			target.rate *= m.warmUpProgress(s) * totalRate / usableWeight
+			warmingRate += target.rate
 		} else {
-			warm += part.target
+			warmWeight += target.rate
 		}
 		servers = append(servers, s)
-		parts = append(parts, part)
+		targets = append(targets, target)
 	}
 	for i, s := range servers {
 		if !s.warmingUp {
-			parts[i].target *= (total - warming) / warm
-		} else if warm == 0 {
-			parts[i].target *= total / warming
+			targets[i].rate *= (totalRate - warmingRate) / warmWeight
+		} else if warmWeight == 0 {
+			targets[i].rate *= totalRate / warmingRate
 		}
-		// A sound server does not get the requests of all its degraded peers.
-		parts[i].target = min(parts[i].target, maxListedShare*total*max(s.weight, minServerWeight)/listedWeight)
+		// Without this limit, a healthy server would take over the requests of all its degraded peers.
+		targets[i].rate = min(targets[i].rate, maxListedShareFactor*totalRate*max(s.weight, minServerWeight)/listedWeight)
 	}
 	m.warmingShare = 1
-	if warm != 0 {
-		m.warmingShare = warming / total
+	if warmWeight != 0 {
+		m.warmingShare = warmingRate / totalRate
 	}
-	return servers, parts
+	return servers, targets
 }
 
-// distributionPartOf is a server's part by weight, with its band around it.
-func (m *Manager) distributionPartOf(s *server) distributionPart {
-	part := distributionPart{partition: s.partition, target: max(s.weight, minServerWeight) * s.health}
+// serverTarget returns a server's target in units of listed weight, which serverTargets scales to requests per second,
+// and the band around it.
+func (m *Manager) serverTarget(s *server) distributionPart {
+	target := distributionPart{partition: s.partition, rate: max(s.weight, minServerWeight) * s.health}
 	if s.health < soundHealth || s.warmingUp {
-		part.low = 0
-		part.high = 1
+		target.low = 0
+		target.high = 1
 	} else {
-		part.low = bandFloor
-		part.high = bandCeiling
+		target.low = bandFloor
+		target.high = bandCeiling
 	}
-	return part
+	return target
 }
 
-// keepZoneLocalServers adds a little of the own zone's servers to a table that would name none of them where classes
-// stay in their zone, so that their requests have a server while one is listed, whatever became of the zone.
+// keepZoneLocalServers adds the servers of the table's own zone with a small share if the table would give them less
+// than minWeightShare in total. Requests of zone-local classes then have an endpoint as long as the zone has a listed
+// server, even during a zone outage. An ejected server is added only if the published table already names it.
 func (m *Manager) keepZoneLocalServers(t *table) {
 	if !m.hasZoneLocalClasses() || m.zoneLocalShare(t) >= minWeightShare {
 		return
@@ -138,9 +143,10 @@
 	}
 }
 
-// countedRate is what a proxy counts for in the distribution, given the rate that it reported. While servers warm up,
-// it counts for its announced rate until enough was reported: a table full of such servers, made for a partition of
-// which little was reported, would overload them when the rest comes.
+// countedRate returns the request rate that a proxy counts for in the distribution, given its reported rate. A
+// proxy that reported nothing counts for its announced rate. While servers warm up, a newly connected proxy counts for
+// at least its announced rate, and any other proxy for at least minAnnouncedShare of it: a partition with few reported
+// requests could otherwise get a table full of warming servers, which would be overloaded when the other requests come.
 func (m *Manager) countedRate(p *proxy, reported float64, warmingUp bool) float64 {
 	newlyConnected := m.now-p.connectedAt <= maxSampleAge
 	switch {
@@ -153,168 +159,177 @@
 	}
 }
 
-// distributionPart is what a server is to get: its target in requests per second, and the band around it as multiples
-// of the target.
+// distributionPart is a server's target in requests per second and the band around it, as multiples of the target.
 type distributionPart struct {
 	partition int
-	target    float64
+	rate      float64
 	low       float64
 	high      float64
 }
 
-func (p distributionPart) floor() float64   { return p.low * p.target }
-func (p distributionPart) ceiling() float64 { return p.high * p.target }
+func (t distributionPart) floor() float64   { return t.low * t.rate }
+func (t distributionPart) ceiling() float64 { return t.high * t.rate }
 
-// distribution is the flow split of the paper in progress.
+// distribution is the working state of distribute. Servers are identified by their position in targets.
 type distribution struct {
-	parts     []distributionPart
-	members   [][]int           // parts by partition
-	remaining []float64         // rate of a partition that has no server yet
-	received  []float64         // rate that a part has got
-	allocated []map[int]float64 // rate from a partition to a part
-	full      []bool            // partitions without room up to the present bound
-	nearest   func(partition int) []int
-	closed    func(from, to int) bool
+	targets            []distributionPart
+	targetsByPartition [][]int
+	unallocated        []float64         // request rate of each partition that is not allocated to a server yet
+	allocatedTo        []float64         // request rate allocated to each server
+	allocated          []map[int]float64 // request rate allocated from each partition to each server
+	full               []bool            // partitions whose servers have all reached the current bound
+	nearest            func(partition int) []int
+	pairClosed         func(from, to int) bool
 }
 
-// distribute divides each partition's requests over the servers so that few leave their zone and every server stays
-// within its band: floors first, from the own partition and then from the surplus of others; then ceilings in the own
-// partition; then what remains spills to the spare band nearest by latency.
-func distribute(rates []float64, parts []distributionPart, nearest func(partition int) []int, closed func(from, to int) bool) distributionShares {
+// distribute divides each partition's requests over the servers so that few requests leave their zone and each server
+// stays within its band. It first fills servers to their floors: from their own partition, then from partitions with
+// unallocated requests. It then fills them to their ceilings in the same order, with the nearest partitions by latency
+// first. Requests that exceed all bands are divided by remainderWeights.
+func distribute(
+	rates []float64,
+	targets []distributionPart,
+	nearest func(partition int) []int,
+	pairClosed func(from, to int) bool,
+) distributionResult {
 	d := distribution{
-		parts:     parts,
-		members:   make([][]int, len(rates)),
-		remaining: slices.Clone(rates),
-		received:  make([]float64, len(parts)),
-		allocated: make([]map[int]float64, len(rates)),
-		full:      make([]bool, len(rates)),
-		nearest:   nearest,
-		closed:    closed,
+		targets:            targets,
+		targetsByPartition: make([][]int, len(rates)),
+		unallocated:        slices.Clone(rates),
+		allocatedTo:        make([]float64, len(targets)),
+		allocated:          make([]map[int]float64, len(rates)),
+		full:               make([]bool, len(rates)),
+		nearest:            nearest,
+		pairClosed:         pairClosed,
 	}
-	for i, part := range parts {
-		d.members[part.partition] = append(d.members[part.partition], i)
+	for i, target := range targets {
+		d.targetsByPartition[target.partition] = append(d.targetsByPartition[target.partition], i)
 	}
 	d.fill(distributionPart.floor)
 	d.fill(distributionPart.ceiling)
-	weights, total := remainderWeights(parts)
-	return distributionShares{d.allocated, d.remaining, weights, total}
+	weights, total := remainderWeights(targets)
+	return distributionResult{d.allocated, d.unallocated, weights, total}
 }
 
-// fill allocates up to a bound of each part: within the partitions, then to others over open zone pairs, then over
-// closed ones.
+// fill allocates requests up to a bound of each server: first within each partition, then to other partitions over open
+// zone pairs, then over closed ones.
 func (d *distribution) fill(bound func(distributionPart) float64) {
 	clear(d.full)
-	for partition := range d.remaining {
+	for partition := range d.unallocated {
 		d.allocate(partition, partition, bound)
 	}
 	for _, closed := range []bool{false, true} {
-		for from := range d.remaining {
+		for from := range d.unallocated {
 			d.spill(from, closed, bound)
 		}
 	}
 }
 
-// spill allocates what remains of a partition to others, the nearest first, over pairs that are closed or not.
+// spill allocates a partition's unallocated requests to other partitions, nearest first. It uses only closed zone pairs
+// if closed is true, and only open ones otherwise.
 func (d *distribution) spill(from int, closed bool, bound func(distributionPart) float64) {
-	if d.remaining[from] <= 0 || !slices.Contains(d.full, false) {
+	if d.unallocated[from] <= 0 || !slices.Contains(d.full, false) {
 		return
 	}
 	for _, to := range d.nearest(from) {
-		if d.remaining[from] > 0 && !d.full[to] && d.closed(from, to) == closed {
+		if d.unallocated[from] > 0 && !d.full[to] && d.pairClosed(from, to) == closed {
 			d.allocate(from, to, bound)
 		}
 	}
 }
 
-// allocate gives what remains of one partition to the servers of another, in proportion to their room up to a bound.
+// allocate allocates one partition's unallocated requests to the servers of another partition or its own, in proportion
+// to each server's spare capacity up to a bound.
 func (d *distribution) allocate(from, to int, bound func(distributionPart) float64) {
-	room := 0.0
-	for _, i := range d.members[to] {
-		room += max(0, bound(d.parts[i])-d.received[i])
+	capacity := 0.0
+	for _, i := range d.targetsByPartition[to] {
+		capacity += max(0, bound(d.targets[i])-d.allocatedTo[i])
 	}
-	d.full[to] = room <= 0
-	if d.full[to] || d.remaining[from] <= 0 {
+	d.full[to] = capacity <= 0
+	if d.full[to] || d.unallocated[from] <= 0 {
 		return
 	}
 	if d.allocated[from] == nil {
 		d.allocated[from] = map[int]float64{}
 	}
-	portion := min(1, d.remaining[from]/room)
-	for _, i := range d.members[to] {
-		rate := portion * max(0, bound(d.parts[i])-d.received[i])
+	portion := min(1, d.unallocated[from]/capacity)
+	for _, i := range d.targetsByPartition[to] {
+		rate := portion * max(0, bound(d.targets[i])-d.allocatedTo[i])
 		d.allocated[from][i] += rate
-		d.received[i] += rate
-		d.remaining[from] -= rate
+		d.allocatedTo[i] += rate
+		d.unallocated[from] -= rate
 	}
 }
 
-// remainderWeights divide what no band has room for: by target, among the servers with a floor if there are any.
-func remainderWeights(parts []distributionPart) (weights []float64, total float64) {
-	anyFloor := slices.ContainsFunc(parts, func(p distributionPart) bool { return p.low > 0 })
-	weights = make([]float64, len(parts))
-	for i, part := range parts {
-		if part.low > 0 || !anyFloor {
-			weights[i] = part.target
-			total += part.target
+// remainderWeights returns the weights for dividing the requests that exceed all bands: the target rates of the servers
+// with a floor, or of all servers if none has one.
+func remainderWeights(targets []distributionPart) (weights []float64, total float64) {
+	anyFloor := slices.ContainsFunc(targets, func(t distributionPart) bool { return t.low > 0 })
+	weights = make([]float64, len(targets))
+	for i, target := range targets {
+		if target.low > 0 || !anyFloor {
+			weights[i] = target.rate
+			total += target.rate
 		}
 	}
 	return weights, total
 }
 
-// distributionShares are the result of a distribution: what each partition allocated, and of what remains, each part's
-// weight.
-type distributionShares struct {
+// distributionResult is the result of distribute. A server gets its allocated rate and, by its remainder weight, a part
+// of each partition's unallocated rate.
+type distributionResult struct {
 	allocated        []map[int]float64
-	remaining        []float64
+	unallocated      []float64
 	remainderWeights []float64
 	remainderTotal   float64
 }
 
-// at is the rate from a partition to a part.
-func (s distributionShares) at(partition, i int) float64 {
-	if s.remaining[partition] == 0 {
-		return s.allocated[partition][i]
+// at returns the request rate from a partition to the server at position i of the targets.
+func (r distributionResult) at(partition, i int) float64 {
+	if r.unallocated[partition] == 0 {
+		return r.allocated[partition][i]
 	}
-	return s.allocated[partition][i] + s.remaining[partition]*s.remainderWeights[i]/s.remainderTotal
+	return r.allocated[partition][i] + r.unallocated[partition]*r.remainderWeights[i]/r.remainderTotal
 }
 
-// largestRemainder is the largest share of what remains of a partition.
-func (s distributionShares) largestRemainder(partition int) float64 {
-	return s.remaining[partition] * slices.Max(s.remainderWeights) / s.remainderTotal
+// largestRemainderRate returns the largest part of a partition's unallocated rate that a server gets.
+func (r distributionResult) largestRemainderRate(partition int) float64 {
+	return r.unallocated[partition] * slices.Max(r.remainderWeights) / r.remainderTotal
 }
 
-// largest is at most the largest share of a partition, and at least half of it.
-func (s distributionShares) largest(partition int) float64 {
+// largestRate estimates the largest request rate from a partition to a server: it returns between half of that rate and
+// the rate itself.
+func (r distributionResult) largestRate(partition int) float64 {
 	largest := 0.0
-	for _, rate := range s.allocated[partition] {
+	for _, rate := range r.allocated[partition] {
 		largest = max(largest, rate)
 	}
-	if s.remaining[partition] > 0 && len(s.remainderWeights) > 0 {
-		largest = max(largest, s.largestRemainder(partition))
+	if r.unallocated[partition] > 0 && len(r.remainderWeights) > 0 {
+		largest = max(largest, r.largestRemainderRate(partition))
 	}
 	return largest
 }
 
-// forEachAbove calls with all shares of a partition that are more than a bound. Where no share of what remains reaches
-// the bound by itself, only what was allocated is looked at, so that a fleet of thousands is not gone through for each
-// table.
-func (s distributionShares) forEachAbove(partition int, bound float64, take func(i int, rate float64)) {
+// forEachAbove calls visit for each server whose request rate from a partition is above a bound. If no server's part of
+// the unallocated rate exceeds the bound by itself, it visits only servers with an allocated rate, so that not every
+// table requires a pass over a fleet of thousands of servers.
+func (r distributionResult) forEachAbove(partition int, bound float64, visit func(i int, rate float64)) {
 	largestRemainder := 0.0
-	if s.remaining[partition] != 0 && len(s.remainderWeights) > 0 {
-		largestRemainder = s.largestRemainder(partition)
+	if r.unallocated[partition] != 0 && len(r.remainderWeights) > 0 {
+		largestRemainder = r.largestRemainderRate(partition)
 	}
-	takeAbove := func(i int) {
-		if rate := s.at(partition, i); rate > bound {
-			take(i, rate)
+	visitAbove := func(i int) {
+		if rate := r.at(partition, i); rate > bound {
+			visit(i, rate)
 		}
 	}
-	if largestRemainder > bound || s.remaining[partition] < 0 {
-		for i := range s.remainderWeights {
-			takeAbove(i)
+	if largestRemainder > bound || r.unallocated[partition] < 0 {
+		for i := range r.remainderWeights {
+			visitAbove(i)
 		}
 		return
 	}
-	for i := range s.allocated[partition] {
-		takeAbove(i)
+	for i := range r.allocated[partition] {
+		visitAbove(i)
 	}
 }
--- a/balancer/draining.go
+++ b/balancer/draining.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// nextDrain is the next server to be withdrawn, nil without any or without room. It never goes along with an
-// assignment: the withdrawal would be sent before that.
+// nextDrain returns the next server to withdraw, or nil if no server is leaving or no withdrawal fits into the channel.
+// An input that assigned a proxy withdraws no server, because Commands are carried out with withdrawals first and the
+// withdrawal would overtake the assignment.
 func (m *Manager) nextDrain() *server {
 	for _, s := range m.sets().leaving {
 		if m.commands.Assign == nil && m.fits(m.holders(s), 1, drainPriority) {
@@ -17,16 +18,17 @@
 	return m.drainPending && !m.assignsBeforeDrains() && m.nextDrain() != nil
 }
 
-// assignsBeforeDrains tells whether proxies are put on their tables before servers are withdrawn. A withdrawal costs
-// each unassigned proxy a command and a message, as after another manager was lost during a release; a table without
-// the leaving servers settles all of them. Drains go first where the assignments take longer than the drains' grace.
+// assignsBeforeDrains reports whether proxies are assigned to their tables before servers are withdrawn. Proxies are
+// unassigned during a release when they come from a lost manager, for example. Each withdrawal costs every unassigned
+// proxy a command and a message, whereas one assignment to a table without the leaving servers replaces all of these
+// withdrawals. Drains go first if the assignments would take longer than the drain grace.
 func (m *Manager) assignsBeforeDrains() bool {
 	return len(m.sets().leaving) > 0 &&
 		m.cheapestAssignment() <= m.queueLimits[drainPriority] &&
 		m.allAssignmentsCost() <= m.drainGraceCommands
 }
 
-// withdraw takes a leaving server out of all tables that proxies hold.
+// withdraw stops requests to a leaving server in all tables that proxies hold.
 func (m *Manager) withdraw() {
 	s := m.nextDrain()
 	m.commands.Withdraw = append(m.commands.Withdraw, s.id)
@@ -38,7 +40,8 @@
 	}
 }
 
-// checkEmptyTables has tables without any endpoint published at once, with the room of drains.
+// checkEmptyTables makes the publication urgent if a table, or the zone-local part of a table, has no usable endpoint.
+// The changes of such a table may use the channel limits of drains.
 func (m *Manager) checkEmptyTables() {
 	m.publication.emptyTable = slices.ContainsFunc(m.tables, m.isEmptyTable)
 	m.drainPending = m.nextDrain() != nil
@@ -47,8 +50,8 @@
 	}
 }
 
-// nextRestore is the next withdrawn server that may get requests again. A server whose weight is still to be lowered
-// in some table waits, since it would get requests by its old weight.
+// nextRestore returns the next withdrawn server that may get requests again, or nil if there is none. A server whose
+// weight must first be lowered in some table has to wait, because it would get requests by its old weight.
 func (m *Manager) nextRestore() *server {
 	if m.publication.due || m.publication.listChanged || m.pinned != nil && !m.publication.emptyTable {
 		return nil
@@ -58,8 +61,8 @@
 		priority = drainPriority
 	}
 	for _, s := range m.sets().returning {
-		waits := s.decreasePending || m.slowStartPaused(s) || s.ejected && m.anyUsable()
-		if !waits && m.fits(m.holders(s), 1, priority) {
+		mustWait := s.decreasePending || m.slowStartPaused(s) || s.ejected && m.anyUsable()
+		if !mustWait && m.fits(m.holders(s), 1, priority) {
 			return s
 		}
 	}
@@ -68,7 +71,7 @@
 
 func (m *Manager) restoreReady() bool { return m.nextRestore() != nil }
 
-// restore lets a withdrawn server get requests again in all tables that name it.
+// restore resumes requests to a withdrawn server in all tables that name it.
 func (m *Manager) restore() {
 	s := m.nextRestore()
 	m.commands.Restore = append(m.commands.Restore, s.id)
--- a/balancer/partitioning.go
+++ b/balancer/partitioning.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// connectionUses is how many requests a connection should carry within the time after which an idle one closes.
-	connectionUses = 8.0
-	// minPartitionServers is the least number of servers of a partition.
+	// minConnectionUses is the smallest mean number of requests on a connection within the idle timeout.
+	minConnectionUses = 8.0
+	// minPartitionServers is the smallest mean number of servers in a partition.
 	minPartitionServers = 4.0
-	// minPartitionProxies is the least number of this manager's proxies in a partition.
+	// minPartitionProxies is the smallest mean number of this manager's proxies in a partition.
 	minPartitionProxies = 5.0
 )
 
-// partitionZones divides the servers of each zone into partitions, each with a table for a part of the zone's proxies,
-// where proxies have so few requests for so many servers that connections would close between uses.
+// partitionZones divides the servers of each zone into partitions, each with a table for some of the zone's proxies, if
+// proxies send so few requests to so many servers that connections would reach the idle timeout between requests.
 func (m *Manager) partitionZones() {
 	m.partitioned = true
 	zones := float64(len(m.zones))
 	servers := float64(count(m.servers, m.mayServe)) / zones
-	uses := m.meanAnnouncedRate() * m.idleTimeout.Seconds()
-	wanted := math.Ceil(connectionUses * servers / max(uses, 1e-6))
-	mostByServers := servers / minPartitionServers
-	mostByProxies := m.proxyCount / m.managerCount / zones / minPartitionProxies
-	m.partitionsPerZone = int(max(1, min(wanted, mostByServers, mostByProxies)))
+	requestsPerProxy := m.meanAnnouncedRate() * m.idleTimeout.Seconds()
+	wanted := math.Ceil(minConnectionUses * servers / max(requestsPerProxy, 1e-6))
+	maxByServers := servers / minPartitionServers
+	maxByProxies := m.proxyCount / m.managerCount / zones / minPartitionProxies
+	m.partitionsPerZone = int(max(1, min(wanted, maxByServers, maxByProxies)))
 	if m.partitionsPerZone > 1 {
 		m.log(EventZonesPartitioned,
 			countField("partitions", m.partitionsPerZone),
 			numberField("servers", servers, 0),
-			numberField("connection_uses", uses, 0))
+			numberField("connection_uses", requestsPerProxy, 0))
 		m.layOutTables(m.partitionsPerZone, nil)
 	}
 }
 
-// zoneOf is the zone of a table's proxies.
+// zoneOf returns the zone of a table's proxies.
 func (m *Manager) zoneOf(table TableID) int { return int(table) / m.partitionsPerZone }
 
-// partitionForServer is the partition of a zone with the fewest servers.
+// partitionForServer returns the partition of a zone with the fewest servers.
 func (m *Manager) partitionForServer(zone int) int {
 	if m.partitionsPerZone == 1 {
 		return zone
@@ -50,7 +50,7 @@
 	return m.smallestPartition(zone, sizes)
 }
 
-// partitionForProxy is the partition of a zone whose proxies announced the fewest requests.
+// partitionForProxy returns the partition of a zone whose proxies announced the lowest total request rate.
 func (m *Manager) partitionForProxy(zone int) int {
 	m.updatePlacement()
 	smallest := zone * m.partitionsPerZone
@@ -72,7 +72,7 @@
 	return smallest
 }
 
-// layOutTables makes all tables anew and divides servers and proxies among the partitions.
+// layOutTables replaces all tables by empty ones and divides servers and proxies among the partitions.
 func (m *Manager) layOutTables(partitionsPerZone int, zones []ZoneID) {
 	m.partitionsPerZone = partitionsPerZone
 	m.tables = nil
@@ -103,8 +103,9 @@
 	m.placementValid = len(m.proxies) > 0
 }
 
-// nearestPartitions orders, for a partition, the others: those of its own zone, then those of other zones by latency.
-// The order begins with the next one, so that neighbours do not all begin with the same.
+// nearestPartitions returns a function that orders the other partitions by distance from a given one: first those of
+// its own zone, then those of other zones by latency. The order within the own zone begins with the next partition, so
+// that partitions do not all spill to the same one first.
 func (m *Manager) nearestPartitions() func(partition int) []int {
 	zoneOrder := m.nearestZones()
 	perZone := m.partitionsPerZone
@@ -124,7 +125,7 @@
 	}
 }
 
-// nearestZones are, for each zone, the others by latency.
+// nearestZones returns, for each zone, the other zones in order of latency.
 func (m *Manager) nearestZones() [][]int {
 	zones := len(m.tables) / m.partitionsPerZone
 	order := make([][]int, zones)
@@ -140,7 +141,7 @@
 	return order
 }
 
-// pairClosed tells whether the zones of two partitions are closed to new spill from one to the other.
+// pairClosed reports whether the zone pair of two partitions is closed to new spill from the first to the second.
 func (m *Manager) pairClosed(from, to int) bool {
 	return m.zonePairs[from/m.partitionsPerZone][to/m.partitionsPerZone].closed
 }
--- a/balancer/publishing.go
+++ b/balancer/publishing.go
@@ -8,64 +8,68 @@
 )
 
 const (
-	// baseWeightTolerance is the relative change of a weight that is not published where commands cost nothing.
+	// baseWeightTolerance is the largest relative change of a weight that is not published if commands cost nothing.
 	baseWeightTolerance = 0.1
-	// weightTolerancePerPrice is what a command's price adds to it.
+	// weightTolerancePerPrice is the factor by which the price of commands adds to the tolerance.
 	weightTolerancePerPrice = 1.5
-	// weightSteps is the number of steps of a weight of 1 to which published weights are rounded.
+	// weightSteps is the precision of published weights: they are rounded to multiples of 1/weightSteps.
 	weightSteps = 1000
-	// defaultWeightScale is the weight of a whole table that was not published yet.
+	// defaultWeightScale is the total weight of a table that was not published before.
 	defaultWeightScale = 100
 )
 
-// publication is where the publishing of the tables stands. It is idle, due, or blocked: due, but without room in the
-// channel for changes that a rule asks for.
+// publication is the state of publishing the tables: idle, due, or blocked. A blocked publication is due, but the channel
+// has no room for changes that restore an invariant (see invariantChange).
 type publication struct {
 	due            bool
-	urgent         bool          // not to be put off until the next tick
-	listChanged    bool          // since the last distribution
+	urgent         bool          // must not wait until the next tick
+	listChanged    bool          // the endpoint list changed after the last distribution
 	blockedAt      time.Duration // when changes last found no room
-	blockedProxies int           // proxies of the smallest change that found no room; 0: not blocked by room
-	emptyTable     bool          // some table has no endpoint that may be picked
+	blockedProxies int           // recipients of the smallest change without room; 0: not blocked by the queue
+	emptyTable     bool          // some table has no usable endpoint
 }
 
-// open makes the publication due, and looks again where it was blocked.
+// open makes the publication due. A blocked publication is tried again.
 func (p *publication) open() {
 	p.due = true
 	p.blockedProxies = 0
 }
 
-// begin ends the wait; what finds no room during the publication blocks it again.
+// begin clears the due and blocked states; changes that find no room during the publication block it again.
 func (p *publication) begin() {
 	p.due = false
 	p.blockedProxies = 0
 }
 
-// block keeps the publication due until there is room for the smallest change left, or until the next tick.
+// block keeps the publication due until the smallest remaining change fits or the next tick begins.
 func (p *publication) block(now time.Duration) {
 	p.due = true
 	p.blockedAt = now
 }
 
-// end closes the publication; it stays urgent only while it is blocked.
+// end finishes the publication, which stays urgent only if it is blocked.
 func (p *publication) end() { p.urgent = p.urgent && p.due }
 
-// changePriority is the order in which changes are published, and what they may use of the channel.
+// changePriority determines the order in which changes are published and how much of the channel they may use.
 type changePriority int
 
 const (
 	ordinaryChange changePriority = iota
-	lossChange                    // takes requests from a server that should get none, or is in its warm-up
-	ruleChange                    // keeps a rule; has the room of drains
+	// reductionChange lowers the weight of a warming server, or removes a server.
+	reductionChange
+	// invariantChange restores an invariant: no table without a usable endpoint, no overloaded warming server, and no
+	// leaving server in a table that proxies are assigned to before the server is withdrawn. It may use the channel
+	// limits of drains.
+	invariantChange
 )
 
-// tableChange is a change of a weight in a table, or of an admission level where no server is named.
+// tableChange is a change of a weight in a table, or of an admission level if no server is named.
 type tableChange struct {
 	EndpointWeight
 	level    AdmissionLevel
 	priority changePriority
-	rate     float64 // requests per second that it moves
-	deferred bool    // until the other changes of its table are published
+	rate     float64 // requests per second that the change moves
+	deferred bool    // waits until the other changes of the table are published
 }
 
 func weightChange(weight EndpointWeight, priority changePriority, rate float64) tableChange {
@@ -76,12 +80,12 @@
 	return tableChange{EndpointWeight: EndpointWeight{Table: level.Table}, level: level, rate: rate}
 }
 
-// order is the rate by which changes are ordered, a higher priority before all rates.
-func (c tableChange) order() float64 {
+// sortKey returns the request rate by which changes are sorted in descending order. A higher priority precedes any rate.
+func (c tableChange) sortKey() float64 {
 	switch c.priority {
-	case ruleChange:
+	case invariantChange:
 		return math.Inf(1)
-	case lossChange:
+	case reductionChange:
 		return math.MaxFloat64
 	default:
 		return c.rate
@@ -96,20 +100,21 @@
 	return p.blockedProxies == 0 || m.singleCommandCost(p.blockedProxies) <= m.available(drainPriority)
 }
 
-// publish sends the tables' changes as far as the channel has room: those that keep a rule first, then weights and
-// levels table by table, where most requests move first. The rest is worked out anew with the next tick.
+// publish sends the changes of all tables as far as the channel has room: first the changes that restore an invariant,
+// then weights and admission levels table by table, beginning with the table whose changes move the most requests. The
+// remaining changes are computed again at the next tick.
 func (m *Manager) publish() {
 	m.publication.begin()
 	round := &publishRound{
-		proxies: make([][]*proxy, len(m.tables)),
-		moved:   make([]float64, len(m.tables)),
+		recipients: make([][]*proxy, len(m.tables)),
+		movedRates: make([]float64, len(m.tables)),
 	}
 	m.collectChanges(round)
 	round.sortChanges()
 	for _, s := range m.servers {
 		s.decreasePending = false
 	}
-	for i := 0; i < len(round.changes); i++ { // deferred changes are appended meanwhile
+	for i := 0; i < len(round.changes); i++ { // publishWeight appends deferred changes
 		change := round.changes[i]
 		if s := m.server(change.Server); s == nil {
 			m.publishLevel(round, change)
@@ -125,44 +130,44 @@
 	m.publication.end()
 }
 
-// publishRound is one publication in work.
+// publishRound is the state of one call of publish.
 type publishRound struct {
-	changes    []tableChange
-	proxies    [][]*proxy // that get a table's changes, by table
-	moved      []float64  // requests per second that a table's changes move
-	incomplete bool       // some change was not published
-	blocked    bool       // some change that keeps a rule was not
-	rateLimit  bool       // because a proxy may get no further message
+	changes        []tableChange
+	recipients     [][]*proxy // proxies that get a table's changes, by table
+	movedRates     []float64  // requests per second that a table's changes move, by table
+	incomplete     bool       // some change was not published
+	blocked        bool       // some change that restores an invariant was not published
+	messageLimited bool       // blocked because a proxy reached its message limit
 }
 
-// collectChanges works out the changes of all tables.
+// collectChanges computes the changes of all tables.
 func (m *Manager) collectChanges(round *publishRound) {
 	demand := m.demandByClass()
 	for i := range m.tables {
 		id := TableID(i)
-		round.proxies[id] = m.tableProxies(id)
+		round.recipients[id] = m.tableProxies(id)
 		changes := append(m.weightChanges(id), m.levelChanges(id, demand)...)
 		for _, change := range changes {
-			round.moved[id] += min(change.order(), m.distributedRates[id])
+			round.movedRates[id] += min(change.sortKey(), m.distributedRates[id])
 		}
 		round.changes = append(round.changes, changes...)
 	}
 }
 
-// sortChanges puts those that keep a rule first, then the tables in which most requests move, in each the changes that
-// move most.
+// sortChanges puts changes that restore an invariant first. The others are grouped by table, beginning with the table whose
+// changes move the most requests. Within a table, the change that moves the most requests comes first.
 func (r *publishRound) sortChanges() {
 	tableOrder := func(c tableChange) float64 {
-		if c.priority == ruleChange {
-			return c.order()
+		if c.priority == invariantChange {
+			return c.sortKey()
 		}
-		return r.moved[c.Table]
+		return r.movedRates[c.Table]
 	}
 	slices.SortStableFunc(r.changes, func(a, b tableChange) int {
 		return cmp.Or(
 			cmp.Compare(tableOrder(b), tableOrder(a)),
 			cmp.Compare(a.Table, b.Table),
-			cmp.Compare(b.order(), a.order()))
+			cmp.Compare(b.sortKey(), a.sortKey()))
 	})
 }
 
@@ -176,20 +181,20 @@
 	t := m.tables[change.Table]
 	commands := 1.0
 	if m.isZoneLocal(change.Table, s) {
-		commands = 2 // its zone-local part has the weight too
+		commands = 2 // the zone-local part of the table gets the weight too
 	}
 	priority := normalPriority
-	if change.priority == ruleChange {
+	if change.priority == invariantChange {
 		priority = drainPriority
 	}
-	early := m.changesTooEarly(t, s, change.Weight)
+	premature := m.isPremature(t, s, change.Weight)
 	switch {
-	case early && !change.deferred:
-		last := change
-		last.priority = ordinaryChange
-		last.deferred = true
-		round.changes = append(round.changes, last)
-	case early || !m.reserveChange(round, change.Table, commands, priority):
+	case premature && !change.deferred:
+		deferredChange := change
+		deferredChange.priority = ordinaryChange
+		deferredChange.deferred = true
+		round.changes = append(round.changes, deferredChange)
+	case premature || !m.reserveChange(round, change.Table, commands, priority):
 		round.incomplete = true
 		s.decreasePending = s.decreasePending || change.Weight < t.published[s.id]
 	default:
@@ -197,9 +202,9 @@
 	}
 }
 
-// changesTooEarly tells whether a weight would leave its table without an endpoint, or a server in its warm-up with
-// too much, until the table's other changes are published.
-func (m *Manager) changesTooEarly(t *table, s *server, weight float64) bool {
+// isPremature reports whether a weight must wait for the table's other changes, because before them it would leave the
+// table without an endpoint or overload a warming server.
+func (m *Manager) isPremature(t *table, s *server, weight float64) bool {
 	others := m.otherUsableWeight(t, s)
 	emptiesTable := weight == 0 && !s.withdrawn && (others == 0 || m.isLastZoneLocal(t, s))
 	raised := weight > t.published[s.id]
@@ -207,10 +212,10 @@
 	return emptiesTable || overloads
 }
 
-// reserveChange reserves a change's commands in the channel; without room for it the round is incomplete, and blocked
-// where the change keeps a rule.
+// reserveChange reserves room in the channel for a change's commands and reports whether there was enough. If not, the
+// round is incomplete, and it is also blocked if the change restores an invariant (its priority is drainPriority).
 func (m *Manager) reserveChange(round *publishRound, id TableID, commands float64, priority priority) bool {
-	proxies := round.proxies[id]
+	proxies := round.recipients[id]
 	if m.fits(proxies, commands, priority) {
 		m.reserve(proxies, commands)
 		return true
@@ -220,8 +225,8 @@
 		return false
 	}
 	round.blocked = true
-	round.rateLimit = round.rateLimit || !m.mayMessage(proxies, priority)
-	if round.rateLimit {
+	round.messageLimited = round.messageLimited || !m.mayMessage(proxies, priority)
+	if round.messageLimited {
 		m.publication.blockedProxies = 0
 	} else {
 		m.publication.blockedProxies = min(cmp.Or(m.publication.blockedProxies, len(proxies)), len(proxies))
@@ -229,8 +234,8 @@
 	return false
 }
 
-// weightChanges are the changes of a table's weights, in the scale of most of its published ones. A table never
-// becomes empty: without any server to name it stays as it is.
+// weightChanges returns the changes of a table's weights, scaled to match its published weights. It never empties a
+// table: a table without target weights stays as it is.
 func (m *Manager) weightChanges(id TableID) []tableChange {
 	t := m.tables[id]
 	if len(t.target) == 0 {
@@ -238,22 +243,22 @@
 	}
 	var changes []tableChange
 	scale := t.scale()
-	keepsRule := m.isEmptyTable(t) || m.hasNoLocalEndpoint(t) || m.wouldOverloadWarmingServers(id)
+	restoresInvariant := m.isEmptyTable(t) || m.hasNoLocalEndpoint(t) || m.wouldOverloadWarmingServers(id)
 	for _, s := range m.tableServers(t) {
 		if s.withdrawn && !m.mayServe(s) && !m.forgettable(s) {
-			continue // its weight has no effect
+			continue // the weight of a withdrawn server has no effect
 		}
 		published := t.published[s.id]
 		weight := math.Round(t.target[s.id]*scale*weightSteps) / weightSteps
 		if m.hasZoneLocalClasses() && s.ejected && weight > published && m.anyUsable() {
-			continue // what is kept of a lost zone is what is published
+			continue // an ejected server kept by keepZoneLocalServers gets no more than its published weight
 		}
 		if !m.weightDiffers(t, published, weight) {
 			continue
 		}
 		priority := m.weightPriority(s, published, weight)
-		if keepsRule {
-			priority = ruleChange
+		if restoresInvariant {
+			priority = invariantChange
 		}
 		rate := math.Abs(weight-published) / scale * m.distributedRates[id]
 		changes = append(changes, weightChange(EndpointWeight{id, s.id, weight}, priority, rate))
@@ -261,8 +266,8 @@
 	return changes
 }
 
-// weightDiffers tells whether a weight must be published: always where it begins or ends, in a pinned table with any
-// change.
+// weightDiffers reports whether a weight must be published: always if a server is added or removed, on any change in a
+// pinned table, and otherwise if the change exceeds the weight tolerance.
 func (m *Manager) weightDiffers(t *table, published, weight float64) bool {
 	if (weight == 0) != (published == 0) {
 		return true
@@ -276,19 +281,20 @@
 
 func (m *Manager) weightPriority(s *server, published, weight float64) changePriority {
 	overloaded := s.warmingUp && weight < published/maxWarmingRise
-	leaves := weight == 0 && s.leavingSince > 0 && m.assignsBeforeDrains() // before proxies are put on the table
-	lost := weight < published && (s.warmingUp || weight == 0)
+	leaving := weight == 0 && s.leavingSince > 0 && m.assignsBeforeDrains() // removed before proxies get the table
+	reduced := weight < published && (s.warmingUp || weight == 0)
 	switch {
-	case overloaded || leaves:
-		return ruleChange
-	case lost:
-		return lossChange
+	case overloaded || leaving:
+		return invariantChange
+	case reduced:
+		return reductionChange
 	default:
 		return ordinaryChange
 	}
 }
 
-// recordWeight commands a weight, also in the table's zone-local part.
+// recordWeight adds the commands that set a server's weight in a table and, for a server of the table's zone, in the
+// table's zone-local part.
 func (m *Manager) recordWeight(weight EndpointWeight, s *server, t *table) {
 	m.updatePlacement()
 	m.commands.Weights = append(m.commands.Weights, weight)
@@ -310,7 +316,7 @@
 	}
 }
 
-// recordLevel commands an admission level, of zone-local classes in the table's zone-local part.
+// recordLevel adds the command that sets an admission level, for zone-local classes in the table's zone-local part.
 func (m *Manager) recordLevel(t *table, level AdmissionLevel) {
 	t.publishedLevels[level.Classes] = level
 	t.assignCost = 0
@@ -321,7 +327,8 @@
 	m.commands.AdmissionLevels = append(m.commands.AdmissionLevels, level)
 }
 
-// scale is what most published weights are for a share of their table.
+// scale returns the weight that corresponds to a target share of 1: the pinned weight of a pinned table, or otherwise the
+// median over the servers that the table already names.
 func (t *table) scale() float64 {
 	if t.pinnedWeight > 0 {
 		return t.pinnedWeight
