--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -4,9 +4,10 @@
 
 // awaitDistribution makes a newly connected proxy wait for its table until the next distribution if servers are warming
 // up. No table accounts for the proxy's requests yet, and the table of a partition without proxies may name warming
-// servers only. Because hundreds of proxies connect one by one after a restart, the proxy keeps its previous table and
-// waits for the next tick. While servers are draining, the tables of other managers may still name them; the proxy then
-// waits only if its new table gives warming servers more than maxWarmingRise times their share in the whole fleet.
+// servers only. Hundreds of proxies connect one by one after a restart, so each keeps its previous table and waits for
+// the next tick instead of causing a distribution of its own. While servers are draining, a previous table from another
+// manager may still name them; the proxy then waits only if the share of warming servers in its new table is more than
+// maxWarmingRise times their share in the whole fleet.
 func (m *Manager) awaitDistribution() {
 	t := m.connectedTable
 	m.connectedTable = nil
--- a/balancer/assignment_test.go
+++ b/balancer/assignment_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-func TestAProxyIsAssignedOnlyToATableWithEndpoints(t *testing.T) {
+func TestProxyIsAssignedOnlyToTableWithEndpoints(t *testing.T) {
 	m := newTestManager(2)
-	if o := m.HandleProxyConnected(time.Second, 7, "a", 5); len(o.Assign) != 1 || o.Assign[0] != (TableAssignment{Proxy: 7}) {
-		t.Errorf("assigned %v", o.Assign)
+	if got := m.HandleProxyConnected(time.Second, 7, "a", 5); len(got.Assign) != 1 || got.Assign[0] != (TableAssignment{Proxy: 7}) {
+		t.Errorf("assigned %v, want proxy 7 to table 0", got.Assign)
 	}
 	clear(m.tables[0].published)
-	if o := m.HandleProxyConnected(time.Second, 8, "a", 5); len(o.Assign) != 0 {
-		t.Errorf("assigned %v to an empty table", o.Assign)
+	if commands := m.HandleProxyConnected(time.Second, 8, "a", 5); len(commands.Assign) != 0 {
+		t.Errorf("assigned %v to an empty table", commands.Assign)
 	}
 }
 
-func TestAProxyIsNotAssignedToWarmingServersAlone(t *testing.T) {
+func TestProxyIsNotAssignedToWarmingServersOnly(t *testing.T) {
 	m := newTestManager(3)
 	m.proxies = m.proxies[:1]
 	m.servers[0].warmingUp = true
@@ -27,8 +27,8 @@
 	m.servers[1].ejected = true
 	m.servers[2].ejected = true
 	m.tables[1].published = map[ServerID]float64{"a0": 100}
-	if o := m.HandleProxyConnected(time.Millisecond, 9, "b", 40); len(o.Assign) > 0 {
-		t.Error("assigned before the second is over")
+	if commands := m.HandleProxyConnected(time.Millisecond, 9, "b", 40); len(commands.Assign) > 0 {
+		t.Error("the proxy is assigned before the next tick")
 	}
 	m.nextTick = time.Second
 	m.HandleTimer(time.Second)
@@ -37,58 +37,58 @@
 		sum += w
 	}
 	if m.tables[1].published["a0"] > 0.2*sum {
-		t.Errorf("assigned to %v", m.tables[1].published)
+		t.Errorf("warming server a0 has more than 0.2 of the weight of table 1: %v", m.tables[1].published)
 	}
 }
 
-// A release drains servers while another manager is lost: its proxies connect one by one, and their tables may still name
-// the servers that drain.
-func TestProxiesOfALostManagerAreAssignedWhileServersDrain(t *testing.T) {
+// If a manager is lost during a release, its proxies connect one by one and their previous tables may still name the
+// draining servers. They must be assigned at once.
+func TestProxiesOfLostManagerAreAssignedWhileServersDrain(t *testing.T) {
 	m := newTestManager(4)
 	m.nextTick = 2 * time.Second
 	m.servers[1].warmingUp = true
 	m.servers[1].warmUpFrom = 0
 	m.tables[0].published["a1"] = 10
 	m.warmingShare = 0.1
-	drained := Endpoint{Server: "a0", Zone: "a", Weight: 1, State: Draining}
-	if o := m.HandleEndpointList(time.Second, false, []Endpoint{drained}); len(o.Withdraw) != 1 {
-		t.Fatalf("withdrawn %v", o.Withdraw)
+	draining := Endpoint{Server: "a0", Zone: "a", Weight: 1, State: Draining}
+	if commands := m.HandleEndpointList(time.Second, false, []Endpoint{draining}); len(commands.Withdraw) != 1 {
+		t.Fatalf("withdrawn %v, want a0", commands.Withdraw)
 	}
 	for i := range 20 {
 		now := time.Second + time.Duration(i+1)*20*time.Millisecond
-		if o := m.HandleProxyConnected(now, ProxyID(10+i), "a", 5); len(o.Assign) != 1 {
-			t.Fatalf("proxy %d, which connected at %v, is not assigned at once: %v", 10+i, now, o.Assign)
+		if commands := m.HandleProxyConnected(now, ProxyID(10+i), "a", 5); len(commands.Assign) != 1 {
+			t.Fatalf("proxy %d connected at %v and was not assigned at once: assigned %v", 10+i, now, commands.Assign)
 		}
 	}
 }
 
-func TestAProxyWaitsForTheNextTickWhileServersWarmUpAndNoneDrains(t *testing.T) {
+func TestProxyWaitsForNextTickWhileServersWarmUpAndNoneDrains(t *testing.T) {
 	m := newTestManager(4)
 	m.nextTick = 2 * time.Second
 	m.servers[1].warmingUp = true
 	m.warmingShare = 0.9
-	if o := m.HandleProxyConnected(time.Second, 10, "a", 5); len(o.Assign) != 0 {
-		t.Errorf("assigned to a table that was distributed without its requests: %v", o.Assign)
+	if commands := m.HandleProxyConnected(time.Second, 10, "a", 5); len(commands.Assign) != 0 {
+		t.Errorf("assigned to a table that does not account for the proxy's requests yet: %v", commands.Assign)
 	}
-	if o := m.HandleTimer(2 * time.Second); len(o.Assign) != 1 {
-		t.Errorf("not assigned in the next second: %v", o.Assign)
+	if commands := m.HandleTimer(2 * time.Second); len(commands.Assign) != 1 {
+		t.Errorf("assigned at the next tick: %v, want 1 assignment", commands.Assign)
 	}
 }
 
-func TestAProxyWaitsForATableColderThanTheFleetAlsoWhileServersDrain(t *testing.T) {
+func TestProxyWaitsForTableWithTooManyWarmingServersEvenDuringDrains(t *testing.T) {
 	m := newTestManager(4)
 	m.servers[1].warmingUp = true
 	m.warmingShare = 0.1
 	m.HandleEndpointList(time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
-	if o := m.HandleProxyConnected(time.Second+time.Millisecond, 10, "a", 5); len(o.Assign) != 0 {
-		t.Errorf("assigned to a table with a third of warming servers: %v", o.Assign)
+	if commands := m.HandleProxyConnected(time.Second+time.Millisecond, 10, "a", 5); len(commands.Assign) != 0 {
+		t.Errorf("assigned to a table in which a third of the servers is warming up: %v", commands.Assign)
 	}
-	if o := m.HandleProxyConnected(time.Second+2*time.Millisecond, 11, "b", 5); len(o.Assign) != 1 {
-		t.Error("the other zone's table makes wait")
+	if commands := m.HandleProxyConnected(time.Second+2*time.Millisecond, 11, "b", 5); len(commands.Assign) != 1 {
+		t.Error("the proxy waits although the table of its own zone has no warming server")
 	}
 }
 
-func TestTheFirstProxyConnectedIsAssignedFirst(t *testing.T) {
+func TestFirstConnectedProxyIsAssignedFirst(t *testing.T) {
 	m := newTestManager(2)
 	m.sendableSoon[urgentPriority] = 0
 	m.queueLimits[urgentPriority] = 0
@@ -96,59 +96,60 @@
 	m.HandleProxyConnected(time.Second+time.Millisecond, 8, "a", 5)
 	m.sendableSoon[urgentPriority] = 8
 	m.queueLimits[urgentPriority] = 8
-	if o := m.HandleTimer(time.Second + 2*time.Millisecond); len(o.Assign) != 1 || o.Assign[0].Proxy != 9 {
-		t.Errorf("assigned %v", o.Assign)
+	if commands := m.HandleTimer(time.Second + 2*time.Millisecond); len(commands.Assign) != 1 || commands.Assign[0].Proxy != 9 {
+		t.Errorf("assigned %v, want only proxy 9, which connected first", commands.Assign)
 	}
 }
 
 func TestUnassignedProxiesAreAssignedBeforeServersAreWithdrawn(t *testing.T) {
 	m := managerWithUnassigned(10)
 	if len(m.unassigned) != 10 {
-		t.Fatalf("%d proxies wait for the distribution", len(m.unassigned))
+		t.Fatalf("%d proxies wait for the distribution, want 10", len(m.unassigned))
 	}
 	m.drainGraceCommands = 1000
-	o := m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
-	if len(o.Assign) != 10 || len(o.Withdraw) != 0 {
-		t.Errorf("%d assigned, %v withdrawn", len(o.Assign), o.Withdraw)
+	commands := m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
+	if len(commands.Assign) != 10 || len(commands.Withdraw) != 0 {
+		t.Errorf("%d proxies assigned, want 10; servers %v withdrawn, want none", len(commands.Assign), commands.Withdraw)
 	}
-	for _, l := range o.Weights {
-		if l.Server == "a0" && l.Weight > 0 {
-			t.Errorf("assigned to a table with the server that drains: %v", l)
+	for _, weight := range commands.Weights {
+		if weight.Server == "a0" && weight.Weight > 0 {
+			t.Errorf("the assigned table names the draining server: %v", weight)
 		}
 	}
 	if m.tables[0].published["a0"] > 0 {
-		t.Error("the table that they are assigned to names the server that drains")
+		t.Error("the published weights of the assigned table name the draining server")
 	}
-	if o := m.HandleTimer(2*time.Second + time.Millisecond); !slices.Equal(o.Withdraw, []ServerID{"a0"}) {
-		t.Errorf("withdrawn at the next input: %v", o.Withdraw)
+	if commands := m.HandleTimer(2*time.Second + time.Millisecond); !slices.Equal(commands.Withdraw, []ServerID{"a0"}) {
+		t.Errorf("withdrawn at the next input: %v, want a0", commands.Withdraw)
 	}
 }
 
-func TestAssignmentsBeforeDrainsHaveTheRoomOfDrains(t *testing.T) {
+func TestAssignmentsBeforeDrainsUseTheChannelLimitsOfDrains(t *testing.T) {
 	m := managerWithUnassigned(1)
 	m.drainGraceCommands = 1000
 	m.sendableSoon[urgentPriority] = 0
 	m.queueLimits[urgentPriority] = 0
-	if o := m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}}); len(o.Assign) != 1 {
-		t.Errorf("assigned %v", o.Assign)
+	if got := m.HandleEndpointList(2*time.Second, false,
+		[]Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}}); len(got.Assign) != 1 {
+		t.Errorf("assigned %v, want 1 assignment", got.Assign)
 	}
 }
 
-func TestTablesLoseLeavingServersBeforeProxiesAreAssigned(t *testing.T) {
+func TestLeavingServersAreRemovedFromTablesBeforeProxiesAreAssigned(t *testing.T) {
 	m := managerWithUnassigned(1)
 	m.drainGraceCommands = 1000
 	m.sendableSoon[normalPriority] = 0
 	m.queueLimits[normalPriority] = 0
-	m.tables[0].published["a1"] = 20 // the warming server's part is as it should be
-	o := m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
-	if len(o.Assign) != 1 || m.tables[0].published["a0"] > 0 {
-		t.Errorf("assigned %v to a table with %v for the server that drains", o.Assign, m.tables[0].published["a0"])
+	m.tables[0].published["a1"] = 20 // so that warming server a1 is not overloaded
+	commands := m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
+	if len(commands.Assign) != 1 || m.tables[0].published["a0"] > 0 {
+		t.Errorf("assigned %v, want 1 assignment; weight of the draining server %v, want 0", commands.Assign, m.tables[0].published["a0"])
 	}
 }
 
-// The watch may report a connection anew: without its usage the limit would open, the proxy would change its partition
-// and close all connections, and its messages would be counted from nothing.
-func TestAReconnectedProxyKeepsItsUsage(t *testing.T) {
+// The watch may report a connected proxy again. If the proxy lost its state, the admission limit would open for lack of
+// usage, the proxy would change its partition and close all its connections, and its message count would restart at 0.
+func TestReconnectedProxyKeepsItsUsage(t *testing.T) {
 	m := newTestManager(2)
 	m.now = 500 * time.Millisecond
 	before, _ := m.traffic()
@@ -161,51 +162,52 @@
 	for p := range ProxyID(2) {
 		m.HandleProxyConnected(m.now, p, m.zones[p], 1)
 	}
-	if asked, _ := m.traffic(); before == 0 || asked != before || m.proxies[0].partition != 1 || len(m.proxies[1].messageTimes) < 2 {
-		t.Errorf("%v requests a second asked, %v before, partition %d, sent %v", asked, before, m.proxies[0].partition, m.proxies[1].messageTimes)
+	if offered, _ := m.traffic(); before == 0 || offered != before || m.proxies[0].partition != 1 || len(m.proxies[1].messageTimes) < 2 {
+		t.Errorf("%v requests/s offered, want %v; partition %d, want 1; message times %v, want at least 2",
+			offered, before, m.proxies[0].partition, m.proxies[1].messageTimes)
 	}
 }
 
-// Thousands may wait after a restart; no input goes through them while no table that they wait for fits.
-func TestUnassignedProxiesAreGoneThroughOnlyWhereSomeTableFits(t *testing.T) {
+// Thousands of proxies may be unassigned after a restart. Inputs must not iterate over them while no assignment fits.
+func TestUnassignedProxiesAreVisitedOnlyIfAnAssignmentFits(t *testing.T) {
 	m := newTestManager(2)
 	m.proxies[0].assigned = false
 	m.sendableSoon[urgentPriority] = 7
 	m.queueLimits[urgentPriority] = 7
-	if some := m.assignableProxies(m.available(urgentPriority)); some != nil || m.nextAssignment() != nil {
-		t.Error("gone through for a table of 3 commands and 5 of the message")
+	if visited := m.assignableProxies(m.available(urgentPriority)); visited != nil || m.nextAssignment() != nil {
+		t.Error("the proxies are visited with room for 7 commands, although an assignment takes 3 and its message 5")
 	}
 	m.sendableSoon[urgentPriority] = 8
 	m.queueLimits[urgentPriority] = 8
 	if m.nextAssignment() != m.proxies[0] {
-		t.Error("not assigned though its table fits")
+		t.Error("the proxy is not assigned although its assignment fits")
 	}
 	m.setWithdrawn(m.servers[1], true)
 	if m.nextAssignment() != nil {
-		t.Error("a withdrawn server's weight is not counted")
+		t.Error("the cost of the assignment does not include the withdrawn server")
 	}
 }
 
-// A proxy that is reported anew after a gap in the watch may never have disconnected, and holds the table that commands
-// are sent to before it is assigned again.
-func TestAReconnectedProxyStillCosts(t *testing.T) {
+// A proxy that is reported again after a gap in the watch may never have disconnected. It still holds its table, so until
+// it is assigned again it gets the commands for that table and must count for their cost.
+func TestReconnectedProxyCountsForTheCostOfItsTable(t *testing.T) {
 	m := newTestManager(4)
 	m.updatePlacement()
-	m.partitioned = false // so that nobody is assigned meanwhile
+	m.partitioned = false // so that no proxy is assigned
 	before, held := len(m.tableProxies(0)), len(m.holders(m.server("a0")))
 	m.HandleProxyConnected(m.now+1, 0, "a", 5)
 	if p := m.proxy(0); p.assigned {
-		t.Fatal("assigned before its table was sent")
+		t.Fatal("the proxy is already assigned")
 	}
 	if got := len(m.tableProxies(0)); got != before || before == 0 {
-		t.Errorf("commands are reserved for %d proxies, not %d", got, before)
+		t.Errorf("commands are reserved for %d proxies, want %d, which must not be 0", got, before)
 	}
 	if got := len(m.holders(m.server("a0"))); got != held {
-		t.Errorf("a withdrawal is reserved for %d proxies, not %d", got, held)
+		t.Errorf("a withdrawal is reserved for %d proxies, want %d", got, held)
 	}
 	m.HandleProxyDisconnected(m.now+1, 0)
 	m.HandleProxyConnected(m.now+1, 0, "a", 5)
 	if got := len(m.tableProxies(0)); got != before-1 {
-		t.Errorf("who left is counted: %d", got)
+		t.Errorf("after a disconnection, commands are reserved for %d proxies, want %d", got, before-1)
 	}
 }
--- a/balancer/distribution.go
+++ b/balancer/distribution.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// serverTargets returns the servers that get requests and the target of each. Ejected servers are left out, unless no
-// other server is usable.
+// serverTargets returns the servers that get requests and the target of each. Ejected servers are left out unless no
+// server is usable.
 func (m *Manager) serverTargets(anyUsable bool) ([]*server, []distributionPart) {
 	var servers []*server
 	var targets []distributionPart
@@ -143,10 +143,10 @@
 	}
 }
 
-// countedRate returns the request rate that a proxy counts for in the distribution, given its reported rate. A
-// proxy that reported nothing counts for its announced rate. While servers warm up, a newly connected proxy counts for
-// at least its announced rate, and any other proxy for at least minAnnouncedShare of it: a partition with few reported
-// requests could otherwise get a table full of warming servers, which would be overloaded when the other requests come.
+// countedRate returns the request rate that a proxy counts for in the distribution, given its reported rate. A proxy that
+// reported nothing counts for its announced rate. While servers warm up, a newly connected proxy counts for at least its
+// announced rate, and any other proxy for at least minAnnouncedShare of it: a partition with few reported requests could
+// otherwise get a table full of warming servers, which would be overloaded when the other requests arrive.
 func (m *Manager) countedRate(p *proxy, reported float64, warmingUp bool) float64 {
 	newlyConnected := m.now-p.connectedAt <= maxSampleAge
 	switch {
@@ -159,7 +159,8 @@
 	}
 }
 
-// distributionPart is a server's target in requests per second and the band around it, as multiples of the target.
+// distributionPart is the target of one server: the requests per second that it should get and the band around that rate.
+// The bounds of the band, low and high, are multiples of the rate.
 type distributionPart struct {
 	partition int
 	rate      float64
--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-func TestADrainingServerIsWithdrawnAtOnce(t *testing.T) {
+func TestDrainingServerIsWithdrawnAtOnce(t *testing.T) {
 	m := newTestManager(2)
-	o := m.HandleEndpointList(time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
-	if !slices.Equal(o.Withdraw, []ServerID{"a0"}) || len(o.Weights) != 0 {
-		t.Errorf("withdrawn %v, weights %v", o.Withdraw, o.Weights)
+	commands := m.HandleEndpointList(time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
+	if !slices.Equal(commands.Withdraw, []ServerID{"a0"}) || len(commands.Weights) != 0 {
+		t.Errorf("withdrawn %v, want a0; weights %v, want none", commands.Withdraw, commands.Weights)
 	}
 }
 
-func TestAWithdrawalNeedsMessagesOfItsHoldersOnly(t *testing.T) {
+func TestWithdrawalCountsOnlyMessagesToProxiesThatHoldTheServer(t *testing.T) {
 	m := newTestManager(2)
 	m.now = 10 * time.Second
 	m.servers[0].state = Draining
@@ -24,15 +24,15 @@
 	m.drainPending = true
 	m.withdraw()
 	if !slices.Equal(m.commands.Withdraw, []ServerID{"a0"}) {
-		t.Errorf("withdrawn %v", m.commands.Withdraw)
+		t.Errorf("withdrawn %v, want a0", m.commands.Withdraw)
 	}
 	m.servers[2].state = Draining
 	if m.drainReady() {
-		t.Error("a 20th message in 10 s")
+		t.Error("the drain would send a 20th message within 10 s, and the drain limit is 19")
 	}
 }
 
-func TestARestoreWaitsForItsFirstWeight(t *testing.T) {
+func TestRestoreWaitsForItsFirstWeight(t *testing.T) {
 	m := newTestManager(2)
 	m.servers[0].withdrawn = true
 	m.servers[0].state = Removed
@@ -42,18 +42,18 @@
 	for _, s := range m.servers[1:] {
 		m.report(s.id, 10, 0, 200*time.Millisecond)
 	}
-	back := []Endpoint{{Server: "a0", Zone: "a", Weight: 1, Started: 4 * time.Second, RecentlyStarted: true}}
-	if o := m.HandleEndpointList(5*time.Second, false, back); len(o.Restore) != 0 {
-		t.Errorf("restored before the publication: %v", o.Restore)
+	relisted := []Endpoint{{Server: "a0", Zone: "a", Weight: 1, Started: 4 * time.Second, RecentlyStarted: true}}
+	if commands := m.HandleEndpointList(5*time.Second, false, relisted); len(commands.Restore) != 0 {
+		t.Errorf("restored before the publication: %v", commands.Restore)
 	}
 	m.nextTick = 6 * time.Second
-	o := m.HandleTimer(6 * time.Second)
-	if !slices.Equal(o.Restore, []ServerID{"a0"}) || len(o.Weights) == 0 || o.Weights[0].Weight > 20 {
-		t.Errorf("restored %v with %v", o.Restore, o.Weights)
+	commands := m.HandleTimer(6 * time.Second)
+	if !slices.Equal(commands.Restore, []ServerID{"a0"}) || len(commands.Weights) == 0 || commands.Weights[0].Weight > 20 {
+		t.Errorf("restored %v, want a0; weights %v, want the first at most 20", commands.Restore, commands.Weights)
 	}
 }
 
-func TestARestoreDoesNotWaitForOtherProxiesOrTables(t *testing.T) {
+func TestRestoreDoesNotWaitForOtherProxiesOrTables(t *testing.T) {
 	m := newTestManager(2)
 	m.now = 10 * time.Second
 	m.redistribution = changesUnpublished
@@ -62,16 +62,16 @@
 		m.proxies[1].messageTimes = append(m.proxies[1].messageTimes, 9*time.Second)
 	}
 	if m.nextRestore() != m.servers[0] {
-		t.Error("held up")
+		t.Error("the restore waits for the messages of another proxy or for unpublished changes")
 	}
 	m.servers[0].decreasePending = true
 	if m.nextRestore() != nil {
-		t.Error("restored at its old weight")
+		t.Error("the server is restored before its old weight is lowered")
 	}
 }
 
-// Drains without room are looked at once a tick; the last assignment makes room for them.
-func TestDrainsGoOnceTheLastProxyIsAssigned(t *testing.T) {
+// Drains without room are tried again once per tick, and also after the last assignment, which makes room for them.
+func TestDrainsStartOnceTheLastProxyIsAssigned(t *testing.T) {
 	m := managerWithUnassigned(1)
 	m.drainGraceCommands = 1000
 	m.queueLimits[urgentPriority] = 0
@@ -79,24 +79,24 @@
 	m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
 	m.drainPending = false
 	m.queueLimits[drainPriority] = 1000
-	if o := m.HandleTimer(2*time.Second + time.Millisecond); len(o.Assign) != 1 {
-		t.Fatalf("assigned %v", o.Assign)
+	if commands := m.HandleTimer(2*time.Second + time.Millisecond); len(commands.Assign) != 1 {
+		t.Fatalf("assigned %v, want 1 assignment", commands.Assign)
 	}
-	if o := m.HandleTimer(2*time.Second + 2*time.Millisecond); len(o.Withdraw) != 1 {
-		t.Errorf("withdrawn %v", o.Withdraw)
+	if commands := m.HandleTimer(2*time.Second + 2*time.Millisecond); len(commands.Withdraw) != 1 {
+		t.Errorf("withdrawn %v, want 1 server", commands.Withdraw)
 	}
 }
 
-func TestServersAreWithdrawnFirstWhereAssignmentsTakeLongerThanTheGrace(t *testing.T) {
+func TestServersAreWithdrawnFirstIfAssignmentsTakeLongerThanTheGrace(t *testing.T) {
 	m := managerWithUnassigned(10)
 	m.drainGraceCommands = 50
-	o := m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
-	if !slices.Equal(o.Withdraw, []ServerID{"a0"}) {
-		t.Errorf("withdrawn %v", o.Withdraw)
+	commands := m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
+	if !slices.Equal(commands.Withdraw, []ServerID{"a0"}) {
+		t.Errorf("withdrawn %v, want a0", commands.Withdraw)
 	}
 }
 
-func TestServersAreWithdrawnInTheOrderInWhichTheListNamedThem(t *testing.T) {
+func TestServersAreWithdrawnInTheOrderTheyWereListedAsDraining(t *testing.T) {
 	m := newTestManager(4)
 	m.sendableSoon[drainPriority] = 0
 	m.queueLimits[drainPriority] = 0
@@ -105,31 +105,31 @@
 	m.sendableSoon[drainPriority] = 6
 	m.queueLimits[drainPriority] = 6
 	m.drainPending = true
-	if o := m.HandleTimer(3 * time.Second); !slices.Equal(o.Withdraw, []ServerID{"a3"}) {
-		t.Errorf("withdrawn %v", o.Withdraw)
+	if commands := m.HandleTimer(3 * time.Second); !slices.Equal(commands.Withdraw, []ServerID{"a3"}) {
+		t.Errorf("withdrawn %v, want only a3", commands.Withdraw)
 	}
 }
 
-func TestTheGraceBoundsWhatIsAssignedFirst(t *testing.T) {
-	stated := testSettings
-	stated.DrainGrace = 3 * time.Second
-	wantNear(t, "commands within the grace", New(1, stated).drainGraceCommands, 3*stated.CommandsPerSecond)
-	wantNear(t, "commands where none is stated", New(1, testSettings).drainGraceCommands, sendSecondsUrgent*testSettings.CommandsPerSecond)
+func TestDrainGraceLimitsAssignmentsBeforeDrains(t *testing.T) {
+	withGrace := testSettings
+	withGrace.DrainGrace = 3 * time.Second
+	wantNear(t, "commands within the grace", New(1, withGrace).drainGraceCommands, 3*withGrace.CommandsPerSecond)
+	wantNear(t, "commands without a stated grace", New(1, testSettings).drainGraceCommands, sendSecondsUrgent*testSettings.CommandsPerSecond)
 }
 
-// A server that does not answer must not be restored again and again.
-func TestAnEjectedServerIsNotRestored(t *testing.T) {
+// An ejected server must not be restored again and again while it does not respond.
+func TestEjectedServerIsNotRestored(t *testing.T) {
 	m := newTestManager(2)
 	m.servers[0].withdrawn = true
 	m.servers[0].ejected = true
 	m.serverSetsValid = false
 	if m.nextRestore() != nil {
-		t.Error("it is let back in")
+		t.Error("an ejected server is restored although others respond")
 	}
 	for _, s := range m.servers {
 		s.ejected = true
 	}
 	if m.nextRestore() != m.servers[0] {
-		t.Error("with none that answers it is not let back in")
+		t.Error("no ejected server is restored although all servers are ejected")
 	}
 }
--- a/balancer/partitioning.go
+++ b/balancer/partitioning.go
@@ -21,8 +21,8 @@
 	m.partitioned = true
 	zones := float64(len(m.zones))
 	servers := float64(count(m.servers, m.mayServe)) / zones
-	requestsPerProxy := m.meanAnnouncedRate() * m.idleTimeout.Seconds()
-	wanted := math.Ceil(minConnectionUses * servers / max(requestsPerProxy, 1e-6))
+	requestsPerIdleTimeout := m.meanAnnouncedRate() * m.idleTimeout.Seconds()
+	wanted := math.Ceil(minConnectionUses * servers / max(requestsPerIdleTimeout, 1e-6))
 	maxByServers := servers / minPartitionServers
 	maxByProxies := m.proxyCount / m.managerCount / zones / minPartitionProxies
 	m.partitionsPerZone = int(max(1, min(wanted, maxByServers, maxByProxies)))
@@ -30,7 +30,7 @@
 		m.log(EventZonesPartitioned,
 			countField("partitions", m.partitionsPerZone),
 			numberField("servers", servers, 0),
-			numberField("connection_uses", requestsPerProxy, 0))
+			numberField("connection_uses", requestsPerIdleTimeout, 0))
 		m.layOutTables(m.partitionsPerZone, nil)
 	}
 }
--- a/balancer/partitioning_test.go
+++ b/balancer/partitioning_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestZonesArePartitionedWhereConnectionsWouldClose(t *testing.T) {
+func TestZonesArePartitionedIfConnectionsWouldClose(t *testing.T) {
 	m := newTestManager(12)
 	m.partitioned = false
 	m.idleTimeout = 10 * time.Second
@@ -17,24 +17,24 @@
 	}
 	m.partitionZones()
 	if m.partitionsPerZone != 3 || len(m.tables) != 6 {
-		t.Fatalf("%d partitions, %d tables", m.partitionsPerZone, len(m.tables))
+		t.Fatalf("%d partitions per zone and %d tables, want 3 and 6", m.partitionsPerZone, len(m.tables))
 	}
 	sizes := make([]int, 6)
 	for _, s := range m.servers {
 		sizes[s.partition]++
 		if s.partition/3 != s.zone {
-			t.Errorf("%s of zone %d in partition %d", s.id, s.zone, s.partition)
+			t.Errorf("server %s of zone %d is in partition %d of another zone", s.id, s.zone, s.partition)
 		}
 	}
 	if slices.Min(sizes) != 4 || slices.Max(sizes) != 4 {
-		t.Errorf("sizes %v", sizes)
+		t.Errorf("servers by partition: %v, want 4 each", sizes)
 	}
 	if near := m.nearestPartitions()(1); near[0] != 2 || near[1] != 0 {
-		t.Errorf("nearest %v", near)
+		t.Errorf("nearest partitions of partition 1: %v, want 2 and 0 first", near)
 	}
 }
 
-func TestZonesAreNotPartitionedWhereConnectionsStayOpen(t *testing.T) {
+func TestZonesAreNotPartitionedIfConnectionsStayOpen(t *testing.T) {
 	m := newTestManager(12)
 	m.partitioned = false
 	m.idleTimeout = 100 * time.Second
@@ -44,13 +44,13 @@
 	m.proxies[1].announcedRate = 3
 	m.partitionZones()
 	if m.partitionsPerZone != 1 {
-		t.Errorf("%d partitions", m.partitionsPerZone)
+		t.Errorf("%d partitions per zone, want 1", m.partitionsPerZone)
 	}
 }
 
-// A stale list may name servers that drain, as after a restart during a release.
-func TestPartitionsCountTheServersThatMayServe(t *testing.T) {
-	blocks := func(state ServerState) int {
+// A stale endpoint list, as after a restart during a release, may name draining servers. They must not count.
+func TestOnlyServersThatMayServeCountForPartitions(t *testing.T) {
+	partitionsWithHalfIn := func(state ServerState) int {
 		m := newTestManager(12)
 		m.partitioned = false
 		m.proxyCount = 100
@@ -64,7 +64,7 @@
 		m.partitionZones()
 		return m.partitionsPerZone
 	}
-	if all, half := blocks(Ready), blocks(Draining); all != 2 || half != 1 {
-		t.Errorf("%d partitions for 24 servers, %d for 12 that are there", all, half)
+	if allReady, halfDraining := partitionsWithHalfIn(Ready), partitionsWithHalfIn(Draining); allReady != 2 || halfDraining != 1 {
+		t.Errorf("%d partitions per zone for 24 ready servers and %d for 12, want 2 and 1", allReady, halfDraining)
 	}
 }
--- a/balancer/publishing.go
+++ b/balancer/publishing.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// sortChanges puts changes that restore an invariant first. The others are grouped by table, beginning with the table whose
-// changes move the most requests. Within a table, the change that moves the most requests comes first.
+// sortChanges puts changes that restore an invariant first. The others are grouped by table, beginning with the table
+// whose changes move the most requests. Within a table, the change that moves the most requests comes first.
 func (r *publishRound) sortChanges() {
 	tableOrder := func(c tableChange) float64 {
 		if c.priority == invariantChange {
