--- a/balancer/flow_control.go
+++ b/balancer/flow_control.go
@@ -6,30 +6,32 @@
 )
 
 const (
-	// slowChannelFactor is how many times slower than stated the channel is taken to be until barriers are
-	// acknowledged.
+	// slowChannelFactor is how many times slower than Settings.CommandsPerSecond the channel is assumed to be until
+	// barriers are acknowledged.
 	slowChannelFactor = 8.0
 
-	// queueShareNormal, queueShareUrgent and queueShareDrain are the parts of the queue that commands may use, by
-	// priority.
+	// queueShareNormal, queueShareUrgent and queueShareDrain are the shares of Settings.QueueCapacity that commands may
+	// fill, by priority.
 	queueShareNormal = 0.5
 	queueShareUrgent = 0.75
 	queueShareDrain  = 0.9
-	// messageShareNormal and messageShareUrgent are the parts of a proxy's messages that they may use; drains leave
-	// one message.
+	// messageShareNormal and messageShareUrgent are the shares of a proxy's message limit that commands may use, by
+	// priority. Drains may use all messages but one.
 	messageShareNormal = 0.6
 	messageShareUrgent = 0.8
-	// sendSecondsNormal and sendSecondsUrgent are the seconds of sending that may wait, in a queue that holds more.
+	// sendSecondsNormal and sendSecondsUrgent limit the commands that may wait to what the channel sends in this
+	// time. This applies only where the queue could hold more.
 	sendSecondsNormal = 1.0
 	sendSecondsUrgent = 2.0
-	// besideDrainsShare is the part of the normal commands that may go along with drains that go out late.
-	besideDrainsShare = 0.5
+	// resendWithDrainsShare limits the commands that may be waiting when others are resent together with late
+	// withdrawals, as a share of the limit for normal commands.
+	resendWithDrainsShare = 0.5
 
-	// maxBarrier is the largest number of a barrier; the next is 1.
+	// maxBarrier is the largest barrier number; the next barrier has number 1.
 	maxBarrier = 1<<16 - 1
 )
 
-// priority says how much of the channel commands may use.
+// priority determines how much of the channel's capacity commands may use.
 type priority int
 
 const (
@@ -39,67 +41,69 @@
 	priorityCount
 )
 
-// channel bounds what waits in the channel to the proxies, at the slowest that it is taken to be until barriers are
-// acknowledged.
+// channel tracks an upper bound on the commands that wait in the channel to the proxies. Until barriers are
+// acknowledged, the channel is assumed to send at assumedSendRate only.
 type channel struct {
-	pending     []pendingBatch // by the time of the commands
+	pending     []pendingBatch // ordered by time
 	lastBarrier BarrierID
-	barrierAt   time.Duration // of the last barrier
+	barrierAt   time.Duration // time of the last barrier
 
-	leftSince float64       // commands that left of those sent, until leftFrom
-	leftFrom  time.Duration // from then on they leave at the slowest rate
+	departed   float64       // commands of sent batches that had left the channel by departedAt
+	departedAt time.Duration // time from which commands leave at assumedSendRate
 
-	totalsValid bool
-	sent        float64 // commands of the batches that entered the channel
-	unsent      float64 // commands of the others
+	totalsValid    bool
+	sentCommands   float64 // commands in the pending batches that entered the channel
+	unsentCommands float64 // commands in the other pending batches
 }
 
-// pendingBatch are the commands of one time that no acknowledged barrier shows to have left the channel.
+// pendingBatch holds the commands of one point in time that are not known to have left the channel, since no barrier
+// that follows them has been acknowledged.
 type pendingBatch struct {
 	barrier  BarrierID
-	at       time.Duration // of the commands
-	sent     bool          // they entered the channel
-	commands float64
-	byProxy  map[ProxyID]float64 // commands, of the proxies that did not acknowledge the barrier
+	at       time.Duration       // when the commands were decided
+	sent     bool                // the commands entered the channel
+	commands float64             // number of commands, including the cost of messages
+	byProxy  map[ProxyID]float64 // the same for each proxy that has not acknowledged the barrier
 }
 
-// indexOf is the batch of a barrier, below 0 where there is none.
+// indexOf returns the index of a barrier's batch, or -1 if there is none.
 func (c *channel) indexOf(barrier BarrierID) int {
 	return slices.IndexFunc(c.pending, func(b pendingBatch) bool { return b.barrier == barrier })
 }
 
-// queuedCommands bounds what waits in the channel, whatever becomes of the commands on their way. Commands wait whole
-// until they are known to have entered the channel, since calls may come late and then together. From then on they
-// leave at the slowest rate, and as barriers are acknowledged.
+// queuedCommands returns an upper bound on the commands that wait in the channel. Commands count in full until they are
+// known to have entered the channel, because calls to the relay may be delayed and then arrive together. After that
+// they are assumed to leave at assumedSendRate; acknowledged barriers show that more have left.
 func (m *Manager) queuedCommands() float64 {
 	c := &m.channel
 	if !c.totalsValid {
 		c.totalsValid = true
-		c.sent = 0
-		c.unsent = 0
+		c.sentCommands = 0
+		c.unsentCommands = 0
 		for _, batch := range c.pending {
 			if batch.sent {
-				c.sent += batch.commands
+				c.sentCommands += batch.commands
 			} else {
-				c.unsent += batch.commands
+				c.unsentCommands += batch.commands
 			}
 		}
 	}
-	return m.queuedAfterSend() + c.unsent
+	return m.queuedAfterSend() + c.unsentCommands
 }
 
-// queuedAfterSend bounds what waits of the commands that entered the channel.
+// queuedAfterSend returns an upper bound on the commands that entered the channel and still wait there.
 func (m *Manager) queuedAfterSend() float64 {
 	c := &m.channel
-	return max(0, c.sent-c.leftSince-m.slowestRate*(m.now-c.leftFrom).Seconds())
+	return max(0, c.sentCommands-c.departed-m.assumedSendRate*(m.now-c.departedAt).Seconds())
 }
 
-// available is how many commands of a priority there is room for.
+// available returns the number of commands of a priority for which the channel has capacity.
 func (m *Manager) available(priority priority) float64 {
 	return max(0, min(m.sendableSoon[priority], m.queueLimits[priority])-m.queuedCommands())
 }
 
-// fits tells whether commands for each of these proxies fit into the queue and the messages that they may get.
+// fits reports whether the given number of commands for each proxy fits into the queue and into the proxies' message
+// limits.
 func (m *Manager) fits(proxies []*proxy, commands float64, priority priority) bool {
 	if !m.mayMessage(proxies, priority) {
 		return false
@@ -107,18 +111,19 @@
 	cost := 0.0
 	for _, p := range proxies {
 		cost += commands
-		if !p.hasMessage(m.now) {
+		if !p.hasMessageAt(m.now) {
 			cost += m.messageCost()
 		}
 	}
-	// what is too much to be sent soon at any time goes when nothing waits
+	// Commands that cost more than sendableSoon would never fit, so while nothing waits they may use up to queueLimits.
 	return cost <= m.available(priority) || cost <= m.queueLimits[priority] && m.queuedCommands() == 0
 }
 
-// messageCost is what a message costs besides its commands: its overhead and its barrier.
+// messageCost returns the cost of a message in addition to its commands: its overhead and its barrier.
 func (m *Manager) messageCost() float64 { return m.messageOverhead + 1 }
 
-// newMessageCost is the same for a message that may have to be written for one command alone.
+// newMessageCost returns the minimum cost of a message for a single further command: 0 if messages are already being
+// written at this time, since the command may be added to one of them.
 func (m *Manager) newMessageCost() float64 {
 	if m.channel.barrierAt == m.now {
 		return 0
@@ -126,29 +131,31 @@
 	return m.messageCost()
 }
 
-// singleCommandCost is what one command costs for so many proxies.
+// singleCommandCost returns the minimum cost of sending one command to each of the given number of proxies.
 func (m *Manager) singleCommandCost(proxies int) float64 {
 	return float64(proxies) * (1 + m.newMessageCost())
 }
 
-// hasMessage tells whether a proxy gets a message at this time anyway.
-func (p *proxy) hasMessage(now time.Duration) bool {
+// hasMessageAt reports whether a message to the proxy is already counted for this time.
+func (p *proxy) hasMessageAt(now time.Duration) bool {
 	return len(p.messageTimes) > 0 && p.messageTimes[len(p.messageTimes)-1] == now
 }
 
-// mayMessage tells whether each of these proxies may get a further message.
+// mayMessage reports whether each of the proxies may get another command without exceeding its message limit. It also
+// discards messageTimes outside messageWindow.
 func (m *Manager) mayMessage(proxies []*proxy, priority priority) bool {
 	limit := m.messageLimits[priority]
 	for _, p := range proxies {
 		p.messageTimes = slices.DeleteFunc(p.messageTimes, func(at time.Duration) bool { return m.now-at > m.messageWindow })
-		if limit > 0 && len(p.messageTimes) >= limit && !p.hasMessage(m.now) {
+		if limit > 0 && len(p.messageTimes) >= limit && !p.hasMessageAt(m.now) {
 			return false
 		}
 	}
 	return true
 }
 
-// reserve counts commands for each of these proxies, and a message and a barrier for those that have none yet.
+// reserve adds the given number of commands for each proxy to the pending batch of the current time. It also counts a
+// message for each proxy that has none at this time yet, and starts the batch with a new barrier if there is none.
 func (m *Manager) reserve(proxies []*proxy, commands float64) {
 	if len(proxies) == 0 {
 		return
@@ -156,7 +163,7 @@
 	c := &m.channel
 	if m.queuedCommands() == 0 {
 		c.pending = nil
-		c.leftSince = 0
+		c.departed = 0
 	}
 	c.totalsValid = false
 	if c.barrierAt != m.now {
@@ -168,7 +175,7 @@
 	batch := &c.pending[len(c.pending)-1]
 	for _, p := range proxies {
 		cost := commands
-		if !p.hasMessage(m.now) {
+		if !p.hasMessageAt(m.now) {
 			p.messageTimes = append(p.messageTimes, m.now)
 			cost += m.messageCost()
 		}
@@ -177,27 +184,28 @@
 	}
 }
 
-// HandleCommandsSent takes that the commands up to a barrier entered the channel.
+// HandleCommandsSent records that the commands up to a barrier entered the channel.
 func (m *Manager) HandleCommandsSent(now time.Duration, barrier BarrierID) {
 	m.now = now
 	m.markSent(m.channel.indexOf(barrier))
 }
 
-// markSent lets the batches up to the one at an index leave from now on; what left of the batches before it stays
-// released.
+// markSent marks the batches up to an index as sent, so that they count as leaving from now on. What earlier batches
+// have been assumed to send so far remains counted as departed.
 func (m *Manager) markSent(index int) {
 	m.queuedCommands()
 	c := &m.channel
-	c.leftSince = c.sent - m.queuedAfterSend()
-	c.leftFrom = m.now
+	c.departed = c.sentCommands - m.queuedAfterSend()
+	c.departedAt = m.now
 	c.totalsValid = false
 	for i := min(index, len(c.pending)-1); i >= 0 && !c.pending[i].sent; i-- {
 		c.pending[i].sent = true
 	}
 }
 
-// acknowledge releases what an acknowledged barrier shows to have left: all batches before its own, and of that one
-// the message to the proxy. Messages differ in length, so that a short one does not release the long ones beside it.
+// acknowledge releases what an acknowledged barrier shows to have left the channel: all batches before the barrier's
+// own, and from that batch the message to this proxy. Messages differ in length, so the acknowledgement of a short
+// message must not release the longer messages of the same batch.
 func (m *Manager) acknowledge(id ProxyID, barrier BarrierID) {
 	c := &m.channel
 	index := c.indexOf(barrier)
@@ -209,12 +217,13 @@
 	batch := &c.pending[0]
 	batch.commands -= batch.byProxy[id]
 	delete(batch.byProxy, id)
-	c.leftSince = 0
-	c.leftFrom = m.now
+	c.departed = 0
+	c.departedAt = m.now
 }
 
-// releaseUnsent releases what has not entered the channel but for the commands before a barrier, and those under it
-// if they may have been carried out. All else is sent anew, and must not wait for the room that it holds itself.
+// releaseUnsent releases the batches that have not entered the channel. It keeps, and marks as sent, the batches before
+// a barrier, and the barrier's own batch if its commands may have been carried out. The released commands will be
+// resent; without the release they would wait for capacity, and for messages, that they occupy themselves.
 func (m *Manager) releaseUnsent(from BarrierID, mayBeCarriedOut bool) {
 	c := &m.channel
 	index := c.indexOf(from)
@@ -234,9 +243,10 @@
 	c.totalsValid = false
 }
 
-// Resend tells how many of the commands that are sent again, or late, may go now, and their barrier. They need room
-// like all others, so that nothing overruns the queue once the relay is back. The commands under the barrier given may
-// have been carried out.
+// Resend returns how many of the commands in c, which are resent or sent late, may be sent now, and their barrier (0
+// for none). They need capacity like all others, so that the queue does not overflow when the relay becomes reachable
+// again. The commands under the barrier from may have been carried out if mayBeCarriedOut is set; if so, they remain
+// reserved.
 func (m *Manager) Resend(now time.Duration, from BarrierID, mayBeCarriedOut bool, c Commands) (n int, barrier BarrierID) {
 	m.now = now
 	m.releaseUnsent(from, mayBeCarriedOut)
@@ -246,7 +256,7 @@
 		if n < len(c.Withdraw) {
 			priority = drainPriority
 		}
-		if !m.mayGoBesideDrains(c, n) || !m.fits(proxies, commands, priority) {
+		if !m.mayResendWithDrains(c, n) || !m.fits(proxies, commands, priority) {
 			break
 		}
 		m.reserve(proxies, commands)
@@ -257,19 +267,21 @@
 	return n, barrier
 }
 
-// mayGoBesideDrains tells whether the n-th command may go along with the drains before it, which are as late as all of
-// a proxy's message.
-func (m *Manager) mayGoBesideDrains(c Commands, n int) bool {
+// mayResendWithDrains reports whether the n-th command may be resent together with the withdrawals before it. A
+// withdrawal takes effect only when all of the message that contains it has been sent, so few other commands may be
+// added.
+func (m *Manager) mayResendWithDrains(c Commands, n int) bool {
 	if n < len(c.Withdraw) || len(c.Withdraw) == 0 {
 		return true
 	}
-	return m.queuedCommands() <= besideDrainsShare*m.sendableSoon[normalPriority]
+	return m.queuedCommands() <= resendWithDrainsShare*m.sendableSoon[normalPriority]
 }
 
-// recipients are the proxies that get the n-th command, counted in the order of the fields, and what it costs at each.
+// recipients returns the proxies that get the n-th command of c, counted in the order of the fields, and how many
+// commands it costs for each of them.
 func (m *Manager) recipients(c Commands, n int) (proxies []*proxy, commands float64) {
 	if n < len(c.Withdraw) {
-		return m.holdersOf(c.Withdraw[n]), 1
+		return m.proxiesUsingID(c.Withdraw[n]), 1
 	}
 	n -= len(c.Withdraw)
 	if n < len(c.Weights) {
@@ -281,7 +293,7 @@
 	}
 	n -= len(c.AdmissionLevels)
 	if n < len(c.Restore) {
-		return m.holdersOf(c.Restore[n]), 1
+		return m.proxiesUsingID(c.Restore[n]), 1
 	}
 	n -= len(c.Restore)
 	assignment := c.Assign[n]
@@ -291,15 +303,16 @@
 	return proxies, m.assignmentCost(m.tables[assignment.Table&^ZoneLocalTables])
 }
 
-// holdersOf are the proxies whose tables name a server, none if it is not known.
-func (m *Manager) holdersOf(id ServerID) []*proxy {
+// proxiesUsingID returns the result of holders for a server id, or nil if the server is unknown.
+func (m *Manager) proxiesUsingID(id ServerID) []*proxy {
 	if s := m.server(id); s != nil {
 		return m.holders(s)
 	}
 	return nil
 }
 
-// assignmentCost is how many commands a proxy gets that is put on a table.
+// assignmentCost returns the number of commands that a proxy gets when it is put on a table: the assignment, the
+// table's weights and admission levels, and the withdrawals in force.
 func (m *Manager) assignmentCost(t *table) float64 {
 	if t.assignCost > 0 {
 		return t.assignCost
@@ -326,7 +339,7 @@
 	return t.assignCost
 }
 
-// cheapestAssignment is what the cheapest assignment of an unassigned proxy costs; infinite where none can be assigned.
+// cheapestAssignment returns the minimum cost of assigning an unassigned proxy, or infinity if none can be assigned.
 func (m *Manager) cheapestAssignment() float64 {
 	m.updatePlacement()
 	if len(m.unassigned) == 0 {
@@ -343,7 +356,7 @@
 	return m.cheapestAssign + m.newMessageCost()
 }
 
-// allAssignmentsCost is what the assignments of all unassigned proxies cost.
+// allAssignmentsCost returns the cost of assigning all unassigned proxies.
 func (m *Manager) allAssignmentsCost() float64 {
 	cost := 0.0
 	for _, t := range m.tables {
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -14,8 +14,8 @@
 	"tamarindshore/internal/fleetmodel"
 )
 
-// shapes are the kinds of day on which the commands must stay the same, to the byte.
-var shapes = []fleetmodel.Scenario{
+// goldenScenarios are the scenarios in which the commands must stay byte for byte the same.
+var goldenScenarios = []fleetmodel.Scenario{
 	{Name: "calm", Zones: 3, Servers: 30, Proxies: 40, RequestRate: 6, ServerCapacity: 12},
 	{Name: "drains", Zones: 3, Servers: 24, Proxies: 60, RequestRate: 3, ServerCapacity: 12, DrainFraction: 0.5, ChurnInterval: 200 * time.Millisecond},
 	{Name: "overload", Zones: 3, Servers: 18, Proxies: 40, RequestRate: 4, ServerCapacity: 10, SlowFraction: 0.3, SurgeFactor: 2.5},
@@ -24,12 +24,12 @@
 	{Name: "tight", Zones: 4, Servers: 40, Proxies: 400, RequestRate: 1, ServerCapacity: 12, DrainFraction: 0.4, ChurnInterval: 20 * time.Millisecond, MaxMessages: 12},
 }
 
-// goldenRun is what one run of a shape must come to.
+// goldenRun summarizes one run of a scenario.
 type goldenRun struct {
-	commands       int    // commands for proxies
-	commandsDigest string // over all commands and their times, without log records
-	records        int
-	recordsDigest  string // over each record's event, time and figures, without the wording
+	commands       int    // number of commands for proxies
+	commandsDigest string // digest of all commands and their times, without log records
+	records        int    // number of log records
+	recordsDigest  string // digest of each record's time, event and values, without field names
 }
 
 func (r goldenRun) String() string {
@@ -37,14 +37,14 @@
 }
 
 func TestCommandsAndLogRecordsStayTheSame(t *testing.T) {
-	known := readGolden(t)
-	for _, shape := range shapes {
+	golden := readGolden(t)
+	for _, scenario := range goldenScenarios {
 		for seed := range uint64(3) {
-			name := fmt.Sprintf("%s/%d", shape.Name, seed)
+			name := fmt.Sprintf("%s/%d", scenario.Name, seed)
 			t.Run(name, func(t *testing.T) {
-				got, byEvent := play(shape, seed)
-				if got.String() != known[name] {
-					t.Errorf("%s %v, not %s; records by event: %v", name, got, known[name], byEvent)
+				got, byEvent := runScenario(scenario, seed)
+				if got.String() != golden[name] {
+					t.Errorf("%s: got %v, want %s; log records by event: %v", name, got, golden[name], byEvent)
 				}
 			})
 		}
@@ -57,17 +57,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := map[string]string{}
+	golden := map[string]string{}
 	for line := range strings.Lines(string(text)) {
 		name, run, _ := strings.Cut(strings.TrimSpace(line), " ")
-		known[name] = run
+		golden[name] = run
 	}
-	return known
+	return golden
 }
 
-// play runs forty seconds of a shape and digests what the manager commands and what it logs.
-func play(shape fleetmodel.Scenario, seed uint64) (run goldenRun, byEvent map[balancer.LogEvent]int) {
-	fleet := fleetmodel.New(shape, seed)
+// runScenario runs 40 seconds of a scenario and computes digests of the manager's commands and log records.
+func runScenario(scenario fleetmodel.Scenario, seed uint64) (run goldenRun, byEvent map[balancer.LogEvent]int) {
+	fleet := fleetmodel.New(scenario, seed)
 	commandsSum := blake3.New()
 	recordsSum := blake3.New()
 	byEvent = map[balancer.LogEvent]int{}
@@ -75,7 +75,7 @@
 		fmt.Fprintf(commandsSum, "%d %v\n", now, withoutRecords(commands))
 		run.commands += commands.Count()
 		for _, record := range commands.LogRecords {
-			fmt.Fprintf(recordsSum, "%d %s %q\n", now, record.Event, figuresOf(record))
+			fmt.Fprintf(recordsSum, "%d %s %q\n", now, record.Event, fieldValues(record))
 			byEvent[record.Event]++
 			run.records++
 		}
@@ -89,17 +89,17 @@
 	return run, byEvent
 }
 
-// figuresOf are the values of a record, in their order.
-func figuresOf(record balancer.LogRecord) []string {
-	var figures []string
+// fieldValues returns the values of a record's fields in their order.
+func fieldValues(record balancer.LogRecord) []string {
+	var values []string
 	for _, field := range record.Fields {
-		figures = append(figures, field.Value)
+		values = append(values, field.Value)
 	}
-	return figures
+	return values
 }
 
-// withoutRecords has a fixed form for the digest: all commands but the log records, and assignments without classes
-// where they are for all of them.
+// withoutRecords returns the commands without log records in the fixed form on which the golden digests are based:
+// assignments have no Classes field if all of them are for all classes.
 func withoutRecords(c balancer.Commands) any {
 	type assignment struct {
 		Proxy balancer.ProxyID
@@ -126,35 +126,36 @@
 	}{c.Withdraw, c.Weights, c.AdmissionLevels, c.Restore, assign, c.Barrier, c.HealthCheck, c.Subscribe, c.NextTimer}
 }
 
-// BenchmarkSecond is a second of inputs: a report for each server and zone, a usage for each proxy and class.
+// BenchmarkSecond measures one second of inputs: a load report for each server and zone, and a usage report for each
+// proxy and class.
 func BenchmarkSecond(b *testing.B) {
 	for _, size := range [][2]int{{400, 30}, {1000, 500}, {4000, 500}, {4000, 2000}, {20000, 5000}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			s := fleetmodel.Scenario{Zones: 4, Proxies: size[0], Servers: size[1], RequestRate: 2, ServerCapacity: 4 * float64(size[0]) / float64(size[1])}
-			f := fleetmodel.New(s, 1)
-			f.Start()
+			scenario := fleetmodel.Scenario{Zones: 4, Proxies: size[0], Servers: size[1], RequestRate: 2, ServerCapacity: 4 * float64(size[0]) / float64(size[1])}
+			fleet := fleetmodel.New(scenario, 1)
+			fleet.Start()
 			for n := range 3 {
-				f.PlaySecond(n, 100)
+				fleet.PlaySecond(n, 100)
 			}
-			inputs, spent := f.InputCount, f.ManagerTime
+			inputs, managerTime := fleet.InputCount, fleet.ManagerTime
 			for b.Loop() {
-				f.PlaySecond(50, 100)
+				fleet.PlaySecond(50, 100)
 			}
-			per := float64(f.ManagerTime-spent) / float64(b.N)
-			b.ReportMetric(per/1e6, "module-ms/s")
-			b.ReportMetric(per/(float64(f.InputCount-inputs)/float64(b.N)), "ns/input")
+			timePerSecond := float64(fleet.ManagerTime-managerTime) / float64(b.N)
+			b.ReportMetric(timePerSecond/1e6, "module-ms/s")
+			b.ReportMetric(timePerSecond/(float64(fleet.InputCount-inputs)/float64(b.N)), "ns/input")
 		})
 	}
 }
 
-// BenchmarkJoins is the first list and all proxies, one after another.
+// BenchmarkJoins measures the first endpoint list and the connection of all proxies, one after another.
 func BenchmarkJoins(b *testing.B) {
 	for _, size := range [][2]int{{400, 30}, {4000, 2000}, {20000, 5000}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
 			for b.Loop() {
-				f := fleetmodel.New(fleetmodel.Scenario{Zones: 4, Proxies: size[0], Servers: size[1], RequestRate: 2, ServerCapacity: 100}, 1)
-				f.Start()
-				b.ReportMetric(float64(f.ManagerTime)/1e6, "module-ms")
+				fleet := fleetmodel.New(fleetmodel.Scenario{Zones: 4, Proxies: size[0], Servers: size[1], RequestRate: 2, ServerCapacity: 100}, 1)
+				fleet.Start()
+				b.ReportMetric(float64(fleet.ManagerTime)/1e6, "module-ms")
 			}
 		})
 	}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -17,21 +17,22 @@
 	QueueCapacity: 1000, CommandsPerSecond: 1000, MessageOverhead: 4, MaxMessages: 20, MessageWindow: 10 * time.Second,
 }
 
-// newTestManager holds per zone n ready servers a0.., b0.. and a proxy, assigned to its zone's table.
+// newTestManager returns a manager with zones a and b. Each zone has n ready servers (a0, a1, ... and b0, b1, ...) and
+// one proxy, which is assigned to the zone's table.
 func newTestManager(n int) *Manager {
 	m := New(1, testSettings)
 	m.nextTick = time.Hour
 	m.timerAt = time.Hour
 	m.slowStartPause = 0
-	for z, name := range m.zones {
+	for zone, name := range m.zones {
 		for i := range n {
 			id := ServerID(fmt.Sprint(name, i))
-			m.servers = append(m.servers, &server{id: id, zone: z, partition: z, weight: 1, health: 1, inFlight: -1, checkedAt: -time.Hour})
-			m.tables[z].published[id] = 100
-			m.tables[z].target[id] = 1 / float64(n)
+			m.servers = append(m.servers, &server{id: id, zone: zone, partition: zone, weight: 1, health: 1, inFlight: -1, checkedAt: -time.Hour})
+			m.tables[zone].published[id] = 100
+			m.tables[zone].target[id] = 1 / float64(n)
 		}
-		flows := [][]sample{{{0, 30, 1}}, {{0, 10, 1}}}
-		m.proxies = append(m.proxies, &proxy{id: ProxyID(z), zone: z, partition: z, assigned: true, usage: flows})
+		usageSamples := [][]sample{{{0, 30, 1}}, {{0, 10, 1}}}
+		m.proxies = append(m.proxies, &proxy{id: ProxyID(zone), zone: zone, partition: zone, assigned: true, usage: usageSamples})
 	}
 	m.partitioned = true
 	m.usageReported = true
@@ -39,7 +40,7 @@
 	return m
 }
 
-// report gives a server one report of late attempts, in a second that just ended.
+// report adds a load report on a server from its own zone, which covers the last second.
 func (m *Manager) report(id ServerID, attempts, failed int, latency time.Duration) {
 	s := m.server(id)
 	s.reports = append(s.reports, receivedReport{at: m.now, LoadReport: LoadReport{
@@ -57,23 +58,23 @@
 func wantNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-6 {
-		t.Errorf("%s: %v, not %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", what, got, want)
 	}
 }
 
-// distributed is what a distribution gives, by partition and part.
-func distributed(volumes []float64, parts []distributionPart, nearest [][]int, closed func(a, b int) bool) [][]float64 {
-	s := distribute(volumes, parts, func(z int) []int { return nearest[z] }, closed)
-	all := make([][]float64, len(volumes))
-	for z := range volumes {
+// distributed returns the rates that distribute allocates, by partition and part.
+func distributed(rates []float64, parts []distributionPart, nearest [][]int, closed func(from, to int) bool) [][]float64 {
+	shares := distribute(rates, parts, func(partition int) []int { return nearest[partition] }, closed)
+	all := make([][]float64, len(rates))
+	for partition := range rates {
 		for i := range parts {
-			all[z] = append(all[z], s.at(z, i))
+			all[partition] = append(all[partition], shares.at(partition, i))
 		}
 	}
 	return all
 }
 
-func noPairClosed(a, b int) bool { return false }
+func noPairClosed(from, to int) bool { return false }
 
 func equalParts(zone, n int, target float64) (parts []distributionPart) {
 	for range n {
@@ -82,7 +83,8 @@
 	return parts
 }
 
-// managerWithUnassigned holds four servers a zone, one of which warms up, and so many proxies of zone a that connected meanwhile.
+// managerWithUnassigned returns a manager with four servers per zone, one of which (a1) is in its warm-up, and the given
+// number of unassigned proxies, which connected in zone a during the warm-up.
 func managerWithUnassigned(proxies int) *Manager {
 	m := newTestManager(4)
 	m.nextTick = time.Hour
@@ -94,17 +96,18 @@
 	return m
 }
 
-// pinAt pins the tables of two zones at these weights of zone a's servers, and zone b's as they stand.
-func (m *Manager) pinAt(a ...float64) Commands {
-	lines := map[TableID]map[ServerID]float64{0: {}, 1: {}}
-	for i, w := range a {
-		lines[0][ServerID(fmt.Sprint("a", i))] = w
-		lines[1][ServerID(fmt.Sprint("b", i))] = 100
+// pinAt pins the tables of both zones: zone a's servers at the given weights, zone b's at their published weight of
+// 100.
+func (m *Manager) pinAt(weights ...float64) Commands {
+	tables := map[TableID]map[ServerID]float64{0: {}, 1: {}}
+	for i, weight := range weights {
+		tables[0][ServerID(fmt.Sprint("a", i))] = weight
+		tables[1][ServerID(fmt.Sprint("b", i))] = 100
 	}
-	return m.HandlePin(m.now, lines, map[TableID]map[uint]AdmissionLevel{0: {2: {Table: 0, Classes: 2, Amount: 0.5, Retry: RetryIfNotExecuted}}})
+	return m.HandlePin(m.now, tables, map[TableID]map[uint]AdmissionLevel{0: {2: {Table: 0, Classes: 2, Amount: 0.5, Retry: RetryIfNotExecuted}}})
 }
 
-// newZoneLocalManager has a second class that stays in its zone.
+// newZoneLocalManager returns a test manager whose second traffic class is zone-local.
 func newZoneLocalManager(n int) *Manager {
 	m := newTestManager(n)
 	m.zoneLocal = 2
--- a/balancer/indexes.go
+++ b/balancer/indexes.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// indexes are what conditions look things up by, so that an input costs what it changes and not what there is. They
-// follow from the servers, proxies and tables, and are built anew where a flag says that they are not valid.
+// indexes are lookup structures for the conditions of the rules. They keep the cost of an input proportional to what it
+// changes, not to the size of the fleet. They are derived from the servers, proxies and tables, and are rebuilt when
+// the corresponding flag says that they are no longer valid.
 type indexes struct {
 	serverByID map[ServerID]*server
 	proxyByID  map[ProxyID]*proxy
@@ -14,19 +15,20 @@
 	serverSetsValid bool
 	serverSets      serverSets
 
-	placementValid bool     // tables know their proxies, and servers the tables that name them
-	unassigned     []*proxy // by the time of their connection
-	cheapestAssign float64  // commands of the cheapest table that unassigned proxies can be put on; 0: to be counted
+	placementValid bool     // the proxies of each table and the tables of each server are up to date
+	unassigned     []*proxy // ordered by connection time
+	cheapestAssign float64  // cached minimum of assignmentCost over the tables that proxies wait for; 0: not computed
 }
 
-// serverSets are the servers that some condition asks for.
+// serverSets are sets of servers, or their sizes, that conditions depend on.
 type serverSets struct {
-	leaving           []*server // to be withdrawn, in the order in which the list named them
-	returning         []*server // withdrawn, and may serve; by id
-	warmingUp         int       // may serve, and are in their warm-up
-	withdrawnUnusable int       // withdrawn, and may not serve
+	leaving           []*server // to be withdrawn, in the order in which the list reported their drain or removal
+	returning         []*server // withdrawn servers that may serve, ordered by id
+	warmingUp         int       // number of servers in their warm-up that may serve
+	withdrawnUnusable int       // number of withdrawn servers that may not serve
 }
 
+// sets returns the server sets, which it recomputes if they are out of date.
 func (m *Manager) sets() *serverSets {
 	if m.serverSetsValid {
 		return &m.serverSets
@@ -53,10 +55,10 @@
 	return &m.serverSets
 }
 
-// anyWarmingUp tells whether some server that may serve is in its warm-up.
+// anyWarmingUp reports whether some server that may serve is in its warm-up.
 func (m *Manager) anyWarmingUp() bool { return m.sets().warmingUp > 0 }
 
-// server is the server of an id, nil if it is not known.
+// server returns the server with an id, or nil if it is unknown.
 func (m *Manager) server(id ServerID) *server {
 	if m.serverByID == nil || len(m.serverByID) != len(m.servers) {
 		m.serverByID = map[ServerID]*server{}
@@ -67,7 +69,7 @@
 	return m.serverByID[id]
 }
 
-// proxy is the proxy of a number, nil if it is not connected.
+// proxy returns the proxy with a number, or nil if it is not connected.
 func (m *Manager) proxy(id ProxyID) *proxy {
 	if m.proxyByID == nil || len(m.proxyByID) != len(m.proxies) {
 		m.proxyByID = map[ProxyID]*proxy{}
@@ -78,8 +80,8 @@
 	return m.proxyByID[id]
 }
 
-// forgetServers drops all that is known of some servers.
-func (m *Manager) forgetServers(drop func(*server) bool) {
+// deleteServers deletes the servers for which drop returns true.
+func (m *Manager) deleteServers(drop func(*server) bool) {
 	m.cheapestAssign = 0
 	before := len(m.servers)
 	m.servers = slices.DeleteFunc(m.servers, drop)
@@ -89,7 +91,7 @@
 	}
 }
 
-// setWithdrawn takes that a server was withdrawn or restored.
+// setWithdrawn records that a server was withdrawn or restored.
 func (m *Manager) setWithdrawn(s *server, withdrawn bool) {
 	m.updatePlacement()
 	s.withdrawn = withdrawn
@@ -100,7 +102,7 @@
 	}
 }
 
-// updatePlacement finds the proxies of each table, and the tables that name each server.
+// updatePlacement recomputes the proxies of each table and the tables that name each server, if they are out of date.
 func (m *Manager) updatePlacement() {
 	if m.placementValid {
 		return
@@ -117,11 +119,11 @@
 		t.assignCost = 0
 		t.unassigned = 0
 	}
-	m.placeServers()
-	m.placeProxies()
+	m.indexTableServers()
+	m.indexTableProxies()
 }
 
-func (m *Manager) placeServers() {
+func (m *Manager) indexTableServers() {
 	for i, t := range m.tables {
 		for id, weight := range t.published {
 			if s := m.server(id); s != nil && weight != 0 {
@@ -131,7 +133,7 @@
 	}
 }
 
-func (m *Manager) placeProxies() {
+func (m *Manager) indexTableProxies() {
 	for _, p := range m.proxies {
 		t := m.tables[p.partition]
 		t.proxies = append(t.proxies, p)
@@ -163,7 +165,7 @@
 	return slices.Delete(proxies, i, i+1)
 }
 
-// addProxy takes in a proxy that is on no table.
+// addProxy adds a proxy that is not yet assigned to a table.
 func (m *Manager) addProxy(p *proxy) {
 	m.updatePlacement()
 	m.proxies = insertProxy(m.proxies, p, compareProxyIDs)
@@ -188,7 +190,7 @@
 	m.sumAnnouncedRates(t)
 }
 
-// stopWaiting takes a proxy that is put on its table, or disconnects, off those that wait for one.
+// stopWaiting removes a proxy that is being assigned or has disconnected from the unassigned proxies.
 func (m *Manager) stopWaiting(p *proxy, t *table) {
 	if p.assigned {
 		return
@@ -203,8 +205,8 @@
 	}
 }
 
-// sumAnnouncedRates sums the rates of a partition's proxies in the order of their numbers. Only partitions are chosen
-// by it.
+// sumAnnouncedRates recomputes the announced rate of a table, always adding in the order of the proxies' numbers. The
+// rate only serves to choose a partition for a proxy, so it is not needed where a zone has one partition.
 func (m *Manager) sumAnnouncedRates(t *table) {
 	if m.partitionsPerZone == 1 {
 		return
@@ -215,13 +217,14 @@
 	}
 }
 
-// isPublished tells whether some table names a server.
+// isPublished reports whether some table names a server.
 func (m *Manager) isPublished(s *server) bool {
 	m.updatePlacement()
 	return len(s.tables) > 0
 }
 
-// holders are the proxies whose table names a server, and those that may hold any table, by number.
+// holders returns the proxies whose table names a server, and all unassigned proxies, since they may still use any
+// table. They are ordered by number, unless no table names the server: then they are ordered by connection time.
 func (m *Manager) holders(s *server) []*proxy {
 	m.updatePlacement()
 	proxies := slices.Clone(m.unassigned)
@@ -232,10 +235,10 @@
 		proxies = append(proxies, m.tableProxies(id)...)
 	}
 	slices.SortFunc(proxies, compareProxyIDs)
-	return slices.Compact(proxies) // an unassigned proxy may hold a table still
+	return slices.Compact(proxies) // an unassigned proxy with mayHoldTable is in both lists
 }
 
-// tableProxies are the proxies that are, or may be, on a table, by number.
+// tableProxies returns the proxies that use, or may still use, a table, ordered by number.
 func (m *Manager) tableProxies(id TableID) []*proxy {
 	m.updatePlacement()
 	var proxies []*proxy
@@ -247,7 +250,7 @@
 	return proxies
 }
 
-// tableServers are the servers that a table names or should name, by id.
+// tableServers returns the servers that a table names or should name, ordered by id.
 func (m *Manager) tableServers(t *table) []*server {
 	var servers []*server
 	add := func(id ServerID) {
--- a/balancer/inputs.go
+++ b/balancer/inputs.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// startUnknown is the start of a server that started long ago.
+// startUnknown is the start time of a server that is not listed as recently started.
 const startUnknown time.Duration = math.MinInt64
 
-// HandleEndpointList takes the endpoint list: all of it (complete), or what changed.
+// HandleEndpointList processes the endpoint list: the whole list if complete is set, otherwise the changed entries.
 func (m *Manager) HandleEndpointList(now time.Duration, complete bool, endpoints []Endpoint) Commands {
 	m.now = now
 	listed := map[ServerID]bool{}
@@ -33,14 +33,14 @@
 	return m.decide()
 }
 
-// updateEndpoint takes over one entry of the list.
+// updateEndpoint applies one entry of the endpoint list.
 func (m *Manager) updateEndpoint(endpoint Endpoint, complete bool) {
 	started := startUnknown
 	if endpoint.RecentlyStarted {
 		started = endpoint.Started
 	}
 	warmUpFrom := m.now
-	if started < 0 { // before this manager's start, so that its restart does not begin all warm-ups anew
+	if started < 0 { // started before this manager: a restart of the manager must not restart all warm-ups
 		warmUpFrom = max(started, m.now-m.warmUpDuration)
 	}
 	s := m.server(endpoint.Server)
@@ -49,8 +49,8 @@
 		s.listedStart = started
 		s.warmUpFrom = warmUpFrom
 		s.warmingUp = endpoint.RecentlyStarted && (m.now-started < m.warmUpDuration || !complete)
-		// A list may name servers that do not exist: one that the first list did not name gets requests only after
-		// it passes a health check.
+		// A list may name servers that do not exist. A server that was not in the first list therefore gets no
+		// requests until it passes a health check.
 		s.ejected = m.healthChecks && m.listReceived
 	} else if started > s.listedStart {
 		m.restartWarmUp(s, started, warmUpFrom)
@@ -61,8 +61,8 @@
 	m.setListedState(s, endpoint.State)
 }
 
-// restartWarmUp takes that a known server's process restarted. Its end may not have been listed, so its published
-// weights are lowered at once.
+// restartWarmUp handles the restart of a known server's process. The list may not have reported that the old process
+// ended, so the server's published weights are lowered immediately.
 func (m *Manager) restartWarmUp(s *server, started, warmUpFrom time.Duration) {
 	s.listedStart = started
 	s.warmingUp = true
@@ -75,9 +75,9 @@
 	m.publication.urgent = m.publication.urgent || !s.withdrawn
 }
 
-// setListedState takes what the list says of a server. Where removed servers may serve, a removal is one witness and
-// a health check the other: until one fails the server keeps its requests. A server that drained before it was removed
-// stays withdrawn.
+// setListedState applies a server's state in the endpoint list. If removed servers may serve, a removal alone does not
+// stop requests to the server: it keeps them until a health check fails as well. A server that was draining before its
+// removal stays withdrawn.
 func (m *Manager) setListedState(s *server, state ServerState) {
 	if state != Removed || s.state == Ready {
 		s.state = state
@@ -98,16 +98,18 @@
 	}
 }
 
-// HandleEndpointListError takes that the endpoint list could not be read: it is asked for again after an interval.
+// HandleEndpointListError processes a failure to read the endpoint list; the manager subscribes again after
+// tickInterval.
 func (m *Manager) HandleEndpointListError(now time.Duration) Commands {
 	m.now = now
 	m.subscribed = false
-	m.pollAfter = now + tickInterval
+	m.subscribeAfter = now + tickInterval
 	return m.decide()
 }
 
-// HandleProxyConnected takes that a proxy connected, and the requests per second that it announced. A proxy whose
-// disconnection was not reported keeps its partition, its usage and the messages that count against its limit.
+// HandleProxyConnected processes the connection of a proxy, which announces its requests per second. A proxy whose
+// disconnection was not reported keeps its usage and the messages that count against its limit, and, if its zone is the
+// same, its partition.
 func (m *Manager) HandleProxyConnected(now time.Duration, id ProxyID, zone ZoneID, announcedRate float64) Commands {
 	m.now = now
 	p := &proxy{
@@ -123,7 +125,7 @@
 		p.messageTimes = previous.messageTimes
 		if p.zone == previous.zone {
 			p.partition = previous.partition
-			// commands for its table still reach it, so that they must be reserved for it too
+			// Commands for its table still reach it, so channel capacity must be reserved for it too.
 			p.mayHoldTable = previous.assigned || previous.mayHoldTable
 		}
 		m.removeProxy(previous)
@@ -133,7 +135,7 @@
 	return m.decide()
 }
 
-// HandleProxyDisconnected takes that a proxy disconnected.
+// HandleProxyDisconnected processes the disconnection of a proxy.
 func (m *Manager) HandleProxyDisconnected(now time.Duration, id ProxyID) Commands {
 	m.now = now
 	if p := m.proxy(id); p != nil {
@@ -142,7 +144,7 @@
 	return m.decide()
 }
 
-// HandleLoadReport takes what one zone's proxies met at a server.
+// HandleLoadReport processes a report of the attempts that one zone's proxies made at a server.
 func (m *Manager) HandleLoadReport(now time.Duration, report LoadReport) Commands {
 	m.now = now
 	s := m.server(report.Server)
@@ -162,7 +164,7 @@
 	return m.decide()
 }
 
-// HandleUsageReport takes how many requests of one traffic class came to a proxy.
+// HandleUsageReport processes a report of the requests of one traffic class that a proxy received.
 func (m *Manager) HandleUsageReport(now time.Duration, report UsageReport) Commands {
 	m.now = now
 	p := m.proxy(report.Proxy)
@@ -175,15 +177,15 @@
 	return m.decide()
 }
 
-// HandleHealthCheck takes the result of a health check, how long it took, and the requests in flight that the server
-// told; below 0 where it told none.
+// HandleHealthCheck processes the result of a health check, its duration, and the in-flight requests that the server
+// reported, which are negative if it reported none.
 func (m *Manager) HandleHealthCheck(now time.Duration, id ServerID, result HealthCheckResult, took time.Duration, inFlight float64) Commands {
 	m.now = now
 	s := m.server(id)
 	if s == nil || !m.mayServe(s) {
 		return m.decide()
 	}
-	m.recordCheckTime(result, took)
+	m.recordCheckDuration(result, took)
 	s.recordInFlight(now, inFlight)
 	s.unreachable = result == HealthCheckUnreachable
 	s.checkEndedAt = now
@@ -198,14 +200,15 @@
 	return m.decide()
 }
 
-// HandleBarrierAck takes that the commands up to a barrier have left the channel to a proxy.
+// HandleBarrierAck processes a proxy's acknowledgement of a barrier: the commands up to it have left the channel to
+// that proxy.
 func (m *Manager) HandleBarrierAck(now time.Duration, id ProxyID, barrier BarrierID) Commands {
 	m.now = now
 	m.acknowledge(id, barrier)
 	return m.decide()
 }
 
-// HandleTimer takes that the time of Commands.NextTimer has come.
+// HandleTimer processes the expiry of the timer set by Commands.NextTimer.
 func (m *Manager) HandleTimer(now time.Duration) Commands {
 	m.now = now
 	return m.decide()
--- a/balancer/log_record.go
+++ b/balancer/log_record.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// LogEvent names what a log record tells of.
+// LogEvent is the name of the event that a log record describes.
 type LogEvent string
 
-// Events of log records, each with its fields in their order.
+// Events of log records. The comments list the fields of each event in their order.
 const (
 	// EventServerEjected has server, unresponsive_seconds and cause.
 	EventServerEjected LogEvent = "server_ejected"
@@ -17,7 +17,7 @@
 	// EventServerDegraded has server, health, failed, attempts, latency_seconds, peer_latency_seconds and
 	// peer_failure_rate.
 	EventServerDegraded LogEvent = "server_degraded"
-	// EventSlowStartPaused has below (progress under which servers get no requests; 0: none is paused),
+	// EventSlowStartPaused has below (warm-up progress below which servers get no requests; 0: no server is paused),
 	// failure_rate, reporting and peers.
 	EventSlowStartPaused LogEvent = "slow_start_paused"
 	// EventZonePair has from, to, closed and usual_latency_seconds.
@@ -25,7 +25,7 @@
 	// EventAdmissionLimit has limit, offered and delivered (requests per second), load (latency over objective)
 	// and failure_rate.
 	EventAdmissionLimit LogEvent = "admission_limit"
-	// EventZonesPartitioned has partitions, servers (of a zone) and connection_uses.
+	// EventZonesPartitioned has partitions, servers (per zone) and connection_uses.
 	EventZonesPartitioned LogEvent = "zones_partitioned"
 )
 
@@ -35,13 +35,13 @@
 	Value string
 }
 
-// LogRecord tells staff of one decision.
+// LogRecord describes one decision for operators.
 type LogRecord struct {
 	Event  LogEvent
 	Fields []LogField
 }
 
-// String is the record as key=value pairs, the event first.
+// String formats the record as key=value pairs, starting with the event.
 func (r LogRecord) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "event=%s", r.Event)
@@ -57,7 +57,7 @@
 
 func boolField(name string, value bool) LogField { return LogField{name, fmt.Sprint(value)} }
 
-// numberField rounds a value to so many decimals.
+// numberField rounds a value to the given number of decimals.
 func numberField(name string, value float64, decimals int) LogField {
 	return LogField{name, fmt.Sprintf("%.*f", decimals, value)}
 }
--- a/balancer/log_record_test.go
+++ b/balancer/log_record_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// recordFields are the fields of each event, in their order: what staff and their tools read by name.
+// recordFields are the field names of each event in their order. Operators and their tools read them by name.
 var recordFields = map[LogEvent][]string{
 	EventServerEjected:    {"server", "unresponsive_seconds", "cause"},
 	EventServerRestored:   {"server"},
@@ -17,8 +17,8 @@
 	EventZonesPartitioned: {"partitions", "servers", "connection_uses"},
 }
 
-// recorded has, for each event, a decision that logs it and what it logs.
-var recorded = map[LogEvent]struct {
+// eventCases has, for each event, a decision that logs it and the expected record.
+var eventCases = map[LogEvent]struct {
 	cause func(m *Manager)
 	want  string
 }{
@@ -88,13 +88,13 @@
 	},
 }
 
-func TestEachEventHasItsFieldsAndFigures(t *testing.T) {
+func TestLogRecordFieldsAndValues(t *testing.T) {
 	for event, names := range recordFields {
 		t.Run(string(event), func(t *testing.T) {
 			m := newTestManager(3)
-			recorded[event].cause(m)
+			eventCases[event].cause(m)
 			if len(m.commands.LogRecords) != 1 {
-				t.Fatalf("records %v, not one", m.commands.LogRecords)
+				t.Fatalf("got log records %v, want exactly one", m.commands.LogRecords)
 			}
 			record := m.commands.LogRecords[0]
 			var got []string
@@ -102,10 +102,10 @@
 				got = append(got, field.Name)
 			}
 			if !slices.Equal(got, names) {
-				t.Errorf("fields %q, not %q", got, names)
+				t.Errorf("got fields %q, want %q", got, names)
 			}
-			if record.String() != recorded[event].want {
-				t.Errorf("%s, not %s", record, recorded[event].want)
+			if record.String() != eventCases[event].want {
+				t.Errorf("got record %q, want %q", record, eventCases[event].want)
 			}
 		})
 	}
--- a/balancer/manager.go
+++ b/balancer/manager.go
@@ -1,10 +1,12 @@
-// Package balancer decides which servers the proxies of each zone use. A Manager is a state machine: it learns of
-// servers, proxies and their load by one Handle method for each input, and answers with Commands. It is free of I/O,
-// clocks and goroutines: times are durations since the manager's start, randomness comes from the seed, and the same
-// seed and inputs give the same commands. A Manager is not safe for concurrent use; one goroutine owns it.
+// Package balancer decides which servers the proxies of each zone use. A Manager is a deterministic state machine: it
+// has one Handle method for each kind of input (endpoint lists, proxy connections, load reports and so on), and each
+// returns Commands. It performs no I/O, reads no clock and starts no goroutines: times are durations since the
+// manager's start, randomness comes from the seed, and the same seed and inputs give the same commands. A Manager is
+// not safe for concurrent use; one goroutine must own it.
 //
-// The decisions follow the ordered list of rules, each in a file of its own; state.go, indexes.go and statistics.go
-// hold the state and the figures worked out from it, and decide nothing.
+// The decisions are made by an ordered list of rules (rules.go), whose conditions and actions are in one file per
+// topic. state.go holds the state; indexes.go, statistics.go, demand.go and table_figures.go hold the values derived from
+// it. None of these makes decisions.
 package balancer
 
 import (
@@ -12,59 +14,60 @@
 	"time"
 )
 
-// Manager decides the tables of one manager's proxies.
+// Manager decides the endpoint tables of the proxies that are connected to one manager.
 type Manager struct {
 	parameters
 	indexes
 
 	rngState uint64
-	now      time.Duration // of the input in work
-	commands Commands      // of the input in work
+	now      time.Duration // time of the input being processed
+	commands Commands      // commands produced so far for the input being processed
 
 	zones     []ZoneID
-	servers   []*server    // by id
-	proxies   []*proxy     // by number
-	tables    []*table     // by number: the partitions of each zone, one zone after another
-	zonePairs [][]zonePair // by zone of the proxies, then of the servers
+	servers   []*server    // ordered by id
+	proxies   []*proxy     // ordered by number
+	tables    []*table     // by number: the partitions of the first zone, then those of the second, and so on
+	zonePairs [][]zonePair // indexed by the zone of the proxies, then by the zone of the servers
 
-	partitioned       bool // partitionsPerZone is settled
+	partitioned       bool // partitionsPerZone has its final value
 	partitionsPerZone int
 
 	nextTick         time.Duration
-	timerAt          time.Duration // the last NextTimer
+	timerAt          time.Duration // time of the last Commands.NextTimer
 	lastReportAt     time.Duration
 	usageReported    bool
-	inFlightReported bool // some server tells its requests in flight
+	inFlightReported bool // at least one server reports its in-flight requests
 
-	subscribed   bool // to the endpoint list
-	pollAfter    time.Duration
-	listReceived bool
+	subscribed     bool // to the endpoint list
+	subscribeAfter time.Duration // earliest time of the next subscription
+	listReceived   bool
 
 	redistribution   redistributionReason
-	distributedRates []float64 // requests per second by table, as last distributed
-	warmingShare     float64   // of all requests, what servers in their warm-up got in the last distribution
+	distributedRates []float64 // requests per second by table, from the last distribution
+	warmingShare     float64   // share of all requests that the last distribution gave to servers in their warm-up
 	publication      publication
-	pinned           *pinnedTables // nil: tables are not pinned
+	pinned           *pinnedTables // nil if the tables are not pinned
 
-	drainPending   bool   // some server may have to be withdrawn
-	connectedTable *table // of a proxy that has just connected
-	suspectedZone  int    // that may be lost; noZone: none
-	zoneCheckedAt  []time.Duration
+	drainPending   bool            // some server may have to be withdrawn
+	connectedTable *table          // table of a proxy that has just connected; nil: none
+	suspectedZone  int             // zone with a suspected outage; noZone: none
+	zoneCheckedAt  []time.Duration // by zone, when all of its servers were last checked
 
 	admission      admissionControl
-	checkTimes     []sample // seconds that the last health checks took
-	slowStartPause float64  // progress of a warm-up below which servers get no requests
+	checkTimes     []sample // durations of the last health checks in seconds
+	slowStartPause float64  // warm-up progress below which servers get no requests
 
 	channel channel
 }
 
-// noZone is no index of a zone.
+// noZone means no zone where a zone index is expected.
 const noZone = -1
 
-// never is a time before all times of a manager.
-const never time.Duration = -1
+// unsetTime marks a time that is not set; it differs from every time of a manager, since those start at 0.
+const unsetTime time.Duration = -1
 
-// New makes a manager for the platform's settings.
+// New returns a manager for a platform with the given settings. Managers with the same seed and inputs give the same
+// commands.
 func New(seed uint64, settings Settings) *Manager {
 	m := &Manager{
 		parameters:     newParameters(settings),
@@ -72,15 +75,15 @@
 		suspectedZone:  noZone,
 		slowStartPause: pauseUnreported,
 		admission:      newAdmissionControl(),
-		publication:    publication{blockedAt: never},
-		channel:        channel{barrierAt: never},
+		publication:    publication{blockedAt: unsetTime},
+		channel:        channel{barrierAt: unsetTime},
 	}
 	m.nextTick = time.Duration(m.random() * float64(tickInterval))
 	m.layOutTables(1, settings.Zones)
 	return m
 }
 
-// random is a permuted congruential generator (PCG-XSH-RR 64/32) that gives a number from 0 to 1.
+// random returns a pseudo-random number in [0, 1) from a permuted congruential generator (PCG-XSH-RR 64/32).
 func (m *Manager) random() float64 {
 	const (
 		multiplier = 6364136223846793005
@@ -92,5 +95,5 @@
 	return float64(shifted>>rotation|shifted<<(32-rotation)) / (1 << 32)
 }
 
-// unlimited is an admission limit that admits all requests.
+// unlimited is the admission limit that admits all requests.
 var unlimited = math.Inf(1)
--- a/balancer/parameters.go
+++ b/balancer/parameters.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// parameters are what the decisions use of the platform's settings.
+// parameters are the values derived from Settings that the decisions use.
 type parameters struct {
 	latencyObjectives []float64 // seconds, by traffic class
-	classesByPriority []ClassID // highest priority weight first
+	classesByPriority []ClassID // by descending priority weight
 	defaultRetry      RetryPolicy
 	retryPolicies     []RetryPolicy // by traffic class
-	zoneLocal         uint          // mask of the classes that stay in their zone
-	crossZone         uint          // mask of the other classes
+	zoneLocal         uint          // bit mask of the zone-local classes
+	crossZone         uint          // bit mask of the other classes
 	admissionUnit     AdmissionUnit
 
-	warmUpStart    float64 // share of its target with which a server begins its warm-up
+	warmUpStart    float64 // share of its target that a server gets at the start of its warm-up
 	warmUpDuration time.Duration
 
-	messageOverhead    float64                // commands that a message costs besides its own
-	queueLimits        [priorityCount]float64 // commands that may wait in the channel
-	sendableSoon       [priorityCount]float64 // commands that leave soon enough for what comes next
-	slowestRate        float64                // commands per second
-	drainGraceCommands float64                // that leave within the grace of a drain
+	messageOverhead    float64                // cost of a message in addition to its commands, as a number of commands
+	queueLimits        [priorityCount]float64 // commands that may wait in the channel, so that it does not overflow
+	sendableSoon       [priorityCount]float64 // commands that may wait in the channel, so that they are sent in time
+	assumedSendRate    float64                // commands per second that the channel is assumed to send until barriers are acknowledged
+	drainGraceCommands float64                // commands that the channel sends within the grace of a drain
 	messageLimits      [priorityCount]int     // messages to one proxy within messageWindow; 0: no limit
 	messageWindow      time.Duration
 
@@ -32,10 +32,10 @@
 	removedMayServe   bool
 	sliced            bool
 	weightsFollowLoad bool
-	proxyCount        float64 // of all managers
+	proxyCount        float64 // total over all managers
 	managerCount      float64
 	idleTimeout       time.Duration
-	weightTolerance   float64 // relative change of a weight that is not published
+	weightTolerance   float64 // relative change of a weight up to which it is not published
 }
 
 func newParameters(s Settings) parameters {
@@ -74,7 +74,7 @@
 		}
 	}
 	slices.SortStableFunc(p.classesByPriority, func(a, b ClassID) int {
-		// of equal priority, the class with the shorter objective is taken to need less work
+		// Among classes of equal priority, one with a shorter objective is assumed to need less work per request.
 		return cmp.Or(cmp.Compare(s.Classes[b].PriorityWeight, s.Classes[a].PriorityWeight),
 			cmp.Compare(s.Classes[a].LatencyObjective, s.Classes[b].LatencyObjective))
 	})
@@ -83,7 +83,7 @@
 func (p *parameters) setChannelLimits(s Settings) {
 	p.messageOverhead = s.MessageOverhead
 	p.messageWindow = s.MessageWindow
-	p.slowestRate = s.CommandsPerSecond / slowChannelFactor
+	p.assumedSendRate = s.CommandsPerSecond / slowChannelFactor
 	p.drainGraceCommands = s.CommandsPerSecond * cmp.Or(s.DrainGrace.Seconds(), sendSecondsUrgent)
 	p.queueLimits = [priorityCount]float64{
 		normalPriority: queueShareNormal * s.QueueCapacity,
@@ -95,20 +95,20 @@
 		urgentPriority: sendSecondsUrgent * s.CommandsPerSecond,
 		drainPriority:  p.queueLimits[drainPriority],
 	}
-	if most := float64(s.MaxMessages); most > 1 {
+	if limit := float64(s.MaxMessages); limit > 1 {
 		p.messageLimits = [priorityCount]int{
-			normalPriority: int(max(1, messageShareNormal*most)),
-			urgentPriority: int(max(1, messageShareUrgent*most)),
-			drainPriority:  int(most - 1),
+			normalPriority: int(max(1, messageShareNormal*limit)),
+			urgentPriority: int(max(1, messageShareUrgent*limit)),
+			drainPriority:  int(limit - 1),
 		}
 	}
 }
 
-// mask is the class as a bit mask.
+// mask returns the bit mask that contains only this class.
 func (id ClassID) mask() uint { return 1 << id }
 
-// isZoneLocalClass tells whether a class stays in its zone.
+// isZoneLocalClass reports whether requests of a class go only to servers in their proxy's zone.
 func (p *parameters) isZoneLocalClass(id ClassID) bool { return p.zoneLocal&id.mask() != 0 }
 
-// hasZoneLocalClasses tells whether some class stays in its zone.
+// hasZoneLocalClasses reports whether there are zone-local classes.
 func (p *parameters) hasZoneLocalClasses() bool { return p.zoneLocal != 0 }
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// tickInterval is the time between two looks at all servers, zones and the load.
+	// tickInterval is the time between two evaluations of all servers, zones and the load.
 	tickInterval = time.Second
-	// tickAfterReport is how long after the time of the next load reports a tick begins.
-	tickAfterReport = 10 * time.Millisecond
+	// tickDelayAfterReports is how long after the expected arrival of the next load reports a tick runs.
+	tickDelayAfterReports = 10 * time.Millisecond
 	// firstTickDelay is the time from the first proxy's connection to the first tick.
 	firstTickDelay = 50 * time.Millisecond
 )
 
-// rule is an effect and the condition under which it is due.
+// rule is an action and the condition under which it runs.
 type rule struct {
 	condition func(*Manager) bool
-	effect    func(*Manager)
+	action    func(*Manager)
 }
 
-// rules are gone through in this order after every input, from the first again after each effect, until no condition
-// holds; each effect makes its condition false.
+// rules are evaluated in this order after every input. After each action, evaluation restarts at the first rule; it
+// ends when no condition holds. Each action makes its own condition false.
 var rules = []rule{
-	{(*Manager).pollDue, (*Manager).subscribe},
+	{(*Manager).subscriptionDue, (*Manager).subscribe},
 	{(*Manager).drainReady, (*Manager).withdraw},
 	{(*Manager).zoneSuspected, (*Manager).checkSuspectedZone},
 	{(*Manager).firstTickUnscheduled, (*Manager).scheduleFirstTick},
@@ -33,11 +33,11 @@
 	{(*Manager).timerUnset, (*Manager).setTimer},
 }
 
-// decide ends every input: it goes through the rules and hands over what they command.
+// decide completes the handling of an input: it applies the rules and returns the commands that they produced.
 func (m *Manager) decide() Commands {
 	for i := 0; i < len(rules); i++ {
 		if rules[i].condition(m) {
-			rules[i].effect(m)
+			rules[i].action(m)
 			i = -1
 		}
 	}
@@ -46,7 +46,9 @@
 	return commands
 }
 
-func (m *Manager) pollDue() bool { return m.pollsEndpoints && !m.subscribed && m.now >= m.pollAfter }
+func (m *Manager) subscriptionDue() bool {
+	return m.pollsEndpoints && !m.subscribed && m.now >= m.subscribeAfter
+}
 
 func (m *Manager) subscribe() {
 	m.subscribed = true
@@ -64,14 +66,14 @@
 
 func (m *Manager) tickDue() bool { return m.now >= m.nextTick }
 
-// tick updates all that is judged once an interval.
+// tick updates everything that is evaluated once per tickInterval.
 func (m *Manager) tick() {
 	m.scheduleNextTick()
 	m.publication.open()
 	if !m.partitioned && len(m.proxies) > 0 && len(m.servers) > 0 && !m.sliced {
 		m.partitionZones()
 	}
-	m.forgetServers(func(s *server) bool { return m.forgettable(s) && !m.isPublished(s) })
+	m.deleteServers(func(s *server) bool { return m.forgettable(s) && !m.isPublished(s) })
 	m.checkEmptyTables()
 	m.updateSlowStart()
 	m.detectZoneOutage()
@@ -84,10 +86,11 @@
 	}
 }
 
-// scheduleNextTick follows the load reports, so that they are judged while they are fresh.
+// scheduleNextTick schedules the next tick shortly after the next load reports, so that they are evaluated while they
+// are fresh.
 func (m *Manager) scheduleNextTick() {
 	m.nextTick = m.now + tickInterval
-	afterReports := m.lastReportAt + tickInterval + tickAfterReport
+	afterReports := m.lastReportAt + tickInterval + tickDelayAfterReports
 	if m.lastReportAt > 0 && afterReports > m.now+tickInterval/2 {
 		m.nextTick = min(afterReports, m.nextTick+tickInterval/2)
 	}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// This file holds what a manager knows of servers, proxies and tables; it decides nothing.
+// This file defines the state that a manager keeps for servers, proxies and tables; it makes no decisions.
 
-// inFlightUnknown is the number of requests in flight of a server that did not tell it.
+// inFlightUnknown stands for the in-flight requests of a server that has not reported them.
 const inFlightUnknown = -1
 
-// longAgo is the time of what never happened, before all times that count.
+// longAgo is the time recorded for an event that has not happened; it is older than any time window considered.
 const longAgo = -time.Hour
 
-// server is what is known of one server.
+// server is the state of one server.
 type server struct {
 	id        ServerID
 	zone      int
-	partition int // of its zone; the number of its table
-	tables    []TableID
-	weight    float64 // as listed
+	partition int       // table number of the server's partition
+	tables    []TableID // tables that name the server, maintained by updatePlacement
+	weight    float64   // from the endpoint list
 
 	state        ServerState
-	listedStart  time.Duration
-	removedAt    time.Duration // 0: it is on the list
-	leavingSince time.Duration // when the list first said that it drains or is removed; 0: neither
+	listedStart  time.Duration // start time from the endpoint list, or startUnknown
+	removedAt    time.Duration // when the list dropped the server; 0: the server is listed
+	leavingSince time.Duration // when the list first reported it as draining or removed; 0: neither
 
 	warmingUp  bool
 	warmUpFrom time.Duration
 
 	withdrawn       bool
-	decreasePending bool // some table still names it with more than it should get
+	decreasePending bool // a lower weight has yet to be published in some table
 
-	reports      []receivedReport // the last ones, the newest last
-	expectedRate float64          // attempts per second that should come by the published tables
-	inFlight     float64          // requests; inFlightUnknown before it told any
-	inFlightAt   time.Duration
-	health       float64 // from minHealth to 1
+	reports      []receivedReport // the most recent reports, newest last
+	expectedRate float64          // attempts per second expected under the published tables
+	inFlight     float64          // in-flight requests; inFlightUnknown until the server reports them
+	inFlightAt   time.Duration    // when inFlight was reported
+	health       float64          // from minHealth to 1
 
-	lastSeen     time.Duration
-	ejected      bool          // it does not answer
+	lastSeen     time.Duration // last sign of life
+	ejected      bool          // excluded from the distribution until it passes a health check
 	checkedAt    time.Duration // when the last health check was sent
-	checkEndedAt time.Duration
-	unreachable  bool // by the last health check
+	checkEndedAt time.Duration // when the result of the last health check arrived
+	unreachable  bool          // the last health check could not connect
 }
 
 func (s *server) compareID(id ServerID) int { return cmp.Compare(s.id, id) }
 
-// recordInFlight takes the requests in flight that a server told, if it did.
+// recordInFlight stores the in-flight requests that a server reported; a negative value means that it reported none.
 func (s *server) recordInFlight(now time.Duration, inFlight float64) {
 	if inFlight >= 0 {
 		s.inFlight = inFlight
@@ -56,50 +56,51 @@
 	}
 }
 
-// receivedReport is a load report and when it came.
+// receivedReport is a load report with its arrival time.
 type receivedReport struct {
 	LoadReport
 	at time.Duration
 }
 
-// proxy is what is known of one proxy.
+// proxy is the state of one proxy.
 type proxy struct {
 	id            ProxyID
 	zone          int
-	partition     int     // whose table it uses
-	announcedRate float64 // requests per second, as told when it connected
+	partition     int     // table number of the proxy's partition
+	announcedRate float64 // requests per second that the proxy announced when it connected
 	connectedAt   time.Duration
-	assigned      bool
-	mayHoldTable  bool            // of before it connected again, for all that is known
-	messageTimes  []time.Duration // within the window of the message limit
-	usage         [][]sample      // by traffic class, the last ones
+	assigned      bool            // the proxy was put on its partition's table since it connected
+	mayHoldTable  bool            // the proxy reconnected and may still use the table it had before
+	messageTimes  []time.Duration // times of the messages within the window of the message limit
+	usage         [][]sample      // request counts by traffic class, the most recent samples
 }
 
-// sample is one measurement, and the seconds that it covers if it counts something.
+// sample is one measurement; seconds is the time that it covers if the value is a count.
 type sample struct {
 	at      time.Duration
 	value   float64
 	seconds float64
 }
 
-// table is the table of one partition, with its zone-local part where classes stay in their zone.
+// table is the endpoint table of one partition. If there are zone-local traffic classes, it has a zone-local part,
+// which names only the servers of its zone.
 type table struct {
 	id              TableID
-	target          map[ServerID]float64 // share of the requests, as last distributed
-	published       map[ServerID]float64 // weight
+	target          map[ServerID]float64 // share of the requests from the last distribution
+	published       map[ServerID]float64 // published weights
 	publishedLevels map[uint]AdmissionLevel
-	pinnedWeight    float64 // of all its endpoints; 0: not pinned
-	assignCost      float64 // commands that a proxy put on it gets; 0: to be counted
+	pinnedWeight    float64 // total weight of the endpoints of a pinned table; 0: not pinned
+	assignCost      float64 // cached number of commands needed to put a proxy on the table; 0: not computed
 
-	proxies            []*proxy // of its partition, assigned or not, by number
-	announcedRate      float64  // requests per second, of these
-	unassigned         int      // proxies that wait to be put on it
-	awaitsDistribution bool     // they wait until the table is worked out anew
+	proxies            []*proxy // proxies of the partition, assigned or not, ordered by number
+	announcedRate      float64  // requests per second that these proxies announced
+	unassigned         int      // number of proxies waiting to be put on the table
+	awaitsDistribution bool     // these proxies wait for the next distribution
 }
 
-// addServer takes in a server that the list names.
+// addServer adds a server that appeared in the endpoint list.
 func (m *Manager) addServer(endpoint Endpoint) *server {
-	m.server(endpoint.Server) // builds the index that the server is added to
+	m.server(endpoint.Server) // builds serverByID, to which the server is added below
 	zone := m.zoneIndex(endpoint.Zone)
 	s := &server{
 		id:           endpoint.Server,
@@ -119,7 +120,7 @@
 	return s
 }
 
-// zoneIndex is a zone's position in zones, where it is added if it is new.
+// zoneIndex returns a zone's position in m.zones and adds the zone if it is new.
 func (m *Manager) zoneIndex(id ZoneID) int {
 	if zone := slices.Index(m.zones, id); zone >= 0 {
 		return zone
@@ -134,7 +135,7 @@
 	return len(m.zones) - 1
 }
 
-// addTables adds the tables that zones and partitions call for.
+// addTables adds tables until there is one for each partition of each zone.
 func (m *Manager) addTables() {
 	for len(m.tables) < len(m.zones)*m.partitionsPerZone {
 		m.tables = append(m.tables, &table{
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// This file works figures out from the load reports and health checks kept; it decides nothing.
+// This file computes statistics from the stored load reports and health checks; it makes no decisions.
 
 const (
-	// minInterval is the least number of seconds that counts are divided by.
+	// minInterval is the minimum number of seconds by which a count is divided to get a rate.
 	minInterval = 0.1
-	// minServerWeight and minRate stand for a listed weight, and for a rate, of 0.
+	// minServerWeight and minRate replace a listed weight, or a rate in requests per second, of 0.
 	minServerWeight = 1e-6
 	minRate         = 1e-3
 )
@@ -44,17 +44,18 @@
 	return n
 }
 
-// lastN is the end of a list.
+// lastN returns the last n items, or all if there are fewer.
 func lastN[T any](items []T, n int) []T { return items[max(0, len(items)-n):] }
 
-// serverStatistics are a server's over its last reports.
+// serverStatistics summarize the last load reports on a server.
 type serverStatistics struct {
 	attempts float64
 	failed   float64
 	latency  float64 // seconds
 }
 
-// serverStatistics takes as many of the last reports as make enough attempts.
+// serverStatistics summarizes the reports on a server within maxSampleAge, from the newest back until they contain
+// fullAttempts attempts. If the server reports its in-flight requests, the latency is averaged with inFlightLatency.
 func (m *Manager) serverStatistics(s *server) serverStatistics {
 	var stats serverStatistics
 	succeeded := 0.0
@@ -69,39 +70,40 @@
 		}
 	}
 	stats.latency /= max(1, succeeded)
-	if inFlightTime := m.inFlightTime(s); stats.attempts > 0 && inFlightTime >= 0 && m.inFlightReported {
-		stats.latency = (stats.latency + inFlightTime) / 2
+	if inFlightLatency := m.inFlightLatency(s); stats.attempts > 0 && inFlightLatency >= 0 && m.inFlightReported {
+		stats.latency = (stats.latency + inFlightLatency) / 2
 	}
 	return stats
 }
 
-// inFlightTime is the seconds that requests take at a server by those in flight, which all managers' proxies send, and
-// by this manager's part of them; below 0 where none are told.
-func (m *Manager) inFlightTime(s *server) float64 {
+// inFlightLatency estimates by Little's law how many seconds a request takes at a server: the in-flight requests, which
+// come from the proxies of all managers, are scaled to the share of this manager's proxies and divided by their attempt
+// rate. It is negative if the server has not reported its in-flight requests recently.
+func (m *Manager) inFlightLatency(s *server) float64 {
 	if s.inFlight < 0 || m.now-s.inFlightAt > maxSampleAge {
 		return -1
 	}
 	return s.inFlight * m.ownProxyShare() / max(m.attemptRate(s), minInFlightRate)
 }
 
-// inFlightTimes are those of the servers with so many attempts per second.
-func (m *Manager) inFlightTimes(minRate float64) []float64 {
-	var times []float64
+// inFlightTimes returns the inFlightLatency of each server with an attempt rate above minAttemptRate.
+func (m *Manager) inFlightTimes(minAttemptRate float64) []float64 {
+	var latencies []float64
 	for _, s := range m.servers {
-		if inFlightTime := m.inFlightTime(s); inFlightTime >= 0 && m.attemptRate(s) > minRate {
-			times = append(times, inFlightTime)
+		if latency := m.inFlightLatency(s); latency >= 0 && m.attemptRate(s) > minAttemptRate {
+			latencies = append(latencies, latency)
 		}
 	}
-	return times
+	return latencies
 }
 
-// ownProxyShare is the part of all proxies that is connected to this manager.
+// ownProxyShare returns the share of all proxies that are connected to this manager.
 func (m *Manager) ownProxyShare() float64 {
 	return min(1, max(1, float64(len(m.proxies)))/max(1, m.proxyCount))
 }
 
-// attemptRate is how many attempts per second ended at a server: for each zone of proxies, what the reports count over
-// what they cover.
+// attemptRate returns the attempts per second that ended at a server. It is summed over the zones of the proxies; for
+// each zone, it is the attempts in all reports divided by the time that they cover.
 func (m *Manager) attemptRate(s *server) float64 {
 	total := 0.0
 	for _, zone := range m.zones {
@@ -118,7 +120,7 @@
 	return total
 }
 
-// successRate is how many attempts per second succeeded at a server, by the newest report of each zone.
+// successRate returns the successful attempts per second at a server, from the newest report of each zone.
 func (m *Manager) successRate(s *server) float64 {
 	total := 0.0
 	for _, zone := range m.zones {
@@ -129,7 +131,7 @@
 	return total
 }
 
-// latestReport is the newest one of a zone's proxies, nil without any that counts.
+// latestReport returns the newest report of a zone's proxies on a server, or nil if there is none within maxSampleAge.
 func (m *Manager) latestReport(s *server, zone ZoneID) *LoadReport {
 	for i := len(s.reports) - 1; i >= 0 && m.now-s.reports[i].at <= maxSampleAge; i-- {
 		if s.reports[i].Zone == zone {
@@ -139,11 +141,11 @@
 	return nil
 }
 
-// baseline is what is usual among the servers that were reported on.
+// baseline holds the typical values among the servers with enough reported attempts.
 type baseline struct {
-	latency     float64 // seconds, median
+	latency     float64 // median in seconds
 	failureRate float64 // median
-	servers     int
+	servers     int     // number of servers in the baseline
 }
 
 func (m *Manager) peerBaseline() baseline {
@@ -161,9 +163,10 @@
 	return baseline{median(latencies), median(failureRates), len(failureRates)}
 }
 
-// observedLatency is the latency, in seconds, that a part of the fresh successful attempts stay under, and the failure
-// rate of the fresh attempts.
-func (m *Manager) observedLatency(part float64) (latency, failureRate float64) {
+// observedLatency returns the latency in seconds that a fraction of the successful attempts in fresh reports do not
+// exceed (a quantile), and the failure rate of all attempts in fresh reports. All attempts of a report count with its
+// mean latency.
+func (m *Manager) observedLatency(fraction float64) (latency, failureRate float64) {
 	type success struct{ latency, n float64 }
 	var successes []success
 	attempts := 0.0
@@ -183,7 +186,7 @@
 	slices.SortFunc(successes, func(a, b success) int { return cmp.Compare(a.latency, b.latency) })
 	before := 0.0
 	for _, s := range successes {
-		if before <= part*succeeded {
+		if before <= fraction*succeeded {
 			latency = s.latency
 		}
 		before += s.n
@@ -191,8 +194,8 @@
 	return latency, failed / max(attempts, 1e-6)
 }
 
-// recordCheckTime keeps how long a health check took.
-func (m *Manager) recordCheckTime(result HealthCheckResult, took time.Duration) {
+// recordCheckDuration stores the duration of a health check, as infinite if it did not pass.
+func (m *Manager) recordCheckDuration(result HealthCheckResult, took time.Duration) {
 	seconds := took.Seconds()
 	if result != HealthCheckPassed {
 		seconds = math.Inf(1)
@@ -200,23 +203,24 @@
 	m.checkTimes = lastN(append(m.checkTimes, sample{at: m.now, value: seconds}), maxSamples)
 }
 
-// recentCheckTimes are the seconds that health checks took lately, infinite for those that did not pass.
+// recentCheckTimes returns the durations in seconds of the health checks within maxSampleAge, infinite for those that
+// did not pass.
 func (m *Manager) recentCheckTimes() []float64 {
-	var times []float64
+	var durations []float64
 	for _, check := range m.checkTimes {
 		if m.now-check.at <= maxSampleAge {
-			times = append(times, check.value)
+			durations = append(durations, check.value)
 		}
 	}
-	return times
+	return durations
 }
 
-// anyUsable tells whether some server that may serve is not ejected.
+// anyUsable reports whether there is a server that may serve and is not ejected.
 func (m *Manager) anyUsable() bool {
 	return slices.ContainsFunc(m.servers, func(s *server) bool { return m.mayServe(s) && !s.ejected })
 }
 
-// listedWeight is the weight of all servers that may serve.
+// listedWeight returns the total listed weight of the servers that may serve.
 func (m *Manager) listedWeight() float64 {
 	total := 0.0
 	for _, s := range m.servers {
@@ -227,7 +231,8 @@
 	return total
 }
 
-// usableWeight is the weight of all servers that get requests, by the progress of their warm-up and their health.
+// usableWeight returns the total weight of the servers that get requests, each scaled by its warm-up progress and
+// health.
 func (m *Manager) usableWeight() float64 {
 	total := 0.0
 	anyUsable := m.anyUsable()
--- a/balancer/table_figures.go
+++ b/balancer/table_figures.go
@@ -1,13 +1,15 @@
 package balancer
 
-// This file works figures out from the tables; it decides nothing.
+// This file computes properties of the tables; it makes no decisions. A table's usable endpoints are those with a
+// weight above 0 that are not withdrawn.
 
-// isZoneLocal tells whether a server is in a table's zone-local part: classes stay in their zone, and it is of that one.
+// isZoneLocal reports whether a server belongs to a table's zone-local part: there are zone-local classes, and the
+// server is in the table's zone.
 func (m *Manager) isZoneLocal(id TableID, s *server) bool {
 	return m.hasZoneLocalClasses() && s.zone == m.zoneOf(id)
 }
 
-// zoneLocalShare is the part of its target that a table has in its own zone.
+// zoneLocalShare returns the part of a table's target shares that goes to servers in its zone-local part.
 func (m *Manager) zoneLocalShare(t *table) float64 {
 	share := 0.0
 	for _, s := range m.tableServers(t) {
@@ -18,7 +20,7 @@
 	return share
 }
 
-// isLastZoneLocal tells whether a server is the last one of its table's zone-local part that may be picked.
+// isLastZoneLocal reports whether a server is in a table's zone-local part and no other usable endpoint is.
 func (m *Manager) isLastZoneLocal(t *table, last *server) bool {
 	if !m.isZoneLocal(t.id, last) {
 		return false
@@ -32,9 +34,10 @@
 	return true
 }
 
-// hasNoLocalEndpoint tells whether no server of a table's zone-local part may be picked although one should be in it.
+// hasNoLocalEndpoint reports whether a table's zone-local part has no usable endpoint although its target
+// shares include one.
 func (m *Manager) hasNoLocalEndpoint(t *table) bool {
-	if !m.hasZoneLocalClasses() { // each withdrawal looks at all tables
+	if !m.hasZoneLocalClasses() { // early exit, since each withdrawal calls this for all tables
 		return false
 	}
 	wanted := false
@@ -51,7 +54,7 @@
 	return wanted
 }
 
-// isEmptyTable tells whether no endpoint of a table may be picked.
+// isEmptyTable reports whether a table has no usable endpoint.
 func (m *Manager) isEmptyTable(t *table) bool {
 	for id, weight := range t.published {
 		if s := m.server(id); s != nil && weight > 0 && !s.withdrawn {
@@ -61,18 +64,18 @@
 	return true
 }
 
-// otherUsableWeight is the weight of a table's endpoints that may be picked, without one server's.
-func (m *Manager) otherUsableWeight(t *table, without *server) float64 {
+// otherUsableWeight returns the total weight of a table's usable endpoints, not counting one server.
+func (m *Manager) otherUsableWeight(t *table, excluded *server) float64 {
 	total := 0.0
 	for id, weight := range t.published {
-		if s := m.server(id); s != nil && s != without && !s.withdrawn {
+		if s := m.server(id); s != nil && s != excluded && !s.withdrawn {
 			total += weight
 		}
 	}
 	return total
 }
 
-// publishedWeights sums the weights of a table's endpoints that may be picked: of those in their warm-up, and of all.
+// publishedWeights returns the total weights of a table's usable endpoints: of those in their warm-up, and of all.
 func (m *Manager) publishedWeights(t *table) (warming, all float64) {
 	for id, weight := range t.published {
 		s := m.server(id)
@@ -87,13 +90,14 @@
 	return warming, all
 }
 
-// warmingShareOf is the part of a table's requests that servers in their warm-up get.
+// warmingShareOf returns the share of a table's requests that goes to servers in their warm-up.
 func (m *Manager) warmingShareOf(t *table) float64 {
 	warming, all := m.publishedWeights(t)
 	return warming / max(all, 1e-9)
 }
 
-// warmingShareRise is by how much withdrawals raise that part over what it was to be.
+// warmingShareRise returns the ratio of a table's warmingShareOf to the share in its target. Withdrawals of other
+// servers raise it above 1.
 func (m *Manager) warmingShareRise(t *table) float64 {
 	warming, all := m.publishedWeights(t)
 	if warming == 0 {
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -7,17 +7,17 @@
 	ServerID string
 	// ZoneID identifies a zone.
 	ZoneID string
-	// ProxyID is the number of a proxy.
+	// ProxyID identifies a proxy by number.
 	ProxyID int
 	// ClassID is the position of a traffic class in Settings.Classes.
 	ClassID int
-	// TableID is the number of a table of endpoints and their weights.
+	// TableID identifies a table of endpoints and their weights by number.
 	TableID int
-	// BarrierID identifies a barrier; its acknowledgement shows that the commands before it have left the channel.
+	// BarrierID identifies a barrier. Its acknowledgement shows that the commands sent before it have left the channel.
 	BarrierID int
 )
 
-// ServerState is what the endpoint list says of a server.
+// ServerState is a server's state in the endpoint list.
 type ServerState int
 
 const (
@@ -34,116 +34,117 @@
 	Server          ServerID
 	Zone            ZoneID
 	Weight          float64
-	Started         time.Duration // since the manager's start; read only if RecentlyStarted
+	Started         time.Duration // relative to the manager's start; valid only if RecentlyStarted
 	RecentlyStarted bool
 	State           ServerState
 }
 
-// Idempotency says whether a request of a traffic class may run again.
+// Idempotency specifies whether a request of a traffic class may be executed more than once.
 type Idempotency int
 
 const (
-	// NonIdempotent requests run at most once.
+	// NonIdempotent requests must be executed at most once.
 	NonIdempotent Idempotency = iota
-	// IdempotencyKeyed requests carry a key by which all servers drop copies within DedupWindow.
+	// IdempotencyKeyed requests carry a key by which all servers discard duplicates within DedupWindow.
 	IdempotencyKeyed
-	// Idempotent requests may run again.
+	// Idempotent requests may be executed repeatedly.
 	Idempotent
 )
 
-// TrafficClass is a class of requests with its own objective and retry policy.
+// TrafficClass is a class of requests with its own latency objective, priority and retry rules.
 type TrafficClass struct {
 	LatencyObjective time.Duration
 	Deadline         time.Duration
 	PriorityWeight   float64
 	Idempotency      Idempotency
-	DedupWindow      time.Duration // of IdempotencyKeyed
-	ZoneLocal        bool          // its requests stay with the servers of their proxy's zone
+	DedupWindow      time.Duration // only for IdempotencyKeyed
+	ZoneLocal        bool          // requests go only to servers in their proxy's zone
 }
 
-// AdmissionUnit is the unit in which proxies take an admission level.
+// AdmissionUnit is the unit of the admission levels that proxies accept.
 type AdmissionUnit int
 
 const (
-	// AdmitNone means that proxies take no admission level.
+	// AdmitNone means that proxies accept no admission levels.
 	AdmitNone AdmissionUnit = iota
-	// AdmitShare is a share of the requests, from 0 to 1.
+	// AdmitShare means that a level is a share of the requests, from 0 to 1.
 	AdmitShare
-	// AdmitRate is requests per second at each proxy.
+	// AdmitRate means that a level is a number of requests per second at each proxy.
 	AdmitRate
 )
 
-// RetryPolicy says when a proxy tries another server.
+// RetryPolicy specifies when a proxy retries a request at another server.
 type RetryPolicy int
 
 const (
 	// NoRetry sends a request to one server only.
 	NoRetry RetryPolicy = iota
-	// RetryIfNotExecuted tries another server where the first did not execute the request.
+	// RetryIfNotExecuted retries a request only if the first server did not execute it.
 	RetryIfNotExecuted
-	// MaxTwoAttempts tries up to two servers.
+	// MaxTwoAttempts sends a request to at most two servers.
 	MaxTwoAttempts
-	// MaxThreeAttempts tries up to three servers.
+	// MaxThreeAttempts sends a request to at most three servers.
 	MaxThreeAttempts
 )
 
-// Settings are what the platform states when a manager starts.
+// Settings describe the platform that a manager runs on; they are fixed when it starts.
 type Settings struct {
 	Zones              []ZoneID
 	Classes            []TrafficClass
-	PollsEndpoints     bool // the endpoint list comes only after Commands.Subscribe
+	PollsEndpoints     bool // the endpoint list arrives only after Commands.Subscribe
 	Managers           int
-	Proxies            int  // of all managers
-	Sliced             bool // keys are divided into slices with tables of their own
-	RemovedMayServe    bool // only draining forbids requests; a removed server may still serve
+	Proxies            int  // total over all managers
+	Sliced             bool // the key space is divided into slices that have their own tables
+	RemovedMayServe    bool // only a draining server must get no requests; a removed server may still serve
 	HealthChecks       bool // the manager may send health checks
 	WeightsFollowLoad  bool // listed weights change with the load
 	AdmissionUnit      AdmissionUnit
 	DefaultRetryPolicy RetryPolicy
 	IdleTimeout        time.Duration // after which proxies close idle connections
-	ColdCapacity       float64       // share of its capacity that a server has when it starts
+	ColdCapacity       float64       // share of its full capacity that a server has when it starts
 	WarmUpDuration     time.Duration
-	DrainGrace         time.Duration // from a server's drain until no proxy may send to it; 0: not stated
-	QueueCapacity      float64       // commands that may wait in the channel
-	CommandsPerSecond  float64       // that the channel sends
-	CommandPrice       float64       // of sending at that pace all day, as a share of the service
-	MessageOverhead    float64       // commands that a message costs besides its own
-	MaxMessages        int           // to one proxy within MessageWindow; 0: no limit
+	DrainGrace         time.Duration // time from the start of a drain until no proxy may send to the server; 0: unspecified
+	QueueCapacity      float64       // number of commands that may wait in the channel
+	CommandsPerSecond  float64       // number of commands that the channel sends per second
+	CommandPrice       float64       // price of sending at CommandsPerSecond all day, relative to that of the service
+	MessageOverhead    float64       // cost of a message in addition to its commands, as a number of commands
+	MaxMessages        int           // messages to one proxy within MessageWindow; 0: no limit
 	MessageWindow      time.Duration
 }
 
-// LoadReport sums the attempts of one zone's proxies at one server.
+// LoadReport aggregates the attempts that one zone's proxies made at one server.
 type LoadReport struct {
 	Server   ServerID
 	Zone     ZoneID
 	Attempts int
 	Failed   int
-	Latency  time.Duration // mean of the successful attempts, 0 without any
-	Interval time.Duration // that the report covers
-	InFlight float64       // requests at the server; below 0 where not told
+	Latency  time.Duration // mean over the successful attempts; 0 if there are none
+	Interval time.Duration // time that the report covers
+	InFlight float64       // requests in flight at the server; negative if unknown
 }
 
-// UsageReport counts the requests of one traffic class that came to a proxy.
+// UsageReport counts the requests of one traffic class that a proxy received.
 type UsageReport struct {
 	Proxy    ProxyID
 	Class    ClassID
 	Requests int
-	Dropped  int // admitted, and without an answer
-	Interval time.Duration
+	Dropped  int           // admitted requests that got no response
+	Interval time.Duration // time that the report covers
 }
 
-// HealthCheckResult is the outcome of a health check. From HealthCheckTimedOut on nothing answers.
+// HealthCheckResult is the outcome of a health check. For HealthCheckTimedOut and all greater values there was no
+// response.
 type HealthCheckResult int
 
 const (
-	// HealthCheckPassed is the answer of a live server.
+	// HealthCheckPassed is the response of a live server.
 	HealthCheckPassed HealthCheckResult = iota
-	// HealthCheckInvalid is an answer that no live server gives.
+	// HealthCheckInvalid is a response that no live server gives.
 	HealthCheckInvalid
-	// HealthCheckRejected is the refusal of a server that runs.
+	// HealthCheckRejected means that a running server refused the health check.
 	HealthCheckRejected
-	// HealthCheckTimedOut is no answer, or a broken connection.
+	// HealthCheckTimedOut means that no response arrived or that the connection broke.
 	HealthCheckTimedOut
-	// HealthCheckUnreachable is a connection that did not come up.
+	// HealthCheckUnreachable means that no connection could be established.
 	HealthCheckUnreachable
 )
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// This file holds what others may ask of a manager; it decides nothing.
+// This file holds the queries on a manager's state; it makes no decisions.
 
-// KnowsServer tells whether a server is remembered.
+// KnowsServer reports whether the manager has state for a server.
 func (m *Manager) KnowsServer(id ServerID) bool { return m.server(id) != nil }
 
-// ServerStatus tells whether a server is known, whether it may get requests, and the progress of its warm-up from 0
+// ServerStatus reports whether a server is known, whether it may get requests, and the progress of its warm-up from 0
 // to 1.
 func (m *Manager) ServerStatus(id ServerID) (known, usable bool, warmUpProgress float64) {
 	s := m.server(id)
@@ -17,7 +17,7 @@
 	return true, m.mayServe(s) && !(s.ejected && m.anyUsable()), m.warmUpProgress(s)
 }
 
-// RequestRate is the requests per second of a table's proxies, as last distributed.
+// RequestRate returns the requests per second of a table's proxies that the last distribution was based on.
 func (m *Manager) RequestRate(id TableID) float64 {
 	if int(id) < len(m.distributedRates) {
 		return m.distributedRates[id]
@@ -25,7 +25,7 @@
 	return 0
 }
 
-// ReadyServers is how many servers may get requests, and how many of them are warm.
+// ReadyServers returns the number of servers that may get requests, and how many of them have finished their warm-up.
 func (m *Manager) ReadyServers() (all, warm int) {
 	for _, s := range m.servers {
 		if !m.mayServe(s) || s.ejected {
@@ -39,5 +39,6 @@
 	return all, warm
 }
 
-// Layout tells what the tables' numbers mean; it changes with them.
+// Layout describes the zones and partitions to which the table numbers refer; it changes whenever their meaning
+// changes.
 func (m *Manager) Layout() string { return fmt.Sprint(m.zones, " in ", m.partitionsPerZone) }
