--- a/balancer/manager.go
+++ b/balancer/manager.go
@@ -5,8 +5,8 @@
 // not safe for concurrent use; one goroutine must own it.
 //
 // The decisions are made by an ordered list of rules (rules.go), whose conditions and actions are in one file per
-// topic. state.go holds the state; indexes.go, statistics.go, demand.go and table_figures.go hold the values derived from
-// it. None of these makes decisions.
+// topic. state.go holds the state; indexes.go, statistics.go, demand.go and table_figures.go hold the values derived
+// from it. None of these files makes decisions.
 package balancer
 
 import (
@@ -34,13 +34,13 @@
 
 	nextTick         time.Duration
 	timerAt          time.Duration // time of the last Commands.NextTimer
-	lastReportAt     time.Duration
-	usageReported    bool
-	inFlightReported bool // at least one server reports its in-flight requests
+	lastReportAt     time.Duration // when the last load report arrived
+	usageReported    bool          // at least one usage report has arrived
+	inFlightReported bool          // at least one server reports its in-flight requests
 
-	subscribed     bool // to the endpoint list
+	subscribed     bool          // to the endpoint list
 	subscribeAfter time.Duration // earliest time of the next subscription
-	listReceived   bool
+	listReceived   bool          // at least one endpoint list has arrived
 
 	redistribution   redistributionReason
 	distributedRates []float64 // requests per second by table, from the last distribution
