--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// freshReportAge is how long a load report counts towards the current load.
-	freshReportAge = 1500 * time.Millisecond
+	// maxFreshReportAge is how long a load report counts towards the current load.
+	maxFreshReportAge = 1500 * time.Millisecond
 	// demandWindowSeconds is the number of seconds of usage from which the current demand of a class is computed.
 	demandWindowSeconds = 0.9
 	// loadQuantile is the quantile of the latency of recent successful attempts that gives the observed load.
@@ -188,7 +188,7 @@
 	if latency > 0 {
 		m.admission.baselineLoad = min(m.admission.baselineLoad, latency/objective)
 	}
-	offered, delivered := m.traffic()
+	offered, delivered := m.offeredAndDelivered()
 	return trafficSample{offered: offered, delivered: delivered, load: load, failureRate: failureRate}
 }
 
@@ -280,7 +280,7 @@
 	if zoneLocalDemand <= 0 {
 		return 1
 	}
-	return min(1, maxWarmingFill*m.zoneLocalShare(m.tables[id])*total/zoneLocalDemand)
+	return min(1, maxWarmingShareFactor*m.zoneLocalShare(m.tables[id])*total/zoneLocalDemand)
 }
 
 // admissionAmount converts a share of a class's requests to the unit that the proxies expect.
--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -7,7 +7,7 @@
 // servers only. Hundreds of proxies connect one by one after a restart, so each keeps its previous table and waits for
 // the next tick instead of causing a distribution of its own. While servers are draining, a previous table from another
 // manager may still name them; the proxy then waits only if the share of warming servers in its new table is more than
-// maxWarmingRise times their share in the whole fleet.
+// maxWarmingShareIncrease times their share in the whole fleet.
 func (m *Manager) awaitDistribution() {
 	t := m.connectedTable
 	m.connectedTable = nil
@@ -16,7 +16,7 @@
 	}
 	m.redistribution = proxyAwaitsTable
 	m.cheapestAssign = 0
-	warmingShareTooHigh := m.warmingShareOf(t) > maxWarmingRise*m.warmingShare
+	warmingShareTooHigh := m.warmingShareOf(t) > maxWarmingShareIncrease*m.warmingShare
 	if m.sets().withdrawnUnusable == 0 || warmingShareTooHigh {
 		t.awaitsDistribution = true
 	}
--- a/balancer/assignment_test.go
+++ b/balancer/assignment_test.go
@@ -152,7 +152,7 @@
 func TestReconnectedProxyKeepsItsUsage(t *testing.T) {
 	m := newTestManager(2)
 	m.now = 500 * time.Millisecond
-	before, _ := m.traffic()
+	before, _ := m.offeredAndDelivered()
 	m.partitionsPerZone = 2
 	m.tables[1].published = m.tables[0].published
 	m.tables = append(m.tables, m.tables...)
@@ -162,7 +162,7 @@
 	for p := range ProxyID(2) {
 		m.HandleProxyConnected(m.now, p, m.zones[p], 1)
 	}
-	if offered, _ := m.traffic(); before == 0 || offered != before || m.proxies[0].partition != 1 || len(m.proxies[1].messageTimes) < 2 {
+	if offered, _ := m.offeredAndDelivered(); before == 0 || offered != before || m.proxies[0].partition != 1 || len(m.proxies[1].messageTimes) < 2 {
 		t.Errorf("%v requests/s offered, want %v; partition %d, want 1; message times %v, want at least 2",
 			offered, before, m.proxies[0].partition, m.proxies[1].messageTimes)
 	}
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -99,9 +99,9 @@
 	return demand
 }
 
-// traffic returns the offered rate, and the rate delivered by the servers that may get requests, in requests per
+// offeredAndDelivered returns the offered rate, and the rate delivered by the servers that may get requests, in requests per
 // second.
-func (m *Manager) traffic() (offered, delivered float64) {
+func (m *Manager) offeredAndDelivered() (offered, delivered float64) {
 	for _, s := range m.servers {
 		if m.mayServe(s) && !s.ejected {
 			delivered += m.successRate(s)
--- a/balancer/distribution.go
+++ b/balancer/distribution.go
@@ -63,7 +63,7 @@
 		clear(t.target)
 		threshold := min(minWeightShare*rate, minShareOfLargest*result.largestRate(partition))
 		result.forEachAbove(partition, threshold, func(i int, serverRate float64) { t.target[servers[i].id] = serverRate / rate })
-		m.applyPinned(t, anyUsable)
+		m.applyPinnedWeights(t, anyUsable)
 		m.keepZoneLocalServers(t)
 	}
 }
@@ -75,7 +75,7 @@
 	var targets []distributionPart
 	totalRate := sum(m.distributedRates)
 	listedWeight := m.listedWeight()
-	usableWeight := max(m.usableWeight(), listedWeight/maxWarmingFill)
+	usableWeight := max(m.usableWeight(), listedWeight/maxWarmingShareFactor)
 	warmWeight := 0.0  // of the servers that are not warming up
 	warmingRate := 0.0 // requests per second for the servers that are warming up
 	for _, s := range m.servers {
@@ -85,7 +85,7 @@
 		target := m.serverTarget(s)
 		if s.warmingUp {
 			// A warming server gets its warm-up progress times its share of the usable weight. The lower bound of
-			// usableWeight limits that share to maxWarmingFill times the one in a healthy fleet, so that the server
+			// usableWeight limits that share to maxWarmingShareFactor times the one in a healthy fleet, so that the server
 			// is not overloaded when others fail.
 			target.rate *= m.warmUpProgress(s) * totalRate / usableWeight
 			warmingRate += target.rate
@@ -115,7 +115,7 @@
 // and the band around it.
 func (m *Manager) serverTarget(s *server) distributionPart {
 	target := distributionPart{partition: s.partition, rate: max(s.weight, minServerWeight) * s.health}
-	if s.health < soundHealth || s.warmingUp {
+	if s.health < minHealthForFloor || s.warmingUp {
 		target.low = 0
 		target.high = 1
 	} else {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -91,7 +91,7 @@
 	m.setListedState(m.server("a0"), Removed)
 	m.setListedState(m.server("a0"), Ready)
 	m.now += 2 * removedRetention
-	if m.forgettable(m.server("a0")) {
+	if m.removalExpired(m.server("a0")) {
 		t.Error("a server counts as expired although it is listed again")
 	}
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -10,8 +10,8 @@
 	maxSamples = 24
 	// maxSampleAge is the age up to which reports and samples are used.
 	maxSampleAge = 5 * time.Second
-	// fullAttempts is the number of attempts that a server's statistics should cover.
-	fullAttempts = 6
+	// targetAttempts is the number of attempts that a server's statistics should cover.
+	targetAttempts = 6
 	// minAttempts is the minimum number of attempts for a server to count as a peer.
 	minAttempts = 3
 
@@ -38,8 +38,8 @@
 	restoredHealth = 0.15
 	// degradedHealth is the health at or below which a server is logged as degraded.
 	degradedHealth = 0.5
-	// soundHealth is the health below which the distribution guarantees a server no minimum rate.
-	soundHealth = 0.97
+	// minHealthForFloor is the health below which the distribution guarantees a server no minimum rate.
+	minHealthForFloor = 0.97
 	// minHealthFactor is the smallest factor by which the health may be multiplied in a tick.
 	minHealthFactor = 0.8
 	// healthSmoothing is the smoothing factor per tick with which the logarithm of the health follows its target.
@@ -61,9 +61,9 @@
 	return s.state == Ready || s.state == Removed && m.removedMayServe && m.healthChecks
 }
 
-// forgettable reports whether a server was removed so long ago that it is not expected to return. First its weights are
+// removalExpired reports whether a server was removed so long ago that it is not expected to return. First its weights are
 // removed from the tables, then its state is deleted.
-func (m *Manager) forgettable(s *server) bool {
+func (m *Manager) removalExpired(s *server) bool {
 	expired := s.removedAt > 0 && m.now-s.removedAt > removedRetention
 	return expired && (!m.mayServe(s) || s.ejected)
 }
--- a/balancer/log_record_test.go
+++ b/balancer/log_record_test.go
@@ -52,7 +52,7 @@
 	},
 	EventZonePair: {
 		func(m *Manager) {
-			for range pairAgreeing {
+			for range pairConsecutiveSamples {
 				m.zonePairs[0][1].record(LoadReport{Attempts: 10, Failed: 9, Latency: 250 * time.Millisecond})
 			}
 			m.updateZonePairs()
--- a/balancer/manager.go
+++ b/balancer/manager.go
@@ -73,7 +73,7 @@
 		parameters:     newParameters(settings),
 		rngState:       seed,
 		suspectedZone:  noZone,
-		slowStartPause: pauseUnreported,
+		slowStartPause: pauseUntilReported,
 		admission:      newAdmissionControl(),
 		publication:    publication{blockedAt: unsetTime},
 		channel:        channel{barrierAt: unsetTime},
--- a/balancer/parameters.go
+++ b/balancer/parameters.go
@@ -43,7 +43,7 @@
 		defaultRetry:  s.DefaultRetryPolicy,
 		admissionUnit: s.AdmissionUnit,
 
-		warmUpStart:    min(warmUpStartShare, warmUpStartOfCold*s.ColdCapacity),
+		warmUpStart:    min(warmUpStartShare, warmUpStartColdShare*s.ColdCapacity),
 		warmUpDuration: max(s.WarmUpDuration, 1),
 
 		pollsEndpoints:    s.PollsEndpoints,
--- a/balancer/pinning.go
+++ b/balancer/pinning.go
@@ -50,11 +50,11 @@
 	m.redistribution = tablesReset
 }
 
-// applyPinned replaces a table's target with the pinned weights of the servers that may get requests. The weight of a
+// applyPinnedWeights replaces a table's target with the pinned weights of the servers that may get requests. The weight of a
 // warming server is scaled by its warm-up progress. If warm servers have too little of the pinned weight, the target
 // stays as it is, so that a pin neither leaves proxies without an endpoint nor gives warming servers the requests of
 // their lost peers.
-func (m *Manager) applyPinned(t *table, anyUsable bool) {
+func (m *Manager) applyPinnedWeights(t *table, anyUsable bool) {
 	weights := map[ServerID]float64{}
 	usable := 0.0
 	warm := 0.0
--- a/balancer/publishing.go
+++ b/balancer/publishing.go
@@ -208,7 +208,7 @@
 	others := m.otherUsableWeight(t, s)
 	emptiesTable := weight == 0 && !s.withdrawn && (others == 0 || m.isLastZoneLocal(t, s))
 	raised := weight > t.published[s.id]
-	overloads := s.warmingUp && raised && weight > maxWarmingRise*t.target[s.id]*(others+weight)
+	overloads := s.warmingUp && raised && weight > maxWarmingShareIncrease*t.target[s.id]*(others+weight)
 	return emptiesTable || overloads
 }
 
@@ -245,7 +245,7 @@
 	scale := t.scale()
 	restoresInvariant := m.isEmptyTable(t) || m.hasNoLocalEndpoint(t) || m.wouldOverloadWarmingServers(id)
 	for _, s := range m.tableServers(t) {
-		if s.withdrawn && !m.mayServe(s) && !m.forgettable(s) {
+		if s.withdrawn && !m.mayServe(s) && !m.removalExpired(s) {
 			continue // the weight of a withdrawn server has no effect
 		}
 		published := t.published[s.id]
@@ -280,7 +280,7 @@
 }
 
 func (m *Manager) weightPriority(s *server, published, weight float64) changePriority {
-	overloaded := s.warmingUp && weight < published/maxWarmingRise
+	overloaded := s.warmingUp && weight < published/maxWarmingShareIncrease
 	leaving := weight == 0 && s.leavingSince > 0 && m.assignsBeforeDrains() // removed before proxies get the table
 	reduced := weight < published && (s.warmingUp || weight == 0)
 	switch {
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -73,7 +73,7 @@
 	if !m.partitioned && len(m.proxies) > 0 && len(m.servers) > 0 && !m.sliced {
 		m.partitionZones()
 	}
-	m.deleteServers(func(s *server) bool { return m.forgettable(s) && !m.isPublished(s) })
+	m.deleteServers(func(s *server) bool { return m.removalExpired(s) && !m.isPublished(s) })
 	m.checkEmptyTables()
 	m.updateSlowStart()
 	m.detectZoneOutage()
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -3,18 +3,18 @@
 const (
 	// warmUpStartShare is the maximum share of its target that a server gets at the start of its warm-up.
 	warmUpStartShare = 0.1
-	// warmUpStartOfCold is the share of the configured cold capacity with which the warm-up starts if that is less.
-	warmUpStartOfCold = 0.6
-	// maxWarmingFill is the maximum load of a warming server, as a multiple of its share in a fully healthy fleet.
-	maxWarmingFill = 1.5
-	// maxWarmingRise is the maximum factor by which withdrawals of other servers may increase the share of warming
+	// warmUpStartColdShare is the share of the configured cold capacity with which the warm-up starts if that is less.
+	warmUpStartColdShare = 0.6
+	// maxWarmingShareFactor is the maximum load of a warming server, as a multiple of its share in a fully healthy fleet.
+	maxWarmingShareFactor = 1.5
+	// maxWarmingShareIncrease is the maximum factor by which withdrawals of other servers may increase the share of warming
 	// servers.
-	maxWarmingRise = 2.0
+	maxWarmingShareIncrease = 2.0
 
 	// pauseFailureRate is the failure rate of the peers above which slow start is paused for all warming servers.
 	pauseFailureRate = 0.4
-	// pauseUnreported is the warm-up progress below which servers wait until half of their peers have been reported on.
-	pauseUnreported = 0.5
+	// pauseUntilReported is the warm-up progress below which servers wait until half of their peers have been reported on.
+	pauseUntilReported = 0.5
 	// pauseAll is the warm-up progress below which servers wait while all warming servers are paused.
 	pauseAll = 1.0
 	// pauseNone lets all servers continue their warm-up.
@@ -73,7 +73,7 @@
 	case peers.failureRate > pauseFailureRate:
 		return pauseAll
 	case 2*peers.servers < warm:
-		return pauseUnreported
+		return pauseUntilReported
 	default:
 		return pauseNone
 	}
@@ -81,5 +81,5 @@
 
 // wouldOverloadWarmingServers reports whether withdrawals would leave a table's warming servers with too large a share.
 func (m *Manager) wouldOverloadWarmingServers(id TableID) bool {
-	return m.warmingShareRise(m.tables[id]) > maxWarmingRise
+	return m.warmingShareRise(m.tables[id]) > maxWarmingShareIncrease
 }
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -50,9 +50,9 @@
 	m := newTestManager(3)
 	m.servers[0].warmingUp = true
 	m.servers[0].withdrawn = true
-	m.slowStartPause = pauseUnreported
+	m.slowStartPause = pauseUntilReported
 	m.updateSlowStart()
-	if m.slowStartPause != pauseUnreported || m.nextRestore() != nil {
+	if m.slowStartPause != pauseUntilReported || m.nextRestore() != nil {
 		t.Error("a withdrawn warming server is restored although no peer has been reported on")
 	}
 	m.servers[0].warmUpFrom = -m.warmUpDuration * 3 / 4
@@ -112,7 +112,7 @@
 		for partition, table := range m.tables {
 			rate += table.target["a0"] * m.distributedRates[partition]
 		}
-		wantNear(t, "requests per second of a warming server", rate, progress*80/max(2+6*progress, 8/maxWarmingFill))
+		wantNear(t, "requests per second of a warming server", rate, progress*80/max(2+6*progress, 8/maxWarmingShareFactor))
 	}
 }
 
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -55,11 +55,11 @@
 }
 
 // serverStatistics summarizes the reports on a server within maxSampleAge, from the newest back until they contain
-// fullAttempts attempts. If the server reports its in-flight requests, the latency is averaged with inFlightLatency.
+// targetAttempts attempts. If the server reports its in-flight requests, the latency is averaged with inFlightLatency.
 func (m *Manager) serverStatistics(s *server) serverStatistics {
 	var stats serverStatistics
 	succeeded := 0.0
-	for i := len(s.reports) - 1; i >= 0 && stats.attempts < fullAttempts && m.now-s.reports[i].at <= maxSampleAge; i-- {
+	for i := len(s.reports) - 1; i >= 0 && stats.attempts < targetAttempts && m.now-s.reports[i].at <= maxSampleAge; i-- {
 		report := s.reports[i]
 		stats.attempts += float64(report.Attempts)
 		stats.failed += float64(report.Failed)
@@ -173,7 +173,7 @@
 	failed := 0.0
 	succeeded := 0.0
 	for _, s := range m.servers {
-		for i := len(s.reports) - 1; i >= 0 && m.now-s.reports[i].at <= freshReportAge; i-- {
+		for i := len(s.reports) - 1; i >= 0 && m.now-s.reports[i].at <= maxFreshReportAge; i-- {
 			report := s.reports[i]
 			attempts += float64(report.Attempts)
 			failed += float64(report.Failed)
--- a/balancer/zone_outage.go
+++ b/balancer/zone_outage.go
@@ -12,10 +12,10 @@
 	pairLatencyFactor = 2.0
 	// pairFailureRate is the failure rate above which a zone pair is closed.
 	pairFailureRate = 0.5
-	// pairAgreeing is the number of latest samples that must all exceed these bounds.
-	pairAgreeing = 3
+	// pairConsecutiveSamples is the number of latest samples that must all exceed these bounds.
+	pairConsecutiveSamples = 3
 	// minPairLatencies is the minimum number of samples that define a usual latency.
-	minPairLatencies = 3 * pairAgreeing
+	minPairLatencies = 3 * pairConsecutiveSamples
 	// maxPairSamples is the number of samples kept per zone pair.
 	maxPairSamples = 64
 )
@@ -38,10 +38,10 @@
 
 // isImpaired reports whether each of the latest samples exceeds the bound of latency or of failure rate.
 func (p *zonePair) isImpaired(usualLatency float64) bool {
-	if len(p.failureRates) < pairAgreeing {
+	if len(p.failureRates) < pairConsecutiveSamples {
 		return false
 	}
-	for age := 1; age <= pairAgreeing; age++ {
+	for age := 1; age <= pairConsecutiveSamples; age++ {
 		slow := len(p.latencies) >= minPairLatencies &&
 			p.latencies[len(p.latencies)-age] > pairLatencyFactor*usualLatency
 		failing := p.failureRates[len(p.failureRates)-age] > pairFailureRate
