--- a/balancer/distribution.go
+++ b/balancer/distribution.go
@@ -51,7 +51,7 @@
 // each server.
 func (m *Manager) redistribute() {
 	m.redistribution = upToDate
-	m.publication.open()
+	m.publication.markDue()
 	m.publication.listChanged = false
 	m.distributedRates = m.demandByPartition()
 	m.endDistributionWait()
@@ -70,9 +70,9 @@
 
 // serverTargets returns the servers that get requests and the target of each. Ejected servers are left out unless no
 // server is usable.
-func (m *Manager) serverTargets(anyUsable bool) ([]*server, []distributionPart) {
+func (m *Manager) serverTargets(anyUsable bool) ([]*server, []serverTarget) {
 	var servers []*server
-	var targets []distributionPart
+	var targets []serverTarget
 	totalRate := sum(m.distributedRates)
 	listedWeight := m.listedWeight()
 	usableWeight := max(m.usableWeight(), listedWeight/maxWarmingShareFactor)
@@ -113,8 +113,8 @@
 
 // serverTarget returns a server's target in units of listed weight, which serverTargets scales to requests per second,
 // and the band around it.
-func (m *Manager) serverTarget(s *server) distributionPart {
-	target := distributionPart{partition: s.partition, rate: max(s.weight, minServerWeight) * s.health}
+func (m *Manager) serverTarget(s *server) serverTarget {
+	target := serverTarget{partition: s.partition, rate: max(s.weight, minServerWeight) * s.health}
 	if s.health < minHealthForFloor || s.warmingUp {
 		target.low = 0
 		target.high = 1
@@ -159,21 +159,21 @@
 	}
 }
 
-// distributionPart is the target of one server: the requests per second that it should get and the band around that rate.
+// serverTarget is the target of one server: the requests per second that it should get and the band around that rate.
 // The bounds of the band, low and high, are multiples of the rate.
-type distributionPart struct {
+type serverTarget struct {
 	partition int
 	rate      float64
 	low       float64
 	high      float64
 }
 
-func (t distributionPart) floor() float64   { return t.low * t.rate }
-func (t distributionPart) ceiling() float64 { return t.high * t.rate }
+func (t serverTarget) floor() float64   { return t.low * t.rate }
+func (t serverTarget) ceiling() float64 { return t.high * t.rate }
 
 // distribution is the working state of distribute. Servers are identified by their position in targets.
 type distribution struct {
-	targets            []distributionPart
+	targets            []serverTarget
 	targetsByPartition [][]int
 	unallocated        []float64         // request rate of each partition that is not allocated to a server yet
 	allocatedTo        []float64         // request rate allocated to each server
@@ -189,7 +189,7 @@
 // first. Requests that exceed all bands are divided by remainderWeights.
 func distribute(
 	rates []float64,
-	targets []distributionPart,
+	targets []serverTarget,
 	nearest func(partition int) []int,
 	pairClosed func(from, to int) bool,
 ) distributionResult {
@@ -206,15 +206,15 @@
 	for i, target := range targets {
 		d.targetsByPartition[target.partition] = append(d.targetsByPartition[target.partition], i)
 	}
-	d.fill(distributionPart.floor)
-	d.fill(distributionPart.ceiling)
+	d.fill(serverTarget.floor)
+	d.fill(serverTarget.ceiling)
 	weights, total := remainderWeights(targets)
 	return distributionResult{d.allocated, d.unallocated, weights, total}
 }
 
 // fill allocates requests up to a bound of each server: first within each partition, then to other partitions over open
 // zone pairs, then over closed ones.
-func (d *distribution) fill(bound func(distributionPart) float64) {
+func (d *distribution) fill(bound func(serverTarget) float64) {
 	clear(d.full)
 	for partition := range d.unallocated {
 		d.allocate(partition, partition, bound)
@@ -228,7 +228,7 @@
 
 // spill allocates a partition's unallocated requests to other partitions, nearest first. It uses only closed zone pairs
 // if closed is true, and only open ones otherwise.
-func (d *distribution) spill(from int, closed bool, bound func(distributionPart) float64) {
+func (d *distribution) spill(from int, closed bool, bound func(serverTarget) float64) {
 	if d.unallocated[from] <= 0 || !slices.Contains(d.full, false) {
 		return
 	}
@@ -241,7 +241,7 @@
 
 // allocate allocates one partition's unallocated requests to the servers of another partition or its own, in proportion
 // to each server's spare capacity up to a bound.
-func (d *distribution) allocate(from, to int, bound func(distributionPart) float64) {
+func (d *distribution) allocate(from, to int, bound func(serverTarget) float64) {
 	capacity := 0.0
 	for _, i := range d.targetsByPartition[to] {
 		capacity += max(0, bound(d.targets[i])-d.allocatedTo[i])
@@ -264,8 +264,8 @@
 
 // remainderWeights returns the weights for dividing the requests that exceed all bands: the target rates of the servers
 // with a floor, or of all servers if none has one.
-func remainderWeights(targets []distributionPart) (weights []float64, total float64) {
-	anyFloor := slices.ContainsFunc(targets, func(t distributionPart) bool { return t.low > 0 })
+func remainderWeights(targets []serverTarget) (weights []float64, total float64) {
+	anyFloor := slices.ContainsFunc(targets, func(t serverTarget) bool { return t.low > 0 })
 	weights = make([]float64, len(targets))
 	for i, target := range targets {
 		if target.low > 0 || !anyFloor {
@@ -285,8 +285,8 @@
 	remainderTotal   float64
 }
 
-// at returns the request rate from a partition to the server at position i of the targets.
-func (r distributionResult) at(partition, i int) float64 {
+// rate returns the request rate from a partition to the server rate position i of the targets.
+func (r distributionResult) rate(partition, i int) float64 {
 	if r.unallocated[partition] == 0 {
 		return r.allocated[partition][i]
 	}
@@ -320,7 +320,7 @@
 		largestRemainder = r.largestRemainderRate(partition)
 	}
 	visitAbove := func(i int) {
-		if rate := r.at(partition, i); rate > bound {
+		if rate := r.rate(partition, i); rate > bound {
 			visit(i, rate)
 		}
 	}
--- a/balancer/distribution_test.go
+++ b/balancer/distribution_test.go
@@ -32,7 +32,7 @@
 }
 
 func TestDistributeAllocatesAllRequestsBeyondTheBands(t *testing.T) {
-	targets := []distributionPart{{0, 1, 0, 0.5}, {0, 3, 0, 0.5}}
+	targets := []serverTarget{{0, 1, 0, 0.5}, {0, 3, 0, 0.5}}
 	got := distributed([]float64{8}, targets, [][]int{{}}, noPairClosed)
 	wantNear(t, "rate of the first server", got[0][0], 2)
 	wantNear(t, "rate of the second server", got[0][1], 6)
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -63,12 +63,12 @@
 }
 
 // distributed returns the rates that distribute allocates, by partition and part.
-func distributed(rates []float64, parts []distributionPart, nearest [][]int, closed func(from, to int) bool) [][]float64 {
+func distributed(rates []float64, parts []serverTarget, nearest [][]int, closed func(from, to int) bool) [][]float64 {
 	shares := distribute(rates, parts, func(partition int) []int { return nearest[partition] }, closed)
 	all := make([][]float64, len(rates))
 	for partition := range rates {
 		for i := range parts {
-			all[partition] = append(all[partition], shares.at(partition, i))
+			all[partition] = append(all[partition], shares.rate(partition, i))
 		}
 	}
 	return all
@@ -76,9 +76,9 @@
 
 func noPairClosed(from, to int) bool { return false }
 
-func equalParts(zone, n int, target float64) (parts []distributionPart) {
+func equalParts(zone, n int, target float64) (parts []serverTarget) {
 	for range n {
-		parts = append(parts, distributionPart{zone, target, 0.8, 1.2})
+		parts = append(parts, serverTarget{zone, target, 0.8, 1.2})
 	}
 	return parts
 }
--- a/balancer/publishing.go
+++ b/balancer/publishing.go
@@ -29,8 +29,8 @@
 	emptyTable     bool          // some table has no usable endpoint
 }
 
-// open makes the publication due. A blocked publication is tried again.
-func (p *publication) open() {
+// markDue makes the publication due. A blocked publication is tried again.
+func (p *publication) markDue() {
 	p.due = true
 	p.blockedProxies = 0
 }
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -69,7 +69,7 @@
 // tick updates everything that is evaluated once per tickInterval.
 func (m *Manager) tick() {
 	m.scheduleNextTick()
-	m.publication.open()
+	m.publication.markDue()
 	if !m.partitioned && len(m.proxies) > 0 && len(m.servers) > 0 && !m.sliced {
 		m.partitionZones()
 	}
