--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -196,12 +196,12 @@
 // from the duration of health checks. Health checks may bypass the request queue, so they count only if they show idle
 // servers. Latency that arises elsewhere, such as in the network, must not trigger admission control.
 func (m *Manager) serverLatency(latency float64) float64 {
-	inFlightTimes := m.inFlightTimes(minInFlightRate)
+	inFlightTimes := m.inFlightLatencies(minInFlightRate)
 	m.checkRandomServers()
 	if len(inFlightTimes) > 0 {
 		return min(latency, median(inFlightTimes))
 	}
-	checkTimes := m.recentCheckTimes()
+	checkTimes := m.recentCheckDurations()
 	if m.healthChecks && len(checkTimes) > 0 && median(checkTimes) < idleCheckLatencyShare*latency {
 		return median(checkTimes)
 	}
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -40,13 +40,13 @@
 	for _, s := range m.servers {
 		m.report(s.id, 50, 10, 1500*time.Millisecond)
 	}
-	m.checkTimes = []sample{{at: m.now, value: 0.005}, {at: m.now, value: 0.004}, {at: m.now, value: 0.006}}
+	m.checkDurations = []sample{{at: m.now, value: 0.005}, {at: m.now, value: 0.004}, {at: m.now, value: 0.006}}
 	m.admission.baselineLoad = 0.1
 	m.updateAdmissionLimit()
 	if !math.IsInf(m.admission.limit, 1) {
 		t.Errorf("limit %.0f although the servers are idle", m.admission.limit)
 	}
-	m.checkTimes = []sample{{at: m.now, value: 0.9}, {at: m.now, value: math.Inf(1)}, {at: m.now, value: 0.8}}
+	m.checkDurations = []sample{{at: m.now, value: 0.9}, {at: m.now, value: math.Inf(1)}, {at: m.now, value: 0.8}}
 	m.updateAdmissionLimit()
 	if math.IsInf(m.admission.limit, 1) {
 		t.Error("all requests are admitted although the servers are overloaded")
@@ -230,7 +230,7 @@
 		settings.DefaultRetryPolicy = platform
 		m := New(1, settings)
 		m.distributedRates = []float64{40, 40}
-		m.tables[0].published["a0"] = 1
+		m.tables[0].publishedWeights["a0"] = 1
 		for class, wantPolicy := range want {
 			got := platform
 			for _, change := range m.levelChanges(0, []float64{1, 1, 1, 1}) {
--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -1,6 +1,6 @@
 package balancer
 
-func (m *Manager) proxyConnected() bool { return m.connectedTable != nil }
+func (m *Manager) proxyConnected() bool { return m.newProxyTable != nil }
 
 // awaitDistribution makes a newly connected proxy wait for its table until the next distribution if servers are warming
 // up. No table accounts for the proxy's requests yet, and the table of a partition without proxies may name warming
@@ -9,15 +9,15 @@
 // manager may still name them; the proxy then waits only if the share of warming servers in its new table is more than
 // maxWarmingShareIncrease times their share in the whole fleet.
 func (m *Manager) awaitDistribution() {
-	t := m.connectedTable
-	m.connectedTable = nil
+	t := m.newProxyTable
+	m.newProxyTable = nil
 	if !m.anyWarmingUp() {
 		return
 	}
 	m.redistribution = proxyAwaitsTable
-	m.cheapestAssign = 0
-	warmingShareTooHigh := m.warmingShareOf(t) > maxWarmingShareIncrease*m.warmingShare
-	if m.sets().withdrawnUnusable == 0 || warmingShareTooHigh {
+	m.cheapestAssignCost = 0
+	warmingShareTooHigh := m.tableWarmingShare(t) > maxWarmingShareIncrease*m.fleetWarmingShare
+	if m.currentServerSets().withdrawnUnusable == 0 || warmingShareTooHigh {
 		t.awaitsDistribution = true
 	}
 }
@@ -27,7 +27,7 @@
 	for _, t := range m.tables {
 		t.awaitsDistribution = false
 	}
-	m.cheapestAssign = 0
+	m.cheapestAssignCost = 0
 }
 
 // nextAssignment returns the next proxy to assign to its partition's table, in order of connection, or nil if no proxy is
@@ -37,7 +37,7 @@
 	if m.assignsBeforeDrains() {
 		priority = drainPriority
 	}
-	for _, p := range m.assignableProxies(m.available(priority)) {
+	for _, p := range m.assignableProxies(m.availableCapacity(priority)) {
 		t := m.tables[p.partition]
 		if m.assignable(t) && m.fits([]*proxy{p}, m.assignmentCost(t), priority) {
 			return p
@@ -60,8 +60,8 @@
 // recordAssignment adds the commands that assign a proxy to its partition's table, and to the table's zone-local part for
 // zone-local classes.
 func (m *Manager) recordAssignment(p *proxy) {
-	m.updatePlacement()
-	m.stopWaiting(p, m.tables[p.partition])
+	m.updateTableIndex()
+	m.removeUnassigned(p, m.tables[p.partition])
 	p.assigned = true
 	p.mayHoldTable = false
 	id := TableID(p.partition)
@@ -69,10 +69,10 @@
 		m.commands.Assign = append(m.commands.Assign, TableAssignment{Proxy: p.id, Table: id})
 		return
 	}
-	if m.crossZone != 0 {
-		m.commands.Assign = append(m.commands.Assign, TableAssignment{p.id, id, m.crossZone})
+	if m.crossZoneClasses != 0 {
+		m.commands.Assign = append(m.commands.Assign, TableAssignment{p.id, id, m.crossZoneClasses})
 	}
-	m.commands.Assign = append(m.commands.Assign, TableAssignment{p.id, ZoneLocalTables + id, m.zoneLocal})
+	m.commands.Assign = append(m.commands.Assign, TableAssignment{p.id, ZoneLocalTables + id, m.zoneLocalClasses})
 }
 
 // assignableProxies returns the unassigned proxies, or nil if even the cheapest assignment costs more commands than are
--- a/balancer/assignment_test.go
+++ b/balancer/assignment_test.go
@@ -11,7 +11,7 @@
 	if got := m.HandleProxyConnected(time.Second, 7, "a", 5); len(got.Assign) != 1 || got.Assign[0] != (TableAssignment{Proxy: 7}) {
 		t.Errorf("assigned %v, want proxy 7 to table 0", got.Assign)
 	}
-	clear(m.tables[0].published)
+	clear(m.tables[0].publishedWeights)
 	if commands := m.HandleProxyConnected(time.Second, 8, "a", 5); len(commands.Assign) != 0 {
 		t.Errorf("assigned %v to an empty table", commands.Assign)
 	}
@@ -26,18 +26,18 @@
 	}
 	m.servers[1].ejected = true
 	m.servers[2].ejected = true
-	m.tables[1].published = map[ServerID]float64{"a0": 100}
+	m.tables[1].publishedWeights = map[ServerID]float64{"a0": 100}
 	if commands := m.HandleProxyConnected(time.Millisecond, 9, "b", 40); len(commands.Assign) > 0 {
 		t.Error("the proxy is assigned before the next tick")
 	}
 	m.nextTick = time.Second
 	m.HandleTimer(time.Second)
 	sum := 0.0
-	for _, w := range m.tables[1].published {
+	for _, w := range m.tables[1].publishedWeights {
 		sum += w
 	}
-	if m.tables[1].published["a0"] > 0.2*sum {
-		t.Errorf("warming server a0 has more than 0.2 of the weight of table 1: %v", m.tables[1].published)
+	if m.tables[1].publishedWeights["a0"] > 0.2*sum {
+		t.Errorf("warming server a0 has more than 0.2 of the weight of table 1: %v", m.tables[1].publishedWeights)
 	}
 }
 
@@ -48,8 +48,8 @@
 	m.nextTick = 2 * time.Second
 	m.servers[1].warmingUp = true
 	m.servers[1].warmUpFrom = 0
-	m.tables[0].published["a1"] = 10
-	m.warmingShare = 0.1
+	m.tables[0].publishedWeights["a1"] = 10
+	m.fleetWarmingShare = 0.1
 	draining := Endpoint{Server: "a0", Zone: "a", Weight: 1, State: Draining}
 	if commands := m.HandleEndpointList(time.Second, false, []Endpoint{draining}); len(commands.Withdraw) != 1 {
 		t.Fatalf("withdrawn %v, want a0", commands.Withdraw)
@@ -66,7 +66,7 @@
 	m := newTestManager(4)
 	m.nextTick = 2 * time.Second
 	m.servers[1].warmingUp = true
-	m.warmingShare = 0.9
+	m.fleetWarmingShare = 0.9
 	if commands := m.HandleProxyConnected(time.Second, 10, "a", 5); len(commands.Assign) != 0 {
 		t.Errorf("assigned to a table that does not account for the proxy's requests yet: %v", commands.Assign)
 	}
@@ -78,7 +78,7 @@
 func TestProxyWaitsForTableWithTooManyWarmingServersEvenDuringDrains(t *testing.T) {
 	m := newTestManager(4)
 	m.servers[1].warmingUp = true
-	m.warmingShare = 0.1
+	m.fleetWarmingShare = 0.1
 	m.HandleEndpointList(time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
 	if commands := m.HandleProxyConnected(time.Second+time.Millisecond, 10, "a", 5); len(commands.Assign) != 0 {
 		t.Errorf("assigned to a table in which a third of the servers is warming up: %v", commands.Assign)
@@ -90,11 +90,11 @@
 
 func TestFirstConnectedProxyIsAssignedFirst(t *testing.T) {
 	m := newTestManager(2)
-	m.sendableSoon[urgentPriority] = 0
+	m.sendTimeLimits[urgentPriority] = 0
 	m.queueLimits[urgentPriority] = 0
 	m.HandleProxyConnected(time.Second, 9, "a", 5)
 	m.HandleProxyConnected(time.Second+time.Millisecond, 8, "a", 5)
-	m.sendableSoon[urgentPriority] = 8
+	m.sendTimeLimits[urgentPriority] = 8
 	m.queueLimits[urgentPriority] = 8
 	if commands := m.HandleTimer(time.Second + 2*time.Millisecond); len(commands.Assign) != 1 || commands.Assign[0].Proxy != 9 {
 		t.Errorf("assigned %v, want only proxy 9, which connected first", commands.Assign)
@@ -116,7 +116,7 @@
 			t.Errorf("the assigned table names the draining server: %v", weight)
 		}
 	}
-	if m.tables[0].published["a0"] > 0 {
+	if m.tables[0].publishedWeights["a0"] > 0 {
 		t.Error("the published weights of the assigned table name the draining server")
 	}
 	if commands := m.HandleTimer(2*time.Second + time.Millisecond); !slices.Equal(commands.Withdraw, []ServerID{"a0"}) {
@@ -127,7 +127,7 @@
 func TestAssignmentsBeforeDrainsUseTheChannelLimitsOfDrains(t *testing.T) {
 	m := managerWithUnassigned(1)
 	m.drainGraceCommands = 1000
-	m.sendableSoon[urgentPriority] = 0
+	m.sendTimeLimits[urgentPriority] = 0
 	m.queueLimits[urgentPriority] = 0
 	if got := m.HandleEndpointList(2*time.Second, false,
 		[]Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}}); len(got.Assign) != 1 {
@@ -138,12 +138,12 @@
 func TestLeavingServersAreRemovedFromTablesBeforeProxiesAreAssigned(t *testing.T) {
 	m := managerWithUnassigned(1)
 	m.drainGraceCommands = 1000
-	m.sendableSoon[normalPriority] = 0
+	m.sendTimeLimits[normalPriority] = 0
 	m.queueLimits[normalPriority] = 0
-	m.tables[0].published["a1"] = 20 // so that warming server a1 is not overloaded
+	m.tables[0].publishedWeights["a1"] = 20 // so that warming server a1 is not overloaded
 	commands := m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
-	if len(commands.Assign) != 1 || m.tables[0].published["a0"] > 0 {
-		t.Errorf("assigned %v, want 1 assignment; weight of the draining server %v, want 0", commands.Assign, m.tables[0].published["a0"])
+	if len(commands.Assign) != 1 || m.tables[0].publishedWeights["a0"] > 0 {
+		t.Errorf("assigned %v, want 1 assignment; weight of the draining server %v, want 0", commands.Assign, m.tables[0].publishedWeights["a0"])
 	}
 }
 
@@ -154,7 +154,7 @@
 	m.now = 500 * time.Millisecond
 	before, _ := m.offeredAndDelivered()
 	m.partitionsPerZone = 2
-	m.tables[1].published = m.tables[0].published
+	m.tables[1].publishedWeights = m.tables[0].publishedWeights
 	m.tables = append(m.tables, m.tables...)
 	m.proxies[0].partition = 1
 	m.proxies[1].partition = 2
@@ -172,12 +172,12 @@
 func TestUnassignedProxiesAreVisitedOnlyIfAnAssignmentFits(t *testing.T) {
 	m := newTestManager(2)
 	m.proxies[0].assigned = false
-	m.sendableSoon[urgentPriority] = 7
+	m.sendTimeLimits[urgentPriority] = 7
 	m.queueLimits[urgentPriority] = 7
-	if visited := m.assignableProxies(m.available(urgentPriority)); visited != nil || m.nextAssignment() != nil {
+	if visited := m.assignableProxies(m.availableCapacity(urgentPriority)); visited != nil || m.nextAssignment() != nil {
 		t.Error("the proxies are visited with room for 7 commands, although an assignment takes 3 and its message 5")
 	}
-	m.sendableSoon[urgentPriority] = 8
+	m.sendTimeLimits[urgentPriority] = 8
 	m.queueLimits[urgentPriority] = 8
 	if m.nextAssignment() != m.proxies[0] {
 		t.Error("the proxy is not assigned although its assignment fits")
@@ -192,9 +192,9 @@
 // it is assigned again it gets the commands for that table and must count for their cost.
 func TestReconnectedProxyCountsForTheCostOfItsTable(t *testing.T) {
 	m := newTestManager(4)
-	m.updatePlacement()
+	m.updateTableIndex()
 	m.partitioned = false // so that no proxy is assigned
-	before, held := len(m.tableProxies(0)), len(m.holders(m.server("a0")))
+	before, held := len(m.tableProxies(0)), len(m.proxiesUsing(m.server("a0")))
 	m.HandleProxyConnected(m.now+1, 0, "a", 5)
 	if p := m.proxy(0); p.assigned {
 		t.Fatal("the proxy is already assigned")
@@ -202,7 +202,7 @@
 	if got := len(m.tableProxies(0)); got != before || before == 0 {
 		t.Errorf("commands are reserved for %d proxies, want %d, which must not be 0", got, before)
 	}
-	if got := len(m.holders(m.server("a0"))); got != held {
+	if got := len(m.proxiesUsing(m.server("a0"))); got != held {
 		t.Errorf("a withdrawal is reserved for %d proxies, want %d", got, held)
 	}
 	m.HandleProxyDisconnected(m.now+1, 0)
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -24,12 +24,12 @@
 // in seconds.
 func (p *proxy) requestRate(class int, now time.Duration, window float64) float64 {
 	requests, seconds := p.sumLatestRequests(class, now, window)
-	return requests / max(seconds, minInterval)
+	return requests / max(seconds, minIntervalSeconds)
 }
 
 // proxyRates returns the requests per second of a class at each proxy of a table.
 func (m *Manager) proxyRates(id TableID, class ClassID) []float64 {
-	m.updatePlacement()
+	m.updateTableIndex()
 	var rates []float64
 	for _, p := range m.tables[id].proxies {
 		rates = append(rates, p.requestRate(int(class), m.now, rateWindow))
@@ -94,7 +94,7 @@
 				reporting++
 			}
 		}
-		demand[class] = reporting * requests / max(seconds, minInterval)
+		demand[class] = reporting * requests / max(seconds, minIntervalSeconds)
 	}
 	return demand
 }
@@ -104,7 +104,7 @@
 func (m *Manager) offeredAndDelivered() (offered, delivered float64) {
 	for _, s := range m.servers {
 		if m.mayServe(s) && !s.ejected {
-			delivered += m.successRate(s)
+			delivered += m.successesPerSecond(s)
 		}
 	}
 	return sum(m.demandByClass()), delivered
@@ -163,12 +163,12 @@
 		total := 0.0
 		for _, s := range servers {
 			if !s.withdrawn {
-				total += t.published[s.id]
+				total += t.publishedWeights[s.id]
 			}
 		}
 		for _, s := range servers {
 			if !s.withdrawn {
-				s.expectedRate += rate * t.published[s.id] / max(total, 1e-9)
+				s.expectedRate += rate * t.publishedWeights[s.id] / max(total, 1e-9)
 			}
 		}
 	}
--- a/balancer/distribution.go
+++ b/balancer/distribution.go
@@ -60,9 +60,9 @@
 	result := distribute(m.distributedRates, targets, m.nearestPartitions(), m.pairClosed)
 	for partition, t := range m.tables {
 		rate := m.distributedRates[partition]
-		clear(t.target)
+		clear(t.targetShares)
 		threshold := min(minWeightShare*rate, minShareOfLargest*result.largestRate(partition))
-		result.forEachAbove(partition, threshold, func(i int, serverRate float64) { t.target[servers[i].id] = serverRate / rate })
+		result.forEachAbove(partition, threshold, func(i int, serverRate float64) { t.targetShares[servers[i].id] = serverRate / rate })
 		m.applyPinnedWeights(t, anyUsable)
 		m.keepZoneLocalServers(t)
 	}
@@ -104,9 +104,9 @@
 		// Without this limit, a healthy server would take over the requests of all its degraded peers.
 		targets[i].rate = min(targets[i].rate, maxListedShareFactor*totalRate*max(s.weight, minServerWeight)/listedWeight)
 	}
-	m.warmingShare = 1
+	m.fleetWarmingShare = 1
 	if warmWeight != 0 {
-		m.warmingShare = warmingRate / totalRate
+		m.fleetWarmingShare = warmingRate / totalRate
 	}
 	return servers, targets
 }
@@ -134,12 +134,12 @@
 	}
 	var local []*server
 	for _, s := range m.servers {
-		if m.isZoneLocal(t.id, s) && m.mayServe(s) && (!s.ejected || t.published[s.id] > 0) {
+		if m.isZoneLocal(t.id, s) && m.mayServe(s) && (!s.ejected || t.publishedWeights[s.id] > 0) {
 			local = append(local, s)
 		}
 	}
 	for _, s := range local {
-		t.target[s.id] = max(t.target[s.id], minWeightShare/float64(len(local)))
+		t.targetShares[s.id] = max(t.targetShares[s.id], minWeightShare/float64(len(local)))
 	}
 }
 
--- a/balancer/distribution_test.go
+++ b/balancer/distribution_test.go
@@ -6,13 +6,13 @@
 )
 
 func TestDistributeStaysInZoneWithinTheBand(t *testing.T) {
-	got := distributed([]float64{22, 18}, append(equalParts(0, 2, 10), equalParts(1, 2, 10)...), [][]int{{1}, {0}}, noPairClosed)
+	got := distributeRates([]float64{22, 18}, append(equalParts(0, 2, 10), equalParts(1, 2, 10)...), [][]int{{1}, {0}}, noPairClosed)
 	wantNear(t, "rate from zone 0 to its own servers", got[0][0]+got[0][1], 22)
 	wantNear(t, "rate from zone 1 to its own servers", got[1][2]+got[1][3], 18)
 }
 
 func TestDistributeFillsFloorsFromTheSurplusOfOtherZones(t *testing.T) {
-	got := distributed([]float64{30, 10}, append(equalParts(0, 2, 10), equalParts(1, 2, 10)...), [][]int{{1}, {0}}, noPairClosed)
+	got := distributeRates([]float64{30, 10}, append(equalParts(0, 2, 10), equalParts(1, 2, 10)...), [][]int{{1}, {0}}, noPairClosed)
 	wantNear(t, "rate up to the ceilings in the own zone", got[0][0]+got[0][1], 24)
 	wantNear(t, "rate spilled to the other zone", got[0][2]+got[0][3], 6)
 	wantNear(t, "floor of a server, filled from both zones", got[0][2]+got[1][2], 8)
@@ -22,18 +22,18 @@
 	targets := append(append(equalParts(0, 1, 10), equalParts(1, 4, 10)...), equalParts(2, 4, 10)...)
 	rates := []float64{18, 36, 36}
 	nearest := [][]int{{1, 2}, {0, 2}, {0, 1}}
-	got := distributed(rates, targets, nearest, noPairClosed)
+	got := distributeRates(rates, targets, nearest, noPairClosed)
 	wantNear(t, "rate to the nearest zone", got[0][1]*4, 6)
-	got = distributed(rates, targets, nearest, func(from, to int) bool { return from == 0 && to == 1 })
+	got = distributeRates(rates, targets, nearest, func(from, to int) bool { return from == 0 && to == 1 })
 	wantNear(t, "rate over a closed zone pair", got[0][1], 0)
 	wantNear(t, "rate to the next nearest zone", got[0][5]*4, 6)
-	got = distributed(rates, targets, nearest, func(from, to int) bool { return true })
+	got = distributeRates(rates, targets, nearest, func(from, to int) bool { return true })
 	wantNear(t, "rate to the nearest zone with all zone pairs closed", got[0][1]*4, 6)
 }
 
 func TestDistributeAllocatesAllRequestsBeyondTheBands(t *testing.T) {
 	targets := []serverTarget{{0, 1, 0, 0.5}, {0, 3, 0, 0.5}}
-	got := distributed([]float64{8}, targets, [][]int{{}}, noPairClosed)
+	got := distributeRates([]float64{8}, targets, [][]int{{}}, noPairClosed)
 	wantNear(t, "rate of the first server", got[0][0], 2)
 	wantNear(t, "rate of the second server", got[0][1], 6)
 }
@@ -61,8 +61,8 @@
 	m := newTestManager(300)
 	m.redistribute()
 	for zone, table := range m.tables {
-		if len(table.target) != 300 {
-			t.Errorf("table %d names %d servers, want all 300 equal servers", zone, len(table.target))
+		if len(table.targetShares) != 300 {
+			t.Errorf("table %d names %d servers, want all 300 equal servers", zone, len(table.targetShares))
 		}
 	}
 }
--- a/balancer/draining.go
+++ b/balancer/draining.go
@@ -6,8 +6,8 @@
 // An input that assigned a proxy withdraws no server, because Commands are carried out with withdrawals first and the
 // withdrawal would overtake the assignment.
 func (m *Manager) nextDrain() *server {
-	for _, s := range m.sets().leaving {
-		if m.commands.Assign == nil && m.fits(m.holders(s), 1, drainPriority) {
+	for _, s := range m.currentServerSets().leaving {
+		if m.commands.Assign == nil && m.fits(m.proxiesUsing(s), 1, drainPriority) {
 			return s
 		}
 	}
@@ -23,7 +23,7 @@
 // proxy a command and a message, whereas one assignment to a table without the leaving servers replaces all of these
 // withdrawals. Drains go first if the assignments would take longer than the drain grace.
 func (m *Manager) assignsBeforeDrains() bool {
-	return len(m.sets().leaving) > 0 &&
+	return len(m.currentServerSets().leaving) > 0 &&
 		m.cheapestAssignment() <= m.queueLimits[drainPriority] &&
 		m.allAssignmentsCost() <= m.drainGraceCommands
 }
@@ -33,7 +33,7 @@
 	s := m.nextDrain()
 	m.commands.Withdraw = append(m.commands.Withdraw, s.id)
 	m.setWithdrawn(s, true)
-	m.reserve(m.holders(s), 1)
+	m.reserve(m.proxiesUsing(s), 1)
 	m.checkEmptyTables()
 	if slices.ContainsFunc(s.tables, m.wouldOverloadWarmingServers) {
 		m.publication.urgent = true
@@ -60,9 +60,9 @@
 	if m.publication.emptyTable {
 		priority = drainPriority
 	}
-	for _, s := range m.sets().returning {
+	for _, s := range m.currentServerSets().returning {
 		mustWait := s.decreasePending || m.slowStartPaused(s) || s.ejected && m.anyUsable()
-		if !mustWait && m.fits(m.holders(s), 1, priority) {
+		if !mustWait && m.fits(m.proxiesUsing(s), 1, priority) {
 			return s
 		}
 	}
@@ -76,5 +76,5 @@
 	s := m.nextRestore()
 	m.commands.Restore = append(m.commands.Restore, s.id)
 	m.setWithdrawn(s, false)
-	m.reserve(m.holders(s), 1)
+	m.reserve(m.proxiesUsing(s), 1)
 }
--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -36,7 +36,7 @@
 	m := newTestManager(2)
 	m.servers[0].withdrawn = true
 	m.servers[0].state = Removed
-	delete(m.tables[0].published, "a0")
+	delete(m.tables[0].publishedWeights, "a0")
 	m.now = 4 * time.Second
 	m.slowStartPause = 0
 	for _, s := range m.servers[1:] {
@@ -98,11 +98,11 @@
 
 func TestServersAreWithdrawnInTheOrderTheyWereListedAsDraining(t *testing.T) {
 	m := newTestManager(4)
-	m.sendableSoon[drainPriority] = 0
+	m.sendTimeLimits[drainPriority] = 0
 	m.queueLimits[drainPriority] = 0
 	m.HandleEndpointList(time.Second, false, []Endpoint{{Server: "a3", Zone: "a", Weight: 1, State: Draining}})
 	m.HandleEndpointList(2*time.Second, false, []Endpoint{{Server: "a0", Zone: "a", Weight: 1, State: Draining}})
-	m.sendableSoon[drainPriority] = 6
+	m.sendTimeLimits[drainPriority] = 6
 	m.queueLimits[drainPriority] = 6
 	m.drainPending = true
 	if commands := m.HandleTimer(3 * time.Second); !slices.Equal(commands.Withdraw, []ServerID{"a3"}) {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -64,7 +64,7 @@
 	removed := m.server("a0")
 	m.setListedState(removed, Removed)
 	removed.withdrawn = true
-	m.tables[0].target = map[ServerID]float64{"a1": 0.5, "a2": 0.5}
+	m.tables[0].targetShares = map[ServerID]float64{"a1": 0.5, "a2": 0.5}
 	if changes := m.weightChanges(0); slices.ContainsFunc(changes, func(change tableChange) bool { return change.Server == "a0" }) {
 		t.Errorf("the weight of a removed server is removed at once: %v", changes)
 	}
@@ -78,8 +78,8 @@
 	if !m.KnowsServer("a0") {
 		t.Error("the state of a removed server is deleted while a table still names it")
 	}
-	delete(m.tables[0].published, "a0")
-	m.placementValid = false
+	delete(m.tables[0].publishedWeights, "a0")
+	m.tableIndexValid = false
 	m.tick()
 	if m.KnowsServer("a0") || !m.KnowsServer("a1") {
 		t.Error("the state of a removed server is kept, or the state of another one is deleted")
--- a/balancer/flow_control.go
+++ b/balancer/flow_control.go
@@ -97,15 +97,15 @@
 	return max(0, c.sentCommands-c.departed-m.assumedSendRate*(m.now-c.departedAt).Seconds())
 }
 
-// available returns the number of commands of a priority for which the channel has capacity.
-func (m *Manager) available(priority priority) float64 {
-	return max(0, min(m.sendableSoon[priority], m.queueLimits[priority])-m.queuedCommands())
+// availableCapacity returns the number of commands of a priority for which the channel has capacity.
+func (m *Manager) availableCapacity(priority priority) float64 {
+	return max(0, min(m.sendTimeLimits[priority], m.queueLimits[priority])-m.queuedCommands())
 }
 
 // fits reports whether the given number of commands for each proxy fits into the queue and into the proxies' message
 // limits.
 func (m *Manager) fits(proxies []*proxy, commands float64, priority priority) bool {
-	if !m.mayMessage(proxies, priority) {
+	if !m.withinMessageLimit(proxies, priority) {
 		return false
 	}
 	cost := 0.0
@@ -115,8 +115,8 @@
 			cost += m.messageCost()
 		}
 	}
-	// Commands that cost more than sendableSoon would never fit, so while nothing waits they may use up to queueLimits.
-	return cost <= m.available(priority) || cost <= m.queueLimits[priority] && m.queuedCommands() == 0
+	// Commands that cost more than sendTimeLimits would never fit, so while nothing waits they may use up to queueLimits.
+	return cost <= m.availableCapacity(priority) || cost <= m.queueLimits[priority] && m.queuedCommands() == 0
 }
 
 // messageCost returns the cost of a message in addition to its commands: its overhead and its barrier.
@@ -141,9 +141,9 @@
 	return len(p.messageTimes) > 0 && p.messageTimes[len(p.messageTimes)-1] == now
 }
 
-// mayMessage reports whether each of the proxies may get another command without exceeding its message limit. It also
+// withinMessageLimit reports whether each of the proxies may get another command without exceeding its message limit. It also
 // discards messageTimes outside messageWindow.
-func (m *Manager) mayMessage(proxies []*proxy, priority priority) bool {
+func (m *Manager) withinMessageLimit(proxies []*proxy, priority priority) bool {
 	limit := m.messageLimits[priority]
 	for _, p := range proxies {
 		p.messageTimes = slices.DeleteFunc(p.messageTimes, func(at time.Duration) bool { return m.now-at > m.messageWindow })
@@ -274,7 +274,7 @@
 	if n < len(c.Withdraw) || len(c.Withdraw) == 0 {
 		return true
 	}
-	return m.queuedCommands() <= resendWithDrainsShare*m.sendableSoon[normalPriority]
+	return m.queuedCommands() <= resendWithDrainsShare*m.sendTimeLimits[normalPriority]
 }
 
 // recipients returns the proxies that get the n-th command of c, counted in the order of the fields, and how many
@@ -306,7 +306,7 @@
 // proxiesUsingID returns the result of holders for a server id, or nil if the server is unknown.
 func (m *Manager) proxiesUsingID(id ServerID) []*proxy {
 	if s := m.server(id); s != nil {
-		return m.holders(s)
+		return m.proxiesUsing(s)
 	}
 	return nil
 }
@@ -317,11 +317,11 @@
 	if t.assignCost > 0 {
 		return t.assignCost
 	}
-	cost := 1 + len(t.published) + len(t.publishedLevels)
+	cost := 1 + len(t.publishedWeights) + len(t.publishedLevels)
 	if m.hasZoneLocalClasses() {
 		cost++ // the assignment to the zone-local part
 	}
-	for id := range t.published {
+	for id := range t.publishedWeights {
 		s := m.server(id)
 		if s == nil {
 			continue
@@ -341,27 +341,27 @@
 
 // cheapestAssignment returns the minimum cost of assigning an unassigned proxy, or infinity if none can be assigned.
 func (m *Manager) cheapestAssignment() float64 {
-	m.updatePlacement()
+	m.updateTableIndex()
 	if len(m.unassigned) == 0 {
 		return unlimited
 	}
-	if m.cheapestAssign == 0 {
-		m.cheapestAssign = unlimited
+	if m.cheapestAssignCost == 0 {
+		m.cheapestAssignCost = unlimited
 		for _, t := range m.tables {
-			if t.unassigned > 0 && m.assignable(t) {
-				m.cheapestAssign = min(m.cheapestAssign, m.assignmentCost(t))
+			if t.unassignedCount > 0 && m.assignable(t) {
+				m.cheapestAssignCost = min(m.cheapestAssignCost, m.assignmentCost(t))
 			}
 		}
 	}
-	return m.cheapestAssign + m.newMessageCost()
+	return m.cheapestAssignCost + m.newMessageCost()
 }
 
 // allAssignmentsCost returns the cost of assigning all unassigned proxies.
 func (m *Manager) allAssignmentsCost() float64 {
 	cost := 0.0
 	for _, t := range m.tables {
-		if t.unassigned > 0 {
-			cost += float64(t.unassigned) * (m.assignmentCost(t) + m.messageCost())
+		if t.unassignedCount > 0 {
+			cost += float64(t.unassignedCount) * (m.assignmentCost(t) + m.messageCost())
 		}
 	}
 	return cost
--- a/balancer/flow_control_test.go
+++ b/balancer/flow_control_test.go
@@ -40,7 +40,7 @@
 // Regression test: resent commands that were not counted overflowed the queue when the relay became reachable again.
 func TestResentCommandsCountAgainstTheQueue(t *testing.T) {
 	m := newTestManager(2)
-	m.sendableSoon[urgentPriority] = 15
+	m.sendTimeLimits[urgentPriority] = 15
 	m.queueLimits[urgentPriority] = 15
 	commands := Commands{Weights: []EndpointWeight{{0, "a0", 1}, {0, "a1", 2}, {1, "b0", 1}, {1, "b1", 1}}, Assign: []TableAssignment{{Proxy: 0}, {Proxy: 9}}}
 	n, barrier := m.Resend(time.Second, 0, false, commands)
@@ -52,7 +52,7 @@
 		t.Errorf("got %d commands under barrier %d while earlier ones may have been carried out, want none", n, barrier)
 	}
 	m = newTestManager(2)
-	m.sendableSoon[urgentPriority] = 15
+	m.sendTimeLimits[urgentPriority] = 15
 	m.queueLimits[urgentPriority] = 15
 	m.Resend(time.Second, 0, false, commands)
 	n, barrier = m.Resend(time.Second+2, 1, false, commands)
@@ -94,7 +94,7 @@
 	m := New(1, settings)
 	m.channel.pending = []pendingBatch{{commands: 990}}
 	for level, want := range []float64{10, 1010, 35010} {
-		wantNear(t, "available commands", m.available(priority(level)), want)
+		wantNear(t, "available commands", m.availableCapacity(priority(level)), want)
 	}
 	proxies := []*proxy{{}}
 	if m.fits(proxies, 1200, normalPriority) {
@@ -110,7 +110,7 @@
 // Commands that are resent must not wait for queue capacity that is still reserved for themselves.
 func TestWaitingCommandsAreNotReservedTwice(t *testing.T) {
 	m := newTestManager(2)
-	m.sendableSoon[urgentPriority] = 15
+	m.sendTimeLimits[urgentPriority] = 15
 	m.queueLimits[urgentPriority] = 15
 	commands := Commands{Weights: []EndpointWeight{{0, "a0", 1}, {1, "b0", 1}}}
 	m.reserve(m.proxies, 1) // reserved when they were decided; they were not sent
@@ -156,7 +156,7 @@
 		commands.Weights = append(commands.Weights, EndpointWeight{0, "a2", 1})
 	}
 	n, _ := m.Resend(m.now+1, 0, false, commands)
-	if limit := resendWithDrainsShare*m.sendableSoon[normalPriority] + 31; n < 3 || n == commands.Count() || m.queuedCommands() > limit {
+	if limit := resendWithDrainsShare*m.sendTimeLimits[normalPriority] + 31; n < 3 || n == commands.Count() || m.queuedCommands() > limit {
 		t.Errorf("got %d of %d commands with %v queued, want some after the withdrawals and at most %v queued", n, commands.Count(), m.queuedCommands(), limit)
 	}
 	withoutDrains := newTestManager(4)
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -71,7 +71,7 @@
 // checkServer sends a health check to a server that may serve.
 func (m *Manager) checkServer(s *server) {
 	if m.healthChecks && m.mayServe(s) {
-		s.checkedAt = m.now
+		s.checkSentAt = m.now
 		m.commands.HealthCheck = append(m.commands.HealthCheck, s.id)
 	}
 }
@@ -153,7 +153,7 @@
 		unresponsive := silence >= unresponsiveAfter && s.expectedRate*silence.Seconds() >= minUnansweredAttempts
 		removed := s.state == Removed && silence >= unresponsiveAfter
 		suspect := unresponsive || removed || s.ejected || s.health < restoredHealth
-		if suspect && m.now-s.checkedAt >= unresponsiveAfter {
+		if suspect && m.now-s.checkSentAt >= unresponsiveAfter {
 			m.checkServer(s)
 		}
 	}
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -50,7 +50,7 @@
 		s.ejected = true
 	}
 	m.redistribute()
-	if len(m.tables[0].target) == 0 || len(m.tables[1].target) == 0 {
+	if len(m.tables[0].targetShares) == 0 || len(m.tables[1].targetShares) == 0 {
 		t.Error("the table of a zone lost its last server")
 	}
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -27,9 +27,9 @@
 	for zone, name := range m.zones {
 		for i := range n {
 			id := ServerID(fmt.Sprint(name, i))
-			m.servers = append(m.servers, &server{id: id, zone: zone, partition: zone, weight: 1, health: 1, inFlight: -1, checkedAt: -time.Hour})
-			m.tables[zone].published[id] = 100
-			m.tables[zone].target[id] = 1 / float64(n)
+			m.servers = append(m.servers, &server{id: id, zone: zone, partition: zone, weight: 1, health: 1, inFlight: -1, checkSentAt: -time.Hour})
+			m.tables[zone].publishedWeights[id] = 100
+			m.tables[zone].targetShares[id] = 1 / float64(n)
 		}
 		usageSamples := [][]sample{{{0, 30, 1}}, {{0, 10, 1}}}
 		m.proxies = append(m.proxies, &proxy{id: ProxyID(zone), zone: zone, partition: zone, assigned: true, usage: usageSamples})
@@ -62,8 +62,8 @@
 	}
 }
 
-// distributed returns the rates that distribute allocates, by partition and part.
-func distributed(rates []float64, parts []serverTarget, nearest [][]int, closed func(from, to int) bool) [][]float64 {
+// distributeRates returns the rates that distribute allocates, by partition and part.
+func distributeRates(rates []float64, parts []serverTarget, nearest [][]int, closed func(from, to int) bool) [][]float64 {
 	shares := distribute(rates, parts, func(partition int) []int { return nearest[partition] }, closed)
 	all := make([][]float64, len(rates))
 	for partition := range rates {
@@ -110,7 +110,7 @@
 // newZoneLocalManager returns a test manager whose second traffic class is zone-local.
 func newZoneLocalManager(n int) *Manager {
 	m := newTestManager(n)
-	m.zoneLocal = 2
-	m.crossZone = 1
+	m.zoneLocalClasses = 2
+	m.crossZoneClasses = 1
 	return m
 }
--- a/balancer/indexes.go
+++ b/balancer/indexes.go
@@ -15,9 +15,9 @@
 	serverSetsValid bool
 	serverSets      serverSets
 
-	placementValid bool     // the proxies of each table and the tables of each server are up to date
-	unassigned     []*proxy // ordered by connection time
-	cheapestAssign float64  // cached minimum of assignmentCost over the tables that proxies wait for; 0: not computed
+	tableIndexValid    bool     // the proxies of each table and the tables of each server are up to date
+	unassigned         []*proxy // ordered by connection time
+	cheapestAssignCost float64  // cached minimum of assignmentCost over the tables that proxies wait for; 0: not computed
 }
 
 // serverSets are sets of servers, or their sizes, that conditions depend on.
@@ -28,8 +28,8 @@
 	withdrawnUnusable int       // number of withdrawn servers that may not serve
 }
 
-// sets returns the server sets, which it recomputes if they are out of date.
-func (m *Manager) sets() *serverSets {
+// currentServerSets returns the server currentServerSets, which it recomputes if they are out of date.
+func (m *Manager) currentServerSets() *serverSets {
 	if m.serverSetsValid {
 		return &m.serverSets
 	}
@@ -56,7 +56,7 @@
 }
 
 // anyWarmingUp reports whether some server that may serve is in its warm-up.
-func (m *Manager) anyWarmingUp() bool { return m.sets().warmingUp > 0 }
+func (m *Manager) anyWarmingUp() bool { return m.currentServerSets().warmingUp > 0 }
 
 // server returns the server with an id, or nil if it is unknown.
 func (m *Manager) server(id ServerID) *server {
@@ -82,7 +82,7 @@
 
 // deleteServers deletes the servers for which drop returns true.
 func (m *Manager) deleteServers(drop func(*server) bool) {
-	m.cheapestAssign = 0
+	m.cheapestAssignCost = 0
 	before := len(m.servers)
 	m.servers = slices.DeleteFunc(m.servers, drop)
 	if len(m.servers) < before {
@@ -93,23 +93,23 @@
 
 // setWithdrawn records that a server was withdrawn or restored.
 func (m *Manager) setWithdrawn(s *server, withdrawn bool) {
-	m.updatePlacement()
+	m.updateTableIndex()
 	s.withdrawn = withdrawn
 	m.serverSetsValid = false
-	m.cheapestAssign = 0
+	m.cheapestAssignCost = 0
 	for _, id := range s.tables {
 		m.tables[id].assignCost = 0
 	}
 }
 
-// updatePlacement recomputes the proxies of each table and the tables that name each server, if they are out of date.
-func (m *Manager) updatePlacement() {
-	if m.placementValid {
+// updateTableIndex recomputes the proxies of each table and the tables that name each server, if they are out of date.
+func (m *Manager) updateTableIndex() {
+	if m.tableIndexValid {
 		return
 	}
-	m.placementValid = true
+	m.tableIndexValid = true
 	m.unassigned = nil
-	m.cheapestAssign = 0
+	m.cheapestAssignCost = 0
 	for _, s := range m.servers {
 		s.tables = nil
 	}
@@ -117,7 +117,7 @@
 		t.proxies = nil
 		t.announcedRate = 0
 		t.assignCost = 0
-		t.unassigned = 0
+		t.unassignedCount = 0
 	}
 	m.indexTableServers()
 	m.indexTableProxies()
@@ -125,7 +125,7 @@
 
 func (m *Manager) indexTableServers() {
 	for i, t := range m.tables {
-		for id, weight := range t.published {
+		for id, weight := range t.publishedWeights {
 			if s := m.server(id); s != nil && weight != 0 {
 				s.tables = append(s.tables, TableID(i))
 			}
@@ -140,7 +140,7 @@
 		t.announcedRate += p.announcedRate
 		if !p.assigned {
 			m.unassigned = append(m.unassigned, p)
-			t.unassigned++
+			t.unassignedCount++
 		}
 	}
 	slices.SortFunc(m.unassigned, compareConnectTimes)
@@ -167,38 +167,38 @@
 
 // addProxy adds a proxy that is not yet assigned to a table.
 func (m *Manager) addProxy(p *proxy) {
-	m.updatePlacement()
+	m.updateTableIndex()
 	m.proxies = insertProxy(m.proxies, p, compareProxyIDs)
 	m.proxyByID[p.id] = p
 	t := m.tables[p.partition]
 	t.proxies = insertProxy(t.proxies, p, compareProxyIDs)
-	t.unassigned++
+	t.unassignedCount++
 	m.unassigned = insertProxy(m.unassigned, p, compareConnectTimes)
 	m.sumAnnouncedRates(t)
-	if m.cheapestAssign > 0 && m.assignable(t) {
-		m.cheapestAssign = min(m.cheapestAssign, m.assignmentCost(t))
+	if m.cheapestAssignCost > 0 && m.assignable(t) {
+		m.cheapestAssignCost = min(m.cheapestAssignCost, m.assignmentCost(t))
 	}
 }
 
 func (m *Manager) removeProxy(p *proxy) {
-	m.updatePlacement()
+	m.updateTableIndex()
 	m.proxies = deleteProxy(m.proxies, p, compareProxyIDs)
 	delete(m.proxyByID, p.id)
 	t := m.tables[p.partition]
 	t.proxies = deleteProxy(t.proxies, p, compareProxyIDs)
-	m.stopWaiting(p, t)
+	m.removeUnassigned(p, t)
 	m.sumAnnouncedRates(t)
 }
 
-// stopWaiting removes a proxy that is being assigned or has disconnected from the unassigned proxies.
-func (m *Manager) stopWaiting(p *proxy, t *table) {
+// removeUnassigned removes a proxy that is being assigned or has disconnected from the unassigned proxies.
+func (m *Manager) removeUnassigned(p *proxy, t *table) {
 	if p.assigned {
 		return
 	}
 	m.unassigned = deleteProxy(m.unassigned, p, compareConnectTimes)
-	t.unassigned--
-	if t.unassigned == 0 {
-		m.cheapestAssign = 0
+	t.unassignedCount--
+	if t.unassignedCount == 0 {
+		m.cheapestAssignCost = 0
 	}
 	if len(m.unassigned) == 0 {
 		m.drainPending = true
@@ -219,14 +219,14 @@
 
 // isPublished reports whether some table names a server.
 func (m *Manager) isPublished(s *server) bool {
-	m.updatePlacement()
+	m.updateTableIndex()
 	return len(s.tables) > 0
 }
 
-// holders returns the proxies whose table names a server, and all unassigned proxies, since they may still use any
+// proxiesUsing returns the proxies whose table names a server, and all unassigned proxies, since they may still use any
 // table. They are ordered by number, unless no table names the server: then they are ordered by connection time.
-func (m *Manager) holders(s *server) []*proxy {
-	m.updatePlacement()
+func (m *Manager) proxiesUsing(s *server) []*proxy {
+	m.updateTableIndex()
 	proxies := slices.Clone(m.unassigned)
 	if len(s.tables) == 0 {
 		return proxies
@@ -240,7 +240,7 @@
 
 // tableProxies returns the proxies that use, or may still use, a table, ordered by number.
 func (m *Manager) tableProxies(id TableID) []*proxy {
-	m.updatePlacement()
+	m.updateTableIndex()
 	var proxies []*proxy
 	for _, p := range m.tables[id].proxies {
 		if p.assigned || p.mayHoldTable {
@@ -258,11 +258,11 @@
 			servers = append(servers, s)
 		}
 	}
-	for id := range t.published {
+	for id := range t.publishedWeights {
 		add(id)
 	}
-	for id := range t.target {
-		if _, published := t.published[id]; !published {
+	for id := range t.targetShares {
+		if _, published := t.publishedWeights[id]; !published {
 			add(id)
 		}
 	}
--- a/balancer/inputs.go
+++ b/balancer/inputs.go
@@ -26,7 +26,7 @@
 	m.publication.listChanged = true
 	m.redistribution = endpointsChanged
 	m.serverSetsValid = false
-	if len(m.unassigned) > 0 && len(m.sets().leaving) > 0 {
+	if len(m.unassigned) > 0 && len(m.currentServerSets().leaving) > 0 {
 		m.publication.urgent = true
 		m.endDistributionWait()
 	}
@@ -131,7 +131,7 @@
 		m.removeProxy(previous)
 	}
 	m.addProxy(p)
-	m.connectedTable = m.tables[p.partition]
+	m.newProxyTable = m.tables[p.partition]
 	return m.decide()
 }
 
--- a/balancer/manager.go
+++ b/balancer/manager.go
@@ -42,19 +42,19 @@
 	subscribeAfter time.Duration // earliest time of the next subscription
 	listReceived   bool          // at least one endpoint list has arrived
 
-	redistribution   redistributionReason
-	distributedRates []float64 // requests per second by table, from the last distribution
-	warmingShare     float64   // share of all requests that the last distribution gave to servers in their warm-up
-	publication      publication
-	pinned           *pinnedTables // nil if the tables are not pinned
+	redistribution    redistributionReason
+	distributedRates  []float64 // requests per second by table, from the last distribution
+	fleetWarmingShare float64   // share of all requests that the last distribution gave to servers in their warm-up
+	publication       publication
+	pinned            *pinnedTables // nil if the tables are not pinned
 
-	drainPending   bool            // some server may have to be withdrawn
-	connectedTable *table          // table of a proxy that has just connected; nil: none
-	suspectedZone  int             // zone with a suspected outage; noZone: none
-	zoneCheckedAt  []time.Duration // by zone, when all of its servers were last checked
+	drainPending  bool            // some server may have to be withdrawn
+	newProxyTable *table          // table of a proxy that has just connected; nil: none
+	suspectedZone int             // zone with a suspected outage; noZone: none
+	zoneCheckedAt []time.Duration // by zone, when all of its servers were last checked
 
 	admission      admissionControl
-	checkTimes     []sample // durations of the last health checks in seconds
+	checkDurations []sample // durations of the last health checks in seconds
 	slowStartPause float64  // warm-up progress below which servers get no requests
 
 	channel channel
--- a/balancer/parameters.go
+++ b/balancer/parameters.go
@@ -12,8 +12,8 @@
 	classesByPriority []ClassID // by descending priority weight
 	defaultRetry      RetryPolicy
 	retryPolicies     []RetryPolicy // by traffic class
-	zoneLocal         uint          // bit mask of the zone-local classes
-	crossZone         uint          // bit mask of the other classes
+	zoneLocalClasses  uint          // bit mask of the zone-local classes
+	crossZoneClasses  uint          // bit mask of the other classes
 	admissionUnit     AdmissionUnit
 
 	warmUpStart    float64 // share of its target that a server gets at the start of its warm-up
@@ -21,7 +21,7 @@
 
 	messageOverhead    float64                // cost of a message in addition to its commands, as a number of commands
 	queueLimits        [priorityCount]float64 // commands that may wait in the channel, so that it does not overflow
-	sendableSoon       [priorityCount]float64 // commands that may wait in the channel, so that they are sent in time
+	sendTimeLimits     [priorityCount]float64 // commands that may wait in the channel, so that they are sent in time
 	assumedSendRate    float64                // commands per second that the channel is assumed to send until barriers are acknowledged
 	drainGraceCommands float64                // commands that the channel sends within the grace of a drain
 	messageLimits      [priorityCount]int     // messages to one proxy within messageWindow; 0: no limit
@@ -68,9 +68,9 @@
 		p.classesByPriority = append(p.classesByPriority, id)
 		p.retryPolicies = append(p.retryPolicies, retryPolicyFor(s.DefaultRetryPolicy, class))
 		if class.ZoneLocal {
-			p.zoneLocal |= id.mask()
+			p.zoneLocalClasses |= id.mask()
 		} else {
-			p.crossZone |= id.mask()
+			p.crossZoneClasses |= id.mask()
 		}
 	}
 	slices.SortStableFunc(p.classesByPriority, func(a, b ClassID) int {
@@ -90,7 +90,7 @@
 		urgentPriority: queueShareUrgent * s.QueueCapacity,
 		drainPriority:  queueShareDrain * s.QueueCapacity,
 	}
-	p.sendableSoon = [priorityCount]float64{
+	p.sendTimeLimits = [priorityCount]float64{
 		normalPriority: sendSecondsNormal * s.CommandsPerSecond,
 		urgentPriority: sendSecondsUrgent * s.CommandsPerSecond,
 		drainPriority:  p.queueLimits[drainPriority],
@@ -108,7 +108,7 @@
 func (id ClassID) mask() uint { return 1 << id }
 
 // isZoneLocalClass reports whether requests of a class go only to servers in their proxy's zone.
-func (p *parameters) isZoneLocalClass(id ClassID) bool { return p.zoneLocal&id.mask() != 0 }
+func (p *parameters) isZoneLocalClass(id ClassID) bool { return p.zoneLocalClasses&id.mask() != 0 }
 
 // hasZoneLocalClasses reports whether there are zone-local classes.
-func (p *parameters) hasZoneLocalClasses() bool { return p.zoneLocal != 0 }
+func (p *parameters) hasZoneLocalClasses() bool { return p.zoneLocalClasses != 0 }
--- a/balancer/partitioning.go
+++ b/balancer/partitioning.go
@@ -52,7 +52,7 @@
 
 // partitionForProxy returns the partition of a zone whose proxies announced the lowest total request rate.
 func (m *Manager) partitionForProxy(zone int) int {
-	m.updatePlacement()
+	m.updateTableIndex()
 	smallest := zone * m.partitionsPerZone
 	for partition := smallest; partition < (zone+1)*m.partitionsPerZone; partition++ {
 		if m.tables[partition].announcedRate < m.tables[smallest].announcedRate {
@@ -80,7 +80,7 @@
 		m.zoneIndex(zone)
 	}
 	m.addTables()
-	m.placementValid = true
+	m.tableIndexValid = true
 	sizes := make([]float64, len(m.tables))
 	for _, s := range m.servers {
 		s.partition = m.smallestPartition(s.zone, sizes)
@@ -94,13 +94,13 @@
 		t := m.tables[p.partition]
 		t.proxies = append(t.proxies, p)
 		if !p.assigned {
-			t.unassigned++
+			t.unassignedCount++
 		}
 	}
 	for partition, t := range m.tables {
 		t.announcedRate = sizes[partition]
 	}
-	m.placementValid = len(m.proxies) > 0
+	m.tableIndexValid = len(m.proxies) > 0
 }
 
 // nearestPartitions returns a function that orders the other partitions by distance from a given one: first those of
--- a/balancer/pinning.go
+++ b/balancer/pinning.go
@@ -35,16 +35,16 @@
 	m.now = now
 	for i, t := range m.tables {
 		id := TableID(i)
-		clear(t.published)
+		clear(t.publishedWeights)
 		clear(t.publishedLevels)
-		maps.Copy(t.published, weights[id])
+		maps.Copy(t.publishedWeights, weights[id])
 		maps.Copy(t.publishedLevels, levels[id])
 		maps.Copy(t.publishedLevels, levels[ZoneLocalTables+id])
 	}
 	for _, s := range m.servers {
 		s.withdrawn = withdrawn(s.id)
 	}
-	m.placementValid = false
+	m.tableIndexValid = false
 	m.serverSetsValid = false
 	m.drainPending = true
 	m.redistribution = tablesReset
@@ -78,9 +78,9 @@
 	if t.pinnedWeight == 0 {
 		return
 	}
-	clear(t.target)
+	clear(t.targetShares)
 	for id, weight := range weights {
-		t.target[id] = weight / usable
+		t.targetShares[id] = weight / usable
 	}
 }
 
--- a/balancer/pinning_test.go
+++ b/balancer/pinning_test.go
@@ -13,7 +13,7 @@
 	if len(commands.Weights) != 3 || len(commands.AdmissionLevels) != 1 || commands.AdmissionLevels[0].Amount != 0.5 {
 		t.Fatalf("got commands %+v, want three weights and one admission level of 0.5", commands)
 	}
-	if weights := m.tables[0].published; weights["a0"] != 10 || weights["a1"] != 20.5 || weights["a2"] != 30 {
+	if weights := m.tables[0].publishedWeights; weights["a0"] != 10 || weights["a1"] != 20.5 || weights["a2"] != 30 {
 		t.Errorf("got published weights %v, want the pinned weights 10, 20.5 and 30", weights)
 	}
 	m.servers[1].health = 0.1
@@ -52,10 +52,10 @@
 	m := newTestManager(2)
 	m.now = time.Second
 	m.HandleTablesReset(m.now, map[TableID]map[ServerID]float64{0: {"a0": 7}}, nil, func(s ServerID) bool { return s == "a1" })
-	if m.tables[0].published["a0"] != 7 || len(m.tables[1].published) != 0 || !m.servers[1].withdrawn || m.servers[0].withdrawn {
-		t.Errorf("got published weights %v and %v, or wrong withdrawn servers", m.tables[0].published, m.tables[1].published)
+	if m.tables[0].publishedWeights["a0"] != 7 || len(m.tables[1].publishedWeights) != 0 || !m.servers[1].withdrawn || m.servers[0].withdrawn {
+		t.Errorf("got published weights %v and %v, or wrong withdrawn servers", m.tables[0].publishedWeights, m.tables[1].publishedWeights)
 	}
-	if got := m.holders(m.servers[0]); len(got) != 1 || got[0].id != 0 {
+	if got := m.proxiesUsing(m.servers[0]); len(got) != 1 || got[0].id != 0 {
 		t.Errorf("got %d tables that name a0, want only table 0", len(got))
 	}
 }
@@ -74,10 +74,10 @@
 	m.servers[0].withdrawn = false
 	m.servers[0].warmingUp = true
 	m.servers[0].warmUpFrom = m.now
-	m.placementValid = false
+	m.tableIndexValid = false
 	m.serverSetsValid = false
 	m.redistribute()
-	if share := m.tables[0].target["a0"]; share > 0.2 || len(m.tables[0].target) < 2 {
-		t.Errorf("the share of a warming server is %.2f, want at most 0.2; target of its table: %v", share, m.tables[0].target)
+	if share := m.tables[0].targetShares["a0"]; share > 0.2 || len(m.tables[0].targetShares) < 2 {
+		t.Errorf("the share of a warming server is %.2f, want at most 0.2; target of its table: %v", share, m.tables[0].targetShares)
 	}
 }
--- a/balancer/publishing.go
+++ b/balancer/publishing.go
@@ -97,7 +97,7 @@
 	if !p.due || !m.partitioned || p.blockedAt == m.now {
 		return false
 	}
-	return p.blockedProxies == 0 || m.singleCommandCost(p.blockedProxies) <= m.available(drainPriority)
+	return p.blockedProxies == 0 || m.singleCommandCost(p.blockedProxies) <= m.availableCapacity(drainPriority)
 }
 
 // publish sends the changes of all tables as far as the channel has room: first the changes that restore an invariant,
@@ -196,7 +196,7 @@
 		round.changes = append(round.changes, deferredChange)
 	case premature || !m.reserveChange(round, change.Table, commands, priority):
 		round.incomplete = true
-		s.decreasePending = s.decreasePending || change.Weight < t.published[s.id]
+		s.decreasePending = s.decreasePending || change.Weight < t.publishedWeights[s.id]
 	default:
 		m.recordWeight(change.EndpointWeight, s, t)
 	}
@@ -207,8 +207,8 @@
 func (m *Manager) isPremature(t *table, s *server, weight float64) bool {
 	others := m.otherUsableWeight(t, s)
 	emptiesTable := weight == 0 && !s.withdrawn && (others == 0 || m.isLastZoneLocal(t, s))
-	raised := weight > t.published[s.id]
-	overloads := s.warmingUp && raised && weight > maxWarmingShareIncrease*t.target[s.id]*(others+weight)
+	raised := weight > t.publishedWeights[s.id]
+	overloads := s.warmingUp && raised && weight > maxWarmingShareIncrease*t.targetShares[s.id]*(others+weight)
 	return emptiesTable || overloads
 }
 
@@ -225,7 +225,7 @@
 		return false
 	}
 	round.blocked = true
-	round.messageLimited = round.messageLimited || !m.mayMessage(proxies, priority)
+	round.messageLimited = round.messageLimited || !m.withinMessageLimit(proxies, priority)
 	if round.messageLimited {
 		m.publication.blockedProxies = 0
 	} else {
@@ -238,7 +238,7 @@
 // table: a table without target weights stays as it is.
 func (m *Manager) weightChanges(id TableID) []tableChange {
 	t := m.tables[id]
-	if len(t.target) == 0 {
+	if len(t.targetShares) == 0 {
 		return nil
 	}
 	var changes []tableChange
@@ -248,8 +248,8 @@
 		if s.withdrawn && !m.mayServe(s) && !m.removalExpired(s) {
 			continue // the weight of a withdrawn server has no effect
 		}
-		published := t.published[s.id]
-		weight := math.Round(t.target[s.id]*scale*weightSteps) / weightSteps
+		published := t.publishedWeights[s.id]
+		weight := math.Round(t.targetShares[s.id]*scale*weightSteps) / weightSteps
 		if m.hasZoneLocalClasses() && s.ejected && weight > published && m.anyUsable() {
 			continue // an ejected server kept by keepZoneLocalServers gets no more than its published weight
 		}
@@ -296,10 +296,10 @@
 // recordWeight adds the commands that set a server's weight in a table and, for a server of the table's zone, in the
 // table's zone-local part.
 func (m *Manager) recordWeight(weight EndpointWeight, s *server, t *table) {
-	m.updatePlacement()
+	m.updateTableIndex()
 	m.commands.Weights = append(m.commands.Weights, weight)
 	t.assignCost = 0
-	m.cheapestAssign = 0
+	m.cheapestAssignCost = 0
 	if m.isZoneLocal(weight.Table, s) {
 		local := EndpointWeight{ZoneLocalTables + weight.Table, weight.Server, weight.Weight}
 		m.commands.Weights = append(m.commands.Weights, local)
@@ -309,9 +309,9 @@
 		s.lastSeen = m.now
 		s.tables = slices.Insert(s.tables, i, weight.Table)
 	}
-	t.published[s.id] = weight.Weight
+	t.publishedWeights[s.id] = weight.Weight
 	if weight.Weight == 0 {
-		delete(t.published, s.id)
+		delete(t.publishedWeights, s.id)
 		s.tables = slices.Delete(s.tables, i, i+1)
 	}
 }
@@ -320,8 +320,8 @@
 func (m *Manager) recordLevel(t *table, level AdmissionLevel) {
 	t.publishedLevels[level.Classes] = level
 	t.assignCost = 0
-	m.cheapestAssign = 0
-	if level.Classes&m.zoneLocal != 0 {
+	m.cheapestAssignCost = 0
+	if level.Classes&m.zoneLocalClasses != 0 {
 		level.Table += ZoneLocalTables
 	}
 	m.commands.AdmissionLevels = append(m.commands.AdmissionLevels, level)
@@ -334,9 +334,9 @@
 		return t.pinnedWeight
 	}
 	var scales []float64
-	for id, share := range t.target {
-		if t.published[id] > 0 {
-			scales = append(scales, t.published[id]/share)
+	for id, share := range t.targetShares {
+		if t.publishedWeights[id] > 0 {
+			scales = append(scales, t.publishedWeights[id]/share)
 		}
 	}
 	return cmp.Or(median(scales), defaultWeightScale)
--- a/balancer/publishing_test.go
+++ b/balancer/publishing_test.go
@@ -16,7 +16,7 @@
 
 func TestWeightChangesNeverEmptyATable(t *testing.T) {
 	m := newTestManager(2)
-	clear(m.tables[0].target)
+	clear(m.tables[0].targetShares)
 	if got := m.weightChanges(0); len(got) != 0 {
 		t.Errorf("changes %v of a table without targets, want none", got)
 	}
@@ -24,7 +24,7 @@
 
 func TestOnlyWeightsBeyondTheToleranceArePublished(t *testing.T) {
 	m := newTestManager(3)
-	m.tables[0].target = map[ServerID]float64{"a0": 0.34, "a1": 0.33, "a2": 0.1}
+	m.tables[0].targetShares = map[ServerID]float64{"a0": 0.34, "a1": 0.33, "a2": 0.1}
 	if got := m.weightChanges(0); len(got) != 1 || got[0].Server != "a2" || got[0].rate < 8 {
 		t.Errorf("changes %v, want one of a2 that moves at least 8 requests/s", got)
 	}
@@ -32,12 +32,12 @@
 
 func TestLargestChangesArePublishedIfNotAllFit(t *testing.T) {
 	m := newTestManager(12)
-	m.sendableSoon[normalPriority] = 7
+	m.sendTimeLimits[normalPriority] = 7
 	m.queueLimits[normalPriority] = 7
 	for _, s := range m.servers[:3] {
-		m.tables[0].target[s.id] *= 0.8
+		m.tables[0].targetShares[s.id] *= 0.8
 	}
-	m.tables[0].target["a7"] *= 1.5
+	m.tables[0].targetShares["a7"] *= 1.5
 	m.publish()
 	if len(m.commands.Weights) != 2 || m.commands.Weights[0].Server != "a7" || m.redistribution != changesUnpublished {
 		t.Errorf("weights %v, want 2 beginning with a7; redistribution reason %v, want changesUnpublished",
@@ -55,10 +55,10 @@
 	m.servers[0].warmingUp = true
 	m.servers[1].withdrawn = true
 	m.servers[2].withdrawn = true
-	m.tables[0].published = map[ServerID]float64{"a1": 100, "a2": 100, "b0": 1}
-	m.tables[0].target = map[ServerID]float64{"a0": 0.1, "b0": 0.45, "b1": 0.45}
+	m.tables[0].publishedWeights = map[ServerID]float64{"a1": 100, "a2": 100, "b0": 1}
+	m.tables[0].targetShares = map[ServerID]float64{"a0": 0.1, "b0": 0.45, "b1": 0.45}
 	m.now = time.Second
-	m.sendableSoon[normalPriority] = 7
+	m.sendTimeLimits[normalPriority] = 7
 	m.publish()
 	for _, weight := range m.commands.Weights {
 		if weight.Server == "a0" {
@@ -80,9 +80,9 @@
 		m.tables[table].publishedLevels[2] = AdmissionLevel{TableID(table), 2, 1, NoRetry}
 	}
 	for _, s := range m.servers[12:15] {
-		m.tables[1].target[s.id] *= 1.5
+		m.tables[1].targetShares[s.id] *= 1.5
 	}
-	m.sendableSoon[normalPriority] = 10
+	m.sendTimeLimits[normalPriority] = 10
 	m.queueLimits[normalPriority] = 10 // room for one message of up to five commands
 	m.publish()
 	if len(m.commands.Weights) != 3 || m.commands.Weights[0].Table != 1 ||
@@ -94,11 +94,11 @@
 // An urgent change in one table must not make the ordinary changes of all tables urgent, which would fill the queue.
 func TestOnlyInvariantChangesAreUrgent(t *testing.T) {
 	m := newTestManager(2)
-	clear(m.tables[0].published)
-	m.tables[1].target = map[ServerID]float64{"b0": 0.9, "b1": 0.1}
+	clear(m.tables[0].publishedWeights)
+	m.tables[1].targetShares = map[ServerID]float64{"b0": 0.9, "b1": 0.1}
 	m.now = time.Second
 	m.publication.urgent = true
-	m.sendableSoon[normalPriority] = 0
+	m.sendTimeLimits[normalPriority] = 0
 	m.publish()
 	for _, weight := range m.commands.Weights {
 		if weight.Table != 0 {
@@ -114,9 +114,9 @@
 // A table must not lose its last endpoint while the replacement waits for room in the channel.
 func TestLastEndpointIsRemovedAfterItsReplacement(t *testing.T) {
 	m := newTestManager(2)
-	m.tables[0].published = map[ServerID]float64{"a0": 100}
-	m.tables[0].target = map[ServerID]float64{"a1": 1}
-	m.sendableSoon[normalPriority] = 6
+	m.tables[0].publishedWeights = map[ServerID]float64{"a0": 100}
+	m.tables[0].targetShares = map[ServerID]float64{"a1": 1}
+	m.sendTimeLimits[normalPriority] = 6
 	m.queueLimits[normalPriority] = 6
 	m.now = time.Second
 	m.publish()
@@ -124,7 +124,7 @@
 		t.Errorf("with room for one change: weights %v, want only a1 = 100", weights)
 	}
 	m.commands = Commands{}
-	m.sendableSoon[normalPriority] = 100
+	m.sendTimeLimits[normalPriority] = 100
 	m.queueLimits[normalPriority] = 100
 	m.publish()
 	if weights := m.commands.Weights; len(weights) != 1 || weights[0] != (EndpointWeight{0, "a0", 0}) {
@@ -136,11 +136,11 @@
 func TestBlockedPublicationWaitsUntilItsSmallestChangeFits(t *testing.T) {
 	m := newTestManager(2)
 	m.now = time.Second
-	m.sendableSoon[drainPriority] = 3
+	m.sendTimeLimits[drainPriority] = 3
 	m.queueLimits[drainPriority] = 3
 	m.publication.urgent = true
-	m.tables[0].target = map[ServerID]float64{"a0": 0.9, "a1": 0.1}
-	clear(m.tables[0].published)
+	m.tables[0].targetShares = map[ServerID]float64{"a0": 0.9, "a1": 0.1}
+	clear(m.tables[0].publishedWeights)
 	m.publish()
 	if len(m.commands.Weights) > 0 || !m.publication.due {
 		t.Fatalf("publication without room: weights %v, want none; due %v, want true", m.commands.Weights, m.publication.due)
@@ -149,12 +149,12 @@
 	if m.publishReady() {
 		t.Error("the publication is tried again without room")
 	}
-	m.sendableSoon[drainPriority] = 6
+	m.sendTimeLimits[drainPriority] = 6
 	m.queueLimits[drainPriority] = 6
 	if !m.publishReady() {
 		t.Error("the publication waits although its smallest change fits")
 	}
-	m.sendableSoon[drainPriority] = 3
+	m.sendTimeLimits[drainPriority] = 3
 	m.queueLimits[drainPriority] = 3
 	m.tick()
 	if !m.publishReady() {
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -10,7 +10,7 @@
 	m.servers[0].warmingUp = true
 	m.redistribution = warmUpAdvanced
 	m.redistribute()
-	if ratio := m.tables[0].target["a0"] / m.tables[0].target["a1"]; ratio <= 0 || ratio >= testSettings.ColdCapacity {
+	if ratio := m.tables[0].targetShares["a0"] / m.tables[0].targetShares["a1"]; ratio <= 0 || ratio >= testSettings.ColdCapacity {
 		t.Errorf("a warming server gets %.2f of the weight of its peer, want more than 0 and less than its cold capacity", ratio)
 	}
 }
@@ -25,7 +25,7 @@
 	m.redistribute()
 	rate := 0.0
 	for partition := range m.tables {
-		rate += m.tables[partition].target["a0"] * m.distributedRates[partition]
+		rate += m.tables[partition].targetShares["a0"] * m.distributedRates[partition]
 	}
 	if rate > 80.0/6+1e-6 {
 		t.Errorf("a warming server, one of six, gets %.1f of 80 requests per second", rate)
@@ -41,8 +41,8 @@
 	m.now = 3 * time.Second
 	m.updateSlowStart()
 	m.redistribute()
-	if m.slowStartPause != 1 || m.tables[0].target["a0"] != 0 {
-		t.Errorf("slow start is not paused, or a0 has a target: %v", m.tables[0].target)
+	if m.slowStartPause != 1 || m.tables[0].targetShares["a0"] != 0 {
+		t.Errorf("slow start is not paused, or a0 has a target: %v", m.tables[0].targetShares)
 	}
 }
 
@@ -69,10 +69,10 @@
 	m.servers[0].warmingUp = true
 	m.servers[0].warmUpFrom = -4 * time.Second
 	m.redistribute()
-	open := m.tables[0].target["a0"]
+	open := m.tables[0].targetShares["a0"]
 	m.admission.limit = 20
 	m.redistribute()
-	wantNear(t, "share of a0 in its table under a limit", m.tables[0].target["a0"], open)
+	wantNear(t, "share of a0 in its table under a limit", m.tables[0].targetShares["a0"], open)
 }
 
 // Until the next tick, warming servers must not get the requests of all the servers that start to drain.
@@ -82,19 +82,19 @@
 	cold.warmingUp = true
 	cold.warmUpFrom = 0
 	cold.listedStart = 0
-	table.target = map[ServerID]float64{"a0": 0.04, "a1": 0.32, "a2": 0.32, "a3": 0.32}
-	table.published = map[ServerID]float64{"a0": 12.5, "a1": 100, "a2": 100, "a3": 100}
+	table.targetShares = map[ServerID]float64{"a0": 0.04, "a1": 0.32, "a2": 0.32, "a3": 0.32}
+	table.publishedWeights = map[ServerID]float64{"a0": 12.5, "a1": 100, "a2": 100, "a3": 100}
 	m.listReceived = true
 	commands := m.HandleEndpointList(time.Second, false, []Endpoint{{Server: "a1", Zone: "a", State: Draining}, {Server: "a2", Zone: "a", State: Draining}, {Server: "a3", Zone: "a", State: Draining}})
 	total := 0.0
-	for id, weight := range table.published {
+	for id, weight := range table.publishedWeights {
 		if !m.server(id).withdrawn {
 			total += weight
 		}
 	}
-	if len(commands.Withdraw) != 3 || table.published["a0"] > 0.2*total {
+	if len(commands.Withdraw) != 3 || table.publishedWeights["a0"] > 0.2*total {
 		t.Errorf("withdrawn %v, want three servers; the warming server gets %.2f of the table, want at most 0.2",
-			commands.Withdraw, table.published["a0"]/total)
+			commands.Withdraw, table.publishedWeights["a0"]/total)
 	}
 }
 
@@ -110,7 +110,7 @@
 		m.redistribute()
 		rate, progress := 0.0, m.warmUpProgress(m.servers[0])
 		for partition, table := range m.tables {
-			rate += table.target["a0"] * m.distributedRates[partition]
+			rate += table.targetShares["a0"] * m.distributedRates[partition]
 		}
 		wantNear(t, "requests per second of a warming server", rate, progress*80/max(2+6*progress, 8/maxWarmingShareFactor))
 	}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -19,7 +19,7 @@
 	id        ServerID
 	zone      int
 	partition int       // table number of the server's partition
-	tables    []TableID // tables that name the server, maintained by updatePlacement
+	tables    []TableID // tables that name the server, maintained by updateTableIndex
 	weight    float64   // from the endpoint list
 
 	state        ServerState
@@ -41,7 +41,7 @@
 
 	lastSeen     time.Duration // last sign of life
 	ejected      bool          // excluded from the distribution until it passes a health check
-	checkedAt    time.Duration // when the last health check was sent
+	checkSentAt  time.Duration // when the last health check was sent
 	checkEndedAt time.Duration // when the result of the last health check arrived
 	unreachable  bool          // the last health check could not connect
 }
@@ -85,16 +85,16 @@
 // table is the endpoint table of one partition. If there are zone-local traffic classes, it has a zone-local part,
 // which names only the servers of its zone.
 type table struct {
-	id              TableID
-	target          map[ServerID]float64 // share of the requests from the last distribution
-	published       map[ServerID]float64 // published weights
-	publishedLevels map[uint]AdmissionLevel
-	pinnedWeight    float64 // total weight of the endpoints of a pinned table; 0: not pinned
-	assignCost      float64 // cached number of commands needed to put a proxy on the table; 0: not computed
+	id               TableID
+	targetShares     map[ServerID]float64 // share of the requests from the last distribution
+	publishedWeights map[ServerID]float64 // published weights
+	publishedLevels  map[uint]AdmissionLevel
+	pinnedWeight     float64 // total weight of the endpoints of a pinned table; 0: not pinned
+	assignCost       float64 // cached number of commands needed to put a proxy on the table; 0: not computed
 
 	proxies            []*proxy // proxies of the partition, assigned or not, ordered by number
 	announcedRate      float64  // requests per second that these proxies announced
-	unassigned         int      // number of proxies waiting to be put on the table
+	unassignedCount    int      // number of proxies waiting to be put on the table
 	awaitsDistribution bool     // these proxies wait for the next distribution
 }
 
@@ -111,7 +111,7 @@
 		inFlight:     inFlightUnknown,
 		health:       1,
 		lastSeen:     m.now,
-		checkedAt:    -unresponsiveAfter,
+		checkSentAt:  -unresponsiveAfter,
 		checkEndedAt: longAgo,
 	}
 	i, _ := slices.BinarySearchFunc(m.servers, s.id, (*server).compareID)
@@ -139,10 +139,10 @@
 func (m *Manager) addTables() {
 	for len(m.tables) < len(m.zones)*m.partitionsPerZone {
 		m.tables = append(m.tables, &table{
-			id:              TableID(len(m.tables)),
-			target:          map[ServerID]float64{},
-			published:       map[ServerID]float64{},
-			publishedLevels: map[uint]AdmissionLevel{},
+			id:               TableID(len(m.tables)),
+			targetShares:     map[ServerID]float64{},
+			publishedWeights: map[ServerID]float64{},
+			publishedLevels:  map[uint]AdmissionLevel{},
 		})
 	}
 }
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -10,8 +10,8 @@
 // This file computes statistics from the stored load reports and health checks; it makes no decisions.
 
 const (
-	// minInterval is the minimum number of seconds by which a count is divided to get a rate.
-	minInterval = 0.1
+	// minIntervalSeconds is the minimum number of seconds by which a count is divided to get a rate.
+	minIntervalSeconds = 0.1
 	// minServerWeight and minRate replace a listed weight, or a rate in requests per second, of 0.
 	minServerWeight = 1e-6
 	minRate         = 1e-3
@@ -86,8 +86,8 @@
 	return s.inFlight * m.ownProxyShare() / max(m.attemptRate(s), minInFlightRate)
 }
 
-// inFlightTimes returns the inFlightLatency of each server with an attempt rate above minAttemptRate.
-func (m *Manager) inFlightTimes(minAttemptRate float64) []float64 {
+// inFlightLatencies returns the inFlightLatency of each server with an attempt rate above minAttemptRate.
+func (m *Manager) inFlightLatencies(minAttemptRate float64) []float64 {
 	var latencies []float64
 	for _, s := range m.servers {
 		if latency := m.inFlightLatency(s); latency >= 0 && m.attemptRate(s) > minAttemptRate {
@@ -115,17 +115,17 @@
 				seconds += report.Interval.Seconds()
 			}
 		}
-		total += attempts / max(seconds, minInterval)
+		total += attempts / max(seconds, minIntervalSeconds)
 	}
 	return total
 }
 
-// successRate returns the successful attempts per second at a server, from the newest report of each zone.
-func (m *Manager) successRate(s *server) float64 {
+// successesPerSecond returns the successful attempts per second at a server, from the newest report of each zone.
+func (m *Manager) successesPerSecond(s *server) float64 {
 	total := 0.0
 	for _, zone := range m.zones {
 		if report := m.latestReport(s, zone); report != nil {
-			total += float64(report.Attempts-report.Failed) / max(report.Interval.Seconds(), minInterval)
+			total += float64(report.Attempts-report.Failed) / max(report.Interval.Seconds(), minIntervalSeconds)
 		}
 	}
 	return total
@@ -200,14 +200,14 @@
 	if result != HealthCheckPassed {
 		seconds = math.Inf(1)
 	}
-	m.checkTimes = lastN(append(m.checkTimes, sample{at: m.now, value: seconds}), maxSamples)
+	m.checkDurations = lastN(append(m.checkDurations, sample{at: m.now, value: seconds}), maxSamples)
 }
 
-// recentCheckTimes returns the durations in seconds of the health checks within maxSampleAge, infinite for those that
+// recentCheckDurations returns the durations in seconds of the health checks within maxSampleAge, infinite for those that
 // did not pass.
-func (m *Manager) recentCheckTimes() []float64 {
+func (m *Manager) recentCheckDurations() []float64 {
 	var durations []float64
-	for _, check := range m.checkTimes {
+	for _, check := range m.checkDurations {
 		if m.now-check.at <= maxSampleAge {
 			durations = append(durations, check.value)
 		}
--- a/balancer/table_figures.go
+++ b/balancer/table_figures.go
@@ -14,7 +14,7 @@
 	share := 0.0
 	for _, s := range m.tableServers(t) {
 		if m.isZoneLocal(t.id, s) {
-			share += t.target[s.id]
+			share += t.targetShares[s.id]
 		}
 	}
 	return share
@@ -25,7 +25,7 @@
 	if !m.isZoneLocal(t.id, last) {
 		return false
 	}
-	for id, weight := range t.published {
+	for id, weight := range t.publishedWeights {
 		s := m.server(id)
 		if s != nil && s != last && weight > 0 && !s.withdrawn && m.isZoneLocal(t.id, s) {
 			return false
@@ -41,12 +41,12 @@
 		return false
 	}
 	wanted := false
-	for id, share := range t.target {
+	for id, share := range t.targetShares {
 		s := m.server(id)
 		if s == nil || !m.isZoneLocal(t.id, s) {
 			continue
 		}
-		if t.published[id] > 0 && !s.withdrawn {
+		if t.publishedWeights[id] > 0 && !s.withdrawn {
 			return false
 		}
 		wanted = wanted || share > 0
@@ -56,7 +56,7 @@
 
 // isEmptyTable reports whether a table has no usable endpoint.
 func (m *Manager) isEmptyTable(t *table) bool {
-	for id, weight := range t.published {
+	for id, weight := range t.publishedWeights {
 		if s := m.server(id); s != nil && weight > 0 && !s.withdrawn {
 			return false
 		}
@@ -67,7 +67,7 @@
 // otherUsableWeight returns the total weight of a table's usable endpoints, not counting one server.
 func (m *Manager) otherUsableWeight(t *table, excluded *server) float64 {
 	total := 0.0
-	for id, weight := range t.published {
+	for id, weight := range t.publishedWeights {
 		if s := m.server(id); s != nil && s != excluded && !s.withdrawn {
 			total += weight
 		}
@@ -77,7 +77,7 @@
 
 // publishedWeights returns the total weights of a table's usable endpoints: of those in their warm-up, and of all.
 func (m *Manager) publishedWeights(t *table) (warming, all float64) {
-	for id, weight := range t.published {
+	for id, weight := range t.publishedWeights {
 		s := m.server(id)
 		if s == nil || s.withdrawn {
 			continue
@@ -90,13 +90,13 @@
 	return warming, all
 }
 
-// warmingShareOf returns the share of a table's requests that goes to servers in their warm-up.
-func (m *Manager) warmingShareOf(t *table) float64 {
+// tableWarmingShare returns the share of a table's requests that goes to servers in their warm-up.
+func (m *Manager) tableWarmingShare(t *table) float64 {
 	warming, all := m.publishedWeights(t)
 	return warming / max(all, 1e-9)
 }
 
-// warmingShareRise returns the ratio of a table's warmingShareOf to the share in its target. Withdrawals of other
+// warmingShareRise returns the ratio of a table's tableWarmingShare to the share in its target. Withdrawals of other
 // servers raise it above 1.
 func (m *Manager) warmingShareRise(t *table) float64 {
 	warming, all := m.publishedWeights(t)
@@ -105,7 +105,7 @@
 	}
 	target := 0.0
 	targetWarming := 0.0
-	for id, share := range t.target {
+	for id, share := range t.targetShares {
 		s := m.server(id)
 		if s == nil {
 			continue
--- a/balancer/zone_local_test.go
+++ b/balancer/zone_local_test.go
@@ -122,20 +122,20 @@
 	}
 	m = newZoneLocalManager(2)
 	table := m.tables[0]
-	clear(table.target)
-	delete(table.published, "a1")
-	table.published["b0"] = 100
-	table.target["b0"] = 1
+	clear(table.targetShares)
+	delete(table.publishedWeights, "a1")
+	table.publishedWeights["b0"] = 100
+	table.targetShares["b0"] = 1
 	m.publication.due = true
 	m.publish()
-	if table.published["a0"] == 0 {
+	if table.publishedWeights["a0"] == 0 {
 		t.Error("the last endpoint of zone a was removed before another one of the zone was published")
 	}
 	m = newZoneLocalManager(2)
 	m.server("a0").ejected = true
 	m.server("a1").ejected = true
-	m.tables[0].published["a0"] = 1e-3
-	m.tables[0].target["a0"] = 0.5
+	m.tables[0].publishedWeights["a0"] = 1e-3
+	m.tables[0].targetShares["a0"] = 0.5
 	for _, change := range m.weightChanges(0) {
 		if change.Server == "a0" {
 			t.Errorf("the weight of an ejected server is changed: %+v", change)
