--- a/internal/commands/merge.go
+++ b/internal/commands/merge.go
@@ -1,7 +1,7 @@
-// Package commands merges and splits the balancer's commands for all that carry them: the latest state of what waits, and
-// the part after so many. It changes no command, nor the order that guards something: a server is restored and a table
-// assigned only after the weights and levels that the proxies are to find. All functions are pure; the results share
-// memory with the arguments.
+// Package commands merges and splits sets of the balancer's commands for the components that queue and forward them. It
+// changes no command and keeps the order of execution: a server is restored and a table assigned only after the weights
+// and admission levels that the proxies need by then. All functions are pure, and the results share memory with the
+// arguments.
 package commands
 
 import (
@@ -10,10 +10,10 @@
 	"tamarindshore/balancer"
 )
 
-// IsEmpty tells whether commands hold nothing for the relay.
+// IsEmpty reports whether commands contain nothing for the relay: no command for proxies and no barrier.
 func IsEmpty(commands balancer.Commands) bool { return commands.Count() == 0 && commands.Barrier == 0 }
 
-// What a command sets: of two that set the same, the later one counts.
+// Keys of the values that commands set: a later command with the same key overrides an earlier one.
 type (
 	weightKey struct {
 		table  balancer.TableID
@@ -41,9 +41,10 @@
 
 func serverKeyOf(server balancer.ServerID) balancer.ServerID { return server }
 
-// Merge gives the latest state that commands, one after another, come to: by table and server, table and classes, proxy
-// and classes, and server. The last barrier counts. Only commands for proxies are merged; of several, the checks,
-// timers and log records are dropped.
+// Merge combines sets of commands, oldest first, into one set with the same effect. It keeps the latest weight per table
+// and server, the latest admission level per table and classes, the latest assignment per proxy and classes, the latest
+// withdrawal or restoration per server, and the last barrier. A single set is returned unchanged. Of several sets only
+// the commands for proxies and the barrier are merged: health checks, timers and log records are dropped.
 func Merge(all ...balancer.Commands) balancer.Commands {
 	if len(all) == 1 {
 		return all[0]
@@ -51,18 +52,18 @@
 	weights := map[weightKey]bool{}
 	levels := map[levelKey]bool{}
 	assignments := map[assignmentKey]bool{}
-	servers := map[balancer.ServerID]bool{} // a withdrawal and its end set the same
+	servers := map[balancer.ServerID]bool{} // shared by Withdraw and Restore, which override each other
 	var merged balancer.Commands
-	// From the last back, the first that sets a thing is its latest state; turned round at the end.
-	for _, one := range slices.Backward(all) {
+	// Walks backwards, so that the first command found for a key is the latest; the results are reversed at the end.
+	for _, set := range slices.Backward(all) {
 		if merged.Barrier == 0 {
-			merged.Barrier = one.Barrier
+			merged.Barrier = set.Barrier
 		}
-		merged.Assign = appendUnset(merged.Assign, one.Assign, assignments, assignmentKeyOf)
-		merged.Restore = appendUnset(merged.Restore, one.Restore, servers, serverKeyOf)
-		merged.AdmissionLevels = appendUnset(merged.AdmissionLevels, one.AdmissionLevels, levels, levelKeyOf)
-		merged.Weights = appendUnset(merged.Weights, one.Weights, weights, weightKeyOf)
-		merged.Withdraw = appendUnset(merged.Withdraw, one.Withdraw, servers, serverKeyOf)
+		merged.Assign = appendUnseen(merged.Assign, set.Assign, assignments, assignmentKeyOf)
+		merged.Restore = appendUnseen(merged.Restore, set.Restore, servers, serverKeyOf)
+		merged.AdmissionLevels = appendUnseen(merged.AdmissionLevels, set.AdmissionLevels, levels, levelKeyOf)
+		merged.Weights = appendUnseen(merged.Weights, set.Weights, weights, weightKeyOf)
+		merged.Withdraw = appendUnseen(merged.Withdraw, set.Withdraw, servers, serverKeyOf)
 	}
 	slices.Reverse(merged.Assign)
 	slices.Reverse(merged.Restore)
@@ -72,12 +73,12 @@
 	return merged
 }
 
-// appendUnset appends, from the last back, the commands that set what is not set yet.
-func appendUnset[Command any, Key comparable](to, commands []Command, isSet map[Key]bool, keyOf func(Command) Key) []Command {
+// appendUnseen appends the commands whose key was not seen yet, in reverse order, and marks their keys as seen.
+func appendUnseen[Command any, Key comparable](to, commands []Command, seen map[Key]bool, keyOf func(Command) Key) []Command {
 	for _, command := range slices.Backward(commands) {
 		key := keyOf(command)
-		if !isSet[key] {
-			isSet[key] = true
+		if !seen[key] {
+			seen[key] = true
 			to = append(to, command)
 		}
 	}
--- a/internal/commands/split.go
+++ b/internal/commands/split.go
@@ -2,7 +2,8 @@
 
 import "tamarindshore/balancer"
 
-// SkipFirst drops the first n commands, in the order in which they are encoded. The barrier stands after the last one.
+// SkipFirst returns commands without the first n, counted in the order in which they are encoded. The barrier follows the
+// last command, so it is dropped only if n exceeds the number of commands.
 func SkipFirst(commands balancer.Commands, n int) balancer.Commands {
 	rest := commands
 	left := n
@@ -17,13 +18,13 @@
 	return rest
 }
 
-// skip drops up to n values, and tells how many of the n are left.
+// skip drops up to n values, and returns the others and how many of the n are left to drop.
 func skip[T any](values []T, n int) (rest []T, left int) {
 	dropped := min(n, len(values))
 	return values[dropped:], n - dropped
 }
 
-// KeepFirst keeps the first n commands, under a barrier of their own.
+// KeepFirst returns the first n commands, followed by the given barrier.
 func KeepFirst(commands balancer.Commands, n int, barrier balancer.BarrierID) balancer.Commands {
 	rest := SkipFirst(commands, n)
 	return balancer.Commands{
@@ -36,5 +37,5 @@
 	}
 }
 
-// keep drops so many values at the end.
+// keep returns values without the given number of values at the end.
 func keep[T any](values []T, dropped int) []T { return values[:len(values)-dropped] }
--- a/internal/store/encoding.go
+++ b/internal/store/encoding.go
@@ -11,13 +11,13 @@
 	"tamarindshore/client/tables"
 )
 
-// Names in the file. They are part of its format.
+// Bucket names and keys. They are part of the file format.
 var (
 	metaBucket     = []byte("meta")
-	versionsBucket = []byte("versions") // by encodeID
-	drainsBucket   = []byte("drains")   // by server
-	commandsBucket = []byte("done")     // by idempotency key
-	serversBucket  = []byte("list")     // by server
+	versionsBucket = []byte("versions") // keyed by encodeVersionKey
+	drainsBucket   = []byte("drains")   // keyed by server ID
+	commandsBucket = []byte("done")     // keyed by idempotency key
+	serversBucket  = []byte("list")     // keyed by server ID
 
 	// Keys in metaBucket.
 	formatKey      = []byte("form")
@@ -25,19 +25,21 @@
 	listSummaryKey = []byte("list-head")
 )
 
-// encodedNumberLen is how many bytes encodeNumber returns.
+// encodedNumberLen is the number of bytes that encodeNumber returns.
 const encodedNumberLen = 8
 
-// encodeNumber encodes a number so that keys sort as their numbers do.
+// encodeNumber encodes a number in big-endian order, so that keys sort in numeric order.
 func encodeNumber(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-// encodeID is the key of a version.
-func encodeID(id tables.ID) []byte { return append(encodeNumber(id.Epoch), encodeNumber(id.Number)...) }
+// encodeVersionKey returns the key of a version in versionsBucket.
+func encodeVersionKey(id tables.ID) []byte {
+	return append(encodeNumber(id.Epoch), encodeNumber(id.Number)...)
+}
 
-// digestSize is how many bytes of a value's digest are stored before it.
+// digestSize is the number of bytes of a value's digest that are stored in front of the value.
 const digestSize = 16
 
-// valueDigest is the stored part of a value's digest.
+// valueDigest holds the first digestSize bytes of a value's BLAKE3 digest.
 type valueDigest [digestSize]byte
 
 func digestOf(value []byte) valueDigest {
@@ -45,39 +47,40 @@
 	return valueDigest(sum[:digestSize])
 }
 
-// seal encodes a value as JSON behind the digest of that text: it detects bit rot within a page, which the library
-// doesn't check.
-func seal(value any) ([]byte, error) {
+// encodeValue encodes a value as JSON and prepends the digest of the JSON text. The digest detects bit rot within a
+// page, which bbolt does not check.
+func encodeValue(value any) ([]byte, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return nil, err
 	}
 	digest := digestOf(text)
-	sealed := make([]byte, digestSize, digestSize+len(text))
-	copy(sealed, digest[:])
-	return append(sealed, text...), nil
+	encoded := make([]byte, digestSize, digestSize+len(text))
+	copy(encoded, digest[:])
+	return append(encoded, text...), nil
 }
 
-// unseal verifies the digest of a sealed value and decodes it. Errors wrap ErrDamaged.
-func unseal(sealed []byte, value any) error {
-	if len(sealed) < digestSize {
-		return fmt.Errorf("%w: a value has %d bytes, expected at least %d", ErrDamaged, len(sealed), digestSize)
+// decodeValue verifies the digest of an encoded value and decodes it. Errors wrap ErrDamaged.
+func decodeValue(encoded []byte, value any) error {
+	if len(encoded) < digestSize {
+		return fmt.Errorf("%w: a value has %d bytes, expected at least %d", ErrDamaged, len(encoded), digestSize)
 	}
-	text := sealed[digestSize:]
-	if got, want := digestOf(text), valueDigest(sealed[:digestSize]); got != want {
+	text := encoded[digestSize:]
+	if got, want := digestOf(text), valueDigest(encoded[:digestSize]); got != want {
 		return fmt.Errorf("%w: a value has digest %x, expected %x", ErrDamaged, got, want)
 	}
-	if err := json.Unmarshal(text, value); err != nil { // a value of another bucket, by a damaged page number
+	// A damaged page number can lead to a value of another bucket, which has a valid digest but another type.
+	if err := json.Unmarshal(text, value); err != nil {
 		return fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	return nil
 }
 
-// eachSealed calls a function with each value of a bucket whose keys are text. Errors name the key.
-func eachSealed[T any](bucket *bbolt.Bucket, kind string, use func(key string, value T)) error {
-	return bucket.ForEach(func(key, sealed []byte) error {
+// forEachValue decodes each value of a bucket with text keys and passes it to use. Errors state the kind and the key.
+func forEachValue[T any](bucket *bbolt.Bucket, kind string, use func(key string, value T)) error {
+	return bucket.ForEach(func(key, encoded []byte) error {
 		var value T
-		if err := unseal(sealed, &value); err != nil {
+		if err := decodeValue(encoded, &value); err != nil {
 			return fmt.Errorf("%s %q: %w", kind, key, err)
 		}
 		use(string(key), value)
@@ -85,10 +88,10 @@
 	})
 }
 
-func putSealed(bucket *bbolt.Bucket, key []byte, value any) error {
-	sealed, err := seal(value)
+func putValue(bucket *bbolt.Bucket, key []byte, value any) error {
+	encoded, err := encodeValue(value)
 	if err != nil {
 		return err
 	}
-	return bucket.Put(key, sealed)
+	return bucket.Put(key, encoded)
 }
--- a/internal/store/faults_test.go
+++ b/internal/store/faults_test.go
@@ -17,9 +17,9 @@
 	"tamarindshore/client/tables"
 )
 
-// writtenPages returns the pages in which two files differ: data pages, and the first two, which hold the library's
-// roots.
-func writtenPages(before, after []byte, pageSize int) (data, roots []int) {
+// writtenPages returns the pages in which two files differ: data pages and meta pages. The first two pages of a bbolt
+// file are its meta pages, which point to the root of the data.
+func writtenPages(before, after []byte, pageSize int) (dataPages, metaPages []int) {
 	for page := 0; page*pageSize < len(after); page++ {
 		from := page * pageSize
 		to := min(from+pageSize, len(after))
@@ -27,23 +27,23 @@
 			continue
 		}
 		if page < 2 {
-			roots = append(roots, page)
+			metaPages = append(metaPages, page)
 		} else {
-			data = append(data, page)
+			dataPages = append(dataPages, page)
 		}
 	}
-	return data, roots
+	return dataPages, metaPages
 }
 
-// interruptedSave is one save of which a crash leaves a part in the file.
+// interruptedSave is a save that a crash interrupts, so that only a part of it reaches the file.
 type interruptedSave struct {
-	before, after             []byte // the file
+	before, after             []byte // contents of the file
 	digestBefore, digestAfter tables.Digest
-	data                      []int // the data pages that were written
-	root                      int   // the root that was written
+	dataPages                 []int // data pages that the save wrote
+	metaPage                  int   // meta page that the save wrote
 }
 
-// recordSave saves one version and records what it wrote to the file.
+// recordSave saves one version and records which pages of the file changed.
 func recordSave(t *testing.T, s *Store, path string) interruptedSave {
 	t.Helper()
 	var save interruptedSave
@@ -57,21 +57,21 @@
 	if save.after, err = os.ReadFile(path); err != nil {
 		t.Fatal(err)
 	}
-	data, roots := writtenPages(save.before, save.after, os.Getpagesize())
-	if len(roots) != 1 || len(data) == 0 {
-		t.Fatalf("a save wrote roots %v and data pages %v", roots, data)
+	dataPages, metaPages := writtenPages(save.before, save.after, os.Getpagesize())
+	if len(metaPages) != 1 || len(dataPages) == 0 {
+		t.Fatalf("a save wrote meta pages %v and data pages %v, want one meta page and some data pages", metaPages, dataPages)
 	}
-	save.data = data
-	save.root = roots[0]
+	save.dataPages = dataPages
+	save.metaPage = metaPages[0]
 	return save
 }
 
-// wholePages leaves the last of some written pages complete.
-const wholePages = -1
+// allBytes, given as lastPageBytes, writes the last data page completely.
+const allBytes = -1
 
-// crash returns the file after a crash: some pages are written, of the last of them only cut bytes (unless that is
-// wholePages), and rootBytes of the root.
-func (s interruptedSave) crash(pages []int, cut, rootBytes int) []byte {
+// crash returns the contents of the file after a crash that left only some writes in it: the given data pages, of the
+// last of them only the first lastPageBytes (or allBytes), and the first metaBytes of the meta page.
+func (s interruptedSave) crash(pages []int, lastPageBytes, metaBytes int) []byte {
 	pageSize := os.Getpagesize()
 	file := bytes.Clone(s.before)
 	if missing := len(s.after) - len(file); missing > 0 {
@@ -80,43 +80,47 @@
 	for i, page := range pages {
 		from := page * pageSize
 		to := min(from+pageSize, len(s.after))
-		if i == len(pages)-1 && cut != wholePages {
-			to = min(from+cut, to)
+		if i == len(pages)-1 && lastPageBytes != allBytes {
+			to = min(from+lastPageBytes, to)
 		}
 		copy(file[from:to], s.after[from:to])
 	}
-	root := s.root * pageSize
-	copy(file[root:root+rootBytes], s.after[root:root+rootBytes])
+	metaStart := s.metaPage * pageSize
+	copy(file[metaStart:metaStart+metaBytes], s.after[metaStart:metaStart+metaBytes])
 	return file
 }
 
-// expectBeforeOrAfter opens the file after a crash and expects the state before or after the save, never a mix.
-func (s interruptedSave) expectBeforeOrAfter(t *testing.T, pages []int, cut, rootBytes int) {
+// expectBeforeOrAfter opens the file after a crash and expects the state before or after the save, never a mix of both.
+func (s interruptedSave) expectBeforeOrAfter(t *testing.T, pages []int, lastPageBytes, metaBytes int) {
 	t.Helper()
 	torn := filepath.Join(t.TempDir(), "torn.db")
-	if err := os.WriteFile(torn, s.crash(pages, cut, rootBytes), 0o600); err != nil {
+	if err := os.WriteFile(torn, s.crash(pages, lastPageBytes, metaBytes), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	opened, contents, err := Open(torn, 5, DefaultLimits(), nil)
 	if err != nil {
-		t.Fatalf("pages %v cut %d root %d: %v", pages, cut, rootBytes, err)
+		t.Fatalf("data pages %v, %d bytes of the last, %d bytes of the meta page: error %v",
+			pages, lastPageBytes, metaBytes, err)
 	}
 	defer opened.Close()
 	digest := contents.State.Digest()
-	if digest != s.digestBefore && (digest != s.digestAfter || rootBytes == 0) {
-		t.Errorf("pages %v cut %d root %d: neither before nor after", pages, cut, rootBytes)
+	if digest != s.digestBefore && (digest != s.digestAfter || metaBytes == 0) {
+		t.Errorf("data pages %v, %d bytes of the last, %d bytes of the meta page: the state is neither that before nor that after the save",
+			pages, lastPageBytes, metaBytes)
 	}
 	last := contents.Versions[len(contents.Versions)-1].ID.Number
-	if !isListOf(contents.ServerList, last) {
-		t.Errorf("pages %v cut %d root %d: version %d with the list %+v", pages, cut, rootBytes, last, contents.ServerList)
+	if !isListAtVersion(contents.ServerList, last) {
+		t.Errorf("data pages %v, %d bytes of the last, %d bytes of the meta page: version %d has the server list %+v",
+			pages, lastPageBytes, metaBytes, last, contents.ServerList)
 	}
-	if rootBytes == os.Getpagesize() && digest != s.digestAfter {
-		t.Errorf("pages %v cut %d: an acknowledged change is lost", pages, cut)
+	if metaBytes == os.Getpagesize() && digest != s.digestAfter {
+		t.Errorf("data pages %v, %d bytes of the last: an acknowledged change is lost", pages, lastPageBytes)
 	}
 }
 
-// A crash at each write of a save: the library writes data pages in any order, syncs them, then writes one root. So a
-// crash leaves any part of the data pages without the root, each cut anywhere, or all of them and a part of the root.
+// Simulates a crash at each write of a save. bbolt writes the data pages in any order, syncs them and then writes one meta
+// page. A crash therefore leaves either some of the data pages, possibly with the last one torn, and no meta page, or all
+// data pages and a part of the meta page.
 func TestACrashAtEachWriteLeavesTheVersionBeforeOrAfter(t *testing.T) {
 	path := storePath(t)
 	s, _ := openStore(t, path)
@@ -126,24 +130,24 @@
 	crashes := 0
 	for range 12 {
 		save := recordSave(t, s, path)
-		for n := range len(save.data) + 1 {
-			save.expectBeforeOrAfter(t, save.data[:n], wholePages, 0)
-			shuffled := slices.Clone(save.data)
+		for n := range len(save.dataPages) + 1 {
+			save.expectBeforeOrAfter(t, save.dataPages[:n], allBytes, 0)
+			shuffled := slices.Clone(save.dataPages)
 			rng.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 			save.expectBeforeOrAfter(t, shuffled[:n], rng.IntN(pageSize), 0)
 			crashes += 2
 		}
-		for _, rootBytes := range []int{16, 24, 40, 60, 72, 79, 80, pageSize} {
-			save.expectBeforeOrAfter(t, save.data, wholePages, rootBytes)
+		for _, metaBytes := range []int{16, 24, 40, 60, 72, 79, 80, pageSize} {
+			save.expectBeforeOrAfter(t, save.dataPages, allBytes, metaBytes)
 			crashes++
 		}
 	}
 	if crashes < 100 {
-		t.Errorf("%d crashes, expected at least 100", crashes)
+		t.Errorf("%d crashes simulated, expected at least 100", crashes)
 	}
 }
 
-// damagedStore is a store of 30 versions in which a bucket was changed.
+// damagedStore creates a store of 30 versions, changes one of its buckets and returns its path.
 func damagedStore(t *testing.T, bucket []byte, change func(*bbolt.Bucket) error) string {
 	t.Helper()
 	path := storePath(t)
@@ -156,13 +160,13 @@
 	return path
 }
 
-func sealed(t *testing.T, value any) []byte {
+func mustEncodeValue(t *testing.T, value any) []byte {
 	t.Helper()
-	sealed, err := seal(value)
+	encoded, err := encodeValue(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return sealed
+	return encoded
 }
 
 func expectOpenError(t *testing.T, path string, openFile OpenFile, want error) {
@@ -177,17 +181,17 @@
 }
 
 func TestDamagedValuesAreReported(t *testing.T) {
-	firstVersion := encodeID(tables.ID{Epoch: 5, Number: 1})
-	otherType := sealed(t, "text")
-	otherVersion := sealed(t, Version{Ops: []tables.Op{{Kind: tables.Withdraw, Server: "x"}}})
-	for _, one := range []struct {
+	firstVersion := encodeVersionKey(tables.ID{Epoch: 5, Number: 1})
+	otherType := mustEncodeValue(t, "text")
+	otherVersion := mustEncodeValue(t, Version{Ops: []tables.Op{{Kind: tables.Withdraw, Server: "x"}}})
+	for _, test := range []struct {
 		name   string
 		bucket []byte
 		key    []byte
 		value  []byte
 		want   error
 	}{
-		{"newer format", metaBucket, formatKey, encodeNumber(FormatVersion + 1), ErrNewer},
+		{"newer format", metaBucket, formatKey, encodeNumber(FormatVersion + 1), ErrNewerFormat},
 		{"short format", metaBucket, formatKey, []byte{1}, ErrDamaged},
 		{"short version", versionsBucket, firstVersion, []byte("short"), ErrDamaged},
 		{"version of another type", versionsBucket, firstVersion, otherType, ErrDamaged},
@@ -197,9 +201,9 @@
 		{"server of another type", serversBucket, []byte("s-1"), otherType, ErrDamaged},
 		{"list summary of another type", metaBucket, listSummaryKey, otherType, ErrDamaged},
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			path := damagedStore(t, one.bucket, func(bucket *bbolt.Bucket) error { return bucket.Put(one.key, one.value) })
-			expectOpenError(t, path, nil, one.want)
+		t.Run(test.name, func(t *testing.T) {
+			path := damagedStore(t, test.bucket, func(bucket *bbolt.Bucket) error { return bucket.Put(test.key, test.value) })
+			expectOpenError(t, path, nil, test.want)
 		})
 	}
 	t.Run("no format", func(t *testing.T) {
@@ -215,10 +219,10 @@
 	expectOpenError(t, path, nil, ErrLocked)
 	expectOpenError(t, filepath.Join(path, "below"), nil, syscall.ENOTDIR)
 
-	readOnlyFolder := func(name string, _ int, _ os.FileMode) (*os.File, error) {
+	readOnlyFileSystem := func(name string, _ int, _ os.FileMode) (*os.File, error) {
 		return nil, &fs.PathError{Op: "open", Path: name, Err: syscall.EROFS}
 	}
-	expectOpenError(t, storePath(t), readOnlyFolder, syscall.EROFS)
+	expectOpenError(t, storePath(t), readOnlyFileSystem, syscall.EROFS)
 
 	notAStore := storePath(t)
 	if err := os.WriteFile(notAStore, bytes.Repeat([]byte("junk"), 9000), 0o600); err != nil {
@@ -227,19 +231,19 @@
 	expectOpenError(t, notAStore, nil, ErrDamaged)
 }
 
-func TestCheckOfAMissingFileDoesNotMakeIt(t *testing.T) {
+func TestCheckDoesNotCreateAMissingFile(t *testing.T) {
 	path := storePath(t)
 	if _, err := Check(path, DefaultLimits()); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want %v", err, fs.ErrNotExist)
 	}
 	if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("the file: %v", err)
+		t.Errorf("Check created the file: stat returned error %v, want %v", err, fs.ErrNotExist)
 	}
 }
 
-// A full disk as far as one process can simulate it: files may not grow past a size. What was acknowledged stays, and
-// the store goes on once there is room.
-func TestAFullDiskFailsTheSaveAndNothingElse(t *testing.T) {
+// Simulates a full disk with a limit on the size of files. The save must fail without losing acknowledged changes, and
+// later saves must succeed once there is space again.
+func TestFullDiskFailsOnlyTheSave(t *testing.T) {
 	path := storePath(t)
 	s, _ := openStore(t, path)
 	saveVersions(t, s, 5)
@@ -259,7 +263,7 @@
 		t.Fatal(err)
 	}
 	if saveErr == nil {
-		t.Fatal("saved past the end of the disk")
+		t.Fatal("the save succeeded although the file could not grow")
 	}
 	saveVersions(t, s, 3)
 	digest := s.head.state.Digest()
@@ -270,7 +274,8 @@
 	}
 }
 
-// Bit rot is found or does no harm: it never gives a state or a list that was not saved.
+// A flipped bit in the file must either be reported or be harmless: Check must never return a state or a server list that
+// was not saved.
 func TestBitRotNeverPassesForAState(t *testing.T) {
 	path := storePath(t)
 	s, _ := openStore(t, path)
@@ -296,9 +301,9 @@
 		generation := contents.ServerList.Generation
 		switch {
 		case err == nil && !saved[contents.State.Digest()]:
-			t.Fatal("a state that was never saved")
-		case err == nil && generation > 0 && !isListOf(contents.ServerList, uint64(generation)):
-			t.Fatalf("a list that was never saved: %+v", contents.ServerList)
+			t.Fatalf("Check returned a state that was never saved, with digest %v", contents.State.Digest())
+		case err == nil && generation > 0 && !isListAtVersion(contents.ServerList, uint64(generation)):
+			t.Fatalf("Check returned a server list that was never saved: %+v", contents.ServerList)
 		case err == nil:
 			results["harmless"]++
 		case errors.Is(err, ErrDamaged):
@@ -309,6 +314,6 @@
 	}
 	t.Log(results)
 	if results["damaged"] < 10 {
-		t.Errorf("%v", results)
+		t.Errorf("fewer than 10 flipped bits were reported as damage: %v", results)
 	}
 }
--- a/internal/store/file.go
+++ b/internal/store/file.go
@@ -10,7 +10,8 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// openDB opens the file itself. What the library finds wrong with it is reported as damage, also where it panics.
+// openDB opens the bbolt file. Defects that bbolt detects are returned as ErrDamaged, including those on which it
+// panics.
 func openDB(path string, readOnly bool, limits Limits, openFile OpenFile) (db *bbolt.DB, err error) {
 	defer recoverDamage(&err)()
 	db, err = bbolt.Open(path, 0o600, &bbolt.Options{
@@ -31,9 +32,9 @@
 	return db, err
 }
 
-// recoverDamage turns a panic or a memory fault of the library over a damaged file into an error. The library trusts
-// the page numbers in the file: a flipped bit leads it outside the mapped memory, which would end the process. The
-// caller defers what is returned.
+// recoverDamage converts a panic or a memory fault that bbolt causes on a damaged file into an error. bbolt trusts the
+// page numbers in the file, so a flipped bit can make it read outside the mapped memory, which would end the process.
+// The caller defers the returned function.
 func recoverDamage(err *error) func() {
 	previous := debug.SetPanicOnFault(true)
 	return func() {
@@ -44,11 +45,11 @@
 	}
 }
 
-// compactTxBytes is the size of one transaction while a file is compacted.
+// compactTxBytes is the maximum size of a transaction while a file is compacted.
 const compactTxBytes = 1 << 20
 
-// Compact rewrites a store without the pages that it no longer uses, and replaces the file by a rename. No process may
-// have it open for writing.
+// Compact copies a store to a new file without unused pages and renames that file over the old one. No process may have
+// the store open for writing.
 func Compact(path string, limits Limits) error {
 	source, err := openDB(path, true, limits, nil)
 	if err != nil {
@@ -56,7 +57,7 @@
 	}
 	defer source.Close()
 	compacted := path + ".compact"
-	os.Remove(compacted) // of a process that ended meanwhile
+	os.Remove(compacted) // left by a process that ended during compaction
 	target, err := bbolt.Open(compacted, 0o600, &bbolt.Options{Timeout: limits.LockTimeout})
 	if err != nil {
 		return err
--- a/internal/store/fixture_test.go
+++ b/internal/store/fixture_test.go
@@ -13,24 +13,25 @@
 	"tamarindshore/client/tables"
 )
 
-// The fixtures were written by the release before the Go names of the stored fields changed: a store file, and what that
-// release exported from it as JSON.
+// The fixtures are a store file and its JSON export. They were written by the last release before the stored fields were
+// renamed in Go.
 const (
 	storeFixture  = "testdata/store-format-1.db"
 	exportFixture = "testdata/store-format-1.json"
 )
 
-// digestFromHex reads the digest of a state.
+// digestFromHex decodes the digest of a state.
 func digestFromHex(t *testing.T, text string) tables.Digest {
 	t.Helper()
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != len(tables.Digest{}) {
-		t.Fatalf("digest %q: %d bytes, error %v", text, len(decoded), err)
+		t.Fatalf("digest %q: %d bytes, want %d; error %v", text, len(decoded), len(tables.Digest{}), err)
 	}
 	return tables.Digest(decoded)
 }
 
-// fixtureOps are the operations of the fixture's three versions: one of each kind, and a snapshot.
+// fixtureOps returns the operations of the fixture's three versions. The first two contain each kind of operation; the
+// third is a snapshot.
 func fixtureOps() (first, second, snapshot []tables.Op) {
 	first = []tables.Op{
 		{Kind: tables.SetWeight, Table: 0, Server: "s-1", Weight: 100},
@@ -61,7 +62,8 @@
 	return first, second, snapshot
 }
 
-// fixtureContents is all that the fixture holds, but for the last state, which its digest names.
+// fixtureContents returns the contents of the fixture without the last state, which the digest of the last version
+// identifies.
 func fixtureContents(t *testing.T) Contents {
 	t.Helper()
 	first, second, snapshot := fixtureOps()
@@ -78,7 +80,8 @@
 				Cause: "1 withdrawn, 4 lines, 1 levels, 0 let back in", Layout: "2 tables", Ops: first},
 			{ID: id(2), Digest: secondDigest, Parent: firstDigest, CreatedAt: written.Add(time.Second),
 				Cause: "1 withdrawn, 2 lines, 2 levels, 1 let back in", Layout: "2 tables", CommandKey: "k-rollback", Ops: second},
-			{ID: id(5), Digest: digestFromHex(t, "525be52f0d99823536a743b221c788fd1bb9de1966e3a5110667055ea86afcb4"), Parent: secondDigest, CreatedAt: written.Add(time.Minute),
+			{ID: id(5), Digest: digestFromHex(t, "525be52f0d99823536a743b221c788fd1bb9de1966e3a5110667055ea86afcb4"),
+				Parent: secondDigest, CreatedAt: written.Add(time.Minute),
 				Cause: "0 withdrawn, 1 lines, 0 levels, 0 let back in", Layout: "3 tables", Snapshot: true, Ops: snapshot},
 		},
 		Drains: map[string]time.Time{"s-4": written.Add(time.Second + 250*time.Microsecond)},
@@ -95,7 +98,7 @@
 	}
 }
 
-// expectContents compares all that a store holds; the state is compared by the digest of the last version.
+// expectContents compares the contents of a store. The state is compared with the digest of the last version.
 func expectContents(t *testing.T, got, want Contents) {
 	t.Helper()
 	last := want.Versions[len(want.Versions)-1]
@@ -116,7 +119,7 @@
 	expectContents(t, got, fixtureContents(t))
 }
 
-func TestExportedFieldsKeepTheirNames(t *testing.T) {
+func TestExportedJSONFieldsKeepTheirNames(t *testing.T) {
 	contents, err := Check(storeFixture, DefaultLimits())
 	if err != nil {
 		t.Fatal(err)
@@ -142,7 +145,7 @@
 	}
 }
 
-func TestStoreOfAnEarlierReleaseIsContinued(t *testing.T) {
+func TestStoreOfAnEarlierReleaseAcceptsNewChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "store.db")
 	fixture, err := os.ReadFile(storeFixture)
 	if err != nil {
--- a/internal/store/helpers_test.go
+++ b/internal/store/helpers_test.go
@@ -49,7 +49,7 @@
 	return contents
 }
 
-// nextVersion is a version that leads on from the last one of a store by some operations.
+// nextVersion returns a version that applies some operations to the last state of a store, without saving it.
 func nextVersion(t testing.TB, s *Store, ops ...tables.Op) Version {
 	t.Helper()
 	state, err := s.head.state.Apply(ops)
@@ -66,8 +66,8 @@
 	}
 }
 
-// saveVersions saves a number of versions, one in each change, with a change of the server list and, in each third
-// change, a drain and a completed command.
+// saveVersions saves a number of versions, one per change. Each change also contains a change of the server list, and
+// every third one a drain and a completed command.
 func saveVersions(t testing.TB, s *Store, count int) {
 	t.Helper()
 	for i := range count {
@@ -78,7 +78,7 @@
 			Weight: float64(s.head.last.Number + 1),
 		})
 		number := version.ID.Number
-		change := Change{Versions: []Version{version}, ServerList: listChangeOf(number)}
+		change := Change{Versions: []Version{version}, ServerList: listChangeForVersion(number)}
 		if i%3 == 0 {
 			change.Drains = map[string]time.Time{fmt.Sprint("s-", i): testTime}
 			change.CompletedCommands = []CompletedCommand{
@@ -91,7 +91,7 @@
 	}
 }
 
-// filledStore makes a store of some versions, closes it, and returns its path and the digest of its last state.
+// filledStore creates a store with some versions, closes it, and returns its path and the digest of its last state.
 func filledStore(t testing.TB, limits Limits, versions int) (path string, digest tables.Digest) {
 	t.Helper()
 	path = storePath(t)
@@ -110,9 +110,9 @@
 	return ListChange{Complete: true, Generation: generation, Entries: entries}
 }
 
-// listChangeOf is the change of the list that saveVersions saves with a version: it adds a server, and removes the one
-// added two versions before.
-func listChangeOf(number uint64) *ListChange {
+// listChangeForVersion returns the change of the server list that saveVersions saves with a version: it adds a server and
+// removes the one that was added two versions before.
+func listChangeForVersion(number uint64) *ListChange {
 	change := ListChange{Complete: number == 1, Generation: int64(number)}
 	change.Entries = append(change.Entries, listEntry(fmt.Sprint("s-", number), "up"))
 	if number > 2 {
@@ -121,8 +121,8 @@
 	return &change
 }
 
-// isListOf tells whether a list is the one that saveVersions leaves with a version.
-func isListOf(list ServerList, number uint64) bool {
+// isListAtVersion reports whether a list is the one that is stored after saveVersions has saved a version.
+func isListAtVersion(list ServerList, number uint64) bool {
 	var want []ListEntry
 	for n := max(1, number-1); n <= number; n++ {
 		want = append(want, listEntry(fmt.Sprint("s-", n), "up"))
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -10,13 +10,14 @@
 	"tamarindshore/client/tables"
 )
 
-// load reads and verifies all of the store: the digest of each value, and that each version leads to its state.
+// load reads and verifies the whole store: the digest of each value, and that the operations of each version produce
+// the state with its digest.
 func (s *Store) load() (contents Contents, err error) {
 	defer recoverDamage(&err)()
 	contents = Contents{State: tables.EmptyState(), Drains: map[string]time.Time{}}
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		if tx.Bucket(metaBucket) == nil {
-			return nil // a new file
+			return nil // the file is new
 		}
 		return contents.load(tx)
 	})
@@ -45,15 +46,15 @@
 	return err
 }
 
-// loadMeta checks the format and reads the epoch.
+// loadMeta checks the format version and reads the epoch.
 func (c *Contents) loadMeta(tx *bbolt.Tx) error {
 	meta := tx.Bucket(metaBucket)
 	format := meta.Get(formatKey)
 	if len(format) != encodedNumberLen {
-		return fmt.Errorf("%w: the number of its format has %d bytes, expected %d", ErrDamaged, len(format), encodedNumberLen)
+		return fmt.Errorf("%w: the format number has %d bytes, expected %d", ErrDamaged, len(format), encodedNumberLen)
 	}
 	if found := binary.BigEndian.Uint64(format); found > FormatVersion {
-		return fmt.Errorf("%w: format %d, this release reads up to %d", ErrNewer, found, FormatVersion)
+		return fmt.Errorf("%w: format %d, this release reads up to %d", ErrNewerFormat, found, FormatVersion)
 	}
 	if epoch := meta.Get(epochKey); len(epoch) == encodedNumberLen {
 		c.Epoch = binary.BigEndian.Uint64(epoch)
@@ -61,12 +62,12 @@
 	return nil
 }
 
-// loadVersions reads the versions and follows them to the last state.
+// loadVersions reads the versions and applies them in order to get the last state.
 func (c *Contents) loadVersions(tx *bbolt.Tx) error {
 	return tx.Bucket(versionsBucket).ForEach(func(key, value []byte) error {
 		var version Version
-		if err := unseal(value, &version); err != nil {
-			return fmt.Errorf("version at %x: %w", key, err)
+		if err := decodeValue(value, &version); err != nil {
+			return fmt.Errorf("version with key %x: %w", key, err)
 		}
 		state, err := apply(c.State, &version)
 		if err != nil {
@@ -79,13 +80,13 @@
 }
 
 func (c *Contents) loadDrains(tx *bbolt.Tx) error {
-	return eachSealed(tx.Bucket(drainsBucket), "drain of", func(server string, since time.Time) {
+	return forEachValue(tx.Bucket(drainsBucket), "drain of server", func(server string, since time.Time) {
 		c.Drains[server] = since
 	})
 }
 
 func (c *Contents) loadCommands(tx *bbolt.Tx) error {
-	return eachSealed(tx.Bucket(commandsBucket), "command", func(_ string, command CompletedCommand) {
+	return forEachValue(tx.Bucket(commandsBucket), "command", func(_ string, command CompletedCommand) {
 		c.CompletedCommands = append(c.CompletedCommands, command)
 	})
 }
--- a/internal/store/save.go
+++ b/internal/store/save.go
@@ -9,20 +9,20 @@
 	"tamarindshore/client/tables"
 )
 
-// DigestError reports a version whose operations lead to another state than the one that it names.
+// DigestError reports a version whose operations produce a state with another digest than the version states.
 type DigestError struct {
 	Version tables.ID
-	Got     tables.Digest // of the state that the operations lead to
-	Want    tables.Digest // that the version names
+	Got     tables.Digest // of the state that the operations produce
+	Want    tables.Digest // stated by the version
 }
 
-// Error names the version and both digests.
+// Error states the version and both digests.
 func (e *DigestError) Error() string {
-	return fmt.Sprintf("version %v leads to %v, not to %v", e.Version, e.Got, e.Want)
+	return fmt.Sprintf("version %v produces the state digest %v, expected %v", e.Version, e.Got, e.Want)
 }
 
-// apply returns the state that a version leads to from the one before it. The error is a *DigestError where that is not
-// the state that the version names.
+// apply applies a version to the state before it and returns the new state. The error is a *DigestError if the new
+// state does not have the version's digest.
 func apply(previous *tables.State, version *Version) (*tables.State, error) {
 	if version.Snapshot {
 		previous = tables.EmptyState()
@@ -37,7 +37,7 @@
 	return state, nil
 }
 
-// Save persists a change. Once it returns nil the change survives a crash; where it returns an error nothing was
+// Save persists a change. Once it has returned nil, the change survives a crash. If it returns an error, nothing was
 // stored.
 func (s *Store) Save(change Change) (err error) {
 	defer recoverDamage(&err)()
@@ -65,7 +65,7 @@
 	return err
 }
 
-// saveVersions appends versions behind a head, moves the head on, and drops versions beyond the limit.
+// saveVersions appends versions, advances head to the last of them, and deletes old versions beyond the limit.
 func (s *Store) saveVersions(tx *bbolt.Tx, versions []Version, head *versionsHead) error {
 	if len(versions) == 0 {
 		return nil
@@ -77,19 +77,19 @@
 		if err != nil {
 			return err
 		}
-		if err := putSealed(bucket, encodeID(version.ID), version); err != nil {
+		if err := putValue(bucket, encodeVersionKey(version.ID), version); err != nil {
 			return err
 		}
 		head.state = state
 		head.last = version.ID
 		head.count++
 	}
-	return s.retain(bucket, head)
+	return s.pruneVersions(bucket, head)
 }
 
-// retain drops the oldest versions beyond the limit; the first that stays becomes a snapshot. It waits until an eighth
-// of the limit can be dropped, because it reads all keys.
-func (s *Store) retain(bucket *bbolt.Bucket, head *versionsHead) error {
+// pruneVersions deletes the oldest versions beyond the limit and turns the oldest remaining one into a snapshot. It does
+// nothing until an eighth of the limit can be deleted, because it reads all keys.
+func (s *Store) pruneVersions(bucket *bbolt.Bucket, head *versionsHead) error {
 	limit := s.limits.MaxVersions
 	if head.count <= limit+limit/8 {
 		return nil
@@ -102,7 +102,7 @@
 	state := tables.EmptyState()
 	for _, key := range keys[:excess] {
 		var version Version
-		if err := unseal(bucket.Get(key), &version); err != nil {
+		if err := decodeValue(bucket.Get(key), &version); err != nil {
 			return err
 		}
 		if state, err = apply(state, &version); err != nil {
@@ -116,10 +116,10 @@
 	return makeSnapshot(bucket, keys[excess], state)
 }
 
-// makeSnapshot rewrites a version as a snapshot, given the state before it.
+// makeSnapshot rewrites a stored version as a snapshot, given the state before it.
 func makeSnapshot(bucket *bbolt.Bucket, key []byte, previous *tables.State) error {
 	var version Version
-	if err := unseal(bucket.Get(key), &version); err != nil {
+	if err := decodeValue(bucket.Get(key), &version); err != nil {
 		return err
 	}
 	state, err := apply(previous, &version)
@@ -128,10 +128,11 @@
 	}
 	version.Snapshot = true
 	version.Ops = tables.Diff(tables.EmptyState(), state)
-	return putSealed(bucket, key, version)
+	return putValue(bucket, key, version)
 }
 
-// bucketKeys returns copies of all keys in order: those of the library are valid only until the bucket changes.
+// bucketKeys returns copies of all keys in order. Copies are needed because bbolt's keys are valid only until the bucket
+// changes.
 func bucketKeys(bucket *bbolt.Bucket) ([][]byte, error) {
 	var keys [][]byte
 	err := bucket.ForEach(func(key, _ []byte) error {
@@ -143,14 +144,14 @@
 
 func saveCommands(tx *bbolt.Tx, commands []CompletedCommand) error {
 	for _, command := range commands {
-		if err := putSealed(tx.Bucket(commandsBucket), []byte(command.Key), command); err != nil {
+		if err := putValue(tx.Bucket(commandsBucket), []byte(command.Key), command); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// replaceDrains stores the servers that are draining or gone in place of those stored before.
+// replaceDrains replaces the stored set of servers that are draining or gone.
 func replaceDrains(tx *bbolt.Tx, drains map[string]time.Time) error {
 	if err := tx.DeleteBucket(drainsBucket); err != nil {
 		return err
@@ -160,7 +161,7 @@
 		return err
 	}
 	for server, since := range drains {
-		if err := putSealed(bucket, []byte(server), since); err != nil {
+		if err := putValue(bucket, []byte(server), since); err != nil {
 			return err
 		}
 	}
--- a/internal/store/server_list.go
+++ b/internal/store/server_list.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// ListEntry is a server as service discovery described it.
+// ListEntry is a server as reported by service discovery.
 type ListEntry struct {
 	ID          string   `json:"id"`
 	HostPort    string   `json:"hostPort,omitempty"`
@@ -21,14 +21,14 @@
 // lifecycleRemoved is the lifecycle of a server that is no longer listed.
 const lifecycleRemoved = "removed"
 
-// ListChange is a change of the server list by service discovery.
+// ListChange is a change to the server list, received from service discovery.
 type ListChange struct {
-	Complete   bool  // Entries replace the list
-	Generation int64 // up to which no change is missing; 0: unchanged
+	Complete   bool  // Entries replace the whole list
+	Generation int64 // all changes up to this generation are known; 0 leaves the stored generation unchanged
 	Entries    []ListEntry
 }
 
-// Merge returns the change that has the effect of this one and a later one. It holds each server once.
+// Merge returns one change with the effect of c followed by later. It contains each server at most once.
 func (c ListChange) Merge(later ListChange) ListChange {
 	if later.Complete {
 		return later
@@ -49,44 +49,45 @@
 
 // ServerList is the last known server list, sorted by ID.
 type ServerList struct {
-	Generation int64       `json:"generation"` // 0: no list is stored
+	Generation int64       `json:"generation"` // 0 if no list is stored
 	Entries    []ListEntry `json:"entries"`
 }
 
-// listSummary describes the stored list as a whole: a lost or duplicated entry shows in it.
+// listSummary is a checksum of the whole stored list, which detects lost and duplicated entries.
 type listSummary struct {
 	Generation int64       `json:"Generation"`
 	Entries    int         `json:"Entries"`
-	Digest     valueDigest `json:"Digest"` // exclusive or of the digests of all entries
+	Digest     valueDigest `json:"Digest"` // XOR of the digests of all entries
 }
 
-// toggleDigest adds the digest of a sealed entry to the summary, or takes it out again.
-func (s *listSummary) toggleDigest(sealed []byte) {
+// xorDigest adds the digest of an encoded entry to the summary, or removes it if it was added before.
+func (s *listSummary) xorDigest(encoded []byte) {
 	for i := range s.Digest {
-		s.Digest[i] ^= sealed[i]
+		s.Digest[i] ^= encoded[i]
 	}
 }
 
-// replace stores an entry in place of the one with its ID, or removes that one.
-func (s *listSummary) replace(bucket *bbolt.Bucket, entry ListEntry) error {
+// applyEntry adds an entry or replaces the one with the same ID. If its lifecycle is removed, it deletes that one.
+func (s *listSummary) applyEntry(bucket *bbolt.Bucket, entry ListEntry) error {
 	key := []byte(entry.ID)
 	if old := bucket.Get(key); len(old) >= digestSize {
-		s.toggleDigest(old)
+		s.xorDigest(old)
 		s.Entries--
 	}
 	if entry.Lifecycle == lifecycleRemoved {
 		return bucket.Delete(key)
 	}
-	sealed, err := seal(entry)
+	encoded, err := encodeValue(entry)
 	if err != nil {
 		return err
 	}
-	s.toggleDigest(sealed)
+	s.xorDigest(encoded)
 	s.Entries++
-	return bucket.Put(key, sealed)
+	return bucket.Put(key, encoded)
 }
 
-// saveList stores a change. It is stored also while no generation is known, though loadList then returns no list.
+// saveList stores a change to the server list. It does so even while no generation is known, although loadList returns
+// no list in that case.
 func saveList(tx *bbolt.Tx, change ListChange) error {
 	if change.Complete {
 		if err := clearList(tx); err != nil {
@@ -100,14 +101,14 @@
 	bucket := tx.Bucket(serversBucket)
 	byID := func(a, b ListEntry) int { return cmp.Compare(a.ID, b.ID) }
 	for _, entry := range slices.SortedStableFunc(slices.Values(change.Entries), byID) {
-		if err := summary.replace(bucket, entry); err != nil {
+		if err := summary.applyEntry(bucket, entry); err != nil {
 			return err
 		}
 	}
 	if change.Generation > 0 {
 		summary.Generation = change.Generation
 	}
-	return putSealed(tx.Bucket(metaBucket), listSummaryKey, summary)
+	return putValue(tx.Bucket(metaBucket), listSummaryKey, summary)
 }
 
 func clearList(tx *bbolt.Tx) error {
@@ -120,15 +121,15 @@
 	return tx.Bucket(metaBucket).Delete(listSummaryKey)
 }
 
-// readListSummary returns the zero summary where no list is stored.
+// readListSummary returns the zero summary if no list is stored.
 func readListSummary(tx *bbolt.Tx) (summary listSummary, err error) {
-	if sealed := tx.Bucket(metaBucket).Get(listSummaryKey); sealed != nil {
-		err = unseal(sealed, &summary)
+	if encoded := tx.Bucket(metaBucket).Get(listSummaryKey); encoded != nil {
+		err = decodeValue(encoded, &summary)
 	}
 	return summary, err
 }
 
-// loadList reads and verifies the list. A store of an earlier release has none.
+// loadList reads and verifies the server list. A store that an earlier release wrote has none.
 func loadList(tx *bbolt.Tx) (ServerList, error) {
 	want, err := readListSummary(tx)
 	if err != nil {
@@ -142,10 +143,10 @@
 	got := listSummary{Generation: want.Generation}
 	err = bucket.ForEach(func(key, value []byte) error {
 		var entry ListEntry
-		if err := unseal(value, &entry); err != nil {
+		if err := decodeValue(value, &entry); err != nil {
 			return fmt.Errorf("server %q: %w", key, err)
 		}
-		got.toggleDigest(value)
+		got.xorDigest(value)
 		got.Entries++
 		list.Entries = append(list.Entries, entry)
 		return nil
--- a/internal/store/server_list_test.go
+++ b/internal/store/server_list_test.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// savedList is the list of a store after some changes, each saved by itself.
+// savedList saves changes one by one in a new store, reopens it and returns its server list.
 func savedList(t *testing.T, changes ...ListChange) ServerList {
 	t.Helper()
 	path := storePath(t)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestTheServerListIsLoadedAsItWasLast(t *testing.T) {
+func TestServerListIsLoadedAsLastSaved(t *testing.T) {
 	first := completeList(41, listEntry("s-2", "up"), listEntry("s-1", "up"), listEntry("s-3", "up"))
 	drain := ListChange{Generation: 42, Entries: []ListEntry{listEntry("s-2", "draining")}}
 	removal := ListChange{Generation: 43, Entries: []ListEntry{listEntry("s-3", "removed"), listEntry("s-9", "up")}}
@@ -45,15 +45,16 @@
 		listEntry("s-7", "up"))
 }
 
-// What came while a change before it was missing must not count as all changes up to its generation.
-func TestAChangeBehindAGapDoesNotMoveTheGeneration(t *testing.T) {
-	gap := ListChange{Entries: []ListEntry{listEntry("s-1", "draining")}}
-	expectList(t, "gap", savedList(t, completeList(41, listEntry("s-1", "up")), gap), 41, listEntry("s-1", "draining"))
-	unknown := ListChange{Complete: true, Entries: []ListEntry{listEntry("s-1", "up")}}
-	expectList(t, "no generation yet", savedList(t, unknown), 0)
+// A change that arrives while an earlier one is missing has no generation. It must not advance the stored generation,
+// which would claim that the missing change is known.
+func TestChangeAfterAGapKeepsTheGeneration(t *testing.T) {
+	afterGap := ListChange{Entries: []ListEntry{listEntry("s-1", "draining")}}
+	expectList(t, "change after a gap", savedList(t, completeList(41, listEntry("s-1", "up")), afterGap), 41, listEntry("s-1", "draining"))
+	withoutGeneration := ListChange{Complete: true, Entries: []ListEntry{listEntry("s-1", "up")}}
+	expectList(t, "no generation yet", savedList(t, withoutGeneration), 0)
 }
 
-func TestMergedChangesHaveTheEffectOfSingleOnes(t *testing.T) {
+func TestMergedListChangesEqualSeparateChanges(t *testing.T) {
 	changes := []ListChange{
 		completeList(41, listEntry("s-1", "up"), listEntry("s-2", "up"), listEntry("s-3", "up")),
 		{Generation: 42, Entries: []ListEntry{listEntry("s-1", "draining")}},
@@ -65,24 +66,24 @@
 		merged = merged.Merge(change)
 	}
 	if len(merged.Entries) != 4 {
-		t.Errorf("a server is in the change more than once: %+v", merged.Entries)
+		t.Errorf("the merged change has %d entries, want 4, one for each server: %+v", len(merged.Entries), merged.Entries)
 	}
-	single := savedList(t, changes...)
-	expectList(t, "merged", savedList(t, merged), single.Generation, single.Entries...)
+	separate := savedList(t, changes...)
+	expectList(t, "merged", savedList(t, merged), separate.Generation, separate.Entries...)
 	later := changes[1].Merge(changes[2]).Merge(changes[3])
-	expectList(t, "merged behind a complete list", savedList(t, changes[0], later), single.Generation, single.Entries...)
+	expectList(t, "merged after a complete list", savedList(t, changes[0], later), separate.Generation, separate.Entries...)
 	replaced := merged.Merge(completeList(60, listEntry("s-8", "up")))
 	expectList(t, "a later complete list", savedList(t, replaced), 60, listEntry("s-8", "up"))
 }
 
-func TestALostOrDuplicatedEntryIsFound(t *testing.T) {
+func TestLostDuplicatedOrReplacedEntryIsDamage(t *testing.T) {
 	for name, damage := range map[string]func(bucket *bbolt.Bucket) error{
 		"lost": func(bucket *bbolt.Bucket) error { return bucket.Delete([]byte("s-1")) },
 		"duplicated": func(bucket *bbolt.Bucket) error {
 			return bucket.Put([]byte("s-9"), bucket.Get([]byte("s-1")))
 		},
 		"replaced": func(bucket *bbolt.Bucket) error {
-			return putSealed(bucket, []byte("s-1"), listEntry("s-1", "draining"))
+			return putValue(bucket, []byte("s-1"), listEntry("s-1", "draining"))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -105,7 +106,7 @@
 
 const largeListSize = 24_000
 
-// largeList is a complete list of the size that is planned for.
+// largeList returns a complete list of the largest size that the store is designed for.
 func largeList() ListChange {
 	change := completeList(41)
 	for n := range largeListSize {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,7 @@
-// Package store persists what must survive a crash in one bbolt file: the versions of the tables, the drains in force,
-// the completed commands and the last known server list. It owns the file, its format and its limits, and makes no
-// load balancing decision. A change that Save acknowledged is there after a crash at any point, and a change is never
-// there in part.
+// Package store persists the state that must survive a crash in one bbolt file: the versions of the tables, the current
+// drains, the completed commands and the last known server list. It owns the file, its format and its limits, and makes
+// no load balancing decisions. Changes are atomic and durable: once Save has acknowledged a change, it survives a crash
+// at any point, and no crash leaves a part of a change.
 package store
 
 import (
@@ -15,24 +15,24 @@
 	"tamarindshore/client/tables"
 )
 
-// FormatVersion is the newest format of the file that this release reads, and the one that it writes.
+// FormatVersion is the file format that this release writes, and the newest one that it reads.
 const FormatVersion = 1
 
-// Errors that callers tell apart. Each is wrapped with what was found.
+// Errors that callers distinguish with errors.Is. They may be wrapped with details.
 var (
-	ErrLocked  = errors.New("another process has the store open")
-	ErrNewer   = errors.New("the store is of a newer release")
-	ErrDamaged = errors.New("the store is damaged")
+	ErrLocked      = errors.New("another process has the store open")
+	ErrNewerFormat = errors.New("the store was written by a newer release")
+	ErrDamaged     = errors.New("the store is damaged")
 )
 
-// Limits bound the file and the time to open it.
+// Limits bounds the size of the file and the time to open it.
 type Limits struct {
-	MaxVersions       int           // that are retained; up to an eighth more wait for the next cleanup
-	CompactAboveBytes int64         // size of the file above which Open compacts it
-	LockTimeout       time.Duration // to wait for another process to close the file
+	MaxVersions       int           // number of versions to retain; up to an eighth more are kept until the next pruning
+	CompactAboveBytes int64         // Open compacts a file larger than this
+	LockTimeout       time.Duration // how long to wait for another process to close the file
 }
 
-// DefaultLimits are the limits of a manager.
+// DefaultLimits returns the limits that a manager uses.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxVersions:       1000,
@@ -41,47 +41,47 @@
 	}
 }
 
-// Version is one version of the tables as it is stored: the operations that lead to it from the version before it, or
-// from the empty state.
+// Version is a stored version of the tables: the operations that produce it from the version before it, or from the
+// empty state if it is a snapshot.
 type Version struct {
 	ID         tables.ID     `json:"id"`
-	Digest     tables.Digest `json:"digest"` // of the state that it leads to
-	Parent     tables.Digest `json:"parent"` // of the state before it
+	Digest     tables.Digest `json:"digest"` // of the state after Ops
+	Parent     tables.Digest `json:"parent"` // of the state before Ops
 	CreatedAt  time.Time     `json:"at"`
 	Cause      string        `json:"cause"`
 	Layout     string        `json:"layout"`        // how the tables were numbered
-	CommandKey string        `json:"key,omitempty"` // of the operator's command that led to it
-	Snapshot   bool          `json:"whole"`         // Ops lead from the empty state
+	CommandKey string        `json:"key,omitempty"` // idempotency key of the operator's command that caused it
+	Snapshot   bool          `json:"whole"`         // Ops start from the empty state
 	Ops        []tables.Op   `json:"ops"`
 }
 
-// CompletedCommand is an operator's command that was carried out.
+// CompletedCommand is an operator's command that was executed.
 type CompletedCommand struct {
 	Key         string    `json:"key"` // idempotency key
 	Command     string    `json:"what"`
 	CompletedAt time.Time `json:"at"`
-	Head        tables.ID `json:"head"` // the newest version at that time
+	Head        tables.ID `json:"head"` // the newest version at CompletedAt
 }
 
-// Change is saved as one transaction.
+// Change is a set of updates that Save stores in one transaction.
 type Change struct {
-	Versions          []Version            // in the order in which they follow each other
-	Drains            map[string]time.Time // all servers that are draining or gone, since when; nil: unchanged
-	CompletedCommands []CompletedCommand   // added to those stored
-	ServerList        *ListChange          // nil: unchanged
+	Versions          []Version            // oldest first
+	Drains            map[string]time.Time // all servers that are draining or gone, and since when; nil leaves them unchanged
+	CompletedCommands []CompletedCommand   // added to the stored ones
+	ServerList        *ListChange          // nil leaves the list unchanged
 }
 
-// Contents are all that a store holds.
+// Contents is everything that a store holds.
 type Contents struct {
 	Epoch             uint64 // of the last process that opened the store for writing
 	Versions          []Version
-	State             *tables.State // of the last version
+	State             *tables.State // after the last version
 	Drains            map[string]time.Time
 	CompletedCommands []CompletedCommand
 	ServerList        ServerList
 }
 
-// Store is an open file. It is not safe for use by several goroutines.
+// Store is an open store file. It is not safe for concurrent use.
 type Store struct {
 	db     *bbolt.DB
 	limits Limits
@@ -89,20 +89,21 @@
 	head   versionsHead
 }
 
-// versionsHead is where the stored versions end.
+// versionsHead describes the end of the sequence of stored versions.
 type versionsHead struct {
-	state *tables.State // of the last version
-	last  tables.ID     // of the last version; zero: there is none
-	count int           // of stored versions
+	state *tables.State // after the last version
+	last  tables.ID     // ID of the last version; zero if there is none
+	count int           // number of stored versions
 }
 
 // OpenFile opens a file as os.OpenFile does.
 type OpenFile func(name string, flag int, mode os.FileMode) (*os.File, error)
 
-// Open opens the store at a path for writing, or makes one, verifies all of it and returns what it holds. It begins a
-// new epoch: one after the last, and at least the one given. openFile replaces os.OpenFile unless it is nil.
+// Open opens the store at a path for writing, or creates it, verifies the whole file and returns its contents. It begins
+// a new epoch: the one after the last epoch, or the given one if that is higher. openFile replaces os.OpenFile unless it
+// is nil.
 //
-// Errors wrap ErrLocked, ErrNewer, ErrDamaged, or are those of the file system.
+// Errors wrap ErrLocked, ErrNewerFormat or ErrDamaged, or come from the file system.
 func Open(path string, epoch uint64, limits Limits, openFile OpenFile) (*Store, Contents, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return nil, Contents{}, err
@@ -129,7 +130,7 @@
 	return s, contents, nil
 }
 
-// beginEpoch makes the buckets that are missing, and stores the format and the epoch of this process.
+// beginEpoch creates missing buckets and stores the format version and the epoch of this process.
 func (s *Store) beginEpoch(epoch uint64) error {
 	s.epoch = epoch
 	return s.db.Update(func(tx *bbolt.Tx) error {
@@ -152,7 +153,7 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Check reads a store without writing to it, verifies all of it and returns what it holds. Errors are those of Open.
+// Check opens a store read-only, verifies the whole file and returns its contents. It returns the same errors as Open.
 func Check(path string, limits Limits) (Contents, error) {
 	if _, err := os.Stat(path); err != nil {
 		return Contents{}, err
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,7 +16,7 @@
 	path := filepath.Join(t.TempDir(), "deep", "s.db")
 	s, contents := openStore(t, path)
 	if len(contents.Versions) != 0 || s.Epoch() != 5 {
-		t.Fatalf("a new store has epoch %d and holds %+v", s.Epoch(), contents)
+		t.Fatalf("a new store has epoch %d, want 5, and contents %+v, want no versions", s.Epoch(), contents)
 	}
 	saveVersions(t, s, 10)
 	digest := s.head.state.Digest()
@@ -27,11 +27,12 @@
 		t.Errorf("epoch %d, state %v, want 6 and %v", s.Epoch(), contents.State.Digest(), digest)
 	}
 	if len(contents.Versions) != 10 || len(contents.CompletedCommands) != 4 || len(contents.Drains) != 1 {
-		t.Errorf("%d versions, %v, %v", len(contents.Versions), contents.CompletedCommands, contents.Drains)
+		t.Errorf("%d versions, want 10; completed commands %v, want 4; drains %v, want 1",
+			len(contents.Versions), contents.CompletedCommands, contents.Drains)
 	}
 }
 
-func TestAChangeWithAWrongDigestIsNotSavedInPart(t *testing.T) {
+func TestChangeWithAWrongDigestIsNotSaved(t *testing.T) {
 	s, _ := openStore(t, storePath(t))
 	defer s.Close()
 	saveVersions(t, s, 1)
@@ -41,35 +42,35 @@
 	err := s.Save(Change{Versions: []Version{version}, CompletedCommands: []CompletedCommand{{Key: "k"}}})
 	var digestErr *DigestError
 	if !errors.As(err, &digestErr) || digestErr.Version != version.ID || digestErr.Want != version.Digest {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want a DigestError of version %v with expected digest %v", err, version.ID, version.Digest)
 	}
 	if s.head.state.Digest() != before {
-		t.Error("the state changed")
+		t.Error("the failed save changed the state")
 	}
 	contents, err := s.load()
 	if err != nil || len(contents.Versions) != 1 {
-		t.Errorf("%d versions, error %v", len(contents.Versions), err)
+		t.Errorf("%d versions, want 1; error %v", len(contents.Versions), err)
 	}
 	isK := func(command CompletedCommand) bool { return command.Key == "k" }
 	if slices.ContainsFunc(contents.CompletedCommands, isK) {
-		t.Errorf("half a change was saved: %+v", contents.CompletedCommands)
+		t.Errorf("the completed command of a failed save was stored: %+v", contents.CompletedCommands)
 	}
 }
 
-func TestRetentionKeepsTheNewestVersionsAndTheirState(t *testing.T) {
+func TestPruningKeepsTheNewestVersionsAndTheirState(t *testing.T) {
 	limits := DefaultLimits()
 	limits.MaxVersions = 40
 	path, digest := filledStore(t, limits, 200)
 	contents := checkStore(t, path, limits)
 	if n := len(contents.Versions); n > 45 || n < 40 || !contents.Versions[0].Snapshot {
-		t.Errorf("%d versions, the first is a snapshot: %v", n, contents.Versions[0].Snapshot)
+		t.Errorf("%d versions, want 40 to 45; the first is a snapshot: %v, want true", n, contents.Versions[0].Snapshot)
 	}
 	if contents.State.Digest() != digest {
 		t.Errorf("state %v, want %v", contents.State.Digest(), digest)
 	}
 }
 
-func TestCompactingKeepsTheContentsAndDoesNotGrowTheFile(t *testing.T) {
+func TestCompactKeepsTheContentsAndDoesNotGrowTheFile(t *testing.T) {
 	limits := DefaultLimits()
 	limits.MaxVersions = 20
 	path, digest := filledStore(t, limits, 300)
@@ -79,14 +80,14 @@
 	}
 	contents := checkStore(t, path, limits)
 	if after := fileSize(t, path); contents.State.Digest() != digest || after > before {
-		t.Errorf("state %v, want %v; %d bytes after %d", contents.State.Digest(), digest, after, before)
+		t.Errorf("state %v, want %v; file has %d bytes, had %d before", contents.State.Digest(), digest, after, before)
 	}
 	if !maps.Equal(contents.Drains, map[string]time.Time{"s-297": testTime}) {
-		t.Errorf("drains %v", contents.Drains)
+		t.Errorf("drains %v, want only that of s-297", contents.Drains)
 	}
 }
 
-func TestALargeFileIsCompactedWhenItIsOpened(t *testing.T) {
+func TestOpenCompactsALargeFile(t *testing.T) {
 	path, digest := filledStore(t, DefaultLimits(), 30)
 	before := fileInfo(t, path)
 	limits := DefaultLimits()
@@ -97,7 +98,7 @@
 		t.Errorf("state %v, want %v", contents.State.Digest(), digest)
 	}
 	if os.SameFile(before, fileInfo(t, path)) {
-		t.Error("the file was not rewritten")
+		t.Error("Open did not compact the file")
 	}
 }
 
