--- a/internal/subset/demand.go
+++ b/internal/subset/demand.go
@@ -7,39 +7,39 @@
 )
 
 const (
-	zoneShortThreshold = 0.7             // of a home zone's servers: with fewer in service the rest is wanted of other zones
-	checkDuration      = 3 * time.Second // within which a new member counts as in service: its first health check is under way
-	referenceLifetime  = time.Hour       // that the size of a zone is remembered after it shrank
+	zoneShortThreshold = 0.7             // fraction of a home zone's servers in service below which other zones replace the rest
+	checkDuration      = 3 * time.Second // how long a new member counts as in service while its first health check is pending
+	peakLifetime       = time.Hour       // how long the peak size of a zone is remembered after the zone shrank
 )
 
-// demand is what one tick found of the servers in other zones than home.
+// demand compares the servers in service outside the home zones with the number needed, as of one tick.
 type demand struct {
-	wanted        float64 // servers in service: the stated number, and those that home zones lack
-	serving       float64 // in service, or so new that it is not known yet
-	wantedWarm    float64 // like wanted, with servers of home zones that warm up counted by their progress
-	warm          float64 // in service, counted by their progress
-	spill         float64 // the stated number
-	available     float64 // listed
-	noneInService bool    // no server at all is
+	wanted        float64 // number needed: the configured spill plus the shortfall of the home zones
+	serving       float64 // servers in service, and new members whose first health check is pending
+	wantedWarm    float64 // like wanted, but home servers in slow start count by their progress
+	warm          float64 // servers in service, each counted by the progress of its slow start
+	spill         float64 // configured number of spill servers
+	available     float64 // listed servers outside the home zones
+	noneInService bool    // no server of any zone is in service
 }
 
-// isShort tells whether too few servers are in service.
+// isShort reports whether too few servers are in service.
 func (d demand) isShort() bool {
 	return d.noneInService || d.serving < widenThreshold*min(d.wanted, d.available)
 }
 
 // zoneService counts the members of one zone.
 type zoneService struct {
-	serving float64 // in service, or so new that it is not known yet
-	warm    float64 // in service, counted by the progress of their slow start
+	serving float64 // servers in service, and new members whose first health check is pending
+	warm    float64 // servers in service, each counted by the progress of its slow start
 }
 
-// demand holds the members in service against what the zones should have.
+// demand compares the members in service with the number that the zones should have.
 func (s *Subset) demand(now time.Duration, fleet Fleet) demand {
 	ready, _ := fleet.ReadyServers()
 	noneInService := ready == 0 && s.hasCheckedMember(now)
 	spill := float64(s.settings.Spill)
-	found := demand{
+	d := demand{
 		wanted:        spill,
 		wantedWarm:    spill,
 		spill:         spill,
@@ -50,27 +50,27 @@
 	for id, zone := range s.zones {
 		service := byZone[id]
 		if !zone.isHome {
-			found.serving += service.serving
-			found.warm += service.warm
+			d.serving += service.serving
+			d.warm += service.warm
 			continue
 		}
-		reference := s.reference(now, zone)
-		found.wanted += missing(service.serving, reference)
-		found.wantedWarm += missing(service.warm, reference)
+		expected := s.expectedServers(now, zone)
+		d.wanted += shortfall(service.serving, expected)
+		d.wantedWarm += shortfall(service.warm, expected)
 	}
-	return found
+	return d
 }
 
-// missing is what a home zone lacks, where it is short.
-func missing(has, reference float64) float64 {
-	if has >= zoneShortThreshold*reference {
+// shortfall returns how many servers a home zone lacks, or 0 if enough of the expected servers are in service.
+func shortfall(inService, expected float64) float64 {
+	if inService >= zoneShortThreshold*expected {
 		return 0
 	}
-	return reference - has
+	return expected - inService
 }
 
-// hasCheckedMember tells whether some member is old enough to be in service. Guards against widening at the start, when
-// all members are being checked.
+// hasCheckedMember reports whether some member is old enough to have passed its first health check. Without this
+// condition the subset would widen at the start, when all members are still being checked.
 func (s *Subset) hasCheckedMember(now time.Duration) bool {
 	for _, r := range s.published {
 		if r.phase == phaseMember && now-r.phaseSince >= checkDuration {
@@ -80,8 +80,8 @@
 	return false
 }
 
-// service counts members in service by zone. While none at all is, the balancer calls all of them available, and new
-// ones do not count either.
+// service counts the members in service by zone. It counts none while no server at all is in service: the balancer then
+// reports every member as available, and new members must not count either.
 func (s *Subset) service(now time.Duration, fleet Fleet, noneInService bool) map[balancer.ZoneID]zoneService {
 	byZone := map[balancer.ZoneID]zoneService{}
 	if noneInService {
@@ -104,15 +104,15 @@
 	return byZone
 }
 
-// reference is how many servers a home zone should have: the most that were listed lately, or, where none was, as many
-// as a zone has on average.
-func (s *Subset) reference(now time.Duration, zone *zoneState) float64 {
-	if zone.listedServers >= zone.referenceSize || now-zone.referenceAt > referenceLifetime {
-		zone.referenceSize = zone.listedServers
-		zone.referenceAt = now
+// expectedServers returns how many servers a home zone should have: its peak number of listed servers within
+// peakLifetime, or the average over all zones if the zone had none.
+func (s *Subset) expectedServers(now time.Duration, zone *zoneState) float64 {
+	if zone.listedServers >= zone.peakServers || now-zone.peakAt > peakLifetime {
+		zone.peakServers = zone.listedServers
+		zone.peakAt = now
 	}
-	if zone.referenceSize > 0 {
-		return float64(zone.referenceSize)
+	if zone.peakServers > 0 {
+		return float64(zone.peakServers)
 	}
 	return float64(s.listedServers()) / float64(max(1, len(s.zones)))
 }
--- a/internal/subset/drain_test.go
+++ b/internal/subset/drain_test.go
@@ -10,150 +10,154 @@
 	"tamarindshore/balancer"
 )
 
-// requireGradualDrain plays a second, in which a small part of the members may leave.
-func (r *simulation) requireGradualDrain(t *testing.T) {
+// requireGradualDrain advances one second, in which only a small fraction of the members may leave.
+func (sim *simulation) requireGradualDrain(t *testing.T) {
 	t.Helper()
-	before := len(r.members())
-	r.seconds(1)
-	if left := before - len(r.members()); left > max(minDrainPerTick, int(maxDrainFraction*float64(before))) {
-		t.Errorf("%d of %d members left in one second", left, before)
+	before := len(sim.members())
+	sim.runSeconds(1)
+	if left := before - len(sim.members()); left > max(minDrainPerTick, int(maxDrainFraction*float64(before))) {
+		t.Errorf("%d of %d members left in one second, more than the drain limit", left, before)
 	}
 }
 
-// One that leaves drains first, then is gone, and once it is forgotten its withdrawal is lifted.
+// A server that leaves the subset is published as draining, then as removed; once the balancer has forgotten it, its
+// withdrawal is lifted.
 func TestSurplusServerDrainsAndIsRestored(t *testing.T) {
-	servers := fleetOf(20, 100)
-	r := steadyState(servers, 50)
-	r.fail(ofZone(servers, 0)...)
-	r.seconds(5)
-	clear(r.fleet.failed)
+	servers := newServers(20, 100)
+	sim := steadyState(servers, 50)
+	sim.failServers(serversInZone(servers, 0)...)
+	sim.runSeconds(5)
+	clear(sim.fleet.failed)
 	last := map[balancer.ServerID]balancer.ServerState{}
 	lifted := map[balancer.ServerID]bool{}
 	drainedAt := map[balancer.ServerID]time.Duration{}
 	for range 900 {
-		u := r.tick()
-		for _, one := range u.Servers {
-			was, left := last[one.Server]
-			if one.State == balancer.Removed && (!left || was != balancer.Draining || r.now-drainedAt[one.Server] < drainDuration) {
-				t.Fatalf("%s is gone %v after it began to drain", one.Server, r.now-drainedAt[one.Server])
+		update := sim.tick()
+		for _, entry := range update.Servers {
+			previous, published := last[entry.Server]
+			if entry.State == balancer.Removed && (!published || previous != balancer.Draining || sim.now-drainedAt[entry.Server] < drainDuration) {
+				t.Fatalf("%s was published as removed %v after it began to drain, want at least %v",
+					entry.Server, sim.now-drainedAt[entry.Server], drainDuration)
 			}
-			if one.State == balancer.Draining {
-				drainedAt[one.Server] = r.now
+			if entry.State == balancer.Draining {
+				drainedAt[entry.Server] = sim.now
 			}
-			last[one.Server] = one.State
+			last[entry.Server] = entry.State
 		}
-		for _, id := range u.Restore {
-			if known, _, _ := r.fleet.ServerStatus(id); known {
-				t.Fatalf("%s is let back in and still known", id)
+		for _, id := range update.Restore {
+			if known, _, _ := sim.fleet.ServerStatus(id); known {
+				t.Fatalf("the withdrawal of %s was lifted while the balancer still knows it", id)
 			}
 			lifted[id] = true
 		}
 	}
 	if len(last) < 50 || len(lifted) != len(last) {
-		t.Errorf("%d servers left, the withdrawals of %d are lifted", len(last), len(lifted))
+		t.Errorf("%d servers left, want at least 50; the withdrawals of %d were lifted, want all", len(last), len(lifted))
 	}
 }
 
-// A server that is selected again before it is forgotten goes on as a member, at each point of its leave.
-func TestDrainingServerThatIsNeededAgainReturns(t *testing.T) {
+// A server that is selected again at any point between the start of its drain and being forgotten becomes a member.
+func TestDrainingServerSelectedAgainBecomesMember(t *testing.T) {
 	for _, after := range []int{1, 20, 40, 70, 95, 130} {
-		servers := fleetOf(20, 100)
-		r := steadyState(servers, 50)
-		r.fail(ofZone(servers, 0)...)
-		r.seconds(5)
-		wide := r.members()
-		clear(r.fleet.failed)
-		r.seconds(int(narrowDelay/time.Second) + after)
-		leaving := r.subset.Counts().Leaving
-		for _, record := range r.subset.published { // half of the others fail too, so that it gets as wide again
+		servers := newServers(20, 100)
+		sim := steadyState(servers, 50)
+		sim.failServers(serversInZone(servers, 0)...)
+		sim.runSeconds(5)
+		wide := sim.members()
+		clear(sim.fleet.failed)
+		sim.runSeconds(int(narrowDelay/time.Second) + after)
+		leaving := sim.subset.Counts().Leaving
+		for _, record := range sim.subset.published { // half of the other zones' servers fail too, so that the subset becomes as wide again
 			if record.server.Zone != zoneName(0) && record.phase == phaseMember && record.distance%2 == 0 {
-				r.fail(record.server)
+				sim.failServers(record.server)
 			}
 		}
-		r.fail(ofZone(servers, 0)...)
-		r.seconds(2)
-		if n := r.servingOutside(0); n < 105 {
-			t.Errorf("%d s after narrowing began, with %d leaving of %d: %d servers of other zones serve", after, leaving, len(wide), n)
+		sim.failServers(serversInZone(servers, 0)...)
+		sim.runSeconds(2)
+		if n := sim.servingOutside(0); n < 105 {
+			t.Errorf("%d s after narrowing began, with %d of %d leaving: %d servers of other zones are in service, want at least 105",
+				after, leaving, len(wide), n)
 		}
-		for _, record := range r.subset.ring.records {
-			if r.subset.selects(record) && record.phase != phaseMember {
-				t.Errorf("%d s after narrowing began: %s is selected and no member", after, record.server.Server)
+		for _, record := range sim.subset.ring.records {
+			if sim.subset.selects(record) && record.phase != phaseMember {
+				t.Errorf("%d s after narrowing began: %s is selected but not a member", after, record.server.Server)
 			}
 		}
 	}
 }
 
-// The last proxy of a zone leaves: its servers stay for a while, then leave few by few.
+// After the last proxy of a zone disconnects, the zone's servers stay members for homeZoneTimeout, then drain gradually.
 func TestZoneWithoutProxiesIsDrained(t *testing.T) {
-	servers := fleetOf(10, 100)
-	r := steadyState(servers, 30)
-	r.join(zoneName(1))
-	r.seconds(5)
-	both := len(r.members())
-	r.subset.HandleProxyDisconnected(r.now, zoneName(1))
-	r.seconds(50)
-	if n := len(r.members()); n != both {
-		t.Errorf("%d members of %d within %v", n, both, homeZoneTimeout)
+	servers := newServers(10, 100)
+	sim := steadyState(servers, 30)
+	sim.connectProxyIn(zoneName(1))
+	sim.runSeconds(5)
+	withBothZones := len(sim.members())
+	sim.subset.HandleProxyDisconnected(sim.now, zoneName(1))
+	sim.runSeconds(50)
+	if n := len(sim.members()); n != withBothZones {
+		t.Errorf("%d of %d members are left before %v have passed", n, withBothZones, homeZoneTimeout)
 	}
-	r.join(zoneName(1)) // the news had a gap
-	r.subset.HandleProxyDisconnected(r.now, zoneName(1))
+	sim.connectProxyIn(zoneName(1)) // reconnects within the timeout, as after a gap in the event stream
+	sim.subset.HandleProxyDisconnected(sim.now, zoneName(1))
 	for range 300 {
-		r.requireGradualDrain(t)
+		sim.requireGradualDrain(t)
 	}
-	for id := range r.members() {
-		if record := r.subset.records[id]; record.server.Zone == zoneName(1) && !r.subset.limit.covers(record.distance) {
-			t.Errorf("%s is a member still", id)
+	for id := range sim.members() {
+		if record := sim.subset.records[id]; record.server.Zone == zoneName(1) && !sim.subset.limit.covers(record.distance) {
+			t.Errorf("%s of the former home zone is still a member", id)
 		}
 	}
 }
 
-// A drain or a removal outside the subset is published too: a proxy that comes from another manager may hold a table
-// that names the server. Once that is over, the server is forgotten, and let back in if it is ready.
+// A drain or removal of a server outside the subset is published too: a proxy that moves here from another manager may
+// hold a table that names the server. When the drain is over, the server is forgotten, and its withdrawal is lifted if
+// it is ready.
 func TestDrainsOutsideTheSubsetArePublished(t *testing.T) {
-	servers := fleetOf(10, 20)
-	r := steadyState(servers, 10)
+	servers := newServers(10, 20)
+	sim := steadyState(servers, 10)
 	var outsiders []Server
 	for _, s := range servers {
-		if _, isPublished := r.fleet.entries[s.Server]; !isPublished {
+		if _, isPublished := sim.fleet.entries[s.Server]; !isPublished {
 			outsiders = append(outsiders, s)
 		}
 	}
 	drained := outsiders[0]
 	removed := outsiders[1]
-	back := outsiders[2]
-	r.list(false, withState(balancer.Draining, drained, back)...)
-	r.list(false, withState(balancer.Removed, removed)...)
-	for _, s := range []Server{drained, removed, back} {
-		if e := r.fleet.entries[s.Server]; e.State != balancer.Draining {
-			t.Errorf("%s is published as %+v", s.Server, e)
+	returning := outsiders[2]
+	sim.applyList(false, withState(balancer.Draining, drained, returning)...)
+	sim.applyList(false, withState(balancer.Removed, removed)...)
+	for _, s := range []Server{drained, removed, returning} {
+		if e := sim.fleet.entries[s.Server]; e.State != balancer.Draining {
+			t.Errorf("%s is published as %+v, want draining", s.Server, e)
 		}
 	}
 	for range 200 {
-		r.tick()
-		if e, known := r.fleet.entries[drained.Server]; !known || e.State != balancer.Draining {
-			t.Fatalf("%s drains still and is published as %+v", drained.Server, e)
+		sim.tick()
+		if e, known := sim.fleet.entries[drained.Server]; !known || e.State != balancer.Draining {
+			t.Fatalf("%s is still draining, but is published as %+v (known: %v)", drained.Server, e, known)
 		}
 	}
-	if known, _, _ := r.fleet.ServerStatus(removed.Server); known || r.subset.Tracks(removed.Server) {
-		t.Errorf("%s is not forgotten", removed.Server)
+	if known, _, _ := sim.fleet.ServerStatus(removed.Server); known || sim.subset.Tracks(removed.Server) {
+		t.Errorf("%s was removed but is not forgotten", removed.Server)
 	}
-	r.list(false, back)
+	sim.applyList(false, returning)
 	lifted := false
 	for range 200 {
-		lifted = lifted || slices.Contains(r.tick().Restore, back.Server)
+		lifted = lifted || slices.Contains(sim.tick().Restore, returning.Server)
 	}
-	if known, _, _ := r.fleet.ServerStatus(back.Server); known || !lifted {
-		t.Errorf("%s is ready again: known %v, its withdrawal is lifted %v", back.Server, known, lifted)
+	if known, _, _ := sim.fleet.ServerStatus(returning.Server); known || !lifted {
+		t.Errorf("%s is ready again: known %v, want false; withdrawal lifted %v, want true", returning.Server, known, lifted)
 	}
 }
 
-// listSimulation draws changes of the list and of proxies, and remembers what was said last.
+// listSimulation applies random changes of the list and of the proxies, and records the last listed state of each server.
 type listSimulation struct {
 	*simulation
-	servers []Server
-	zones   int
-	said    map[balancer.ServerID]balancer.ServerState // of each server that the list named
-	proxies map[int]int                                // connected, by zone
+	servers     []Server
+	zones       int
+	listedState map[balancer.ServerID]balancer.ServerState // last state of each server that was ever listed
+	proxies     map[int]int                                // connected proxies by zone
 }
 
 func (l *listSimulation) changeList(t *rapid.T) {
@@ -161,30 +165,30 @@
 	states := []balancer.ServerState{balancer.Ready, balancer.Draining, balancer.Removed}
 	to := rapid.SampledFrom(states).Draw(t, "state")
 	for _, server := range some {
-		l.said[server.Server] = to
+		l.listedState[server.Server] = to
 	}
-	l.list(false, withState(to, some...)...)
+	l.applyList(false, withState(to, some...)...)
 }
 
 func (l *listSimulation) replaceList(t *rapid.T) {
 	absent := rapid.SliceOfN(rapid.SampledFrom(l.servers), 0, 10).Draw(t, "absent")
-	for _, server := range absent { // removed, without another word
-		l.said[server.Server] = balancer.Removed
+	for _, server := range absent { // removed by its absence from the list
+		l.listedState[server.Server] = balancer.Removed
 	}
 	var all []Server
 	for _, server := range l.servers {
-		server.State = l.said[server.Server]
+		server.State = l.listedState[server.Server]
 		if server.State != balancer.Removed {
 			all = append(all, server)
 		}
 	}
-	l.list(true, all...)
+	l.applyList(true, all...)
 }
 
 func (l *listSimulation) connectProxy(t *rapid.T) {
 	zone := rapid.IntRange(0, l.zones-1).Draw(t, "zone")
 	l.proxies[zone]++
-	l.join(zoneName(zone))
+	l.connectProxyIn(zoneName(zone))
 }
 
 func (l *listSimulation) disconnectProxy(t *rapid.T) {
@@ -195,7 +199,7 @@
 	}
 }
 
-// isReleased tells whether a server waits for the next tick, which tells whether the balancer has forgotten it.
+// isReleased reports whether a server waits to be forgotten by the balancer, which the next ticks check.
 func (l *listSimulation) isReleased(id balancer.ServerID) bool {
 	record := l.subset.records[id]
 	return record != nil && record.phase == phaseReleased
@@ -203,43 +207,43 @@
 
 func (l *listSimulation) check(t *rapid.T) {
 	for id, entry := range l.fleet.entries {
-		if entry.State == balancer.Ready && l.said[id] != balancer.Ready {
-			t.Fatalf("%s is published as ready, and the list says %v", id, l.said[id])
+		if entry.State == balancer.Ready && l.listedState[id] != balancer.Ready {
+			t.Fatalf("%s is published as ready, but its listed state is %v", id, l.listedState[id])
 		}
 	}
-	for id, state := range l.said {
+	for id, state := range l.listedState {
 		known, _, _ := l.fleet.ServerStatus(id)
 		if l.subset.active && state == balancer.Draining && !known && !l.isReleased(id) {
-			t.Fatalf("%s drains and is not published", id)
+			t.Fatalf("%s is draining, but is not published", id)
 		}
 	}
 	for zone, proxies := range l.proxies {
 		if proxies == 0 {
 			continue
 		}
-		for _, server := range ofZone(l.servers, zone) {
+		for _, server := range serversInZone(l.servers, zone) {
 			entry, known := l.fleet.entries[server.Server]
 			isPublished := known && entry.State == balancer.Ready
-			if l.said[server.Server] == balancer.Ready && !l.isReleased(server.Server) && !isPublished {
-				t.Fatalf("%s of a home zone is ready and not published", server.Server)
+			if l.listedState[server.Server] == balancer.Ready && !l.isReleased(server.Server) && !isPublished {
+				t.Fatalf("%s of a home zone is ready, but is not published as ready", server.Server)
 			}
 		}
 	}
 }
 
-// Whatever the list does, the last that it said of a server is what the fleet was told: no drain is lost, and no server
-// that is removed or drains gets requests.
+// After any sequence of list changes, the balancer has the last listed state of each server: every drain is published,
+// and no draining or removed server gets requests.
 func TestNoDrainIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		servers, zones := drawFleet(t)
+		servers, zones := drawServers(t)
 		l := &listSimulation{
-			simulation: newSimulation("n5", rapid.IntRange(1, 40).Draw(t, "spill")),
-			servers:    servers,
-			zones:      zones,
-			said:       map[balancer.ServerID]balancer.ServerState{},
-			proxies:    map[int]int{},
+			simulation:  newSimulation("n5", rapid.IntRange(1, 40).Draw(t, "spill")),
+			servers:     servers,
+			zones:       zones,
+			listedState: map[balancer.ServerID]balancer.ServerState{},
+			proxies:     map[int]int{},
 		}
-		l.list(true, servers...)
+		l.applyList(true, servers...)
 		t.Repeat(map[string]func(*rapid.T){
 			"change":     l.changeList,
 			"whole list": l.replaceList,
@@ -249,7 +253,7 @@
 				l.fleet.failed[rapid.SampledFrom(servers).Draw(t, "server").Server] = true
 			},
 			"mend": func(*rapid.T) { clear(l.fleet.failed) },
-			"time": func(t *rapid.T) { l.seconds(rapid.IntRange(1, 40).Draw(t, "seconds")) },
+			"time": func(t *rapid.T) { l.runSeconds(rapid.IntRange(1, 40).Draw(t, "seconds")) },
 			"":     l.check,
 		})
 	})
--- a/internal/subset/endpoint_list.go
+++ b/internal/subset/endpoint_list.go
@@ -6,7 +6,7 @@
 	"tamarindshore/balancer"
 )
 
-// upsert takes over an entry of the list.
+// upsert adds or updates the record of a listed server. An entry without an address keeps the known address.
 func (s *Subset) upsert(server Server) *record {
 	r := s.records[server.Server]
 	wasListed := r != nil && r.server.State != balancer.Removed
@@ -14,23 +14,23 @@
 		r = &record{distance: s.ring.distance(server.Server)}
 		s.records[server.Server] = r
 	} else {
-		s.countInZone(r, -1)
+		s.adjustZoneCount(r, -1)
 		server.Address = cmp.Or(server.Address, r.server.Address)
 	}
 	r.recentlyListed = wasListed || server.State != balancer.Removed
 	r.server = server
-	s.countInZone(r, 1)
+	s.adjustZoneCount(r, 1)
 	return r
 }
 
-// countInZone adds a server to the size of its zone, or takes it off.
-func (s *Subset) countInZone(r *record, by int) {
+// adjustZoneCount adds delta (1 or -1) to the listed servers of the record's zone unless the server is marked as removed.
+func (s *Subset) adjustZoneCount(r *record, delta int) {
 	if r.server.State != balancer.Removed {
-		s.zone(r.server.Zone).listedServers += by
+		s.zone(r.server.Zone).listedServers += delta
 	}
 }
 
-// replaceAll takes over a whole list. Servers that are not in it are removed.
+// replaceAll applies a complete list. Servers that are not in it become removed.
 func (s *Subset) replaceAll(servers []Server) {
 	listed := make(map[balancer.ServerID]bool, len(servers))
 	for _, server := range servers {
@@ -39,7 +39,7 @@
 	}
 	for id, r := range s.records {
 		if !listed[id] {
-			s.countInZone(r, -1)
+			s.adjustZoneCount(r, -1)
 			r.server.State = balancer.Removed
 		}
 		if r.isUnused() {
@@ -49,7 +49,7 @@
 	s.ring.rebuild(s.records)
 }
 
-// dropIfUnused drops a server that neither the list nor the balancer has.
+// dropIfUnused deletes the record of a server that neither the list nor the balancer has.
 func (s *Subset) dropIfUnused(r *record) {
 	if r.isUnused() {
 		s.ring.remove(r)
--- a/internal/subset/membership.go
+++ b/internal/subset/membership.go
@@ -6,41 +6,43 @@
 	"tamarindshore/balancer"
 )
 
-// homeZoneTimeout is how long a zone stays home after its last proxy left.
+// homeZoneTimeout is how long a zone stays a home zone after its last proxy disconnected.
 const homeZoneTimeout = time.Minute
 
-// selects tells whether a server belongs to the subset, whatever its state is.
+// selects reports whether a server belongs to the subset, whatever its state.
 func (s *Subset) selects(r *record) bool {
 	return s.zone(r.server.Zone).isHome || s.limit.covers(r.distance)
 }
 
-// newLimit is what the list, the home zones and the width ask for.
-func (s *Subset) newLimit() limit {
+// computeLimit returns the limit for the current list, home zones and width.
+func (s *Subset) computeLimit() limit {
 	wanted := s.width.factor * float64(s.settings.Spill)
 	return s.ring.limitFor(wanted, s.foreignServers(), func(r *record) bool {
 		return r.server.State != balancer.Removed && !s.zone(r.server.Zone).isHome
 	})
 }
 
-// applyLimit moves the limit to what the list and the width ask for, and admits the servers that it covers now.
+// applyLimit updates the limit and reconciles the servers between the old and the new limit, so that newly covered
+// servers are admitted.
 func (s *Subset) applyLimit(now time.Duration) {
 	before := s.limit
-	s.limit = s.newLimit()
+	s.limit = s.computeLimit()
 	for _, record := range s.ring.between(before, s.limit) {
 		s.reconcile(now, record)
 	}
 }
 
-// reconcileAll looks at every server, after a change that may concern all.
+// reconcileAll updates the limit and reconciles every server, after a change that may affect all of them.
 func (s *Subset) reconcileAll(now time.Duration) {
-	s.limit = s.newLimit()
+	s.limit = s.computeLimit()
 	for _, record := range s.ring.records {
 		s.reconcile(now, record)
 	}
 }
 
-// reconcile publishes a server where the balancer needs it now. One that the balancer is about to forget waits for the
-// next tick, which tells whether it has.
+// reconcile admits a ready server that is selected, and publishes a draining or removed server that the balancer has not
+// been told about. A released server is left to finishDraining, which checks at each tick whether the balancer has
+// forgotten it.
 func (s *Subset) reconcile(now time.Duration, r *record) {
 	if !s.active {
 		return
@@ -49,22 +51,22 @@
 	switch {
 	case isReady && r.phase == phaseDraining && s.selects(r):
 		s.admit(now, r)
-	case isReady && r.phase == phaseOutside && s.selects(r):
-		r.noteWarmth(now, s.settings.WarmUpDuration)
+	case isReady && r.phase == phaseUnpublished && s.selects(r):
+		r.recordWarmAtAdmission(now, s.settings.WarmUpDuration)
 		s.admit(now, r)
-	case !isReady && r.phase == phaseOutside && r.recentlyListed:
+	case !isReady && r.phase == phaseUnpublished && r.recentlyListed:
 		s.startDraining(now, r)
 	}
 }
 
-// admit makes a server a member.
+// admit makes a server a member and publishes it.
 func (s *Subset) admit(now time.Duration, r *record) {
-	r.enter(phaseMember, now)
+	r.setPhase(phaseMember, now)
 	s.published[r.server.Server] = r
 	s.queueUpdate(r)
 }
 
-// expireHomeZones ends the membership of zones that have had no proxy for a while.
+// expireHomeZones clears the home status of zones that have had no proxy for homeZoneTimeout.
 func (s *Subset) expireHomeZones(now time.Duration) {
 	for _, zone := range s.zones {
 		if zone.isHome && zone.proxies == 0 && now-zone.lastProxyLeftAt >= homeZoneTimeout {
--- a/internal/subset/planned_size_test.go
+++ b/internal/subset/planned_size_test.go
@@ -12,7 +12,7 @@
 	"tamarindshore/balancer"
 )
 
-// The size that is planned for.
+// The deployment size that the package is designed for.
 const (
 	planManagers = 5600
 	planZones    = 88
@@ -20,36 +20,37 @@
 	planSpill    = 100
 )
 
-// planServerID spreads the plan's servers over its zones in turn.
+// planServerID returns the id of the server with this number. Servers are assigned to the zones in turn.
 func planServerID(n int) balancer.ServerID { return balancer.ServerID(fmt.Sprintf("s-%05x", n)) }
 
-// countMemberships counts the plan's spill memberships, by server and by manager: each manager's home is one zone. All managers
-// share one ring of servers in order, of which each takes what its limit covers.
+// countMemberships counts the spill memberships at the planned size by server and by manager, and the zones that each
+// manager's spill servers are in. Each manager has one home zone. All managers share one sorted ring of servers, of which
+// each manager takes the part that its limit covers.
 func countMemberships(name func(manager int) string) (perServer map[balancer.ServerID]int, perManager, zonesCovered []int) {
-	const copies = 2 // the ring twice over, so that a manager's part of it is never cut
-	places := make([]*record, planServers, copies*planServers)
-	for n := range places {
-		one := serverOf(n%planZones, n)
-		one.Server = planServerID(n)
-		places[n] = &record{server: one, distance: position(string(one.Server))}
+	const copies = 2 // the ring is repeated so that no manager's part of it is cut off at the end
+	sorted := make([]*record, planServers, copies*planServers)
+	for n := range sorted {
+		server := newServer(n%planZones, n)
+		server.Server = planServerID(n)
+		sorted[n] = &record{server: server, distance: position(string(server.Server))}
 	}
-	slices.SortFunc(places, (*record).compare)
-	places = append(places, places...)
+	slices.SortFunc(sorted, (*record).compare)
+	sorted = append(sorted, sorted...)
 	perServer = make(map[balancer.ServerID]int, planServers)
 	for m := range planManagers {
 		origin, home := managerPosition(name(m)), zoneName(m%planZones)
-		at, _ := slices.BinarySearchFunc(places[:planServers], origin, func(r *record, origin uint64) int {
+		start, _ := slices.BinarySearchFunc(sorted[:planServers], origin, func(r *record, origin uint64) int {
 			return cmp.Compare(r.distance, origin)
 		})
-		near := ring{}
-		for _, r := range places[at : at+3*planSpill] {
-			near.records = append(near.records, &record{server: r.server, distance: r.distance - origin})
+		nearby := ring{}
+		for _, r := range sorted[start : start+3*planSpill] {
+			nearby.records = append(nearby.records, &record{server: r.server, distance: r.distance - origin})
 		}
-		foreign := func(r *record) bool { return r.server.Zone != home }
-		limit := near.limitFor(planSpill, planServers-planServers/planZones, foreign)
+		isForeign := func(r *record) bool { return r.server.Zone != home }
+		limit := nearby.limitFor(planSpill, planServers-planServers/planZones, isForeign)
 		size, zones := 0, map[balancer.ZoneID]bool{}
-		for _, r := range near.records[:near.coveredCount(limit)] {
-			if foreign(r) {
+		for _, r := range nearby.records[:nearby.coveredCount(limit)] {
+			if isForeign(r) {
 				perServer[r.server.Server]++
 				zones[r.server.Zone] = true
 				size++
@@ -61,44 +62,44 @@
 	return perServer, perManager, zonesCovered
 }
 
-// planList is the whole list at the plan's size, with strings of its own.
+// planList returns the complete list at the planned size; its strings are not shared with other lists.
 func planList() (servers []Server) {
 	for n := range planServers {
-		one := serverOf(n%planZones, n/planZones)
-		one.Server = planServerID(n)
-		servers = append(servers, one)
+		server := newServer(n%planZones, n/planZones)
+		server.Server = planServerID(n)
+		servers = append(servers, server)
 	}
 	return servers
 }
 
-// heap is what is in use after a collection.
-func heap() uint64 {
+// heapInUse returns the bytes of allocated heap objects after a garbage collection.
+func heapInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// The entries outside the subset are kept in a few megabytes: a manager may use 256.
+// The records of the servers outside the subset must fit into a few megabytes, since a manager may use only 256 MB.
 func TestMemoryAtPlannedSize(t *testing.T) {
 	const most = 12 << 20
-	before := heap()
+	before := heapInUse()
 	s := New(Settings{ManagerName: "n1", Spill: planSpill, WarmUpDuration: 16 * time.Second})
 	s.HandleEndpointList(0, true, planList())
 	s.HandleProxyConnected(0, zoneName(0))
-	used := heap() - before
+	used := heapInUse() - before
 	t.Logf("%.1f MB for %d listed servers, %d of them members", float64(used)/(1<<20), planServers, s.Counts().Members)
 	if used > most {
-		t.Errorf("%d bytes, %d at most", used, most)
+		t.Errorf("%d bytes of heap in use, want at most %d", used, most)
 	}
 	runtime.KeepAlive(s)
 }
 
-// At the plan's size, names with a running number put each server into as many subsets as any other; other names
-// leave none out either.
+// At the planned size, manager names with consecutive numbers put each server into about the same number of subsets.
+// With other names the numbers vary more, but no server is left out.
 func TestBalanceAtPlannedSize(t *testing.T) {
 	for _, style := range []struct {
-		what        string
+		description string
 		name        func(m int) string
 		least, most int
 	}{
@@ -109,51 +110,54 @@
 		perServer, managers, zones := countMemberships(style.name)
 		servers := slices.Sorted(maps.Values(perServer))
 		if len(servers) != planServers {
-			t.Errorf("%s: %d of %d servers are in a subset", style.what, len(servers), planServers)
+			t.Errorf("%s: %d of %d servers are in a subset, want all", style.description, len(servers), planServers)
 		}
 		slices.Sort(managers)
 		slices.Sort(zones)
-		t.Logf("%s: a server is in %d to %d subsets (1st and 99th percentile %d and %d), a subset has %d to %d spill servers of %d to %d zones",
-			style.what, servers[0], servers[len(servers)-1], servers[len(servers)/100], servers[len(servers)*99/100],
+		t.Logf("%s: a server is in %d to %d subsets (1st and 99th percentile %d and %d), a subset has %d to %d spill servers in %d to %d zones",
+			style.description, servers[0], servers[len(servers)-1], servers[len(servers)/100], servers[len(servers)*99/100],
 			managers[0], managers[len(managers)-1], zones[0], zones[len(zones)-1])
 		if servers[0] < style.least || servers[len(servers)-1] > style.most {
-			t.Errorf("%s: a server is in %d to %d subsets, not in %d to %d", style.what, servers[0], servers[len(servers)-1], style.least, style.most)
+			t.Errorf("%s: a server is in %d to %d subsets, want %d to %d",
+				style.description, servers[0], servers[len(servers)-1], style.least, style.most)
 		}
 		if managers[0] < minSizeRatio*planSpill || managers[len(managers)-1] > maxSizeRatio*planSpill {
-			t.Errorf("%s: subsets of %d to %d spill servers", style.what, managers[0], managers[len(managers)-1])
+			t.Errorf("%s: subsets have %d to %d spill servers, outside the allowed range", style.description, managers[0], managers[len(managers)-1])
 		}
 	}
 }
 
-// An input costs what it changes: a change of the list does not walk it.
+// BenchmarkEndpointListChange measures a change of one server: its cost must not depend on the length of the list.
 func BenchmarkEndpointListChange(b *testing.B) {
-	r := newSimulation("n1", planSpill)
+	sim := newSimulation("n1", planSpill)
 	servers := planList()
-	r.list(true, servers...)
-	r.join(zoneName(0))
+	sim.applyList(true, servers...)
+	sim.connectProxyIn(zoneName(0))
 	for i := 0; b.Loop(); i++ {
-		r.subset.HandleEndpointList(time.Second, false, withState(balancer.ServerState(i%2), servers[i%len(servers)]))
+		sim.subset.HandleEndpointList(time.Second, false, withState(balancer.ServerState(i%2), servers[i%len(servers)]))
 	}
 }
 
+// BenchmarkStart measures the first list and the first proxy at the planned size.
 func BenchmarkStart(b *testing.B) {
 	servers := planList()
 	b.ReportAllocs()
 	for b.Loop() {
-		r := newSimulation("n1", planSpill)
-		r.list(true, servers...)
-		r.join(zoneName(0))
+		sim := newSimulation("n1", planSpill)
+		sim.applyList(true, servers...)
+		sim.connectProxyIn(zoneName(0))
 	}
 }
 
+// BenchmarkTick measures one tick at the planned size.
 func BenchmarkTick(b *testing.B) {
-	r := newSimulation("n1", planSpill)
+	sim := newSimulation("n1", planSpill)
 	servers := planList()
-	r.list(true, servers...)
-	r.join(zoneName(0))
+	sim.applyList(true, servers...)
+	sim.connectProxyIn(zoneName(0))
 	b.ReportAllocs()
 	for b.Loop() {
-		r.now += time.Second
-		r.subset.HandleTick(r.now, r.fleet)
+		sim.now += time.Second
+		sim.subset.HandleTick(sim.now, sim.fleet)
 	}
 }
--- a/internal/subset/record.go
+++ b/internal/subset/record.go
@@ -6,47 +6,48 @@
 	"tamarindshore/balancer"
 )
 
-// phase says what the balancer was told of a server.
+// phase is the form in which a server was last published to the balancer.
 type phase uint8
 
 const (
-	phaseOutside  phase = iota // nothing
-	phaseMember                // what the list says
-	phaseDraining              // that it drains, since the list says so or it is no member any more
-	phaseReleased              // that it is removed, until the balancer forgets it
+	phaseUnpublished phase = iota // not published
+	phaseMember                   // with its state on the list
+	phaseDraining                 // as draining, because the list marks it so or it is no longer a member
+	phaseReleased                 // as removed, until the balancer forgets it
 )
 
-// record is what is kept of a listed server. There is one for each server of the fleet, so its fields are packed.
+// record holds the state of one server. There is one for each server of the fleet, so the fields are ordered to
+// avoid padding.
 type record struct {
-	server     Server // as the list last told it
+	server     Server // as last listed
 	distance   uint64 // from the manager on the ring
 	phaseSince time.Duration
-	// A server that is new to the balancer warms up from its start. One that was warm already when it became a member
-	// is published without its start, as long as it is the process that started at admittedProcess.
-	admittedProcess time.Duration
-	warmAtAdmission bool
-	phase           phase
-	onRing          bool
-	recentlyListed  bool // the list has it, or had it before its last change
-	queued          bool // for the update under way
+	// The balancer applies slow start to a new server from its start time. A server that was already warm when it became
+	// a member is published without its start time, as long as it has not restarted since startedAtAdmission.
+	startedAtAdmission time.Duration
+	warmAtAdmission    bool
+	phase              phase
+	onRing             bool
+	recentlyListed     bool // listed now, or listed before the last change to its entry
+	queued             bool // already part of the pending update
 }
 
-// enter begins a phase.
-func (r *record) enter(next phase, now time.Duration) {
+// setPhase records a change of the phase and its time.
+func (r *record) setPhase(next phase, now time.Duration) {
 	r.phase = next
 	r.phaseSince = now
 }
 
-// noteWarmth remembers whether a server that becomes a member is warm already.
-func (r *record) noteWarmth(now, warmUpDuration time.Duration) {
+// recordWarmAtAdmission records whether a server is already warm when it becomes a member.
+func (r *record) recordWarmAtAdmission(now, warmUpDuration time.Duration) {
 	r.warmAtAdmission = r.server.RecentlyStarted && now-r.server.Started >= warmUpDuration
-	r.admittedProcess = r.server.Started
+	r.startedAtAdmission = r.server.Started
 }
 
-// entry is the server as the balancer has to see it.
-func (r *record) entry() Server {
+// publishedEntry returns the entry to publish to the balancer.
+func (r *record) publishedEntry() Server {
 	entry := r.server
-	if r.warmAtAdmission && entry.Started <= r.admittedProcess {
+	if r.warmAtAdmission && entry.Started <= r.startedAtAdmission {
 		entry.RecentlyStarted = false
 		entry.Started = 0
 	}
@@ -59,7 +60,7 @@
 	return entry
 }
 
-// isUnused tells whether neither the list nor the balancer has the server.
+// isUnused reports whether neither the list nor the balancer has the server.
 func (r *record) isUnused() bool {
-	return r.phase == phaseOutside && r.server.State == balancer.Removed
+	return r.phase == phaseUnpublished && r.server.State == balancer.Removed
 }
--- a/internal/subset/testhelpers_test.go
+++ b/internal/subset/testhelpers_test.go
@@ -10,13 +10,13 @@
 	"tamarindshore/balancer"
 )
 
-// fakeFleet stands for the balancer: it keeps what is published, and says what is in service.
+// fakeFleet stands in for the balancer: it stores the published entries and reports which servers are in service.
 type fakeFleet struct {
 	entries       map[balancer.ServerID]balancer.Endpoint
 	failed        map[balancer.ServerID]bool
 	warmFraction  float64
 	now           time.Duration
-	checkDuration time.Duration // until a server that was added is in service
+	checkDuration time.Duration // time until an added server is in service
 	addedAt       map[balancer.ServerID]time.Duration
 	removedAt     map[balancer.ServerID]time.Duration
 }
@@ -31,61 +31,61 @@
 	}
 }
 
-// forgetAfter is how long the balancer remembers a server that is gone.
+// forgetAfter is how long the balancer remembers a removed server.
 const forgetAfter = time.Minute
 
-func (f *fakeFleet) isAvailable(id balancer.ServerID) bool {
-	e, known := f.entries[id]
-	return known && e.State == balancer.Ready && !f.failed[id] && f.now-f.addedAt[id] >= f.checkDuration
+func (fleet *fakeFleet) isAvailable(id balancer.ServerID) bool {
+	entry, known := fleet.entries[id]
+	return known && entry.State == balancer.Ready && !fleet.failed[id] && fleet.now-fleet.addedAt[id] >= fleet.checkDuration
 }
 
-func (f *fakeFleet) ServerStatus(id balancer.ServerID) (known, available bool, warmFraction float64) {
-	_, known = f.entries[id]
-	return known, f.isAvailable(id), f.warmFraction
+func (fleet *fakeFleet) ServerStatus(id balancer.ServerID) (known, available bool, warmFraction float64) {
+	_, known = fleet.entries[id]
+	return known, fleet.isAvailable(id), fleet.warmFraction
 }
 
-func (f *fakeFleet) ReadyServers() (all, warm int) {
-	for id := range f.entries {
-		if f.isAvailable(id) {
+func (fleet *fakeFleet) ReadyServers() (all, warm int) {
+	for id := range fleet.entries {
+		if fleet.isAvailable(id) {
 			all++
 		}
 	}
 	return all, all
 }
 
-// apply applies an update as the balancer does.
-func (f *fakeFleet) apply(now time.Duration, u Update) {
+// apply applies an update in the same way as the balancer.
+func (fleet *fakeFleet) apply(now time.Duration, update Update) {
 	published := map[balancer.ServerID]bool{}
-	for _, one := range u.Servers {
-		published[one.Server] = true
-		if _, known := f.entries[one.Server]; !known {
-			f.addedAt[one.Server] = now
+	for _, server := range update.Servers {
+		published[server.Server] = true
+		if _, known := fleet.entries[server.Server]; !known {
+			fleet.addedAt[server.Server] = now
 		}
-		f.entries[one.Server] = one.Endpoint
-		if one.State != balancer.Removed {
-			delete(f.removedAt, one.Server)
-		} else if _, gone := f.removedAt[one.Server]; !gone {
-			f.removedAt[one.Server] = now
+		fleet.entries[server.Server] = server.Endpoint
+		if server.State != balancer.Removed {
+			delete(fleet.removedAt, server.Server)
+		} else if _, gone := fleet.removedAt[server.Server]; !gone {
+			fleet.removedAt[server.Server] = now
 		}
 	}
-	for id, e := range f.entries {
-		if u.Complete && !published[id] {
-			e.State = balancer.Removed
-			f.entries[id] = e
-			if _, gone := f.removedAt[id]; !gone {
-				f.removedAt[id] = now
+	for id, entry := range fleet.entries {
+		if update.Complete && !published[id] {
+			entry.State = balancer.Removed
+			fleet.entries[id] = entry
+			if _, gone := fleet.removedAt[id]; !gone {
+				fleet.removedAt[id] = now
 			}
 		}
 	}
-	for id, at := range f.removedAt {
+	for id, at := range fleet.removedAt {
 		if now-at > forgetAfter {
-			delete(f.entries, id)
-			delete(f.removedAt, id)
+			delete(fleet.entries, id)
+			delete(fleet.removedAt, id)
 		}
 	}
 }
 
-// simulation is a subset with the fleet that it publishes to.
+// simulation is a subset together with the fake fleet that it publishes to.
 type simulation struct {
 	subset *Subset
 	fleet  *fakeFleet
@@ -96,52 +96,52 @@
 	return &simulation{subset: New(Settings{ManagerName: manager, Spill: spill, WarmUpDuration: 16 * time.Second}), fleet: newFakeFleet()}
 }
 
-// steadyState is a simulation after some seconds: zone 0 is home.
+// steadyState returns a simulation with home zone 0 after a few seconds.
 func steadyState(servers []Server, spill int) *simulation {
-	r := newSimulation("n9", spill)
-	r.list(true, servers...)
-	r.join(zoneName(0))
-	r.seconds(5)
-	return r
+	sim := newSimulation("n9", spill)
+	sim.applyList(true, servers...)
+	sim.connectProxyIn(zoneName(0))
+	sim.runSeconds(5)
+	return sim
 }
 
-func (r *simulation) apply(u Update) Update {
-	r.fleet.apply(r.now, u)
+func (sim *simulation) apply(u Update) Update {
+	sim.fleet.apply(sim.now, u)
 	return u
 }
 
-func (r *simulation) list(whole bool, servers ...Server) Update {
-	return r.apply(r.subset.HandleEndpointList(r.now, whole, servers))
+func (sim *simulation) applyList(complete bool, servers ...Server) Update {
+	return sim.apply(sim.subset.HandleEndpointList(sim.now, complete, servers))
 }
 
-// joinZoneWithoutServers connects a proxy of a zone without servers, so that all members are spill servers.
-func (r *simulation) joinZoneWithoutServers() *simulation {
-	r.join("elsewhere")
-	return r
+// connectProxyInEmptyZone connects a proxy of a zone without servers, so that all members are spill servers.
+func (sim *simulation) connectProxyInEmptyZone() *simulation {
+	sim.connectProxyIn("elsewhere")
+	return sim
 }
 
-func (r *simulation) join(zone balancer.ZoneID) Update {
-	return r.apply(r.subset.HandleProxyConnected(r.now, zone))
+func (sim *simulation) connectProxyIn(zone balancer.ZoneID) Update {
+	return sim.apply(sim.subset.HandleProxyConnected(sim.now, zone))
 }
 
-// seconds plays seconds, with a tick each.
-func (r *simulation) seconds(n int) {
+// runSeconds advances n seconds, with one tick each.
+func (sim *simulation) runSeconds(n int) {
 	for range n {
-		r.tick()
+		sim.tick()
 	}
 }
 
-// tick plays one second.
-func (r *simulation) tick() Update {
-	r.now += time.Second
-	r.fleet.now = r.now
-	return r.apply(r.subset.HandleTick(r.now, r.fleet))
+// tick advances one second.
+func (sim *simulation) tick() Update {
+	sim.now += time.Second
+	sim.fleet.now = sim.now
+	return sim.apply(sim.subset.HandleTick(sim.now, sim.fleet))
 }
 
-// members are the servers that the fleet may send requests to, but for failures.
-func (r *simulation) members() map[balancer.ServerID]bool {
+// members returns the servers that are published as ready, including failed ones.
+func (sim *simulation) members() map[balancer.ServerID]bool {
 	ids := map[balancer.ServerID]bool{}
-	for id, e := range r.fleet.entries {
+	for id, e := range sim.fleet.entries {
 		if e.State == balancer.Ready {
 			ids[id] = true
 		}
@@ -149,16 +149,16 @@
 	return ids
 }
 
-func (r *simulation) fail(servers ...Server) {
+func (sim *simulation) failServers(servers ...Server) {
 	for _, s := range servers {
-		r.fleet.failed[s.Server] = true
+		sim.fleet.failed[s.Server] = true
 	}
 }
 
-// servingOutside counts the members of other zones than a home zone that are in service.
-func (r *simulation) servingOutside(home int) (n int) {
-	for id, e := range r.fleet.entries {
-		if e.Zone != zoneName(home) && r.fleet.isAvailable(id) {
+// servingOutside counts the members outside a home zone that are in service.
+func (sim *simulation) servingOutside(home int) (n int) {
+	for id, e := range sim.fleet.entries {
+		if e.Zone != zoneName(home) && sim.fleet.isAvailable(id) {
 			n++
 		}
 	}
@@ -167,16 +167,17 @@
 
 func zoneName(z int) balancer.ZoneID { return balancer.ZoneID(fmt.Sprintf("z%02d", z)) }
 
-func serverOf(zone, number int) Server {
+func newServer(zone, number int) Server {
 	id := balancer.ServerID(fmt.Sprintf("s-%02d-%05d", zone, number))
-	return Server{Endpoint: balancer.Endpoint{Server: id, Zone: zoneName(zone), Weight: 1}, Address: fmt.Sprintf("10.0.%d.%d:80", zone, number)}
+	return Server{Endpoint: balancer.Endpoint{Server: id, Zone: zoneName(zone), Weight: 1},
+		Address: fmt.Sprintf("10.0.%d.%d:80", zone, number)}
 }
 
-// fleetOf lists servers of some zones, equally large.
-func fleetOf(zones, each int) (servers []Server) {
+// newServers returns a list of servers in equally large zones.
+func newServers(zones, each int) (servers []Server) {
 	for z := range zones {
 		for n := range each {
-			servers = append(servers, serverOf(z, n))
+			servers = append(servers, newServer(z, n))
 		}
 	}
 	return servers
@@ -190,26 +191,27 @@
 	return changed
 }
 
-func ofZone(servers []Server, zone int) (some []Server) {
+func serversInZone(servers []Server, zone int) (inZone []Server) {
 	for _, s := range servers {
 		if s.Zone == zoneName(zone) {
-			some = append(some, s)
+			inZone = append(inZone, s)
 		}
 	}
-	return some
+	return inZone
 }
 
-// drawFleet draws zones of uneven sizes.
-func drawFleet(t *rapid.T) (servers []Server, zones int) {
+// drawServers draws the servers of zones of different sizes.
+func drawServers(t *rapid.T) (servers []Server, zones int) {
 	zones = rapid.IntRange(2, 12).Draw(t, "zones")
 	for z := range zones {
 		for n := range rapid.IntRange(1, 60).Draw(t, "servers") {
-			servers = append(servers, serverOf(z, n))
+			servers = append(servers, newServer(z, n))
 		}
 	}
 	return servers, zones
 }
 
+// difference returns the servers of a that are not in b.
 func difference(a, b map[balancer.ServerID]bool) (missing []balancer.ServerID) {
 	for id := range a {
 		if !b[id] {
--- a/internal/subset/update.go
+++ b/internal/subset/update.go
@@ -8,25 +8,26 @@
 	"tamarindshore/balancer"
 )
 
-// EventSubsetWidened is the event of a log record. It has factor: on the stated number of spill servers.
+// EventSubsetWidened is the log event of a widening. Its field factor is the new factor on the configured number of
+// spill servers.
 const EventSubsetWidened balancer.LogEvent = "subset_widened"
 
-// queueUpdate publishes a server at the end of the input, if the balancer may know it.
+// queueUpdate adds a server to the pending update unless it is unpublished.
 func (s *Subset) queueUpdate(r *record) {
-	if r.phase != phaseOutside && !r.queued {
+	if r.phase != phaseUnpublished && !r.queued {
 		r.queued = true
 		s.pending.Servers = append(s.pending.Servers, Server{Endpoint: balancer.Endpoint{Server: r.server.Server}})
 	}
 }
 
-// logWidened records that the subset was widened.
+// logWidened adds a log record of a widening to the pending update.
 func (s *Subset) logWidened() {
 	factor := balancer.LogField{Name: "factor", Value: fmt.Sprintf("%.1f", s.width.factor)}
 	record := balancer.LogRecord{Event: EventSubsetWidened, Fields: []balancer.LogField{factor}}
 	s.pending.LogRecords = append(s.pending.LogRecords, record)
 }
 
-// takeUpdate ends an input: each server that was queued is published once, in its latest state.
+// takeUpdate returns the pending update at the end of an input. It holds each queued server once, in its latest state.
 func (s *Subset) takeUpdate() Update {
 	update := s.pending
 	s.pending = Update{}
@@ -39,10 +40,10 @@
 	for i, queued := range update.Servers {
 		record := s.records[queued.Server]
 		record.queued = false
-		update.Servers[i] = record.entry()
+		update.Servers[i] = record.publishedEntry()
 	}
-	if update.Complete { // a server that is absent from the whole list is removed
-		update.Servers = slices.DeleteFunc(update.Servers, func(one Server) bool { return one.State == balancer.Removed })
+	if update.Complete { // the balancer removes servers that are absent from a complete list
+		update.Servers = slices.DeleteFunc(update.Servers, func(server Server) bool { return server.State == balancer.Removed })
 	}
 	slices.SortFunc(update.Servers, func(a, b Server) int { return cmp.Compare(a.Server, b.Server) })
 	return update
--- a/internal/subset/width.go
+++ b/internal/subset/width.go
@@ -3,44 +3,45 @@
 import "time"
 
 const (
-	widenThreshold       = 0.7              // of the servers wanted of other zones: with fewer in service the subset is widened
-	narrowThreshold      = 0.9              // of them: with more in service, and warm, it may be narrowed
-	widenFactor          = 2.0              // of one widening
-	emergencyWidenFactor = 8.0              // of one widening while no server at all is in service
-	narrowFactor         = 0.97             // of one narrowing, once a second
-	narrowDelay          = 30 * time.Second // without need, before the first narrowing
+	widenThreshold       = 0.7              // the subset widens if a smaller fraction of the wanted spill servers is in service
+	narrowThreshold      = 0.9              // the subset may narrow if at least this fraction of them is in service and warm
+	widenFactor          = 2.0              // factor of one widening step
+	emergencyWidenFactor = 8.0              // factor of one widening step while no server at all is in service
+	narrowFactor         = 0.97             // factor of one narrowing step, applied once a second
+	narrowDelay          = 30 * time.Second // how long narrowing must be possible without interruption before the first step
 )
 
-// width is the factor on the stated number of spill servers.
+// width holds the factor applied to the configured number of spill servers.
 type width struct {
-	factor    float64       // from 1 up
-	calmSince time.Duration // nothing has spoken against narrowing since then
+	factor          float64       // at least 1
+	narrowableSince time.Duration // narrowing has been possible without interruption since then
 }
 
 func newWidth() width { return width{factor: 1} }
 
-// adjust widens at once and narrows by a small step; true where it widened.
+// adjust widens immediately, or narrows by one small step after narrowDelay. It reports whether it widened.
 func (w *width) adjust(now time.Duration, d demand) (widened bool) {
 	if d.isShort() && w.fraction(d) < 1 {
 		w.widen(d)
-		w.calmSince = now
+		w.narrowableSince = now
 		return true
 	}
 	if w.factor == 1 || !w.mayNarrow(d) {
-		w.calmSince = now
+		w.narrowableSince = now
 		return false
 	}
-	if now-w.calmSince >= narrowDelay {
-		useful := d.available / max(1, d.spill) // a wider factor selects no more servers
+	if now-w.narrowableSince >= narrowDelay {
+		useful := d.available / max(1, d.spill) // a larger factor selects no more servers
 		w.factor = max(1, min(w.factor, useful)*narrowFactor)
 	}
 	return false
 }
 
-// fraction is the part of the other zones' servers that are selected.
+// fraction returns the wanted spill as a fraction of the available servers. At 1 or above, all of them are selected.
 func (w *width) fraction(d demand) float64 { return w.factor * d.spill / max(1, d.available) }
 
-// widen raises the factor until the servers that it adds make up for what lacks.
+// widen raises the factor until the added servers make up the shortfall or all servers are selected. While no server is
+// in service, it takes one large step instead.
 func (w *width) widen(d demand) {
 	if d.noneInService {
 		w.factor *= emergencyWidenFactor
@@ -56,7 +57,7 @@
 	}
 }
 
-// mayNarrow tells whether enough warm servers would be left by the next step.
+// mayNarrow reports whether enough warm servers would remain after the next narrowing step.
 func (w *width) mayNarrow(d demand) bool {
 	return !d.noneInService && d.warm*narrowFactor >= narrowThreshold*min(d.wantedWarm, d.available)
 }
