--- a/internal/sharding/assigner.go
+++ b/internal/sharding/assigner.go
@@ -4,24 +4,24 @@
 	"time"
 )
 
-// Assigner decides which shard owns which connection.
+// Assigner assigns connections to shards.
 type Assigner struct {
-	settings    Settings
-	now         time.Duration
-	actions     Actions // of the input under way
-	conns       map[ConnID]*connection
-	shards      []*shard
-	failed      []ShardID       // not dealt with
-	draining    []*connection   // longest first
-	moveTimes   []time.Duration // of the moves within the window
-	loadUpdated bool            // a window is over
-	lastCheckAt time.Duration
+	settings     Settings
+	now          time.Duration
+	actions      Actions // of the current input
+	conns        map[ConnID]*connection
+	shards       []*shard
+	failedShards []ShardID       // failed shards that are not restarted yet
+	draining     []*connection   // connections being drained, the longest-draining first
+	moveTimes    []time.Duration // start times of the moves within MoveWindow
+	loadUpdated  bool            // a load window has ended and rebalance has not run yet
+	lastCheckAt  time.Duration
 }
 
-// neverChecked is the time of the last check before the first.
+// neverChecked is the value of lastCheckAt before the first check.
 const neverChecked time.Duration = -1
 
-// NewAssigner makes an assigner whose shards own nothing.
+// NewAssigner returns an assigner whose shards own no connections.
 func NewAssigner(settings Settings) *Assigner {
 	a := &Assigner{settings: settings, conns: map[ConnID]*connection{}, lastCheckAt: neverChecked}
 	for range settings.Shards {
@@ -30,21 +30,21 @@
 	return a
 }
 
-// rule is a decision and when it is due. The decision makes its condition false.
+// rule is a decision with the condition under which it is due. The decision must make the condition false.
 type rule struct {
 	isDue  func(*Assigner) bool
 	decide func(*Assigner)
 }
 
-// rules are gone through in this order after every input until none is due.
+// rules are applied after every input, the first one that is due at a time, until none is due.
 var rules = []rule{
 	{(*Assigner).hasFailedShard, (*Assigner).restartFailedShard},
 	{(*Assigner).isDrainOverdue, (*Assigner).cancelDrain},
-	{(*Assigner).hasQuarantineOver, (*Assigner).endQuarantines},
+	{(*Assigner).hasExpiredQuarantine, (*Assigner).endExpiredQuarantines},
 	{(*Assigner).needsRebalance, (*Assigner).rebalance},
 }
 
-// decide ends an input.
+// decide applies the rules at the end of an input and returns the resulting actions.
 func (a *Assigner) decide() Actions {
 	for a.applyFirstDueRule() {
 	}
@@ -63,7 +63,7 @@
 	return false
 }
 
-// HandleConnOpened gives a connection its first owner: the shard that has least to do.
+// HandleConnOpened assigns a new connection to the least loaded shard.
 func (a *Assigner) HandleConnOpened(now time.Duration, id ConnID) Actions {
 	a.now = now
 	if _, known := a.conns[id]; !known {
@@ -74,7 +74,7 @@
 	return a.decide()
 }
 
-// HandleConnClosed forgets a connection, in whatever step it is.
+// HandleConnClosed forgets a connection, whatever step of a move it is in.
 func (a *Assigner) HandleConnClosed(now time.Duration, id ConnID) Actions {
 	a.now = now
 	if c := a.conns[id]; c != nil {
@@ -85,8 +85,8 @@
 	return a.decide()
 }
 
-// HandleConnDrained says that an owner has stopped. Where the move was cancelled meanwhile, the same shard goes on under
-// the next epoch: guards against a connection that nobody serves.
+// HandleConnDrained records that the owner of a connection has drained it. If the move was cancelled in the meantime, the
+// same shard continues under the next epoch, since otherwise no shard would serve the connection.
 func (a *Assigner) HandleConnDrained(now time.Duration, id ConnID, epoch Epoch) Actions {
 	a.now = now
 	if c := a.conns[id]; c != nil && c.owner.Epoch == epoch {
@@ -101,7 +101,7 @@
 	return a.decide()
 }
 
-// HandleConnAcquired says that a new owner has begun: the one before may forget the connection.
+// HandleConnAcquired records that the new owner serves the connection, so that the previous owner may forget it.
 func (a *Assigner) HandleConnAcquired(now time.Duration, id ConnID, epoch Epoch) Actions {
 	a.now = now
 	if c := a.conns[id]; c != nil && c.owner.Epoch == epoch && c.ownership == acquiring {
@@ -111,7 +111,8 @@
 	return a.decide()
 }
 
-// HandleLoad takes how many cores each connection took in the window that is over. Those that are not told took none.
+// HandleLoad records how many cores each connection used in the window that just ended. A connection that is not in cores
+// used none.
 func (a *Assigner) HandleLoad(now time.Duration, cores map[ConnID]float64) Actions {
 	a.now = now
 	for id, c := range a.conns {
@@ -119,7 +120,7 @@
 	}
 	for _, s := range a.shards {
 		s.load = 0
-		for _, c := range s.sortedConns() { // in one order: sums of floats depend on it
+		for _, c := range s.sortedConns() { // in a fixed order, because the sum of floats depends on it
 			s.load += c.load()
 		}
 	}
@@ -127,8 +128,8 @@
 	return a.decide()
 }
 
-// HandleWorkerCheck takes for how long each shard has been at one task; below 0: it waits for some. Guards against a
-// shard that stalls.
+// HandleWorkerCheck records how long each shard has been running its current task, to detect a shard that stalls. A
+// negative time means that the shard is idle.
 func (a *Assigner) HandleWorkerCheck(now time.Duration, taskTimes []time.Duration) Actions {
 	a.now = now
 	isLate := a.lastCheckAt == neverChecked || now-a.lastCheckAt > 2*a.settings.CheckInterval
@@ -137,22 +138,22 @@
 	return a.decide()
 }
 
-// HandleWorkerFailed takes the end of a shard's worker by a fault, while it worked for a connection. One over which
-// shards fail again is closed: guards against a connection that takes one shard after another with it.
-func (a *Assigner) HandleWorkerFailed(now time.Duration, id ShardID, by ConnID) Actions {
+// HandleWorkerFailed records that a shard's worker ended with a fault while it processed a connection. A connection that
+// causes maxConnFailures failures is closed, so that it cannot make one shard after another fail.
+func (a *Assigner) HandleWorkerFailed(now time.Duration, id ShardID, conn ConnID) Actions {
 	a.now = now
-	if c := a.conns[by]; c != nil {
+	if c := a.conns[conn]; c != nil {
 		c.failures++
 		if c.failures >= maxConnFailures {
-			a.actions.Close = append(a.actions.Close, by)
-			a.log(EventConnClosed, connField(by), field("failures", c.failures))
+			a.actions.Close = append(a.actions.Close, conn)
+			a.log(EventConnClosed, connField(conn), field("failures", c.failures))
 		}
 	}
-	a.failed = append(a.failed, id)
+	a.failedShards = append(a.failedShards, id)
 	return a.decide()
 }
 
-// Owner names who owns a connection; false where it is not known.
+// Owner returns the owner of a connection, and false if the connection is not known.
 func (a *Assigner) Owner(id ConnID) (Owner, bool) {
 	c := a.conns[id]
 	if c == nil {
@@ -161,7 +162,7 @@
 	return c.owner, true
 }
 
-// LoadByShard is how many cores each shard's connections take, and how many connections it has.
+// LoadByShard returns how many cores the connections of each shard use, and how many connections each shard has.
 func (a *Assigner) LoadByShard() (cores []float64, conns []int) {
 	for _, s := range a.shards {
 		cores = append(cores, s.load)
--- a/internal/sharding/connection.go
+++ b/internal/sharding/connection.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	minLoad         = 0.01 // cores that a connection counts for at least, and before it is measured
-	loadWindows     = 3    // whose load is kept of a connection
-	maxConnFailures = 2    // shards that may fail over a connection before it is closed
+	minLoad         = 0.01 // cores that a connection counts for at least, also before its load is measured
+	loadWindows     = 3    // number of recent windows that the load of a connection is averaged over
+	maxConnFailures = 2    // number of shard failures caused by a connection at which it is closed
 )
 
-// ownership is the step of a move that a connection is in.
+// ownership is the step of a move that a connection is in, or owned if it is not moving.
 type ownership int
 
 const (
 	owned     ownership = iota
-	draining            // the owner was told to drain it
-	acquiring           // a new owner was named, and has not begun
+	draining            // the owner was told to drain the connection
+	acquiring           // a new owner was assigned, but does not serve the connection yet
 )
 
-// connection is what is kept of a connection.
+// connection holds the state of one connection.
 type connection struct {
 	id            ConnID
 	owner         Owner
-	previousOwner Owner // while it is acquired
+	previousOwner Owner // set while ownership is acquiring
 	ownership     ownership
-	target        ShardID       // while it is drained
-	drainSince    time.Duration // while it is drained
+	target        ShardID       // shard to move to; set while ownership is draining
+	drainSince    time.Duration // start of the drain; set while ownership is draining
 	movedAt       time.Duration
 	hasMoved      bool
-	recentLoad    []float64 // cores, by window, the last ones
-	failures      int       // of shards that worked for it
+	recentLoad    []float64 // cores used in each of the last loadWindows windows
+	failures      int       // failures of shards while they processed the connection
 }
 
-// load is how many cores the connection takes.
+// load returns how many cores the connection uses: the average of the recent windows, but at least minLoad.
 func (c *connection) load() float64 {
 	sum := 0.0
 	for _, cores := range c.recentLoad {
@@ -43,7 +43,7 @@
 	return max(minLoad, sum/float64(max(1, len(c.recentLoad))))
 }
 
-// addLoad takes the load of one window.
+// addLoad records the load of one window and drops the oldest if there are more than loadWindows.
 func (c *connection) addLoad(cores float64) {
 	c.recentLoad = append(c.recentLoad, cores)
 	c.recentLoad = c.recentLoad[max(0, len(c.recentLoad)-loadWindows):]
@@ -62,7 +62,7 @@
 	a.actions.Assign = append(a.actions.Assign, Assignment{c.id, c.owner})
 }
 
-// startDraining begins a move.
+// startDraining starts a move to the target shard.
 func (a *Assigner) startDraining(c *connection, target ShardID) {
 	c.ownership = draining
 	c.target = target
@@ -82,10 +82,11 @@
 	return len(a.draining) > 0 && a.now-a.draining[0].drainSince >= a.settings.DrainTimeout
 }
 
-// cancelDrain ends a move whose owner does not answer. If it still does, HandleConnDrained names an owner.
+// cancelDrain cancels the longest-running drain, whose owner did not answer in time. If the owner drains the connection
+// later, HandleConnDrained assigns it again.
 func (a *Assigner) cancelDrain() {
 	c := a.draining[0]
 	a.draining = a.draining[1:]
 	c.ownership = owned
-	a.log(EventConnMoveCancelled, connField(c.id), shardField(c.owner.Shard), seconds("timeout_seconds", a.settings.DrainTimeout, 2))
+	a.log(EventConnMoveCancelled, connField(c.id), shardField(c.owner.Shard), secondsField("timeout_seconds", a.settings.DrainTimeout, 2))
 }
--- a/internal/sharding/failure.go
+++ b/internal/sharding/failure.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	stalledChecksToFail = 2 // in a row, until a shard that stalls has failed
-	maxQuarantineFactor = 8 // times the first quarantine of a shard
+	stalledChecksToFail = 2 // consecutive checks that find a shard stalled before it counts as failed
+	maxQuarantineFactor = 8 // longest quarantine as a multiple of the first one
 )
 
-// checkStalls takes for how long each shard has been at one task. A check that comes late itself counts for nothing: then
-// the whole process was stalled.
+// checkStalls counts the consecutive checks at which each shard exceeded the stall timeout, and marks the shard as failed
+// at stalledChecksToFail. A check that is late itself counts against no shard, because then the whole process was stalled.
 func (a *Assigner) checkStalls(taskTimes []time.Duration, isLate bool) {
 	for i, s := range a.shards {
 		switch {
@@ -21,19 +21,20 @@
 			s.stalledChecks++
 		}
 		if s.stalledChecks >= stalledChecksToFail {
-			a.log(EventShardStalled, shardField(ShardID(i)), seconds("task_seconds", taskTimes[i], 2))
-			a.failed = append(a.failed, ShardID(i))
+			a.log(EventShardStalled, shardField(ShardID(i)), secondsField("task_seconds", taskTimes[i], 2))
+			a.failedShards = append(a.failedShards, ShardID(i))
 			s.stalledChecks = 0
 		}
 	}
 }
 
-func (a *Assigner) hasFailedShard() bool { return len(a.failed) > 0 }
+func (a *Assigner) hasFailedShard() bool { return len(a.failedShards) > 0 }
 
-// restartFailedShard gives a shard another worker, and its connections to the others, each under its next epoch.
+// restartFailedShard replaces the worker of a failed shard and reassigns its connections, each under its next epoch: to the
+// other available shards, or to the same shard if there is none.
 func (a *Assigner) restartFailedShard() {
-	id := a.failed[0]
-	a.failed = a.failed[1:]
+	id := a.failedShards[0]
+	a.failedShards = a.failedShards[1:]
 	s := a.shards[id]
 	a.quarantineIfRepeated(id)
 	a.actions.RestartWorkers = append(a.actions.RestartWorkers, id)
@@ -44,31 +45,34 @@
 	a.log(EventShardRestarted, shardField(id), field("conns", len(conns)))
 }
 
-// quarantineIfRepeated keeps connections from a shard that fails often, unless no other works.
+// quarantineIfRepeated quarantines a shard that failed too often, so that it gets no connections. The last shard that is
+// not in quarantine is never quarantined.
 func (a *Assigner) quarantineIfRepeated(id ShardID) {
 	s := a.shards[id]
-	isOld := func(at time.Duration) bool { return a.now-at > a.settings.FailureWindow }
-	s.failures = slices.DeleteFunc(append(s.failures, a.now), isOld)
-	otherWorks := slices.ContainsFunc(a.shards, func(other *shard) bool { return other != s && other.quarantinedUntil == 0 })
-	if len(s.failures) < a.settings.MaxFailures || !otherWorks {
+	isExpired := func(at time.Duration) bool { return a.now-at > a.settings.FailureWindow }
+	s.failures = slices.DeleteFunc(append(s.failures, a.now), isExpired)
+	otherNotQuarantined := slices.ContainsFunc(a.shards, func(other *shard) bool { return other != s && other.quarantinedUntil == 0 })
+	if len(s.failures) < a.settings.MaxFailures || !otherNotQuarantined {
 		return
 	}
 	s.quarantinedUntil = a.now + s.nextQuarantine
 	s.failures = nil
-	a.log(EventShardQuarantined, shardField(id), seconds("seconds", s.nextQuarantine, 0), field("failures", a.settings.MaxFailures))
+	a.log(EventShardQuarantined, shardField(id), secondsField("seconds", s.nextQuarantine, 0), field("failures", a.settings.MaxFailures))
 	s.nextQuarantine = min(2*s.nextQuarantine, maxQuarantineFactor*a.settings.QuarantineDuration)
 }
 
-func (a *Assigner) isQuarantineOver(s *shard) bool {
+func (a *Assigner) isQuarantineExpired(s *shard) bool {
 	return s.quarantinedUntil > 0 && a.now >= s.quarantinedUntil
 }
 
-func (a *Assigner) hasQuarantineOver() bool { return slices.ContainsFunc(a.shards, a.isQuarantineOver) }
+func (a *Assigner) hasExpiredQuarantine() bool {
+	return slices.ContainsFunc(a.shards, a.isQuarantineExpired)
+}
 
-// endQuarantines lets shards get connections again.
-func (a *Assigner) endQuarantines() {
+// endExpiredQuarantines makes shards available again once their quarantine has expired.
+func (a *Assigner) endExpiredQuarantines() {
 	for i, s := range a.shards {
-		if a.isQuarantineOver(s) {
+		if a.isQuarantineExpired(s) {
 			s.quarantinedUntil = 0
 			a.log(EventShardRestored, shardField(ShardID(i)))
 		}
--- a/internal/sharding/log_record.go
+++ b/internal/sharding/log_record.go
@@ -7,21 +7,23 @@
 	"tamarindshore/balancer"
 )
 
-// Events of log records, each with its fields in their order. A shard and a connection (conn) are given by number.
+// Log events with their fields, in the order in which they are written. Shards and connections (conn) are identified by
+// number.
 const (
-	// EventConnMoving has conn, from, to, conn_cores, from_cores and to_cores (before the move).
+	// EventConnMoving has conn, from, to, conn_cores, from_cores and to_cores: a connection starts to move between two
+	// shards, with the loads before the move.
 	EventConnMoving balancer.LogEvent = "conn_moving"
 	// EventConnMoveCancelled has conn, shard and timeout_seconds: the shard did not drain the connection in time.
 	EventConnMoveCancelled balancer.LogEvent = "conn_move_cancelled"
-	// EventConnClosed has conn and failures: of shards that worked for it.
+	// EventConnClosed has conn and failures: the connection is closed after that many failures of shards that processed it.
 	EventConnClosed balancer.LogEvent = "conn_closed"
-	// EventShardStalled has shard and task_seconds.
+	// EventShardStalled has shard and task_seconds: the shard has been running one task for too long.
 	EventShardStalled balancer.LogEvent = "shard_stalled"
-	// EventShardRestarted has shard and conns: they go to others.
+	// EventShardRestarted has shard and conns, the number of its connections that other shards take over.
 	EventShardRestarted balancer.LogEvent = "shard_restarted"
-	// EventShardQuarantined has shard, seconds and failures.
+	// EventShardQuarantined has shard, seconds (the length of the quarantine) and failures.
 	EventShardQuarantined balancer.LogEvent = "shard_quarantined"
-	// EventShardRestored has shard: its quarantine is over.
+	// EventShardRestored has shard, whose quarantine has expired.
 	EventShardRestored balancer.LogEvent = "shard_restored"
 )
 
@@ -37,12 +39,12 @@
 	return balancer.LogField{Name: name, Value: fmt.Sprint(value)}
 }
 
-// cores rounds a load for the log.
-func cores(name string, load float64) balancer.LogField {
+// coresField returns a log field with a load rounded to 0.01 cores.
+func coresField(name string, load float64) balancer.LogField {
 	return balancer.LogField{Name: name, Value: fmt.Sprintf("%.2f", load)}
 }
 
-// seconds rounds a time for the log.
-func seconds(name string, d time.Duration, decimals int) balancer.LogField {
+// secondsField returns a log field with a time in seconds, rounded to a number of decimals.
+func secondsField(name string, d time.Duration, decimals int) balancer.LogField {
 	return balancer.LogField{Name: name, Value: fmt.Sprintf("%.*f", decimals, d.Seconds())}
 }
--- a/internal/sharding/mailbox.go
+++ b/internal/sharding/mailbox.go
@@ -6,28 +6,30 @@
 	"tamarindshore/balancer"
 )
 
-// Sample is a collector's report that waits in a Mailbox. The set is closed: LoadSample and UsageSample.
+// Sample is a collector's report that waits in a Mailbox. The only implementations are LoadSample and UsageSample.
 type Sample interface {
-	// mergeIn adds the sample to the one of the same key that waits; false where none does.
-	mergeIn(m *Mailbox) bool
+	// mergeInto merges the sample into the waiting sample with the same key. It reports whether there was one; if not,
+	// it records the sample's key for the index behind the last sample, where the caller must append it.
+	mergeInto(m *Mailbox) bool
 }
 
-// LoadSample is a load report that waits.
+// LoadSample is a waiting load report.
 type LoadSample struct{ balancer.LoadReport }
 
-// UsageSample is a usage report that waits.
+// UsageSample is a waiting usage report.
 type UsageSample struct{ balancer.UsageReport }
 
-// Mailbox holds the samples that wait for the one core that decides, in the order in which they were brought. Where more
-// wait than a bound, samples of the same pair of server and zone, or of the same proxy and traffic class, become one
-// over the sum of their intervals, so that what waits is bounded by what exists and rates stay as they are. Where even
-// that is too much, HasRoom is false and those who bring wait: the senders' buffers fill, and they decide.
+// Mailbox queues samples, in the order of their arrival, for the single core that makes the balancing decisions. When
+// more samples wait than its limit, samples with the same key (server and zone, or proxy and traffic class) are merged
+// into one that covers the sum of their intervals. The queue is then bounded by the number of keys, and rates are
+// preserved. If it is still at the limit, HasRoom returns false and the producers wait: the buffers of the senders fill,
+// and the senders decide what to do.
 type Mailbox struct {
 	limit   int
 	samples []Sample
-	Merged  int // samples that became part of another
+	Merged  int // number of samples that were merged into another
 
-	// Where each sample waits, while no two of the same wait; else nil.
+	// Indexes of the waiting samples by key. Set only while no two waiting samples have the same key, else nil.
 	reports map[reportKey]int
 	usages  map[usageKey]int
 }
@@ -42,10 +44,11 @@
 	class balancer.ClassID
 }
 
-// NewMailbox holds about so many samples.
+// NewMailbox returns an empty mailbox. Its limit is soft, since Put always adds all samples.
 func NewMailbox(limit int) *Mailbox { return &Mailbox{limit: limit} }
 
-// HasRoom tells whether more may be brought. It merges what waits if that may help.
+// HasRoom reports whether more samples may be put. At the limit, it first merges the waiting
+// samples unless they are merged already.
 func (m *Mailbox) HasRoom() bool {
 	if len(m.samples) >= m.limit && !m.isMerged() {
 		m.mergeAll()
@@ -53,7 +56,7 @@
 	return len(m.samples) < m.limit
 }
 
-// Put adds samples behind those that wait.
+// Put adds samples behind the waiting ones. While the waiting samples are merged, it merges the new ones too.
 func (m *Mailbox) Put(samples []Sample) {
 	if !m.isMerged() {
 		m.samples = append(m.samples, samples...)
@@ -64,25 +67,25 @@
 	}
 }
 
-// Take gives up to so many of the oldest, in the memory of those taken before.
-func (m *Mailbox) Take(limit int, into []Sample) []Sample {
+// Take removes up to limit of the oldest samples and returns them. It reuses the memory of buffer.
+func (m *Mailbox) Take(limit int, buffer []Sample) []Sample {
 	n := min(limit, len(m.samples))
-	into = append(into[:0], m.samples[:n]...)
+	buffer = append(buffer[:0], m.samples[:n]...)
 	m.samples = m.samples[n:]
 	if len(m.samples) == 0 {
 		m.samples = nil
 	}
-	if n > 0 { // places have shifted
+	if n > 0 { // the indexes have shifted
 		m.reports = nil
 		m.usages = nil
 	}
-	return into
+	return buffer
 }
 
-// Len is how many samples wait.
+// Len returns the number of waiting samples.
 func (m *Mailbox) Len() int { return len(m.samples) }
 
-// isMerged tells whether no two samples that wait are of the same.
+// isMerged reports whether the waiting samples are merged, so that no two of them have the same key.
 func (m *Mailbox) isMerged() bool { return m.reports != nil }
 
 func (m *Mailbox) mergeAll() {
@@ -95,44 +98,44 @@
 	}
 }
 
-// merge adds a sample to the one of the same that waits, or behind all.
+// merge merges a sample into the waiting one with the same key, or appends it if there is none.
 func (m *Mailbox) merge(sample Sample) {
-	if sample.mergeIn(m) {
+	if sample.mergeInto(m) {
 		m.Merged++
 		return
 	}
 	m.samples = append(m.samples, sample)
 }
 
-func (s LoadSample) mergeIn(m *Mailbox) bool {
+func (s LoadSample) mergeInto(m *Mailbox) bool {
 	key := reportKey{s.Server, s.Zone}
-	at, waits := m.reports[key]
-	if !waits {
+	index, isWaiting := m.reports[key]
+	if !isWaiting {
 		m.reports[key] = len(m.samples)
 		return false
 	}
-	waiting := m.samples[at].(LoadSample)
-	m.samples[at] = LoadSample{MergeReports(waiting.LoadReport, s.LoadReport)}
+	waiting := m.samples[index].(LoadSample)
+	m.samples[index] = LoadSample{MergeReports(waiting.LoadReport, s.LoadReport)}
 	return true
 }
 
-func (s UsageSample) mergeIn(m *Mailbox) bool {
+func (s UsageSample) mergeInto(m *Mailbox) bool {
 	key := usageKey{s.Proxy, s.Class}
-	at, waits := m.usages[key]
-	if !waits {
+	index, isWaiting := m.usages[key]
+	if !isWaiting {
 		m.usages[key] = len(m.samples)
 		return false
 	}
-	sum := m.samples[at].(UsageSample)
+	sum := m.samples[index].(UsageSample)
 	sum.Requests += s.Requests
 	sum.Dropped += s.Dropped
 	sum.Interval += s.Interval
-	m.samples[at] = sum
+	m.samples[index] = sum
 	return true
 }
 
-// MergeReports is what two reports of the same pair say together. The latency is the mean of the successful attempts of
-// both; the later one's requests in flight count, if it tells any.
+// MergeReports combines two reports of the same server and zone. The latency is the mean over the successful attempts of
+// both. The requests in flight are those of the second report, or of the first if the second has none.
 func MergeReports(first, second balancer.LoadReport) balancer.LoadReport {
 	sum := balancer.LoadReport{
 		Server:   first.Server,
@@ -151,7 +154,7 @@
 	return sum
 }
 
-// totalLatency is the time that the successful attempts took, in nanoseconds.
+// totalLatency returns the summed latency of the successful attempts, in nanoseconds.
 func totalLatency(report balancer.LoadReport) float64 {
 	return float64(report.Attempts-report.Failed) * float64(report.Latency)
 }
--- a/internal/sharding/rebalance.go
+++ b/internal/sharding/rebalance.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	minLoadGap     = 0.2  // of a core, between the most and the least loaded shard, before work is spread
-	minGapDecrease = 0.15 // part of that gap that a move must close
+	minLoadGap     = 0.2  // load gap between the most and the least loaded shard, in cores, below which nothing moves
+	minGapDecrease = 0.15 // fraction by which a move must reduce that gap
 )
 
-// needsRebalance holds once for each window: connections are gone through.
+// needsRebalance reports whether a load window has ended since the last rebalance. Rebalancing only once per window limits
+// its cost, since it iterates over connections.
 func (a *Assigner) needsRebalance() bool { return a.loadUpdated }
 
-// rebalance moves one connection from the most loaded shard to the least loaded where that evens them by enough. Guards
-// against oscillation: a connection that moved has a cooldown, moves within a window are bounded, and one connection
-// that is all of a shard's work stays where it is.
+// rebalance starts to move one connection from the most loaded shard to the least loaded one if that reduces the gap
+// between their loads by enough. To prevent oscillation, a connection that moved has a cooldown, the moves within a
+// window are bounded, and a single connection that makes up all of a shard's load stays where it is.
 func (a *Assigner) rebalance() {
 	a.loadUpdated = false
-	isOld := func(at time.Duration) bool { return a.now-at >= a.settings.MoveWindow }
-	a.moveTimes = slices.DeleteFunc(a.moveTimes, isOld)
+	isExpired := func(at time.Duration) bool { return a.now-at >= a.settings.MoveWindow }
+	a.moveTimes = slices.DeleteFunc(a.moveTimes, isExpired)
 	if len(a.moveTimes) >= a.settings.MaxMoves || len(a.draining) > 0 {
 		return
 	}
@@ -41,25 +42,25 @@
 	}
 	a.startDraining(c, to)
 	a.log(EventConnMoving, connField(c.id), field("from", from), field("to", to),
-		cores("conn_cores", c.load()), cores("from_cores", sourceLoad), cores("to_cores", targetLoad))
+		coresField("conn_cores", c.load()), coresField("from_cores", sourceLoad), coresField("to_cores", targetLoad))
 }
 
-// connToMove is the connection of a shard whose move leaves the smallest gap; nil where none closes enough of it.
+// connToMove returns the connection whose move leaves the smallest gap, or nil if no move reduces the gap by enough.
 func (a *Assigner) connToMove(from ShardID, gap float64) (best *connection) {
-	smallest := gap * (1 - minGapDecrease)
+	smallestGap := gap * (1 - minGapDecrease)
 	for _, c := range a.shards[from].sortedConns() {
 		if !a.mayMove(c) {
 			continue
 		}
-		if left := math.Abs(gap - 2*c.load()); left < smallest {
+		if remainingGap := math.Abs(gap - 2*c.load()); remainingGap < smallestGap {
 			best = c
-			smallest = left
+			smallestGap = remainingGap
 		}
 	}
 	return best
 }
 
-// mayMove tells whether a connection is measured, at rest and out of its cooldown.
+// mayMove reports whether a connection has enough measured windows, is not moving and is not in its cooldown.
 func (a *Assigner) mayMove(c *connection) bool {
 	inCooldown := c.hasMoved && a.now-c.movedAt < a.settings.MoveCooldown
 	return c.ownership == owned && len(c.recentLoad) >= loadWindows && !inCooldown
--- a/internal/sharding/shard.go
+++ b/internal/sharding/shard.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// noShard is the id of none.
+// noShard is the id that stands for no shard.
 const noShard ShardID = -1
 
-// shard is what is kept of a shard.
+// shard holds the state of one shard.
 type shard struct {
 	conns            map[ConnID]*connection
-	load             float64         // cores that its connections take
-	stalledChecks    int             // in a row, at which one task took too long
-	failures         []time.Duration // when, within the failure window
-	quarantinedUntil time.Duration   // until then it gets no connections; 0: it works
-	nextQuarantine   time.Duration
+	load             float64         // cores that its connections use
+	stalledChecks    int             // consecutive checks at which its task exceeded the stall timeout
+	failures         []time.Duration // times of its failures within FailureWindow
+	quarantinedUntil time.Duration   // until then it gets no connections; 0 if it is not in quarantine
+	nextQuarantine   time.Duration   // duration of its next quarantine
 }
 
 func (s *shard) add(c *connection) {
@@ -30,7 +30,7 @@
 	s.load -= c.load()
 }
 
-// sortedConns are a shard's connections by number.
+// sortedConns returns the connections of a shard sorted by number.
 func (s *shard) sortedConns() (all []*connection) {
 	for _, c := range s.conns {
 		all = append(all, c)
@@ -39,12 +39,13 @@
 	return all
 }
 
-// isAvailable tells whether a shard may get connections.
+// isAvailable reports whether a shard may get connections.
 func (a *Assigner) isAvailable(id ShardID) bool {
-	return a.shards[id].quarantinedUntil == 0 && !slices.Contains(a.failed, id)
+	return a.shards[id].quarantinedUntil == 0 && !slices.Contains(a.failedShards, id)
 }
 
-// leastLoaded is the available shard with least to do, another one than that named if there is any.
+// leastLoaded returns the available shard with the lowest load apart from except. If there is none, it returns except, or
+// shard 0 if except is noShard.
 func (a *Assigner) leastLoaded(except ShardID) ShardID {
 	best := max(except, 0)
 	least := math.Inf(1)
@@ -57,7 +58,7 @@
 	return best
 }
 
-// mostLoaded is the available shard with most to do; noShard where none is available or has a load.
+// mostLoaded returns the available shard with the highest load, or noShard if no available shard has any load.
 func (a *Assigner) mostLoaded() ShardID {
 	best := noShard
 	most := 0.0
--- a/internal/sharding/simulation_test.go
+++ b/internal/sharding/simulation_test.go
@@ -8,26 +8,26 @@
 	"pgregory.net/rapid"
 )
 
-// simulation carries out what an assigner decides, as the connections and workers of a manager do: a worker takes the
-// oldest message of a connection that it owns, and what it delivers counts only under the epoch in force.
+// simulation carries out the actions of an assigner in the same way as the connections and workers of a manager: a worker
+// takes the oldest message of a connection that its shard owns, and its delivery counts only under the current epoch.
 type simulation struct {
-	t         *rapid.T
-	assigner  *Assigner
-	now       time.Duration
-	lastConn  ConnID
-	owners    map[ConnID]Owner
-	draining  map[ConnID]bool
-	sent      map[ConnID]int // messages that came
-	delivered map[ConnID]int // of them, in their order
-	underWay  []message      // by shard
-	stalled   []bool         // by shard: its worker does not go on
-	late      []message      // of workers that were given up, still to be delivered
-	moves     []time.Duration
-}
-
-// message is one that a worker has in hand.
+	t          *rapid.T
+	assigner   *Assigner
+	now        time.Duration
+	lastConn   ConnID
+	owners     map[ConnID]Owner
+	draining   map[ConnID]bool
+	sent       map[ConnID]int // number of messages sent on each connection
+	delivered  map[ConnID]int // number of these messages delivered, in order
+	inProgress []message      // message that each shard's worker is processing
+	stalled    []bool         // whether each shard's worker is stalled
+	abandoned  []message      // messages that abandoned workers may still deliver
+	moves      []time.Duration
+}
+
+// message is a message that a worker is processing.
 type message struct {
-	conn   ConnID // 0: none
+	conn   ConnID // 0 for no message
 	epoch  Epoch
 	number int
 }
@@ -36,29 +36,29 @@
 
 func newSimulation(t *rapid.T, shards int) *simulation {
 	return &simulation{
-		t:         t,
-		assigner:  NewAssigner(DefaultSettings(shards)),
-		owners:    map[ConnID]Owner{},
-		draining:  map[ConnID]bool{},
-		sent:      map[ConnID]int{},
-		delivered: map[ConnID]int{},
-		underWay:  make([]message, shards),
-		stalled:   make([]bool, shards),
+		t:          t,
+		assigner:   NewAssigner(DefaultSettings(shards)),
+		owners:     map[ConnID]Owner{},
+		draining:   map[ConnID]bool{},
+		sent:       map[ConnID]int{},
+		delivered:  map[ConnID]int{},
+		inProgress: make([]message, shards),
+		stalled:    make([]bool, shards),
 	}
 }
 
-// apply carries out actions.
+// apply carries out the actions.
 func (s *simulation) apply(actions Actions) {
 	for _, drained := range actions.Drain {
 		s.moves = append(s.moves, s.now)
 		if s.owners[drained.Conn] != drained.Owner {
-			s.t.Fatalf("drained by %+v, owned by %+v", drained.Owner, s.owners[drained.Conn])
+			s.t.Fatalf("connection %d is to be drained by %+v, but is owned by %+v", drained.Conn, drained.Owner, s.owners[drained.Conn])
 		}
 		s.draining[drained.Conn] = true
 	}
 	for _, assigned := range actions.Assign {
 		if before := s.owners[assigned.Conn].Epoch; assigned.Owner.Epoch != before+1 {
-			s.t.Fatalf("epoch %d after %d", assigned.Owner.Epoch, before)
+			s.t.Fatalf("connection %d is assigned epoch %d after epoch %d", assigned.Conn, assigned.Owner.Epoch, before)
 		}
 		s.owners[assigned.Conn] = assigned.Owner
 		delete(s.draining, assigned.Conn)
@@ -67,10 +67,10 @@
 		s.closeConn(id)
 	}
 	for _, shard := range actions.RestartWorkers {
-		if s.underWay[shard].conn != 0 {
-			s.late = append(s.late, s.underWay[shard])
+		if s.inProgress[shard].conn != 0 {
+			s.abandoned = append(s.abandoned, s.inProgress[shard])
 		}
-		s.underWay[shard] = message{}
+		s.inProgress[shard] = message{}
 		s.stalled[shard] = false
 	}
 }
@@ -88,24 +88,24 @@
 	s.apply(s.assigner.HandleConnClosed(s.now, id))
 }
 
-// deliver ends the work on a message; it counts once, and in order.
-func (s *simulation) deliver(one message) {
-	if owner, open := s.owners[one.conn]; !open || owner.Epoch != one.epoch {
+// deliver completes a message. Messages of the current epoch must be delivered once and in order.
+func (s *simulation) deliver(msg message) {
+	if owner, open := s.owners[msg.conn]; !open || owner.Epoch != msg.epoch {
 		return
 	}
-	if one.number != s.delivered[one.conn] {
-		s.t.Fatalf("connection %d delivers message %d, not %d", one.conn, one.number, s.delivered[one.conn])
+	if msg.number != s.delivered[msg.conn] {
+		s.t.Fatalf("connection %d delivers message %d, want %d", msg.conn, msg.number, s.delivered[msg.conn])
 	}
-	s.delivered[one.conn]++
+	s.delivered[msg.conn]++
 }
 
-// work lets a shard end what it has in hand and take the next message, or drain a connection that it should.
+// work lets a shard complete its current message, and then drain a connection if one is due, or take the next message.
 func (s *simulation) work(shard ShardID) {
 	if s.stalled[shard] {
 		return
 	}
-	s.deliver(s.underWay[shard])
-	s.underWay[shard] = message{}
+	s.deliver(s.inProgress[shard])
+	s.inProgress[shard] = message{}
 	for _, id := range s.openConns() {
 		owner := s.owners[id]
 		if owner.Shard != shard {
@@ -117,27 +117,27 @@
 		}
 		s.apply(s.assigner.HandleConnAcquired(s.now, id, owner.Epoch))
 		if s.delivered[id] < s.sent[id] {
-			s.underWay[shard] = message{id, owner.Epoch, s.delivered[id]}
+			s.inProgress[shard] = message{id, owner.Epoch, s.delivered[id]}
 			return
 		}
 	}
 }
 
-// fail ends a shard's worker by a fault over what it has in hand.
+// fail ends a shard's worker with a fault while it processes its current message.
 func (s *simulation) fail(shard ShardID) {
-	by := s.underWay[shard].conn
-	s.underWay[shard] = message{}
-	s.apply(s.assigner.HandleWorkerFailed(s.now, shard, by))
+	conn := s.inProgress[shard].conn
+	s.inProgress[shard] = message{}
+	s.apply(s.assigner.HandleWorkerFailed(s.now, shard, conn))
 }
 
-// deliverLate lets a worker that was given up go on.
-func (s *simulation) deliverLate() {
-	s.deliver(s.late[0])
-	s.late = s.late[1:]
+// deliverAbandoned lets an abandoned worker complete its message.
+func (s *simulation) deliverAbandoned() {
+	s.deliver(s.abandoned[0])
+	s.abandoned = s.abandoned[1:]
 }
 
-// tellLoad ends a window, with loads by the bits of a drawn number.
-func (s *simulation) tellLoad(drawn int) {
+// reportLoad ends a window with loads taken from the bits of a drawn number.
+func (s *simulation) reportLoad(drawn int) {
 	cores := map[ConnID]float64{}
 	for i, id := range s.openConns() {
 		cores[id] = float64((drawn>>i)&7) / 10
@@ -165,7 +165,7 @@
 	return all
 }
 
-// step plays one drawn event.
+// step executes one event, selected by a drawn number.
 func (s *simulation) step(drawn int) {
 	s.now += time.Duration(drawn%7) * 7 * time.Millisecond
 	rest := drawn >> 4
@@ -182,25 +182,25 @@
 	case event < 11:
 		s.work(shard)
 	case event == 11:
-		s.stalled[shard] = s.underWay[shard].conn != 0
-	case event == 12 && len(s.late) > 0:
-		s.deliverLate()
-	case event == 13 && s.underWay[shard].conn != 0 && rest%5 == 0:
+		s.stalled[shard] = s.inProgress[shard].conn != 0
+	case event == 12 && len(s.abandoned) > 0:
+		s.deliverAbandoned()
+	case event == 13 && s.inProgress[shard].conn != 0 && rest%5 == 0:
 		s.fail(shard)
 	case event == 14:
-		s.tellLoad(drawn)
+		s.reportLoad(drawn)
 	default:
 		s.checkWorkers()
 	}
 	s.checkOwners()
 }
 
-// settle plays a while without events, so that all that was sent is delivered.
+// settle lets all shards work without further events, so that everything that was sent is delivered.
 func (s *simulation) settle() {
 	for range 200 {
 		s.now += s.assigner.settings.CheckInterval
 		s.checkWorkers()
-		for shard := range s.underWay {
+		for shard := range s.inProgress {
 			s.work(ShardID(shard))
 		}
 	}
@@ -209,12 +209,12 @@
 func (s *simulation) checkOwners() {
 	for id, owner := range s.owners {
 		if got, _ := s.assigner.Owner(id); got != owner {
-			s.t.Fatalf("connection %d is owned by %+v, and the assigner says %+v", id, owner, got)
+			s.t.Fatalf("connection %d is owned by %+v, but the assigner returns %+v", id, owner, got)
 		}
 	}
 }
 
-func (s *simulation) checkAllIsDelivered() {
+func (s *simulation) checkAllDelivered() {
 	for id, sent := range s.sent {
 		if s.delivered[id] != sent {
 			s.t.Fatalf("connection %d: %d of %d messages delivered", id, s.delivered[id], sent)
@@ -222,7 +222,7 @@
 	}
 	for _, c := range s.assigner.conns {
 		if c.ownership != owned {
-			s.t.Fatalf("connection %d is left in step %d", c.id, c.ownership)
+			s.t.Fatalf("connection %d is left with ownership %d, want %d", c.id, c.ownership, owned)
 		}
 	}
 }
@@ -231,12 +231,13 @@
 	settings := s.assigner.settings
 	for i, at := range s.moves {
 		if j := i + settings.MaxMoves; j < len(s.moves) && s.moves[j]-at < settings.MoveWindow {
-			s.t.Fatalf("more than %d moves within %v", settings.MaxMoves, settings.MoveWindow)
+			s.t.Fatalf("more than %d moves within %v from %v", settings.MaxMoves, settings.MoveWindow, at)
 		}
 	}
 }
 
-// Over 100,000 steps in all: nothing is delivered twice, out of order, or by two; nothing waits for ever.
+// Over more than 100,000 random steps in all, no message is delivered twice, out of order or by two owners, and none waits
+// forever.
 func TestAssignerUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t, rapid.IntRange(1, 5).Draw(t, "shards"))
@@ -244,7 +245,7 @@
 			s.step(drawn)
 		}
 		s.settle()
-		s.checkAllIsDelivered()
+		s.checkAllDelivered()
 		s.checkMovesAreBounded()
 	})
 }
--- a/internal/sharding/types.go
+++ b/internal/sharding/types.go
@@ -1,15 +1,16 @@
-// Package sharding decides which shard (the work of one core) owns which connection, when a connection moves, and what
-// becomes of the connections of a shard that stalls or fails. It also merges the samples that wait for the one core that
-// decides. It does no I/O, starts no goroutine and reads no clock; nothing in it is safe for concurrent use.
+// Package sharding assigns connections to shards, where a shard is the work of one core. It decides when a connection moves
+// to another shard and reassigns the connections of a shard that stalls or fails. It also queues the samples that wait
+// for the single core that makes the balancing decisions, and merges them when too many wait. It does no I/O, starts no
+// goroutine and reads no clock, and nothing in it is safe for concurrent use.
 //
-// NewAssigner makes an Assigner from its settings; then there is one method for each input, with the time since the
-// start. Each returns Actions. A connection moves in four steps: its owner drains it, what the owner had read is carried
-// over as it is, the new owner acquires it under the next epoch, and the old one releases it. A shard that fails skips
-// the first step: what it still brings has an older epoch.
+// NewAssigner makes an Assigner from its settings. Each input has its own method, which takes the time since the start
+// and returns Actions. A connection moves in four steps: its owner drains it, the data that the owner has already read is
+// handed over unchanged, the new owner acquires it under the next epoch, and the old owner releases it. The connections
+// of a failed shard skip the first step; what the shard still delivers is rejected because of its older epoch.
 //
-// The files: types.go has the ids and plain data, assigner.go the inputs and the ordered rules, connection.go and
-// shard.go the state, failure.go what follows a failed shard, rebalance.go how work is spread, log_record.go the
-// log, mailbox.go the samples.
+// types.go has the ids and plain data, assigner.go the inputs and the ordered rules, connection.go and shard.go the
+// state, failure.go the handling of failed shards, rebalance.go the load balancing between shards, log_record.go the log
+// records, and mailbox.go the sample queue.
 package sharding
 
 import (
@@ -19,36 +20,36 @@
 )
 
 type (
-	// ShardID is the number of a shard, from 0.
+	// ShardID is the number of a shard, starting at 0.
 	ShardID int
 	// ConnID is the number of a connection.
 	ConnID uint64
-	// Epoch counts the owners that a connection had. What an owner of an older epoch brings is not taken.
+	// Epoch counts the owners that a connection has had. Anything that an owner of an older epoch delivers is rejected.
 	Epoch uint64
 )
 
-// Owner is who may bring what a connection said.
+// Owner is the shard that may deliver the messages of a connection, and the epoch in which it may.
 type Owner struct {
 	Shard ShardID
 	Epoch Epoch
 }
 
-// Settings are the counts and times that an Assigner is made with.
+// Settings holds the limits and intervals of an Assigner.
 type Settings struct {
 	Shards             int
-	CheckInterval      time.Duration // between two HandleWorkerCheck
-	RebalanceInterval  time.Duration // between two HandleLoad
-	StallTimeout       time.Duration // that one task may take
-	DrainTimeout       time.Duration // that a shard may take to drain a connection
-	MoveCooldown       time.Duration // of a connection that moved, before it moves again
-	MoveWindow         time.Duration // for MaxMoves
-	MaxMoves           int           // to spread work, within MoveWindow; those of failed shards do not count
-	MaxFailures        int           // of a shard within FailureWindow before it is quarantined
+	CheckInterval      time.Duration // between two calls of HandleWorkerCheck
+	RebalanceInterval  time.Duration // between two calls of HandleLoad
+	StallTimeout       time.Duration // longest time that one task may take
+	DrainTimeout       time.Duration // longest time that a shard may take to drain a connection
+	MoveCooldown       time.Duration // shortest time before a connection that moved may move again
+	MoveWindow         time.Duration // period that MaxMoves applies to
+	MaxMoves           int           // moves to balance load within MoveWindow; connections of failed shards do not count
+	MaxFailures        int           // failures of a shard within FailureWindow that lead to its quarantine
 	FailureWindow      time.Duration
-	QuarantineDuration time.Duration // the first of a shard; doubled each time, up to maxQuarantineFactor times this
+	QuarantineDuration time.Duration // first quarantine of a shard; doubled each time, up to maxQuarantineFactor times this
 }
 
-// DefaultSettings are the settings for so many shards.
+// DefaultSettings returns the default settings for a number of shards.
 func DefaultSettings(shards int) Settings {
 	return Settings{
 		Shards:             shards,
@@ -65,18 +66,18 @@
 	}
 }
 
-// Assignment gives a connection an owner, or names the one that it has.
+// Assignment pairs a connection with an owner.
 type Assignment struct {
 	Conn  ConnID
 	Owner Owner
 }
 
-// Actions are what one input decided, to be carried out in the order of the fields.
+// Actions holds the decisions that follow from one input. They must be carried out in the order of the fields.
 type Actions struct {
-	Drain          []Assignment // the owner is to stop after its task under way; HandleConnDrained is due
-	Assign         []Assignment // from now on only this owner brings what the connection says
-	Release        []Assignment // a former owner may forget the connection
-	Close          []ConnID     // shards failed over it
-	RestartWorkers []ShardID    // the shard's worker is given up, and another one begins
+	Drain          []Assignment // the owner must stop after its current task, then HandleConnDrained must be called
+	Assign         []Assignment // from now on only this owner may deliver the messages of the connection
+	Release        []Assignment // the former owner may forget the connection
+	Close          []ConnID     // connections that caused shards to fail repeatedly
+	RestartWorkers []ShardID    // shards whose worker is abandoned and replaced by a new one
 	LogRecords     []balancer.LogRecord
 }
