--- a/cmd/tamarindshore/replay.go
+++ b/cmd/tamarindshore/replay.go
@@ -17,7 +17,7 @@
 
 const (
 	shownTraceLines = 80  // lines printed without --all
-	keptTraceLines  = 400 // without --all, exceeding this number discards the older lines and keeps the last half
+	keptTraceLines  = 400 // without --all, the older half is discarded once the trace exceeds this
 	maxShrinkRuns   = 500
 )
 
--- a/internal/simprotocol/serve.go
+++ b/internal/simprotocol/serve.go
@@ -23,7 +23,7 @@
 	instanceStartedFields = 4 // values of an eventInstanceStarted; the last one extends to the end of the line
 )
 
-// managerInstance is a simulated manager and the state that is needed to parse its events.
+// managerInstance is one manager of the simulation, with the state that is needed to parse its events.
 type managerInstance struct {
 	manager    manager
 	startedAt  time.Duration // on the simulator's clock
