--- a/internal/sharding/assigner_test.go
+++ b/internal/sharding/assigner_test.go
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestSingleHeavyConnectionIsNotMoved(t *testing.T) {
+func TestLoneHeavyConnectionIsNotMoved(t *testing.T) {
 	a := newLoadedAssigner(2, 1, 0.9)
 	if actions := a.repeatLastLoad(time.Second); len(actions.Drain) > 0 {
 		t.Errorf("the only connection of a shard is moved: %+v", actions)
