--- a/internal/logging/async_writer.go
+++ b/internal/logging/async_writer.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// AsyncWriter writes the log without holding up who logs: guards against a stalled reader of the log, which would
-// otherwise stop the decisions. A line that finds no room is dropped and counted. It may be used from several
-// goroutines.
+// AsyncWriter writes log lines from a goroutine of its own, so that a caller never blocks: a stalled reader of the log
+// would otherwise stop the balancer's decisions. A line that finds the queue full is dropped and reported to a callback.
+// It may be used from several goroutines.
 type AsyncWriter struct {
-	lines  chan []byte // nil ends the writing
-	ended  chan struct{}
+	lines  chan []byte // a nil line ends the writing goroutine
+	done   chan struct{}
 	onDrop func()
 }
 
-// NewAsyncWriter holds up to so many lines for a writer; onDrop is called for each line beyond, by who wrote it. The
-// writing ends with Shutdown. Errors of the writer are ignored: there is nobody left to tell.
-func NewAsyncWriter(to io.Writer, maxLines int, onDrop func()) *AsyncWriter {
-	w := &AsyncWriter{lines: make(chan []byte, maxLines), ended: make(chan struct{}), onDrop: onDrop}
-	go w.run(to)
+// NewAsyncWriter starts a writer that queues up to maxLines lines for out. It calls onDrop for each dropped line, in the
+// goroutine that called Write. Shutdown ends it. Write errors of out are ignored: there is no other log to report them to.
+func NewAsyncWriter(out io.Writer, maxLines int, onDrop func()) *AsyncWriter {
+	w := &AsyncWriter{lines: make(chan []byte, maxLines), done: make(chan struct{}), onDrop: onDrop}
+	go w.run(out)
 	return w
 }
 
-func (w *AsyncWriter) run(to io.Writer) {
-	defer close(w.ended)
+// run writes queued lines until it receives a nil line.
+func (w *AsyncWriter) run(out io.Writer) {
+	defer close(w.done)
 	for line := range w.lines {
 		if line == nil {
 			return
 		}
-		to.Write(line)
+		out.Write(line)
 	}
 }
 
-// Write hands a line on without waiting. It never fails: a line that finds no room counts as written.
+// Write queues a copy of the line without blocking. It never fails: a dropped line counts as written.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte{}, line...):
@@ -42,7 +43,7 @@
 	return len(line), nil
 }
 
-// Shutdown writes the lines that wait, and ends the writing. It gives up after the timeout.
+// Shutdown writes the queued lines and ends the writing goroutine. It gives up after the timeout.
 func (w *AsyncWriter) Shutdown(timeout time.Duration) {
 	expired := time.After(timeout)
 	select {
@@ -51,7 +52,7 @@
 		return
 	}
 	select {
-	case <-w.ended:
+	case <-w.done:
 	case <-expired:
 	}
 }
--- a/internal/logging/async_writer_test.go
+++ b/internal/logging/async_writer_test.go
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// stalledWriter is a reader of the log that takes nothing until it is freed.
-type stalledWriter struct{ freed chan struct{} }
+// stalledWriter is a writer that blocks until its channel is closed.
+type stalledWriter struct{ released chan struct{} }
 
 func (w stalledWriter) Write(line []byte) (int, error) {
-	<-w.freed
+	<-w.released
 	return len(line), nil
 }
 
-func TestAsyncWriterNeverWaitsForItsReader(t *testing.T) {
+func TestAsyncWriterNeverBlocks(t *testing.T) {
 	stalled := stalledWriter{make(chan struct{})}
 	dropped := 0
 	w := NewAsyncWriter(stalled, 4, func() { dropped++ })
-	t.Cleanup(func() { close(stalled.freed) })
+	t.Cleanup(func() { close(stalled.released) })
 	for range 100 {
 		w.Write([]byte("line\n"))
 	}
 	w.Shutdown(time.Millisecond)
 	if dropped < 95 || dropped > 96 {
-		t.Errorf("%d dropped", dropped)
+		t.Errorf("%d lines were dropped, want 95 or 96", dropped)
 	}
 }
 
-// The caller may use its memory again at once, and what waits is written before the end.
-func TestShutdownWritesWhatWaits(t *testing.T) {
+// Write must copy the line, as callers reuse the buffer, and Shutdown must write all queued lines.
+func TestShutdownWritesQueuedLines(t *testing.T) {
 	var out bytes.Buffer
 	w := NewAsyncWriter(&out, 16, func() { t.Error("a line was dropped") })
 	line := []byte("0\n")
 	for n := range 10 {
 		line[0] = byte('0' + n)
 		if written, err := w.Write(line); written != len(line) || err != nil {
-			t.Errorf("%d %v", written, err)
+			t.Errorf("Write returned %d, %v", written, err)
 		}
 	}
 	w.Shutdown(time.Minute)
@@ -45,16 +45,16 @@
 	}
 }
 
-func TestShutdownGivesUpOnAStalledReader(t *testing.T) {
+func TestShutdownGivesUpOnStalledWriter(t *testing.T) {
 	stalled := stalledWriter{make(chan struct{})}
 	w := NewAsyncWriter(stalled, 4, func() {})
 	w.Write([]byte("line\n"))
-	w.Shutdown(time.Millisecond) // waits for the line that is being written
+	w.Shutdown(time.Millisecond) // times out: the first line is still being written
 	select {
-	case <-w.ended:
-		t.Error("the writing ended")
+	case <-w.done:
+		t.Error("the writing goroutine ended before its writer was released")
 	default:
 	}
-	close(stalled.freed)
-	<-w.ended
+	close(stalled.released)
+	<-w.done
 }
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -1,6 +1,6 @@
-// Package logging writes one line for each event: key=value for people, JSON for machines, under the same names. It has
-// the form of the lines and the way out, which never waits: what a stalled reader leaves no room for is dropped and
-// counted.
+// Package logging provides the log of a process, with one line for each event, as key=value text for people or as JSON
+// for machines, with the same field names. Output can go through an AsyncWriter, which never blocks: while the reader of
+// the log stalls, lines that exceed the queue are dropped and reported to a callback.
 package logging
 
 import (
@@ -11,29 +11,29 @@
 	"github.com/rs/zerolog"
 )
 
-// Formats of a line, as the operator's settings name them.
+// Line formats, by their names in the operator's settings.
 const (
 	Text = "text"
 	JSON = "json"
 )
 
-// Levels are the log levels as the operator's settings name them, from the most verbose to the least.
+// Levels lists the log levels by their names in the operator's settings, from the most verbose to the least.
 var Levels = []string{"debug", "info", "warn", "error"}
 
-// Times in the two formats.
+// Time formats of JSON and text lines.
 const (
 	jsonTimeFormat = "2006-01-02T15:04:05.000000Z07:00"
 	textTimeFormat = "2006/01/02 15:04:05.000000" // local time
 )
 
-// firstFields are the fields that come first in a text line, in their order.
+// firstFields lists the fields that come first in a text line, in this order.
 var firstFields = []string{"event", "stage", "at", "name", "note"}
 
-// All loggers of a process share this setting of zerolog; it is made before the first begins.
+// The time format is a global setting of zerolog, so it is set before the first logger is created.
 func init() { zerolog.TimeFieldFormat = jsonTimeFormat }
 
-// New is a logger that writes JSON lines to out, from a level up; an unknown level is info. It may be used from several
-// goroutines where out may.
+// New returns a logger that writes JSON lines of the given level and above to out; an empty or unknown level means info.
+// It may be used from several goroutines if out may.
 func New(out io.Writer, level string) zerolog.Logger {
 	minLevel, err := zerolog.ParseLevel(level)
 	if err != nil || level == "" {
@@ -42,7 +42,7 @@
 	return zerolog.New(out).Level(minLevel).With().Timestamp().Logger()
 }
 
-// NewFormatWriter turns JSON lines into a format and writes them to out.
+// NewFormatWriter returns a writer that converts JSON lines to the given format and writes them to out.
 func NewFormatWriter(format string, out io.Writer) io.Writer {
 	if format == JSON {
 		return out
--- a/internal/logging/logger_test.go
+++ b/internal/logging/logger_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestBothFormatsTellTheSame(t *testing.T) {
+func TestBothFormatsWriteTheSameFields(t *testing.T) {
 	for format, want := range map[string]string{
 		Text: `^\d{4}/\d\d/\d\d \d\d:\d\d:\d\d\.\d{6} event=start name=n1 note="a b" servers=30\n$`,
 		JSON: `^\{"level":"info","event":"start","name":"n1","servers":30,"note":"a b","time":"[^"]+"\}\n$`,
@@ -21,13 +21,13 @@
 			t.Errorf("%s: %q", format, out.String())
 		}
 		if format == JSON && !json.Valid(out.Bytes()) {
-			t.Error("no JSON")
+			t.Error("the line is not valid JSON")
 		}
 	}
 }
 
-// The names that the operator's settings may state, each from its level up; another name is info.
-func TestEachLevelHasItsName(t *testing.T) {
+// Each level name of the operator's settings must enable that level and those above; an empty or unknown name means info.
+func TestLevelsByName(t *testing.T) {
 	for level, want := range map[string]string{
 		"debug": "debug info warn error", "info": "info warn error", "warn": "warn error", "error": "error",
 		"": "info warn error", "loud": "info warn error",
@@ -50,7 +50,7 @@
 			got = append(got, record.Level)
 		}
 		if text := strings.Join(got, " "); text != want {
-			t.Errorf("%q: %s, not %s", level, text, want)
+			t.Errorf("level %q: logged %s, want %s", level, text, want)
 		}
 	}
 	if got := strings.Join(Levels, " "); got != "debug info warn error" {
--- a/internal/sexp/keys.go
+++ b/internal/sexp/keys.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// Words of a flag.
+// Values of a FlagKey.
 const (
 	wordYes = "yes"
 	wordNo  = "no"
 )
 
-// Section is a key whose value is a list of keys: (name (key value) ...).
+// Section returns a key that contains other keys: (name (key value) ...).
 func Section(name string, keys ...Key) Key {
 	return Key{Name: name, Read: func(n *Node) error { return Read(n, n.Args(), keys...) }}
 }
 
-// TextKey is a key with any text.
-func TextKey(name string, to *string) Key {
-	return Key{Name: name, Read: func(n *Node) error { return n.Text(to) }}
+// TextKey returns a key whose value is any word or string.
+func TextKey(name string, target *string) Key {
+	return Key{Name: name, Read: func(n *Node) error { return n.Text(target) }}
 }
 
-// ChoiceKey is a key with one of a few words.
-func ChoiceKey(name string, to *string, words ...string) Key {
-	return Key{Name: name, Read: func(n *Node) error { return n.OneOf(to, words...) }}
+// ChoiceKey returns a key whose value is one of choices.
+func ChoiceKey(name string, target *string, choices ...string) Key {
+	return Key{Name: name, Read: func(n *Node) error { return n.OneOf(target, choices...) }}
 }
 
-// FlagKey is a key with yes or no.
-func FlagKey(name string, to *bool) Key {
+// FlagKey returns a key whose value is yes or no.
+func FlagKey(name string, target *bool) Key {
 	return Key{Name: name, Read: func(n *Node) error {
 		var word string
 		err := n.OneOf(&word, wordYes, wordNo)
-		*to = word == wordYes
+		*target = word == wordYes
 		return err
 	}}
 }
 
-// IntKey is a key with a whole number within bounds.
-func IntKey(name string, to *int, least, most int) Key {
-	return Key{Name: name, Read: func(n *Node) error { return n.Int(to, least, most) }}
+// IntKey returns a key whose value is an integer within bounds.
+func IntKey(name string, target *int, minimum, maximum int) Key {
+	return Key{Name: name, Read: func(n *Node) error { return n.Int(target, minimum, maximum) }}
 }
 
-// FloatKey is a key with a number within bounds; 12% is 0.12.
-func FloatKey(name string, to *float64, least, most float64) Key {
-	return Key{Name: name, Read: func(n *Node) error { return n.Float(to, least, most) }}
+// FloatKey returns a key whose value is a number within bounds; a percentage is accepted too: 12% is 0.12.
+func FloatKey(name string, target *float64, minimum, maximum float64) Key {
+	return Key{Name: name, Read: func(n *Node) error { return n.Float(target, minimum, maximum) }}
 }
 
-// DurationKey is a key with a time such as 250ms within bounds.
-func DurationKey(name string, to *time.Duration, least, most time.Duration) Key {
-	return Key{Name: name, Read: func(n *Node) error { return n.Duration(to, least, most) }}
+// DurationKey returns a key whose value is a duration within bounds, such as 250ms.
+func DurationKey(name string, target *time.Duration, minimum, maximum time.Duration) Key {
+	return Key{Name: name, Read: func(n *Node) error { return n.Duration(target, minimum, maximum) }}
 }
 
-// HostPortKey is a key with host:port.
-func HostPortKey(name string, to *string) Key {
-	return Key{Name: name, Read: func(n *Node) error { return n.HostPort(to) }}
+// HostPortKey returns a key whose value is an address, host:port.
+func HostPortKey(name string, target *string) Key {
+	return Key{Name: name, Read: func(n *Node) error { return n.HostPort(target) }}
 }
--- a/internal/sexp/keys_test.go
+++ b/internal/sexp/keys_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// exampleForm has a key of each type.
+// exampleForm holds the values of a form with a key of each type.
 type exampleForm struct {
 	name    string
 	level   string
@@ -29,7 +29,7 @@
 		HostPortKey("at", &e.address))
 }
 
-func TestReadFormTakesEachTypeOfKey(t *testing.T) {
+func TestReadFormReadsEachTypeOfKey(t *testing.T) {
 	var got exampleForm
 	form, err := ReadForm("f", []byte("(example (name n) (level high) (stored yes) (machine\n (cores 4) (share 12%)) (wait 2s) (at a:80))"),
 		"example", got.keys()...)
@@ -44,9 +44,9 @@
 		node *Node
 		line int
 	}{
-		"a key of a section":                {form.Child("machine").Child("cores"), 2},
-		"a key that is not there":           {form.Child("none"), 1},
-		"a key of a section that is absent": {form.Child("none").Child("cores"), 1},
+		"a key of a section":         {form.Child("machine").Child("cores"), 2},
+		"a missing key":              {form.Child("none"), 1},
+		"a key of a missing section": {form.Child("none").Child("cores"), 1},
 	} {
 		if place.node.Pos.Line != place.line {
 			t.Errorf("%s: line %d, want %d", name, place.node.Pos.Line, place.line)
@@ -54,29 +54,29 @@
 	}
 }
 
-func TestReadFormNamesWhatIsInvalid(t *testing.T) {
+func TestReadFormRejectsInvalidForms(t *testing.T) {
 	for text, want := range map[string]string{
-		"":                              "f:1: one form (example ...) is due",
-		"(other)":                       "f:1: one form (example ...) is due",
-		"(example) (example)":           "f:1: one form (example ...) is due",
-		"(example":                      "f:1: a bracket is not closed",
+		"":                              "f:1: expected exactly one form (example ...)",
+		"(other)":                       "f:1: expected exactly one form (example ...)",
+		"(example) (example)":           "f:1: expected exactly one form (example ...)",
+		"(example":                      "f:1: a parenthesis is not closed",
 		"(example)":                     "f:1: name: is missing",
-		"(example (name))":              "f:1: name: one value is due",
-		"(example (level mid))":         "f:1: level: mid is none of low, high",
-		"(example\n (stored maybe))":    "f:2: stored: maybe is none of yes, no",
-		"(example (machine\n (a)))":     "f:2: a: is no key here; known are cores, share",
-		"(example (machine (cores 9)))": "f:1: cores: 9 is no whole number from 1 to 8",
-		"(example (machine (share 2)))": "f:1: share: 2 is no number from 0 to 1",
-		"(example (wait 1ms))":          "f:1: wait: 1ms is no time from 1s to 1h0m0s",
-		"(example (at a))":              "f:1: at: a is no host:port",
-		"(example (machine (cores 1) (cores 2)))":    "f:1: cores: stands twice",
+		"(example (name))":              "f:1: name: expected exactly one value",
+		"(example (level mid))":         "f:1: level: mid is not one of low, high",
+		"(example\n (stored maybe))":    "f:2: stored: maybe is not one of yes, no",
+		"(example (machine\n (a)))":     "f:2: a: unknown key, expected one of cores, share",
+		"(example (machine (cores 9)))": "f:1: cores: 9 is not an integer between 1 and 8",
+		"(example (machine (share 2)))": "f:1: share: 2 is not a number between 0 and 1",
+		"(example (wait 1ms))":          "f:1: wait: 1ms is not a duration between 1s and 1h0m0s",
+		"(example (at a))":              "f:1: at: a is not a valid host:port",
+		"(example (machine (cores 1) (cores 2)))":    "f:1: cores: duplicate key",
 		"(example (name n) (level low) (stored no))": "f:1: machine: is missing",
 	} {
 		var form exampleForm
 		_, err := ReadForm("f", []byte(text), "example", form.keys()...)
-		var place *Error
-		if !errors.As(err, &place) || err.Error() != want {
-			t.Errorf("%q: %v, not %s", text, err, want)
+		var located *Error
+		if !errors.As(err, &located) || err.Error() != want {
+			t.Errorf("%q: got error %v, want %s", text, err, want)
 		}
 	}
 }
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -1,7 +1,7 @@
-// Package sexp reads S-expressions: the form of the operator's settings, of scenarios and replay files, and of the
-// capacity plan. It has the grammar, the place of each word and the typed reading of values; what a key means is the
-// caller's, who lists the keys of a form in a table of Key. An error about a text is an *Error, which names file, line
-// and word.
+// Package sexp parses S-expressions, the syntax of the operator's settings, of scenario and replay files, and of the
+// capacity plan. It provides the grammar, source positions and typed reading of values. A caller declares the keys of a
+// form as a list of Key and so decides what they mean. Invalid input gives an *Error with the file, the line and, where
+// there is one, the key.
 package sexp
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Node is a list, a string or a word, and where it stands.
+// Node is a list, a string or a word, with its source position. Exactly one of List, String and Word is set.
 type Node struct {
 	Pos    lexer.Position
 	List   *List   `parser:"  @@"`
@@ -22,12 +22,13 @@
 	Word   *string `parser:"| @Word"`
 }
 
-// List is what stands between a pair of brackets.
+// List is a parenthesized sequence of nodes.
 type List struct {
 	Pos   lexer.Position
 	Items []*Node `parser:"'(' @@* ')'"`
 }
 
+// file is the root of the grammar: all nodes of a source file.
 type file struct {
 	Nodes []*Node `parser:"@@*"`
 }
@@ -44,46 +45,46 @@
 	participle.Unquote("String"),
 )
 
-// Parse reads a whole text; name is that of its file, for errors.
+// Parse parses all nodes of a text. Errors use name as the name of its file.
 func Parse(name string, text []byte) ([]*Node, error) {
 	f, err := parser.ParseBytes(name, text)
 	if err == nil {
 		return f.Nodes, nil
 	}
-	var fault participle.Error
-	if errors.As(err, &fault) {
-		return nil, &Error{File: name, Line: fault.Position().Line, Problem: syntaxProblem(fault.Message())}
+	var parseError participle.Error
+	if errors.As(err, &parseError) {
+		return nil, &Error{File: name, Line: parseError.Position().Line, Problem: syntaxProblem(parseError.Message())}
 	}
 	return nil, fmt.Errorf("%s: %w", name, err)
 }
 
-// syntaxProblem says in words what the parser's commonest messages mean.
+// syntaxProblem replaces the most common messages of the parser with clearer ones.
 func syntaxProblem(message string) string {
 	switch {
 	case strings.Contains(message, "<EOF>") && strings.Contains(message, `")"`):
-		return "a bracket is not closed"
+		return "a parenthesis is not closed"
 	case strings.Contains(message, `invalid input text "\"`):
-		return "a quote is not closed"
+		return "a quoted string is not closed"
 	}
 	return message
 }
 
-// Error says what is wrong at a place in a file.
+// Error is an error in a source file, with its position.
 type Error struct {
 	File    string
-	Line    int    // from 1
-	Problem string // the key, what was found and what was expected
+	Line    int    // starts at 1
+	Problem string // the key, if there is one, with what was found or expected
 }
 
-// Error gives FILE:LINE: and the problem.
+// Error formats the error as FILE:LINE: PROBLEM.
 func (e *Error) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Problem) }
 
-// Errorf is an *Error at a node.
+// Errorf returns an *Error at the node's position.
 func (n *Node) Errorf(format string, values ...any) error {
 	return &Error{File: n.Pos.Filename, Line: n.Pos.Line, Problem: fmt.Sprintf(format, values...)}
 }
 
-// display is a node as an error shows it.
+// display formats the node for an error message; of a list it shows only the head.
 func (n *Node) display() string {
 	switch {
 	case n.Word != nil:
@@ -94,7 +95,7 @@
 	return "(" + n.Head() + " ...)"
 }
 
-// Head is the word that a list begins with; empty where it begins with none.
+// Head returns the first item of a list if that is a word; otherwise, and for other nodes, it returns an empty string.
 func (n *Node) Head() string {
 	if n.List == nil || len(n.List.Items) == 0 || n.List.Items[0].Word == nil {
 		return ""
@@ -102,7 +103,7 @@
 	return *n.List.Items[0].Word
 }
 
-// Args are what follows a list's head.
+// Args returns the items after a list's head; nil if there is no head.
 func (n *Node) Args() []*Node {
 	if n.Head() == "" {
 		return nil
@@ -110,8 +111,8 @@
 	return n.List.Items[1:]
 }
 
-// Child is the first list within a list that begins with a head; the list itself where there is none, so that an error
-// still has a place.
+// Child returns the first list among the node's arguments that has the given head. If there is none, it returns the node
+// itself, so that an error always has a position.
 func (n *Node) Child(head string) *Node {
 	for _, child := range n.Args() {
 		if child.Head() == head {
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestReadTakesTypedValues(t *testing.T) {
+func TestReadReadsTypedValues(t *testing.T) {
 	nodes, err := Parse("f", []byte("; a remark\n(fleet (cores 4) (part 12%) (wait 1m30s)\n (at \"127.0.0.1:80\") (form text))"))
 	if err != nil {
 		t.Fatal(err)
@@ -26,38 +26,38 @@
 	}
 }
 
-// invalidForms are texts with what is wrong with each.
+// invalidForms maps invalid texts to the errors that they give.
 var invalidForms = map[string]string{
-	"(a\n (cores 9))":             `f:2: cores: 9 is no whole number from 1 to 8`,
-	"(a\n (cores 1.5))":           `f:2: cores: 1.5 is no whole number from 1 to 8`,
-	"(a\n (cores))":               `f:2: cores: one value is due`,
-	"(a\n (cores 1 2))":           `f:2: cores: one value is due`,
-	"(a\n (cores (x)))":           `f:2: cores: one value is due`,
-	"(a (cores 1)\n (cores 2))":   `f:2: cores: stands twice`,
-	"(a\n (core 1))":              `f:2: core: is no key here; known are cores, part, wait, at, form, name`,
-	"(a\n cores)":                 `f:2: cores stands where (key value ...) is due`,
-	"(a\n \"cores\")":             `f:2: "cores" stands where (key value ...) is due`,
-	"(a\n ((cores 1)))":           `f:2: ( ...) stands where (key value ...) is due`,
+	"(a\n (cores 9))":             `f:2: cores: 9 is not an integer between 1 and 8`,
+	"(a\n (cores 1.5))":           `f:2: cores: 1.5 is not an integer between 1 and 8`,
+	"(a\n (cores))":               `f:2: cores: expected exactly one value`,
+	"(a\n (cores 1 2))":           `f:2: cores: expected exactly one value`,
+	"(a\n (cores (x)))":           `f:2: cores: expected exactly one value`,
+	"(a (cores 1)\n (cores 2))":   `f:2: cores: duplicate key`,
+	"(a\n (core 1))":              `f:2: core: unknown key, expected one of cores, part, wait, at, form, name`,
+	"(a\n cores)":                 `f:2: found cores, expected (key value ...)`,
+	"(a\n \"cores\")":             `f:2: found "cores", expected (key value ...)`,
+	"(a\n ((cores 1)))":           `f:2: found ( ...), expected (key value ...)`,
 	"\n(a)":                       `f:2: cores: is missing`,
-	"(a\n (cores 1)":              `f:2: a bracket is not closed`,
+	"(a\n (cores 1)":              `f:2: a parenthesis is not closed`,
 	"(a (cores 1))\n)":            `f:2: unexpected token ")"`,
-	"(a (cores \"1))\n(cores 2))": `f:1: a quote is not closed`,
-	"(a\n (part 101%))":           `f:2: part: 101% is no number from 0 to 1`,
-	"(a\n (part NaN))":            `f:2: part: NaN is no number from 0 to 1`,
-	"(a\n (part))":                `f:2: part: one value is due`,
-	"(a\n (wait 1))":              `f:2: wait: 1 is no time from 1s to 1h0m0s`,
-	"(a\n (wait 2h))":             `f:2: wait: 2h is no time from 1s to 1h0m0s`,
-	"(a\n (wait))":                `f:2: wait: one value is due`,
-	"(a\n (at 127.0.0.1))":        `f:2: at: 127.0.0.1 is no host:port`,
-	"(a\n (at :80))":              `f:2: at: :80 is no host:port`,
-	"(a\n (at a:0))":              `f:2: at: a:0 is no host:port`,
-	"(a\n (at))":                  `f:2: at: one value is due`,
-	"(a\n (form xml))":            `f:2: form: xml is none of text, json`,
-	"(a\n (form))":                `f:2: form: one value is due`,
-	"(a (name x)\n (name))":       `f:2: name: one value is due`,
+	"(a (cores \"1))\n(cores 2))": `f:1: a quoted string is not closed`,
+	"(a\n (part 101%))":           `f:2: part: 101% is not a number between 0 and 1`,
+	"(a\n (part NaN))":            `f:2: part: NaN is not a number between 0 and 1`,
+	"(a\n (part))":                `f:2: part: expected exactly one value`,
+	"(a\n (wait 1))":              `f:2: wait: 1 is not a duration between 1s and 1h0m0s`,
+	"(a\n (wait 2h))":             `f:2: wait: 2h is not a duration between 1s and 1h0m0s`,
+	"(a\n (wait))":                `f:2: wait: expected exactly one value`,
+	"(a\n (at 127.0.0.1))":        `f:2: at: 127.0.0.1 is not a valid host:port`,
+	"(a\n (at :80))":              `f:2: at: :80 is not a valid host:port`,
+	"(a\n (at a:0))":              `f:2: at: a:0 is not a valid host:port`,
+	"(a\n (at))":                  `f:2: at: expected exactly one value`,
+	"(a\n (form xml))":            `f:2: form: xml is not one of text, json`,
+	"(a\n (form))":                `f:2: form: expected exactly one value`,
+	"(a (name x)\n (name))":       `f:2: name: expected exactly one value`,
 }
 
-func TestErrorsNameFileLineAndWord(t *testing.T) {
+func TestErrorsNameFileLineAndKey(t *testing.T) {
 	var cores int
 	var part float64
 	var wait time.Duration
@@ -75,9 +75,9 @@
 		if err == nil {
 			err = Read(nodes[0], nodes[0].Args(), keys...)
 		}
-		var place *Error
-		if !errors.As(err, &place) || place.File != "f" || err.Error() != want {
-			t.Errorf("%q: %v, not %s", text, err, want)
+		var located *Error
+		if !errors.As(err, &located) || located.File != "f" || err.Error() != want {
+			t.Errorf("%q: got error %v, want %s", text, err, want)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 		}
 		for _, n := range nodes {
 			if n.List == nil && n.Word == nil && n.String == nil {
-				t.Error("a node that is nothing")
+				t.Error("a node is neither a list nor a word nor a string")
 			}
 			Read(n, n.Args(), Key{Name: "b", Read: func(n *Node) error { var x int; return n.Int(&x, 0, 9) }})
 		}
--- a/internal/sexp/values.go
+++ b/internal/sexp/values.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// singleValue is the one value of a list.
+// singleValue returns the only argument of a list, which must be a word or a string.
 func (n *Node) singleValue() (*Node, error) {
-	if a := n.Args(); len(a) == 1 && a[0].List == nil {
-		return a[0], nil
+	if args := n.Args(); len(args) == 1 && args[0].List == nil {
+		return args[0], nil
 	}
-	return nil, n.Errorf("%s: one value is due", n.Head())
+	return nil, n.Errorf("%s: expected exactly one value", n.Head())
 }
 
-// value is a string or a word without its quotes.
+// value returns the text of a word or, without its quotes, of a string.
 func (n *Node) value() string {
 	if n.String != nil {
 		return *n.String
@@ -24,46 +24,46 @@
 	return *n.Word
 }
 
-// Text reads the single value of a list as it stands.
-func (n *Node) Text(to *string) error {
+// Text reads the single value of a list unchanged.
+func (n *Node) Text(target *string) error {
 	v, err := n.singleValue()
 	if err == nil {
-		*to = v.value()
+		*target = v.value()
 	}
 	return err
 }
 
-// OneOf reads a word of a few.
-func (n *Node) OneOf(to *string, words ...string) error {
+// OneOf reads a value that must be one of choices.
+func (n *Node) OneOf(target *string, choices ...string) error {
 	v, err := n.singleValue()
 	if err != nil {
 		return err
 	}
-	for _, w := range words {
-		if v.value() == w {
-			*to = w
+	for _, choice := range choices {
+		if v.value() == choice {
+			*target = choice
 			return nil
 		}
 	}
-	return v.Errorf("%s: %s is none of %s", n.Head(), v.display(), strings.Join(words, ", "))
+	return v.Errorf("%s: %s is not one of %s", n.Head(), v.display(), strings.Join(choices, ", "))
 }
 
-// Int reads a whole number within bounds.
-func (n *Node) Int(to *int, least, most int) error {
+// Int reads an integer within bounds.
+func (n *Node) Int(target *int, minimum, maximum int) error {
 	v, err := n.singleValue()
 	if err != nil {
 		return err
 	}
 	x, err := strconv.Atoi(v.value())
-	if err != nil || x < least || x > most {
-		return v.Errorf("%s: %s is no whole number from %d to %d", n.Head(), v.display(), least, most)
+	if err != nil || x < minimum || x > maximum {
+		return v.Errorf("%s: %s is not an integer between %d and %d", n.Head(), v.display(), minimum, maximum)
 	}
-	*to = x
+	*target = x
 	return nil
 }
 
-// Float reads a number within bounds; 12% is 0.12.
-func (n *Node) Float(to *float64, least, most float64) error {
+// Float reads a number within bounds. A percentage is accepted too: 12% is 0.12.
+func (n *Node) Float(target *float64, minimum, maximum float64) error {
 	v, err := n.singleValue()
 	if err != nil {
 		return err
@@ -73,37 +73,37 @@
 	if isPercent {
 		x /= 100
 	}
-	if err != nil || math.IsNaN(x) || x < least || x > most {
-		return v.Errorf("%s: %s is no number from %v to %v", n.Head(), v.display(), least, most)
+	if err != nil || math.IsNaN(x) || x < minimum || x > maximum {
+		return v.Errorf("%s: %s is not a number between %v and %v", n.Head(), v.display(), minimum, maximum)
 	}
-	*to = x
+	*target = x
 	return nil
 }
 
-// Duration reads a time such as 250ms, 13s or 1m30s within bounds.
-func (n *Node) Duration(to *time.Duration, least, most time.Duration) error {
+// Duration reads a duration within bounds, such as 250ms, 13s or 1m30s.
+func (n *Node) Duration(target *time.Duration, minimum, maximum time.Duration) error {
 	v, err := n.singleValue()
 	if err != nil {
 		return err
 	}
 	x, err := time.ParseDuration(v.value())
-	if err != nil || x < least || x > most {
-		return v.Errorf("%s: %s is no time from %v to %v", n.Head(), v.display(), least, most)
+	if err != nil || x < minimum || x > maximum {
+		return v.Errorf("%s: %s is not a duration between %v and %v", n.Head(), v.display(), minimum, maximum)
 	}
-	*to = x
+	*target = x
 	return nil
 }
 
-// HostPort reads host:port.
-func (n *Node) HostPort(to *string) error {
+// HostPort reads an address, host:port, whose host isn't empty and whose port is between 1 and 65535.
+func (n *Node) HostPort(target *string) error {
 	v, err := n.singleValue()
 	if err != nil {
 		return err
 	}
 	host, port, err := net.SplitHostPort(v.value())
-	if p, bad := strconv.ParseUint(port, 10, 16); err != nil || host == "" || bad != nil || p == 0 {
-		return v.Errorf("%s: %s is no host:port", n.Head(), v.display())
+	if number, portErr := strconv.ParseUint(port, 10, 16); err != nil || host == "" || portErr != nil || number == 0 {
+		return v.Errorf("%s: %s is not a valid host:port", n.Head(), v.display())
 	}
-	*to = v.value()
+	*target = v.value()
 	return nil
 }
