--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,22 +28,22 @@
 		t.Errorf("%+v", s)
 	}
 	if s.Balancer.QueueCapacity != 8600 || len(s.ClassNames) != 1 || s.ClassNames[0] != "lookup" {
-		t.Errorf("settings %+v", s.Balancer)
+		t.Errorf("balancer settings %+v", s.Balancer)
 	}
 	l := s.Limits
 	if l.Memory != 192<<20 || l.Cores != 1 || l.MaxUnidentifiedConns+l.MaxCollectorConns+l.MaxOpenHealthChecks >= l.Sockets/2 {
-		t.Errorf("limits %+v", l)
+		t.Errorf("%+v", l)
 	}
 }
 
-// Guards against network code that outgrows the smallest machine.
+// The connections and line buffers that the limits allow must fit a small machine.
 func TestLimitsScaleWithTheMachine(t *testing.T) {
 	l := limitsFor(machine{cores: 0.2, memoryMB: 32, sockets: 256})
 	if open := l.MaxUnidentifiedConns + l.MaxCollectorConns + l.MaxOpenHealthChecks + 8; open > 128 {
-		t.Errorf("%d descriptors of 256", open)
+		t.Errorf("%d of 256 file descriptors may be open", open)
 	}
-	if held := int64(l.MaxUnidentifiedConns*l.MaxUnidentifiedLineBytes + l.MaxCollectorConns*l.MaxCollectorLineBytes + 2*l.MaxEndpointListBytes); held > l.Memory/8 {
-		t.Errorf("%d bytes of %d in lines", held, l.Memory)
+	if buffered := int64(l.MaxUnidentifiedConns*l.MaxUnidentifiedLineBytes + l.MaxCollectorConns*l.MaxCollectorLineBytes + 2*l.MaxEndpointListBytes); buffered > l.Memory/8 {
+		t.Errorf("line buffers may take %d of %d bytes", buffered, l.Memory)
 	}
 }
 
@@ -52,43 +52,43 @@
 		return map[string]string{"PROXY_LISTEN": "127.0.0.9:1", "PROXY_NAME": "n4"}[key]
 	}, []byte(validPlatformFile), false)
 	if err != nil || s.Listen != "127.0.0.9:1" || s.Name != "n4" || s.Discovery != "127.0.0.2:8500" {
-		t.Errorf("%+v %v", s, err)
+		t.Errorf("config %+v, error %v", s, err)
 	}
 }
 
-// Guards against a reload that stays with the addresses of the start.
+// A reload must use a new address of discovery in the file, even if the environment had set the address at the start.
 func TestReloadTakesDiscoveryAddressFromTheFile(t *testing.T) {
 	env := func(key string) string {
 		return map[string]string{"PROXY_LISTEN": "127.0.0.9:1", "PROXY_DISCOVERY": "127.0.0.9:2"}[key]
 	}
 	s, err := parse(env, []byte(validPlatformFile), true)
 	if err != nil || s.Discovery != "127.0.0.2:8500" || s.Listen != "127.0.0.9:1" {
-		t.Errorf("%+v %v", s, err)
+		t.Errorf("config %+v, error %v", s, err)
 	}
-	silent := strings.Replace(validPlatformFile, `"discovery":"127.0.0.2:8500",`, "", 1)
-	if s, err = parse(env, []byte(silent), true); err != nil || s.Discovery != "127.0.0.9:2" {
-		t.Errorf("%+v %v", s, err)
+	withoutDiscovery := strings.Replace(validPlatformFile, `"discovery":"127.0.0.2:8500",`, "", 1)
+	if s, err = parse(env, []byte(withoutDiscovery), true); err != nil || s.Discovery != "127.0.0.9:2" {
+		t.Errorf("config %+v, error %v", s, err)
 	}
 }
 
 func TestParseNamesTheInvalidKey(t *testing.T) {
-	for _, c := range []struct{ was, is, want string }{
+	for _, c := range []struct{ valid, invalid, want string }{
 		{`"name":"n3",`, ``, "name: is missing"},
-		{`"listen":"127.0.0.1:8443"`, `"listen":"127.0.0.1"`, `listen: "127.0.0.1" is no address`},
+		{`"listen":"127.0.0.1:8443"`, `"listen":"127.0.0.1"`, `listen: "127.0.0.1" is not a valid address`},
 		{`"listen":"127.0.0.1:8443"`, `"listen":":8443"`, "listen: "},
 		{`"discovery":"127.0.0.2:8500"`, `"discovery":"127.0.0.2:99999"`, "discovery: "},
-		{`"discovery":"127.0.0.2:8500"`, `"discovery":7`, "discovery: a number stands"},
+		{`"discovery":"127.0.0.2:8500"`, `"discovery":7`, "discovery: found number, expected string"},
 		{`"address":"127.0.0.3:6400"`, `"port":1`, "store.address: is missing"},
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"xyz"`, "seed: "},
 		{`"seed":"8c1f30d27a5be964"`, `"seed":"18c1f30d27a5be9640"`, "seed: "},
 		{`"cores":1.0`, `"cores":0`, "limits.cores: 0 is not"},
-		{`"cores":1.0`, `"cores":"one"`, "limits.cores: a string stands"},
+		{`"cores":1.0`, `"cores":"one"`, "limits.cores: found string, expected float64"},
 		{`"memory_mb":192`, `"memory_mb":1`, "limits.memory_mb: 1 is not"},
 		{`"sockets":1024`, `"sockets":-1`, "limits.sockets: -1 is not"},
 		{`"known":`, `"knew":`, "known: is missing"},
 		{`"settings":`, `"terms":`, "settings: is missing"},
 		{`"queueCap":8600`, `"queueCap":-8600`, "settings.domain.queueCap: -8600 is not"},
-		{`"queueCap":8600`, `"queueCap":"many"`, "settings.domain.queueCap: a string stands"},
+		{`"queueCap":8600`, `"queueCap":"many"`, "settings.domain.queueCap: found string, expected float64"},
 		{`"egressPerS":8600,`, ``, "settings.domain.egressPerS: 0 is not"},
 		{`"usualHow":1`, `"usualHow":4`, "settings.domain.usualHow: 4 is not"},
 		{`"aimUs":2000000`, `"aimUs":0`, "settings.classes[0]: "},
@@ -97,19 +97,19 @@
 		{`"settings":{"zones"`, `"settings":[],"other":{"zones"`, "settings: json: cannot unmarshal array"},
 		{`{"name"`, `"name"`, "PROXY_CONFIG: "},
 	} {
-		text := strings.Replace(validPlatformFile, c.was, c.is, 1)
+		text := strings.Replace(validPlatformFile, c.valid, c.invalid, 1)
 		if text == validPlatformFile {
-			t.Fatalf("%s is not in the text", c.was)
+			t.Fatalf("%s is not in the text", c.valid)
 		}
 		_, err := parse(emptyEnvironment, []byte(text), false)
-		var fault *platformsettings.KeyError
-		if syntax := strings.HasPrefix(c.want, "PROXY_CONFIG"); !syntax && !errors.As(err, &fault) {
-			t.Errorf("%s: %v names no key", c.is, err)
+		var keyErr *platformsettings.KeyError
+		if syntax := strings.HasPrefix(c.want, "PROXY_CONFIG"); !syntax && !errors.As(err, &keyErr) {
+			t.Errorf("%s: error %v names no key", c.invalid, err)
 		}
 		if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-			t.Errorf("%s: %v, not %q", c.is, err, c.want)
+			t.Errorf("%s: got error %v, want %q", c.invalid, err, c.want)
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: more than one line: %v", c.is, err)
+			t.Errorf("%s: the error has more than one line: %v", c.invalid, err)
 		}
 	}
 }
@@ -121,13 +121,13 @@
 	for _, read := range []func(func(string) string) (Config, error){Read, Reread} {
 		if _, err := read(func(string) string { return "/nowhere/config.json" }); !errors.Is(err, fs.ErrNotExist) ||
 			!strings.HasPrefix(err.Error(), "PROXY_CONFIG: ") {
-			t.Errorf("a file that is not there: %v", err)
+			t.Errorf("error for a missing file: %v", err)
 		}
 	}
 }
 
-// Guards against a fleet of which only the first few hundred servers are checked when all are lost at once.
-func TestSmallestMachineHasRoomForAThousandServers(t *testing.T) {
+// When all servers of a fleet are lost at once, all of them must be checked, not only the first few hundred.
+func TestSmallestMachineSupportsAThousandServers(t *testing.T) {
 	l := limitsFor(machine{cores: 0.01, memoryMB: 32, sockets: 64})
 	if l.MaxQueuedHealthChecks < 1024 || l.MaxQueuedInputs < 1024 || l.MaxEndpointListBytes < 1024*200 {
 		t.Errorf("%+v", l)
@@ -135,60 +135,60 @@
 }
 
 func TestErrorsNameTheLine(t *testing.T) {
-	for was, want := range map[[2]string]string{
-		{`"queueCap":8600`, `"queueCap":-1`}:       "settings.domain.queueCap: -1 is not from 1e-06 to 1e+12 (line 5)",
-		{`"aimUs":2000000`, `"aimUs":0`}:           "settings.classes[0]: name, aimUs and hardLimitUs above 0 and worth from 0 are due (line 4)",
-		{`"sockets":1024`, `"sockets":1`}:          "limits.sockets: 1 is not from 64 up (line 2)",
-		{`"sockets":1024`, `"sockets":"x"`}:        "limits.sockets: a string stands where int is due (line 2)",
+	for replacement, want := range map[[2]string]string{
+		{`"queueCap":8600`, `"queueCap":-1`}:       "settings.domain.queueCap: -1 is not between 1e-06 and 1e+12 (line 5)",
+		{`"aimUs":2000000`, `"aimUs":0`}:           "settings.classes[0]: name, aimUs > 0, hardLimitUs > 0 and worth >= 0 are required (line 4)",
+		{`"sockets":1024`, `"sockets":1`}:          "limits.sockets: 1 is not between 64 and 16777216 (line 2)",
+		{`"sockets":1024`, `"sockets":"x"`}:        "limits.sockets: found string, expected int (line 2)",
 		{`"address":"127.0.0.3:6400"`, `"at":"x"`}: "store.address: is missing (line 2)",
 		{`"known"`, `"knew"`}:                      "known: is missing",
 		{`"unknown":{"key":1}`, `"unknown":{]`}:    "PROXY_CONFIG: invalid character ']' looking for beginning of object key string (line 3)",
 		{`"warmAfterUs":16000000}}}`, ``}:          "PROXY_CONFIG: unexpected end of JSON input (line 5)",
 	} {
-		text := strings.Replace(validPlatformFile, was[0], was[1], 1)
+		text := strings.Replace(validPlatformFile, replacement[0], replacement[1], 1)
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Read(func(key string) string { return map[string]string{"PROXY_CONFIG": path}[key] })
 		if err == nil || err.Error() != want {
-			t.Errorf("%s: %v, not %s", was[1], err, want)
+			t.Errorf("%s: got error %v, want %s", replacement[1], err, want)
 		}
 		var located *LocatedError
 		if errors.As(err, &located) != strings.Contains(want, "(line ") {
-			t.Errorf("%s: %v names no line", was[1], err)
+			t.Errorf("%s: error %v: whether it has a line is not as expected", replacement[1], err)
 		}
 	}
 }
 
-// A list of 24,000 servers, at 200 bytes each, fits a manager with 256 MB; a small one keeps 1 MiB.
-func TestMaxEndpointListBytesFollowsTheMemory(t *testing.T) {
-	if most := limitsFor(machine{cores: 1, memoryMB: 256, sockets: 1024}).MaxEndpointListBytes; most < 24000*200 {
-		t.Errorf("%d bytes with 256 MB", most)
+// A list of 24,000 servers of 200 bytes each must fit a manager with 256 MB; the limit is never below 1 MiB.
+func TestMaxEndpointListBytesScalesWithMemory(t *testing.T) {
+	if limit := limitsFor(machine{cores: 1, memoryMB: 256, sockets: 1024}).MaxEndpointListBytes; limit < 24000*200 {
+		t.Errorf("%d bytes with 256 MB", limit)
 	}
-	if most := limitsFor(machine{cores: 1, memoryMB: 16, sockets: 1024}).MaxEndpointListBytes; most != minEndpointListBytes {
-		t.Errorf("%d bytes with 16 MB", most)
+	if limit := limitsFor(machine{cores: 1, memoryMB: 16, sockets: 1024}).MaxEndpointListBytes; limit != minEndpointListBytes {
+		t.Errorf("%d bytes with 16 MB", limit)
 	}
 }
 
-// An error with a line still unwraps to the error about its key.
+// An error with a line must still unwrap to the error about its key.
 func TestLocatedErrorKeepsItsCause(t *testing.T) {
 	text := strings.Replace(validPlatformFile, `"sockets":1024`, `"sockets":1`, 1)
 	_, err := parse(emptyEnvironment, []byte(text), false)
 	var cause *platformsettings.KeyError
 	if err = locate([]byte(text), err); !errors.As(err, &cause) || cause.Key != "limits.sockets" {
-		t.Errorf("%v has no cause", err)
+		t.Errorf("%v does not wrap the error about limits.sockets", err)
 	}
 }
 
-func TestFileThatIsNoObjectNamesNoLine(t *testing.T) {
+func TestErrorOfNonObjectFileHasNoLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte("\n[]"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, err := Read(func(key string) string { return map[string]string{variableConfig: path}[key] })
+	_, err := Read(func(key string) string { return map[string]string{envConfig: path}[key] })
 	var located *LocatedError
 	if err == nil || !strings.HasPrefix(err.Error(), "PROXY_CONFIG: json: cannot unmarshal array") || errors.As(err, &located) {
-		t.Errorf("%v, not an error about the whole file", err)
+		t.Errorf("got %v, want an error about the whole file without a line", err)
 	}
 }
--- a/internal/config/fixture_test.go
+++ b/internal/config/fixture_test.go
@@ -10,7 +10,8 @@
 	"tamarindshore/internal/sharding"
 )
 
-// fixtureConfig is what version 0.9 read of testdata/platform.json, which has every key of the platform's file.
+// fixtureConfig returns the configuration that version 0.9 read from testdata/platform.json, which has every key of the
+// platform's file.
 func fixtureConfig() Config {
 	return Config{
 		Name:               "n3",
@@ -50,6 +51,7 @@
 	}
 }
 
+// fixtureLimits returns the limits of fixtureConfig.
 func fixtureLimits() Limits {
 	return Limits{
 		Cores:                    6,
@@ -99,7 +101,8 @@
 	}
 }
 
-// fixtureOperatorSettings are what version 0.9 read of testdata/operator.sexp, which has every key of the operator's file.
+// fixtureOperatorSettings returns the settings that version 0.9 read from testdata/operator.sexp, which has every key of
+// the operator's file.
 func fixtureOperatorSettings() OperatorSettings {
 	return OperatorSettings{
 		File:          "operator.sexp",
@@ -116,33 +119,34 @@
 	}
 }
 
-func platformFile(key string) string {
+// platformEnvironment is an environment with only PROXY_CONFIG, which names the fixture.
+func platformEnvironment(key string) string {
 	return map[string]string{"PROXY_CONFIG": "testdata/platform.json"}[key]
 }
 
-func TestPlatformFixtureHoldsEachKey(t *testing.T) {
-	got, err := Read(platformFile)
+func TestReadPlatformFixture(t *testing.T) {
+	got, err := Read(platformEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := fixtureConfig(); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nnot\n%+v", got, want)
+		t.Errorf("got %+v\nwant %+v", got, want)
 	}
 }
 
-func TestOperatorFixtureHoldsEachKey(t *testing.T) {
+func TestReadOperatorFixture(t *testing.T) {
 	got, err := ReadOperatorSettings("testdata/operator.sexp")
 	if err != nil {
 		t.Fatal(err)
 	}
 	got.form = nil
 	if want := fixtureOperatorSettings(); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nnot\n%+v", got, want)
+		t.Errorf("got %+v\nwant %+v", got, want)
 	}
 }
 
-func TestOperatorSettingsAreMergedIntoThePlatforms(t *testing.T) {
-	config, err := Read(platformFile)
+func TestWithOperatorAppliesEachSetting(t *testing.T) {
+	config, err := Read(platformEnvironment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,12 +183,12 @@
 		QuarantineDuration: time.Minute,
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nnot\n%+v", got, want)
+		t.Errorf("got %+v\nwant %+v", got, want)
 	}
 }
 
-// The environment has these names, and wins over the file.
-func TestEachVariableHasItsName(t *testing.T) {
+// Each environment variable must be read by its fixed name and override the file.
+func TestEnvironmentVariableNames(t *testing.T) {
 	env := map[string]string{
 		"PROXY_CONFIG":    "testdata/platform.json",
 		"PROXY_NAME":      "n4",
@@ -197,6 +201,6 @@
 	want.Listen = "127.0.0.9:1"
 	want.Discovery = "127.0.0.9:2"
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%v: %+v\nnot\n%+v", err, got, want)
+		t.Errorf("error %v: got %+v\nwant %+v", err, got, want)
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -6,98 +6,99 @@
 	"tamarindshore/internal/sharding"
 )
 
-// Limits are the sizes, counts and timeouts of the network code. They scale with the machine, so that the smallest one
-// can run a manager.
+// Limits are the sizes, counts and timeouts of the network code. Some scale with the machine, so that a manager can run on
+// the smallest one.
 type Limits struct {
-	Cores    int   // that the process may use
-	Shards   int   // cores that read connections beside the one that decides; up to 1: none
+	Cores    int   // cores that the process may use
+	Shards   int   // cores that read connections, beside the one that runs the balancer; 0 or 1: none
 	Memory   int64 // bytes
 	Sockets  int   // file descriptors
 	Sharding sharding.Settings
 
 	// Queues and batches.
 
-	MaxQueuedInputs       int // of the goroutine that owns the balancer
-	MaxInputBatch         int // inputs that it takes at one time
-	MaxQueuedCalls        int // to the relay, before they are merged
-	MaxCallBytes          int // of the commands in one call
-	MaxQueuedHealthChecks int // servers that may all be checked at once: a lost fleet is checked whole
-	MaxOpenHealthChecks   int // under way at one time
-	MaxQueuedLogLines     int
+	MaxQueuedInputs       int // inputs that wait for the goroutine that owns the balancer
+	MaxInputBatch         int // inputs that this goroutine handles in one batch
+	MaxQueuedCalls        int // calls to the relay that wait; further ones are merged
+	MaxCallBytes          int // size of the commands in one call
+	MaxQueuedHealthChecks int // holds a whole fleet: if it is lost at once, all its servers are checked
+	MaxOpenHealthChecks   int // health checks that run at the same time
+	MaxQueuedLogLines     int // further lines are dropped
 
-	// Connections and what they may send.
+	// Connections and the messages on them.
 
-	MaxUnidentifiedConns     int // connections that have not said whose they are
+	MaxUnidentifiedConns     int // connections that have not identified themselves yet
 	MaxCollectorConns        int
-	MaxLineFields            int // words of a line
+	MaxLineFields            int // fields of one line
 	MaxUnidentifiedLineBytes int
 	MaxCollectorLineBytes    int
 	MaxWatchEventBytes       int
-	MaxEndpointListBytes     int // a whole list comes in one line
-	MaxResponseBytes         int // of the relay or a server
-	ReadChunkBytes           int // read at one time where several cores read connections
-	MaxQueuedChunks          int // of one connection
-	MaxEmptyMessages         int // one after another that report nothing
-	MaxRequestsPerSecond     float64
-	MaxReportInterval        time.Duration // that a report may cover
-
-	// ReadInterval is the time between reads of what collectors and the relay send; 0: each is read at once.
+	MaxEndpointListBytes     int           // the whole list is sent in one line
+	MaxResponseBytes         int           // response of the relay or of a server
+	ReadChunkBytes           int           // size of one read if several cores read connections
+	MaxQueuedChunks          int           // chunks of one connection that wait to be decoded
+	MaxEmptyMessages         int           // consecutive messages of a connection without a report
+	MaxRequestsPerSecond     float64       // that a report may state; also the limit on its in-flight requests
+	MaxReportInterval        time.Duration // interval that a report may cover
+
+	// ReadInterval is the time between reads from collectors and from the relay; 0: data is read as it arrives.
 	ReadInterval time.Duration
 
 	// Timeouts of connections and streams.
 
-	IdentifyTimeout          time.Duration // from the accept of a connection to its first report
-	CollectorIdleTimeout     time.Duration // between two reports after that
-	LastSeenPrecision        time.Duration // to which the time of a connection's last report is known
-	ProxyWatchIdleTimeout    time.Duration // between two signs of life of the relay's stream of proxies
-	EndpointWatchIdleTimeout time.Duration // between two signs of life of the stream of endpoints
-	StreamOpenTimeout        time.Duration // until a stream begins
-	ProxySnapshotTimeout     time.Duration // a sign of life after that ends the snapshot of proxies at the beginning of a stream
+	IdentifyTimeout          time.Duration // from accepting a connection to its first report
+	CollectorIdleTimeout     time.Duration // between two later reports
+	LastSeenPrecision        time.Duration // minimum time between updates of a connection's last report time
+	ProxyWatchIdleTimeout    time.Duration // between two messages of the relay's stream of proxies
+	EndpointWatchIdleTimeout time.Duration // between two messages of the stream of endpoints
+	StreamOpenTimeout        time.Duration // from the request for a stream to its beginning
+	ProxySnapshotTimeout     time.Duration // from the beginning of a stream; the next heartbeat ends the snapshot of proxies
 	ConnectTimeout           time.Duration
 	WriteTimeout             time.Duration
-	RelayTimeout             time.Duration // of one call
-	HealthCheckTimeout       time.Duration // of one check
-	ProcessStallGrace        time.Duration // to read what arrived while this process was stalled
-	MaxWatchGap              time.Duration // until what a stream missed is requested again
+	RelayTimeout             time.Duration // for one call
+	HealthCheckTimeout       time.Duration // for one health check
+	ProcessStallGrace        time.Duration // extra time to read data that arrived while this process was stalled
+	MaxWatchGap              time.Duration // after which data that a stream missed is requested again
 
-	// Start, reload, reconnecting and logging.
+	// Start, reload, reconnection and logging.
 
-	MaxReadyDelay       time.Duration // after its start a manager is ready also without the relay
-	ListenTimeout       time.Duration // for an address that is still in use
-	ReloadRetries       int           // of a file that is at fault, after a signal
+	MaxReadyDelay       time.Duration // after this time a manager is ready even without the relay
+	ListenTimeout       time.Duration // how long to retry while the address is still in use
+	ReloadRetries       int           // retries after a signal while the file is invalid
 	ReloadRetryInterval time.Duration
-	MinBackoff          time.Duration // before a stream is opened again: drawn between the two
+	MinBackoff          time.Duration // bounds of the random delay before a stream is opened again
 	MaxBackoff          time.Duration
-	LogInterval         time.Duration // between two lines of one kind
-	LogFlushTimeout     time.Duration // for the last lines
+	LogInterval         time.Duration // minimum time between two log lines of one kind
+	LogFlushTimeout     time.Duration // at shutdown, for the lines that are still queued
 }
 
 const bytesPerMB = 1 << 20
 
-// A whole list comes in one line. Its bound follows the memory, so that no size of a fleet is refused that the memory
-// carries: 24,000 servers take some 4 MB.
+// Bounds of an endpoint list, which is sent whole in one line. The limit scales with the memory, so that a fleet is only
+// refused if it doesn't fit the memory: a list of 24,000 servers takes about 4 MB.
 const (
-	minEndpointListBytes    = 1 << 20
-	endpointListMemoryShare = 32 // one part in so many of the memory
+	minEndpointListBytes      = 1 << 20
+	endpointListMemoryDivisor = 32 // a list may take 1/32 of the memory
 )
 
-// MaxEndpointListBytes is the bound on a whole list, in bytes, of a manager with so much memory.
+// MaxEndpointListBytes returns the maximum size in bytes of an endpoint list for a manager with memoryMB of memory.
 func MaxEndpointListBytes(memoryMB float64) int {
-	return max(minEndpointListBytes, int(memoryMB*bytesPerMB)/endpointListMemoryShare)
+	return max(minEndpointListBytes, int(memoryMB*bytesPerMB)/endpointListMemoryDivisor)
 }
 
-// machine is what the platform lets the process use.
+// machine is the resources that the platform lets the process use.
 type machine struct {
 	cores    float64
 	memoryMB float64
 	sockets  int
 }
 
-// limitsFor gives the limits of a machine. Sharding, Shards and ReadInterval are the operator's to state.
+// limitsFor returns the limits for a machine. Sharding, Shards and ReadInterval are not set: they come from the
+// operator's settings.
 func limitsFor(m machine) Limits {
-	const wholeCores = 0.5 // half a core and more counts as one
+	const rounding = 0.5 // added before truncation, so that half a core or more counts as one
 	limits := Limits{
-		Cores:   max(1, int(m.cores+wholeCores)),
+		Cores:   max(1, int(m.cores+rounding)),
 		Memory:  int64(m.memoryMB * bytesPerMB),
 		Sockets: m.sockets,
 	}
@@ -108,7 +109,7 @@
 	return limits
 }
 
-// setQueues sets the bounds of queues and batches.
+// setQueues sets the limits of queues and batches.
 func (l *Limits) setQueues(m machine) {
 	l.MaxQueuedInputs = 4096
 	l.MaxInputBatch = 512
@@ -119,7 +120,7 @@
 	l.MaxQueuedLogLines = 1024
 }
 
-// setConnections sets how many connections there may be, and how much each may send.
+// setConnections sets the limits on the number of connections and on the messages of each.
 func (l *Limits) setConnections(m machine) {
 	l.MaxUnidentifiedConns = min(256, m.sockets/4)
 	l.MaxCollectorConns = min(32, m.sockets/16)
@@ -153,7 +154,7 @@
 	l.MaxWatchGap = time.Second
 }
 
-// setProcessTimes sets the times of start, reload, reconnecting and logging.
+// setProcessTimes sets the times of start, reload, reconnection and logging.
 func (l *Limits) setProcessTimes() {
 	l.MaxReadyDelay = 5 * time.Second
 	l.ListenTimeout = 2 * time.Second
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,22 +11,22 @@
 	"tamarindshore/internal/sharding"
 )
 
-// OperatorSettings are the settings of the operator's file, beside the platform's configuration. A setting that the file
-// omits has its default, as if there were no file.
+// OperatorSettings are the settings of the operator's file, which complement the platform's configuration. A setting that
+// the file omits has its default, the same as without a file.
 type OperatorSettings struct {
-	File          string        // for errors; empty: none was read
-	Shards        int           // cores that read connections; 1: one core does all
+	File          string        // name of the file, for errors; empty: no file was read
+	Shards        int           // cores that read connections; 1: one core does everything
 	LogLevel      string        // one of logging.Levels
 	LogFormat     string        // logging.Text or logging.JSON
-	StatusAddress string        // of the status listener; empty: none
+	StatusAddress string        // address of the status listener; empty: none
 	AdminSocket   string        // path of the socket for administrators' commands; empty: none
-	TablesAddress string        // at which holders of versioned tables connect; empty: none
-	KeyFile       string        // keys that sign versions
-	StorePath     string        // file that survives a crash; empty: none
-	Spill         int           // servers of other zones than its proxies' that a manager uses; 0: all that are listed
-	ReadInterval  time.Duration // between two reads of what collectors and the relay send; 0: each is read at once
+	TablesAddress string        // address at which replicas of versioned tables connect; empty: none
+	KeyFile       string        // path of the file with the keys that sign versions
+	StorePath     string        // path of the store, which survives a crash; empty: none
+	Spill         int           // number of servers that a manager uses from zones other than its proxies'; 0: all listed servers
+	ReadInterval  time.Duration // between two reads from collectors and from the relay; 0: data is read as it arrives
 
-	form *sexp.Node // where the settings stand, for errors; nil: no file was read
+	form *sexp.Node // the parsed file, for positions in errors; nil: no file was read
 }
 
 // Bounds of the settings.
@@ -34,19 +34,19 @@
 	maxShards = 64
 	maxSpill  = 1 << 20
 
-	// A longer interval would delay the inputs that a decision needs within a second.
+	// A longer read interval would delay inputs that a decision needs within a second.
 	minReadInterval = time.Millisecond
 	maxReadInterval = 200 * time.Millisecond
 )
 
-// Names of the settings' keys.
+// Keys of the operator's file.
 const (
 	operatorForm    = "tamarindshore"
 	keyCores        = "cores"
 	keyLog          = "log"
 	keyLogLevel     = "level"
 	keyLogFormat    = "form"
-	keyListen       = "listen" // also within keyTables
+	keyListen       = "listen" // also a key of the section keyTables
 	keyStatus       = "status"
 	keyAdmin        = "admin"
 	keyAdminSocket  = "socket"
@@ -59,12 +59,13 @@
 	keyReadInterval = "read-interval"
 )
 
-// DefaultOperatorSettings are the settings without a file.
+// DefaultOperatorSettings returns the settings that apply without a file.
 func DefaultOperatorSettings() OperatorSettings {
 	return OperatorSettings{Shards: 1, LogLevel: "info", LogFormat: logging.Text}
 }
 
-// ReadOperatorSettings reads and checks a whole file. An error names the file, the line and the key.
+// ReadOperatorSettings reads and validates the operator's file. An error about its content names the file, the line and
+// the key.
 func ReadOperatorSettings(path string) (OperatorSettings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -73,7 +74,8 @@
 	return ParseOperatorSettings(filepath.Base(path), text)
 }
 
-// ParseOperatorSettings reads settings of the form (tamarindshore (key value) ...). An error is a *sexp.Error.
+// ParseOperatorSettings parses and validates settings of the form (tamarindshore (key value) ...). An error is a
+// *sexp.Error.
 func ParseOperatorSettings(name string, text []byte) (OperatorSettings, error) {
 	settings := DefaultOperatorSettings()
 	settings.File = name
@@ -85,7 +87,7 @@
 	return settings, settings.check()
 }
 
-// keys read the settings, in the order in which an error lists them.
+// keys returns the keys of the file, in the order in which an error lists them.
 func (o *OperatorSettings) keys() []sexp.Key {
 	return []sexp.Key{
 		sexp.IntKey(keyCores, &o.Shards, 1, maxShards),
@@ -103,7 +105,7 @@
 	}
 }
 
-// check validates the paths and addresses, and the keys that depend on one another.
+// check validates paths, the status address, and keys that depend on each other.
 func (o *OperatorSettings) check() error {
 	for _, file := range []struct{ section, key, path string }{
 		{keyAdmin, keyAdminSocket, o.AdminSocket},
@@ -112,20 +114,21 @@
 	} {
 		if file.path != "" && !filepath.IsAbs(file.path) {
 			node := o.form.Child(file.section).Child(file.key)
-			return node.Errorf("%s: %q is no path from the root", file.key, file.path)
+			return node.Errorf("%s: %q is not an absolute path", file.key, file.path)
 		}
 	}
 	if o.TablesAddress != "" && o.KeyFile == "" {
-		return o.form.Child(keyTables).Errorf("%s: %s: is missing: versions are signed", keyTables, keyTablesKeys)
+		return o.form.Child(keyTables).Errorf("%s: %s: is missing; it is required to sign versions", keyTables, keyTablesKeys)
 	}
 	if o.StatusAddress != "" && !isLoopback(o.StatusAddress) {
 		node := o.form.Child(keyListen).Child(keyStatus)
-		return node.Errorf("%s: %s is not on loopback: it tells of the fleet without asking who reads", keyStatus, o.StatusAddress)
+		return node.Errorf("%s: %s is not a loopback address; the status listener exposes the fleet without authentication",
+			keyStatus, o.StatusAddress)
 	}
 	return nil
 }
 
-// isLoopback reports whether an address is on this machine's loopback interface.
+// isLoopback reports whether an address belongs to the loopback interface.
 func isLoopback(address string) bool {
 	for _, prefix := range []string{"127.", "[::1]", "localhost:"} {
 		if strings.HasPrefix(address, prefix) {
@@ -135,11 +138,11 @@
 	return false
 }
 
-// WithOperator is the configuration with the operator's settings. Where the platform limits the cores, asking for more is
-// an error.
+// WithOperator returns the configuration with the operator's settings applied. If the platform limits the cores, a higher
+// number in the operator's settings is an error.
 func (c Config) WithOperator(o OperatorSettings) (Config, error) {
 	if c.coresConfigured && o.Shards > c.Limits.Cores {
-		return c, o.form.Child(keyCores).Errorf("%s: %d is more than the platform's limits.cores, %d", keyCores, o.Shards, c.Limits.Cores)
+		return c, o.form.Child(keyCores).Errorf("%s: %d is more than limits.cores of the platform's file, %d", keyCores, o.Shards, c.Limits.Cores)
 	}
 	c.Limits.Shards = o.Shards
 	c.Limits.Sharding = sharding.DefaultSettings(o.Shards)
--- a/internal/platformsettings/errors.go
+++ b/internal/platformsettings/errors.go
@@ -8,30 +8,30 @@
 	"unicode"
 )
 
-// KeyError names the key of a JSON text that is at fault.
+// KeyError is an error about the value of a key in a JSON text.
 type KeyError struct {
-	Key     string // its path, with dots and places: domain.queueCap, classes[0]
-	Problem string // what was found and what was expected
+	Key     string // path of the key, with indexes of lists: domain.queueCap, classes[0]
+	Problem string // what was found or expected
 }
 
-// Error begins with the key.
+// Error formats the error as KEY: PROBLEM.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Problem }
 
-// Within gives the same error for a text that stands under a key of another.
-func (e *KeyError) Within(key string) *KeyError {
-	return &KeyError{Key: key + "." + e.Key, Problem: e.Problem}
+// WithPrefix returns the error with the key of the enclosing object put before its own.
+func (e *KeyError) WithPrefix(prefix string) *KeyError {
+	return &KeyError{Key: prefix + "." + e.Key, Problem: e.Problem}
 }
 
-// WithKey turns an error of encoding/json about a value of another type into a *KeyError. Other errors stay as they are.
-func WithKey(err error) error {
-	var wrong *json.UnmarshalTypeError
-	if !errors.As(err, &wrong) || wrong.Field == "" {
+// AsKeyError converts a *json.UnmarshalTypeError that names a field to a *KeyError. It returns other errors unchanged.
+func AsKeyError(err error) error {
+	var typeError *json.UnmarshalTypeError
+	if !errors.As(err, &typeError) || typeError.Field == "" {
 		return err
 	}
-	parts := strings.Split(wrong.Field, ".")
+	parts := strings.Split(typeError.Field, ".")
 	for i, part := range parts {
-		parts[i] = string(unicode.ToLower(rune(part[0]))) + part[1:] // a field without a tag has its Go name
+		parts[i] = string(unicode.ToLower(rune(part[0]))) + part[1:] // without a tag, the field has its Go name
 	}
-	problem := fmt.Sprintf("a %s stands where %s is due", wrong.Value, wrong.Type)
+	problem := fmt.Sprintf("found %s, expected %s", typeError.Value, typeError.Type)
 	return &KeyError{Key: strings.Join(parts, "."), Problem: problem}
 }
--- a/internal/platformsettings/fixture_test.go
+++ b/internal/platformsettings/fixture_test.go
@@ -10,7 +10,7 @@
 	"tamarindshore/balancer"
 )
 
-// fixture is testdata/settings.json: a settings object of today's form, with every key.
+// fixture returns testdata/settings.json, a settings object with every key that the package reads.
 func fixture(t *testing.T) []byte {
 	t.Helper()
 	text, err := os.ReadFile("testdata/settings.json")
@@ -20,7 +20,7 @@
 	return text
 }
 
-// fixtureSettings are what version 0.9 read of the fixture.
+// fixtureSettings returns the settings that version 0.9 read from the fixture.
 func fixtureSettings() Settings {
 	return Settings{
 		ClassNames: []string{"quote", "update", "track", "book"},
@@ -59,34 +59,34 @@
 	}
 }
 
-func TestTodaysSettingsAreReadWhole(t *testing.T) {
+func TestParseReadsEveryKey(t *testing.T) {
 	got, err := Parse(fixture(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := fixtureSettings(); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nnot\n%+v", got, want)
+		t.Errorf("got %+v\nwant %+v", got, want)
 	}
 }
 
-// replaced is the fixture with another value at a path of keys and places; nil takes the key away.
+// replaced returns the fixture with another value at a path of keys and list indexes; a nil value removes the key.
 func replaced(t *testing.T, path []any, value any) []byte {
 	t.Helper()
 	var root map[string]any
 	if err := json.Unmarshal(fixture(t), &root); err != nil {
 		t.Fatal(err)
 	}
-	var at any = root
+	var current any = root
 	for _, step := range path[:len(path)-1] {
 		switch step := step.(type) {
 		case string:
-			at = at.(map[string]any)[step]
+			current = current.(map[string]any)[step]
 		case int:
-			at = at.([]any)[step]
+			current = current.([]any)[step]
 		}
 	}
 	last := path[len(path)-1].(string)
-	parent := at.(map[string]any)
+	parent := current.(map[string]any)
 	if _, present := parent[last]; !present {
 		t.Fatalf("%v: the fixture has no such key", path)
 	}
@@ -100,13 +100,13 @@
 	return text
 }
 
-// Each key, by its name on the wire, settles one thing and nothing else.
-func TestEachKeyHasItsNameAndMeaning(t *testing.T) {
+// Each key, by its JSON name, must change its own setting and no other.
+func TestEachKeyChangesItsSettingOnly(t *testing.T) {
 	site := func(change func(*balancer.Settings)) func(*Settings) {
 		return func(s *Settings) { change(&s.Balancer) }
 	}
-	class := func(at int, change func(*balancer.TrafficClass)) func(*Settings) {
-		return func(s *Settings) { change(&s.Balancer.Classes[at]) }
+	class := func(index int, change func(*balancer.TrafficClass)) func(*Settings) {
+		return func(s *Settings) { change(&s.Balancer.Classes[index]) }
 	}
 	for _, key := range []struct {
 		path   []any
@@ -153,7 +153,7 @@
 		key.change(&want)
 		got, err := Parse(replaced(t, key.path, key.value))
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%v %v: %v\n%+v\nnot\n%+v", key.path, key.value, err, got, want)
+			t.Errorf("%v = %v: error %v\ngot %+v\nwant %+v", key.path, key.value, err, got, want)
 		}
 	}
 }
--- a/internal/platformsettings/parse.go
+++ b/internal/platformsettings/parse.go
@@ -1,5 +1,5 @@
-// Package platformsettings turns the settings object of a site into the balancer's settings, for the simulator's adapter
-// and for the daemon. wire.go has the names of the object, this file the bounds and the mapping. It decides nothing.
+// Package platformsettings parses and validates a site's settings object and converts it to the balancer's settings, for
+// the simulator's adapter and for the daemon. wire.go declares the JSON names, this file the bounds and the conversion.
 package platformsettings
 
 import (
@@ -11,18 +11,18 @@
 	"tamarindshore/balancer"
 )
 
-// Settings are what a site states.
+// Settings are the settings of a site.
 type Settings struct {
 	Balancer   balancer.Settings
-	ClassNames []string // of Balancer.Classes, in their order
+	ClassNames []string // names of Balancer.Classes, in the same order
 }
 
-// Parse reads and checks the settings object. Keys that it does not know are ignored. An error about a key is a
-// *KeyError; a text that is no JSON gives the error of encoding/json.
+// Parse parses and validates the settings object. Unknown keys are ignored. An error about a key is a *KeyError; for
+// invalid JSON it is the error of encoding/json.
 func Parse(text []byte) (Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(text, &wire); err != nil {
-		return Settings{}, WithKey(err)
+		return Settings{}, AsKeyError(err)
 	}
 	if err := checkBounds(&wire); err != nil {
 		return Settings{}, err
@@ -37,17 +37,17 @@
 }
 
 const (
-	maxProxies      = 65536 // a proxy's number has 16 bits on the wire
+	maxProxies      = 65536 // a proxy number has 16 bits on the wire
 	maxClasses      = 63    // a set of classes is a bit mask
-	maxMicroseconds = 1e15  // some thirty years
+	maxMicroseconds = 1e15  // about 32 years
 )
 
-// checkBounds looks that numbers are within the bounds that the balancer relies on.
+// checkBounds returns an error if a number is outside the bounds that the balancer relies on.
 func checkBounds(wire *wireSettings) error {
 	for _, number := range []struct {
-		key         string
-		value       float64
-		least, most float64
+		key              string
+		value            float64
+		minimum, maximum float64
 	}{
 		{"domain.egressPerS", wire.Domain.EgressPerS, 1e-6, 1e12},
 		{"domain.queueCap", wire.Domain.QueueCap, 1e-6, 1e12},
@@ -65,15 +65,15 @@
 		{"peersTotal", float64(wire.PeersTotal), 0, maxProxies},
 		{"classes", float64(len(wire.Classes)), 1, maxClasses},
 	} {
-		if number.value < number.least || number.value > number.most || math.IsNaN(number.value) {
-			problem := fmt.Sprintf("%v is not from %v to %v", number.value, number.least, number.most)
+		if number.value < number.minimum || number.value > number.maximum || math.IsNaN(number.value) {
+			problem := fmt.Sprintf("%v is not between %v and %v", number.value, number.minimum, number.maximum)
 			return &KeyError{Key: number.key, Problem: problem}
 		}
 	}
 	return nil
 }
 
-// siteSettings are the settings that stand at the top of the object, and the limits.
+// siteSettings converts the top-level keys of the object and the limits.
 func siteSettings(wire *wireSettings) balancer.Settings {
 	settings := balancer.Settings{
 		PollsEndpoints:    wire.MembershipMode == membershipPolled,
@@ -88,7 +88,7 @@
 	return settings
 }
 
-// addDomain adds what concerns the proxies and the command channel to them.
+// addDomain adds the settings of the proxies and of their command channel.
 func addDomain(settings *balancer.Settings, domain *wireDomain) {
 	settings.Sliced = domain.Ranges > 0
 	settings.Proxies = domain.Proxies
@@ -107,7 +107,7 @@
 	}
 }
 
-// addRules adds the figures of the rules that the platform checks.
+// addRules adds the parameters of the rules that the platform checks.
 func addRules(settings *balancer.Settings, rules *wireRules) {
 	settings.ColdCapacity = rules.ColdFrom
 	settings.WarmUpDuration = microseconds(rules.WarmAfterUs)
@@ -121,7 +121,7 @@
 		if class.Name == "" || class.AimUs <= 0 || class.HardLimitUs <= 0 || class.Worth < 0 {
 			return &KeyError{
 				Key:     fmt.Sprintf("classes[%d]", i),
-				Problem: "name, aimUs and hardLimitUs above 0 and worth from 0 are due",
+				Problem: "name, aimUs > 0, hardLimitUs > 0 and worth >= 0 are required",
 			}
 		}
 		zoneLocal := i < len(wire.Domain.HomeOnly) && wire.Domain.HomeOnly[i]
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// idempotency tells whether a request may run again. Servers that drop repeats only within a zone or a cell are no
-// guarantee, since a repeat may go to any server.
+// idempotency returns whether a request of the class may be executed again. Servers that deduplicate requests only within
+// a zone or a cell don't make a class idempotent, since a retry may go to any server.
 func (class *wireClass) idempotency() balancer.Idempotency {
 	switch {
 	case class.Repeat == repeatIdempotent:
--- a/internal/platformsettings/wire.go
+++ b/internal/platformsettings/wire.go
@@ -1,8 +1,7 @@
 package platformsettings
 
-// The settings object as a site writes it. Every name of it stands here and nowhere else; keys that are not named are
-// ignored. Times are in microseconds, as the names say.
-
+// wireSettings is the settings object as a site writes it. All JSON names are declared in this file; keys that are
+// not declared are ignored. Fields whose names end in Us are times in microseconds.
 type wireSettings struct {
 	Zones          []string    `json:"zones"`
 	Classes        []wireClass `json:"classes"`
@@ -35,7 +34,7 @@
 	QueueCap     float64 `json:"queueCap"`
 	LineFee      float64 `json:"lineFee"`
 	ReloadSpanUs int64   `json:"reloadSpanUs"`
-	HomeOnly     []bool  `json:"homeOnly"` // by class
+	HomeOnly     []bool  `json:"homeOnly"` // by index of the class
 }
 
 type wireLimits struct {
@@ -50,7 +49,7 @@
 	DroppedStayOpen bool    `json:"droppedStayOpen"`
 }
 
-// Words that stand as values. Other words mean what an absent key means.
+// Values of text keys. Any other value means the same as an absent key.
 const (
 	membershipPolled   = "ask"  // membershipMode
 	weightsFollowLoad  = "live" // weightSource
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -22,7 +22,7 @@
 		Key{Name: "at", Read: func(n *Node) error { return n.HostPort(&at) }},
 		Key{Name: "form", Read: func(n *Node) error { return n.OneOf(&form, "text", "json") }})
 	if err != nil || cores != 4 || part != 0.12 || wait != 90*time.Second || at != "127.0.0.1:80" || form != "text" {
-		t.Errorf("%v: %d %v %v %s %s", err, cores, part, wait, at, form)
+		t.Errorf("error %v: read %d %v %v %s %s", err, cores, part, wait, at, form)
 	}
 }
 
