--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,7 +32,7 @@
 	}
 	l := s.Limits
 	if l.Memory != 192<<20 || l.Cores != 1 || l.MaxUnidentifiedConns+l.MaxCollectorConns+l.MaxOpenHealthChecks >= l.Sockets/2 {
-		t.Errorf("%+v", l)
+		t.Errorf("limits %+v", l)
 	}
 }
 
