--- a/internal/capacity/plan_file.go
+++ b/internal/capacity/plan_file.go
@@ -110,7 +110,7 @@
 		sexp.FloatKey("tries-per-request", &m.AttemptsPerRequest, 1, 10),
 		durationKey("report-interval", &m.ReportInterval),
 		durationOrZeroKey("read-interval", &m.ReadInterval),
-		sexp.FlagKey("list-stored", &m.ListStored),
+		sexp.BoolKey("list-stored", &m.ListStored),
 		sexp.IntKey("collectors-per-zone", &m.CollectorsPerZone, 1, 1000),
 		sexp.IntKey("relays-per-zone", &m.RelaysPerZone, 1, 1000),
 		sexp.IntKey("queue-lines", &m.QueueCapacity, 1, maxCount),
--- a/internal/sexp/keys.go
+++ b/internal/sexp/keys.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Values of a FlagKey.
+// Values of a BoolKey.
 const (
 	wordYes = "yes"
 	wordNo  = "no"
@@ -23,8 +23,8 @@
 	return Key{Name: name, Read: func(n *Node) error { return n.OneOf(target, choices...) }}
 }
 
-// FlagKey returns a key whose value is yes or no.
-func FlagKey(name string, target *bool) Key {
+// BoolKey returns a key whose value is yes or no.
+func BoolKey(name string, target *bool) Key {
 	return Key{Name: name, Read: func(n *Node) error {
 		var word string
 		err := n.OneOf(&word, wordYes, wordNo)
--- a/internal/sexp/keys_test.go
+++ b/internal/sexp/keys_test.go
@@ -21,7 +21,7 @@
 	return Required(
 		TextKey("name", &e.name),
 		ChoiceKey("level", &e.level, "low", "high"),
-		FlagKey("stored", &e.stored),
+		BoolKey("stored", &e.stored),
 		Section("machine",
 			IntKey("cores", &e.cores, 1, 8),
 			FloatKey("share", &e.share, 0, 1)),
