--- a/internal/fakes/address.go
+++ b/internal/fakes/address.go
@@ -6,8 +6,8 @@
 	"os"
 )
 
-// FreeAddress returns an address that nothing listens at. It is on a loopback address of this process's own where the
-// system has several, so that no other process takes the port before the manager does.
+// FreeAddress returns a loopback address with an unused port. Where the system has several loopback addresses, it is on
+// one that is specific to this process, so that no other process takes the port before the manager does.
 func FreeAddress() (string, error) {
 	addresses, err := FreeAddresses(1)
 	if err != nil {
@@ -16,8 +16,8 @@
 	return addresses[0], nil
 }
 
-// FreeAddresses returns as many distinct addresses that nothing listens at. All are held until the last is found,
-// since an address that was released may be found again.
+// FreeAddresses returns count distinct loopback addresses with unused ports. It keeps a listener on each until the last
+// is found, because the system may hand out a released port again.
 func FreeAddresses(count int) (addresses []string, err error) {
 	var held []net.Listener
 	defer func() {
@@ -26,9 +26,9 @@
 		}
 	}()
 	for range count {
-		listener, err := listenOnOwnLoopback(managersNet)
+		listener, err := listenOnProcessLoopback(managerNetwork)
 		if err != nil {
-			return nil, fmt.Errorf("find a free address: %w", err)
+			return nil, fmt.Errorf("find an unused address: %w", err)
 		}
 		held = append(held, listener)
 		addresses = append(addresses, listener.Addr().String())
@@ -36,16 +36,16 @@
 	return addresses, nil
 }
 
-// Second byte of the loopback addresses of this process: managers and servers have one each, since a connection to an
-// address may be made from the same address, and then takes one of its ports for a while.
+// Base of the second byte of this process's loopback addresses. Managers and servers use different addresses, because a
+// connection to an address may also originate from it and then occupies one of its ports for a while.
 const (
-	managersNet = 64
-	serversNet  = 128
+	managerNetwork = 64
+	serverNetwork  = 128
 )
 
-// listenOnOwnLoopback listens at any port of the loopback address of this process for managers or servers. Where the
-// system has one loopback address only, it listens there.
-func listenOnOwnLoopback(network int) (net.Listener, error) {
+// listenOnProcessLoopback listens on any free port of the loopback address that this process uses for managers or for
+// servers. Where the system has only one loopback address, it listens on 127.0.0.1.
+func listenOnProcessLoopback(network int) (net.Listener, error) {
 	id := os.Getpid()
 	address := fmt.Sprintf("127.%d.%d.%d:0", network+id>>16&63, id>>8&255, 1+id&127)
 	listener, err := net.Listen("tcp", address)
--- a/internal/fakes/address_test.go
+++ b/internal/fakes/address_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestFreeAddressesAreEachAnother(t *testing.T) {
+func TestFreeAddressesAreDistinct(t *testing.T) {
 	const count = 500
 	addresses, err := FreeAddresses(count)
 	if err != nil {
@@ -13,6 +13,6 @@
 		distinct[address] = true
 	}
 	if len(distinct) != count {
-		t.Errorf("%d addresses, %d of them distinct", count, len(distinct))
+		t.Errorf("got %d addresses, but only %d distinct ones", count, len(distinct))
 	}
 }
--- a/internal/fakes/config_file.go
+++ b/internal/fakes/config_file.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// The manager's configuration file, with the platform's names on the wire, in the order in which they are written.
+// The sections of the manager's configuration file. Tags are the platform's names; fields are written in this order.
 type (
 	configFile struct {
 		Discovery string       `json:"discovery"`
@@ -67,7 +67,7 @@
 	}
 )
 
-// ConfigFile is the manager's configuration file.
+// ConfigFile returns the contents of the configuration file of a manager of this site.
 func (s Site) ConfigFile(config ManagerConfig) []byte {
 	options := config.Options
 	limits := fileLimits{
@@ -86,12 +86,12 @@
 		Store:     fileStore{Address: config.RelayAddress},
 	}, "", " ")
 	if err != nil {
-		panic(err) // the file has no value that can't be encoded
+		panic(err) // every field of the file can be encoded as JSON
 	}
 	return text
 }
 
-// fileSettings is the site as the configuration file states it.
+// fileSettings converts the site to the settings section of the configuration file.
 func (s Site) fileSettings() fileSettings {
 	var classes []fileClass
 	for _, class := range s.TrafficClasses {
--- a/internal/fakes/deployment.go
+++ b/internal/fakes/deployment.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// anyPort is an address on loopback with any free port.
+// anyPort makes a listener choose any free port on loopback.
 const anyPort = "127.0.0.1:0"
 
-// statusTimeout is how long a manager may take to answer for its counters.
+// statusTimeout limits a request for the manager's counters.
 const statusTimeout = 2 * time.Second
 
-// Deployment is a whole deployment on loopback: servers, discovery, a relay and a manager.
+// Deployment is a complete deployment on loopback: servers, discovery, a relay and a manager.
 type Deployment struct {
 	Site           Site
 	Servers        []*Server
 	Discovery      *Discovery
 	Relay          *Relay
 	ManagerAddress string
-	StatusAddress  string // of the manager's status listener
+	StatusAddress  string // where the manager serves its counters
 	Manager        Manager
 
-	dir     string
-	start   StartFunc
-	starts  uint64
-	options ManagerOptions
+	dir           string
+	startFunc     StartFunc
+	managerStarts uint64
+	options       ManagerOptions
 }
 
-// StartDeployment starts a deployment and waits until the manager is ready. What was started is closed where it fails.
+// StartDeployment starts a deployment and waits until the manager is ready. On failure it closes whatever was started.
 func StartDeployment(site Site, options ManagerOptions, start StartFunc) (d *Deployment, err error) {
-	d = &Deployment{Site: site, start: start, options: options}
+	d = &Deployment{Site: site, startFunc: start, options: options}
 	defer func() {
 		if err != nil {
 			d.Close()
@@ -53,7 +53,8 @@
 	return d, d.StartManager()
 }
 
-// startFakes starts servers, relay and discovery. The relay knows all servers, and its rules each change of the list.
+// startFakes starts the servers, the relay and discovery. It registers all servers with the relay and reports each change
+// of the endpoint list to the relay's rule checker.
 func (d *Deployment) startFakes() (err error) {
 	if d.Servers, err = NewServers(d.Site); err != nil {
 		return err
@@ -73,9 +74,9 @@
 	return nil
 }
 
-// StartManager starts the manager, with the list as it stands, and waits until it is ready.
+// StartManager starts the manager with the current endpoint list and waits until it is ready.
 func (d *Deployment) StartManager() (err error) {
-	d.starts++
+	d.managerStarts++
 	config := ManagerConfig{
 		Dir:              d.dir,
 		Name:             "n1",
@@ -86,31 +87,31 @@
 		Endpoints:        d.Discovery.Snapshot(),
 		Options:          d.options,
 	}
-	config.Options.Seed += d.starts
-	if d.Manager, err = d.Site.StartManager(config, d.start); err != nil {
+	config.Options.Seed += d.managerStarts
+	if d.Manager, err = d.Site.StartManager(config, d.startFunc); err != nil {
 		return err
 	}
 	return AwaitReady(d.Manager, d.ManagerAddress, readyTimeout)
 }
 
-// Counters reads the manager's counters from its status listener.
+// Counters fetches the manager's counters from its status address.
 func (d *Deployment) Counters() (map[string]int64, error) {
 	client := http.Client{Timeout: statusTimeout}
 	response, err := client.Get("http://" + d.StatusAddress + "/status")
 	if err != nil {
-		return nil, fmt.Errorf("ask the manager for its counters: %w", err)
+		return nil, fmt.Errorf("get the manager's counters from %s: %w", d.StatusAddress, err)
 	}
 	defer response.Body.Close()
 	var status struct {
 		Counters map[string]int64 `json:"counters"`
 	}
 	if err := json.NewDecoder(response.Body).Decode(&status); err != nil {
-		return nil, fmt.Errorf("read the manager's counters: %w", err)
+		return nil, fmt.Errorf("decode the manager's counters from %s: %w", d.StatusAddress, err)
 	}
 	return status.Counters, nil
 }
 
-// Close ends all that was started and removes its files.
+// Close stops everything that was started and removes the temporary files.
 func (d *Deployment) Close() {
 	if d.Manager != nil {
 		d.Manager.Stop(true)
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// Lifecycle states of an endpoint, as the platform names them.
+// Lifecycle values of an endpoint on the wire.
 const (
 	lifecycleUp      = "up"
 	lifecycleRemoved = "removed"
 )
 
-// Endpoint is one entry of the endpoint list, with the platform's names on the wire.
+// Endpoint is one entry of the endpoint list. The tags are the platform's field names.
 type Endpoint struct {
 	ID        string  `json:"instanceId"`
 	HostPort  string  `json:"hostPort"`
 	Zone      string  `json:"zone"`
 	Lifecycle string  `json:"lifecycle"` // up, draining or removed
 	Weight    float64 `json:"weight"`
-	Started   int64   `json:"startedAtMs"` // Unix milliseconds; 0: long ago
+	Started   int64   `json:"startedAtMs"` // start time in Unix milliseconds; 0 if the server started long ago
 }
 
-// EndpointList is the complete endpoint list, or changes of it.
+// EndpointList is either the complete endpoint list or a set of changes to it.
 type EndpointList struct {
 	Version   int        `json:"generation"`
 	Complete  bool       `json:"reset"`
@@ -35,24 +35,24 @@
 }
 
 const (
-	firstVersion     = 41   // of the list that discovery starts with
-	maxChanges       = 1000 // that discovery remembers, for watchers that resume
-	watchBuffer      = 4096 // changes that may wait for one watcher
-	watchKeepAlive   = 2 * time.Second
-	discoveryHosts   = "/discovery/hosts"
-	watchParameter   = "watch"
-	versionParameter = "after"
+	firstVersion      = 41   // version of the initial list
+	maxChanges        = 1000 // number of past changes kept for watchers that resume
+	watchBufferLength = 4096 // maximum number of changes queued for one watcher
+	watchKeepAlive    = 2 * time.Second
+	discoveryPath     = "/discovery/hosts"
+	watchParameter    = "watch"
+	versionParameter  = "after"
 )
 
-// Discovery serves the endpoint list to all that read or watch it. All its methods may be called at any time.
+// Discovery serves the endpoint list to clients that read or watch it. Its methods are safe for concurrent use.
 type Discovery struct {
 	Address  string
-	OnChange func(at time.Time, endpoint Endpoint) // called for each change, once it is queued for the watchers
+	OnChange func(at time.Time, endpoint Endpoint) // called per changed endpoint, after the change is queued for watchers
 
 	mu              sync.Mutex
 	version         int
 	endpoints       map[string]Endpoint
-	order           []string // ids, as first listed
+	order           []string // endpoint IDs in the order of their first appearance
 	changes         []EndpointList
 	watchers        map[chan []byte]bool
 	unresponsive    bool
@@ -61,11 +61,12 @@
 	server *http.Server
 }
 
-// NewDiscovery listens at an address ("127.0.0.1:0" for any port) with a list.
+// NewDiscovery starts a discovery service that listens on an address ("127.0.0.1:0" for any port) and serves the given
+// endpoints.
 func NewDiscovery(address string, endpoints []Endpoint) (*Discovery, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("start discovery: %w", err)
+		return nil, fmt.Errorf("start discovery on %s: %w", address, err)
 	}
 	d := &Discovery{
 		Address:   listener.Addr().String(),
@@ -79,30 +80,30 @@
 		d.order = append(d.order, endpoint.ID)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+discoveryHosts, d.serveHosts)
+	mux.HandleFunc("GET "+discoveryPath, d.serveHosts)
 	d.server = &http.Server{Handler: mux}
 	go d.server.Serve(listener)
 	return d, nil
 }
 
-// Close ends the listener and all watches.
+// Close closes the listener and all connections.
 func (d *Discovery) Close() { d.server.Close() }
 
-// WatchedVersions returns the versions from which watchers asked for changes so far, in order.
+// WatchedVersions returns the versions from which watchers have requested changes so far, in order of the requests.
 func (d *Discovery) WatchedVersions() []int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.watchedVersions)
 }
 
-// Snapshot returns the complete list as it stands.
+// Snapshot returns the complete current list.
 func (d *Discovery) Snapshot() EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.snapshot()
 }
 
-// snapshot is the complete list, without removed endpoints. The caller holds the lock.
+// snapshot returns the complete list without removed endpoints. The caller holds the lock.
 func (d *Discovery) snapshot() EndpointList {
 	list := EndpointList{Version: d.version, Complete: true, Endpoints: []Endpoint{}}
 	for _, id := range d.order {
@@ -113,7 +114,7 @@
 	return list
 }
 
-// Publish sends changed endpoints to all watchers, as one version.
+// Publish sends changed endpoints to all watchers as one new version.
 func (d *Discovery) Publish(endpoints ...Endpoint) {
 	d.recordChange(endpoints)
 	at := time.Now()
@@ -122,8 +123,8 @@
 	}
 }
 
-// recordChange makes a new version and queues it for the watchers. One that fell too far behind is closed; it will
-// watch again.
+// recordChange creates a new version and queues it for the watchers. It closes a watcher whose queue is full; the client
+// is expected to watch again.
 func (d *Discovery) recordChange(endpoints []Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,7 +152,7 @@
 	}
 }
 
-// SetUnresponsive has discovery answer and write nothing, or go on.
+// SetUnresponsive makes discovery leave requests unanswered and send no changes to watchers, or ends that.
 func (d *Discovery) SetUnresponsive(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -161,12 +162,12 @@
 func encodeList(list EndpointList) []byte {
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // a list has no value that can't be encoded
+		panic(err) // every field of a list can be encoded as JSON
 	}
 	return append(text, '\n')
 }
 
-// serveHosts answers with the complete list, or serves a watch.
+// serveHosts answers with the complete list or serves a watch.
 func (d *Discovery) serveHosts(w http.ResponseWriter, request *http.Request) {
 	d.mu.Lock()
 	unresponsive := d.unresponsive
@@ -181,14 +182,14 @@
 	}
 }
 
-// serveWatch writes what changed after the version that the watcher holds, then each change.
+// serveWatch writes the changes after the version that the watcher already has, then each new change.
 func (d *Discovery) serveWatch(w http.ResponseWriter, request *http.Request) {
-	held, _ := strconv.Atoi(request.FormValue(versionParameter)) // a watcher without a version gets the complete list
-	lines := make(chan []byte, watchBuffer)
-	opening := d.addWatcher(lines, held)
+	watchedVersion, _ := strconv.Atoi(request.FormValue(versionParameter)) // 0, for the complete list, if missing or invalid
+	lines := make(chan []byte, watchBufferLength)
+	initial := d.addWatcher(lines, watchedVersion)
 	defer d.removeWatcher(lines)
 	flusher := w.(http.Flusher)
-	w.Write(encodeList(opening))
+	w.Write(encodeList(initial))
 	flusher.Flush()
 	keepAlive := time.NewTicker(watchKeepAlive)
 	defer keepAlive.Stop()
@@ -208,13 +209,13 @@
 	}
 }
 
-// addWatcher registers a watcher that holds a version, and returns what it is to read first.
-func (d *Discovery) addWatcher(lines chan []byte, held int) EndpointList {
+// addWatcher registers a watcher that already has a version, and returns the first list to send to it.
+func (d *Discovery) addWatcher(lines chan []byte, watchedVersion int) EndpointList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.watchedVersions = append(d.watchedVersions, held)
+	d.watchedVersions = append(d.watchedVersions, watchedVersion)
 	d.watchers[lines] = true
-	return d.changesAfter(held)
+	return d.changesAfter(watchedVersion)
 }
 
 func (d *Discovery) removeWatcher(lines chan []byte) {
@@ -223,8 +224,8 @@
 	delete(d.watchers, lines)
 }
 
-// changesAfter is what changed after a version, or the complete list where that is not known any more. The caller
-// holds the lock.
+// changesAfter returns the changes after a version, or the complete list if they are no longer kept. The caller holds the
+// lock.
 func (d *Discovery) changesAfter(version int) EndpointList {
 	if version == d.version {
 		return EndpointList{Version: version, Endpoints: []Endpoint{}}
@@ -233,11 +234,11 @@
 		if change.Version != version+1 {
 			continue
 		}
-		all := EndpointList{Version: d.version, Endpoints: []Endpoint{}}
+		merged := EndpointList{Version: d.version, Endpoints: []Endpoint{}}
 		for _, later := range d.changes[i:] {
-			all.Endpoints = append(all.Endpoints, later.Endpoints...)
+			merged.Endpoints = append(merged.Endpoints, later.Endpoints...)
 		}
-		return all
+		return merged
 	}
 	return d.snapshot()
 }
--- a/internal/fakes/process.go
+++ b/internal/fakes/process.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// stopTimeout is how long a manager may take to end after SIGTERM.
+// stopTimeout is how long a manager may take to end after a signal.
 const stopTimeout = 3 * time.Second
 
-// process is a manager that runs as a process of its own.
+// process is a manager that runs in a process of its own.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 }
 
-// ProcessStarter starts a program as the manager and appends what it logs to a file.
+// ProcessStarter returns a StartFunc that runs a program as the manager and appends the program's output to a log file.
 func ProcessStarter(program, logFile string, args ...string) StartFunc {
 	return func(configFile, settingsFile string) (Manager, error) {
 		output, err := os.OpenFile(logFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o600)
 		if err != nil {
-			return nil, fmt.Errorf("open the manager's log: %w", err)
+			return nil, fmt.Errorf("open the manager's log file: %w", err)
 		}
 		defer output.Close()
 		cmd := exec.Command(program, append(args, "serve", "--settings", settingsFile)...)
@@ -33,7 +33,7 @@
 		cmd.Stderr = output
 		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 		if err := cmd.Start(); err != nil {
-			return nil, fmt.Errorf("start the manager: %w", err)
+			return nil, fmt.Errorf("start the manager %s: %w", program, err)
 		}
 		p := &process{cmd: cmd, done: make(chan struct{})}
 		go func() {
@@ -50,7 +50,8 @@
 // Signal sends a signal to the process.
 func (p *process) Signal(signal os.Signal) error { return p.cmd.Process.Signal(signal) }
 
-// Stop ends the process and waits for it. One that does not end after SIGTERM is killed, and an error says so.
+// Stop ends the process and waits for it. If the process does not end within stopTimeout, Stop kills it and returns an
+// error.
 func (p *process) Stop(kill bool) error {
 	signal := syscall.SIGTERM
 	if kill {
@@ -63,19 +64,19 @@
 	case <-time.After(stopTimeout):
 		p.cmd.Process.Kill()
 		<-p.done
-		return fmt.Errorf("the manager did not end within %v", stopTimeout)
+		return fmt.Errorf("the manager did not end within %v after signal %q and was killed", stopTimeout, signal)
 	}
 }
 
-// Fields of /proc/PID/stat after the program's name, and the unit of the times in it.
+// Indexes of the CPU times among the fields that follow the program name in /proc/PID/stat, and the unit of these times.
 const (
 	statUserTicks   = 11
 	statSystemTicks = 12
 	ticksPerSecond  = 100
 )
 
-// ResourceUsage returns the seconds of CPU that a process has used, and the most memory that it held, in MB. Both are
-// zero where that is not known: for a manager within this process, and on other systems.
+// ResourceUsage returns the CPU seconds that a manager's process has used and its peak resident memory in MB. Both are
+// zero if unknown: for a manager within this process, and on systems without /proc.
 func ResourceUsage(manager Manager) (cpuSeconds, peakMemoryMB float64) {
 	p, ok := manager.(*process)
 	if !ok {
@@ -84,7 +85,7 @@
 	return p.cpuSeconds(), p.statusMB("VmHWM:")
 }
 
-// ResidentMemoryMB returns the memory in MB that a process holds now, zero where that is not known.
+// ResidentMemoryMB returns the current resident memory of a manager's process in MB, or zero if unknown.
 func ResidentMemoryMB(manager Manager) float64 {
 	p, ok := manager.(*process)
 	if !ok {
@@ -93,7 +94,7 @@
 	return p.statusMB("VmRSS:")
 }
 
-// cpuSeconds reads the CPU time of the process; zero where the kernel does not tell it.
+// cpuSeconds returns the user and system CPU time of the process, or zero if it can't be read.
 func (p *process) cpuSeconds() float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	if err != nil {
@@ -109,7 +110,7 @@
 	return (user + system) / ticksPerSecond
 }
 
-// statusMB reads a size of the process in MB; zero where the kernel does not tell it.
+// statusMB returns a size from /proc/PID/status in MB, or zero if it can't be read.
 func (p *process) statusMB(key string) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// admissionLevel is what a table admits of some classes, and their attempts.
+// admissionLevel is how much of the traffic of some classes a table admits, and their retry policy.
 type admissionLevel struct {
-	amount   float64
-	attempts int
+	amount      float64
+	retryPolicy int // 0: no retry, 1: retry if not executed, 2 or 3: maximum number of attempts
 }
 
-// table is a weighted table that proxies use.
+// table is a weighted server table and the proxies that are assigned to it.
 type table struct {
-	weights map[string]float64 // by server
-	levels  map[string]admissionLevel
-	users   map[int]*proxy
+	weights map[string]float64        // by server ID
+	levels  map[string]admissionLevel // by list of classes, as sent
+	proxies map[int]*proxy
 }
 
-// hasUsableServer tells whether a table names a server that is not withdrawn.
+// hasUsableServer reports whether the table contains a server that is not withdrawn.
 func (t *table) hasUsableServer(withdrawn map[string]bool) bool {
 	for server := range t.weights {
 		if !withdrawn[server] {
@@ -32,27 +32,27 @@
 	return false
 }
 
-// noTable stands in the place of a table's number.
+// noTable is the table number of a proxy that is not assigned to a table.
 const noTable = -1
 
-// proxy is one incarnation of a connected proxy.
+// proxy is one incarnation of a connected proxy. A proxy that reconnects is a new incarnation.
 type proxy struct {
 	id              int
 	zone            string
-	requestRate     float64 // per second
-	table           int     // noTable until it is assigned
-	emptySince      time.Time
-	messageTimes    []time.Time // within the site's MessageWindow
+	requestRate     float64     // per second
+	table           int         // number of its table, or noTable
+	emptySince      time.Time   // since when it has had no server to send to; zero if it has one
+	messageTimes    []time.Time // send times of the messages within the site's MessageWindow
 	messagesApplied int
 }
 
-// message is what one call sends one proxy. It leaves the channel in its turn.
+// message is the data that one call sends to one proxy. Messages leave the channel in the order of their calls.
 type message struct {
 	to        *proxy
 	lines     float64
-	barriers  []int
-	assigns   bool
-	withdrawn []string // servers
+	barriers  []int    // barrier numbers to acknowledge
+	assigns   bool     // whether it assigns the proxy to a table
+	withdrawn []string // servers that it withdraws
 	sentAt    time.Time
 }
 
@@ -61,13 +61,13 @@
 	relayIdleTimeout   = 10 * time.Second
 )
 
-// Relay executes commands for the proxies that are connected, at the pace of its channel, and keeps what they hold.
-// The exported function fields are called under its lock; set them before calls come, or by Configure. All its methods
-// may be called at any time.
+// Relay executes commands for the connected proxies at the rate of its channel and keeps the state of the proxies. The
+// exported function fields are called with its lock held; set them before the first call or with Configure. Its methods
+// are safe for concurrent use.
 type Relay struct {
 	Address     string
-	InjectFault func(call int) Fault // what becomes of the n-th call
-	AnswerDelay time.Duration        // of a call with the fault AnswerDelayed
+	InjectFault func(call int) Fault // chooses the fault of the n-th call
+	AnswerDelay time.Duration        // delay of the answer to a call with the fault AnswerDelayed
 	OnCommand   func(at time.Time, kind, subject string)
 	Rules       *RuleChecker
 
@@ -77,35 +77,35 @@
 	proxies     map[int]*proxy
 	tables      map[int]*table
 	withdrawn   map[string]bool
-	registered  map[string]bool // servers that discovery has ever listed
+	registered  map[string]bool // IDs of all servers that discovery has ever listed
 	watchers    map[chan event]bool
 	unavailable bool
 
-	// The channel: messages that wait, their lines, the lines that may be sent now, and its speed (1: as stated).
+	// The channel sends queued messages at a limited rate.
 	queue       []message
-	queuedLines float64
-	credit      float64
-	speed       float64
+	queuedLines float64 // total lines of the queued messages
+	credit      float64 // lines that may be sent now
+	speed       float64 // multiple of the site's ChannelLinesPerSecond
 
 	calls        int
 	faults       [faultCount]int
 	accepted     int
 	rejected     int
 	stateChanges int
-	// unanswered holds the commands of the last call that was executed without an answer. A command that assigns a
-	// proxy has the incarnation of the proxy that it reached, each other command nil.
+	// unanswered holds the commands of the last executed call if the caller got no answer to it, else nothing.
+	// The value of an assignment is the proxy incarnation that it assigned, that of any other command is nil.
 	unanswered map[string]*proxy
 
-	server *http.Server
-	closed chan struct{}
-	once   sync.Once
+	server    *http.Server
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
-// NewRelay listens at an address and sends at the site's pace.
+// NewRelay starts a relay that listens on an address and sends at the rate of the site's channel.
 func NewRelay(address string, site Site) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("start the relay: %w", err)
+		return nil, fmt.Errorf("start the relay on %s: %w", address, err)
 	}
 	r := &Relay{
 		Address:     listener.Addr().String(),
@@ -132,20 +132,20 @@
 	return r, nil
 }
 
-// Close ends the relay and all connections to it.
+// Close stops the relay and closes all connections to it.
 func (r *Relay) Close() {
-	r.once.Do(func() { close(r.closed) })
+	r.closeOnce.Do(func() { close(r.closed) })
 	r.server.Close()
 }
 
-// Configure changes the exported fields while calls may be under way.
+// Configure changes the exported fields with the lock held, so that it is safe while calls are in progress.
 func (r *Relay) Configure(change func(r *Relay)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(r)
 }
 
-// RegisterServers names servers that discovery has listed; commands about others are rejected.
+// RegisterServers registers servers that discovery has listed. The relay rejects commands about unregistered servers.
 func (r *Relay) RegisterServers(endpoints ...Endpoint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -154,14 +154,14 @@
 	}
 }
 
-// SetChannelSpeed sets the speed of the channel as a multiple of the one stated.
+// SetChannelSpeed sets the speed of the channel as a multiple of the site's ChannelLinesPerSecond.
 func (r *Relay) SetChannelSpeed(multiple float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.speed = multiple
 }
 
-// SetUnavailable breaks all connections and takes none, or has the relay come back.
+// SetUnavailable makes the relay refuse calls and event streams, or accept them again. It closes all open event streams.
 func (r *Relay) SetUnavailable(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -172,8 +172,8 @@
 	}
 }
 
-// ConnectProxies connects proxies, each on no table, and sends the events. One that is connected is replaced by a new
-// incarnation.
+// ConnectProxies connects proxies without a table and publishes the events. A proxy that is already connected is replaced
+// by a new incarnation.
 func (r *Relay) ConnectProxies(ids ...int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -188,7 +188,7 @@
 	}
 }
 
-// DisconnectProxies disconnects proxies and sends the events.
+// DisconnectProxies disconnects proxies and publishes the events.
 func (r *Relay) DisconnectProxies(ids ...int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,11 +200,11 @@
 	}
 }
 
-// remove forgets a proxy and the messages that wait for it.
+// remove removes a proxy and the messages that are queued for it. The caller holds the lock.
 func (r *Relay) remove(p *proxy) {
 	delete(r.proxies, p.id)
 	if t := r.tables[p.table]; t != nil {
-		delete(t.users, p.id)
+		delete(t.proxies, p.id)
 	}
 	r.queue = slices.DeleteFunc(r.queue, func(m message) bool {
 		if m.to != p {
--- a/internal/fakes/relay_call.go
+++ b/internal/fakes/relay_call.go
@@ -10,33 +10,33 @@
 	"time"
 )
 
-// Fault is what becomes of a call.
+// Fault is a fault that the relay injects into a call.
 type Fault int
 
-// The faults of a call. Only the first answers in time and readably.
+// The faults of a call. Only a call with NoFault gets a readable answer of success without delay.
 const (
 	NoFault       Fault = iota // executed and answered
-	AnswerLost                 // executed, and the connection breaks before the answer
-	NotExecuted                // the connection breaks, and nothing was executed
-	NoAnswer                   // executed, and no answer ever comes
-	AnswerGarbled              // executed, and the answer can't be read
-	AnswerBusy                 // nothing was executed, and the answer says so
-	AnswerDelayed              // executed, and the answer comes late
+	AnswerLost                 // executed, but the connection breaks before the answer
+	NotExecuted                // not executed, and the connection breaks
+	NoAnswer                   // executed, but never answered
+	AnswerGarbled              // executed, but the answer is unreadable
+	AnswerBusy                 // not executed, and the answer is a busy error
+	AnswerDelayed              // executed, and answered after Relay.AnswerDelay
 	faultCount
 )
 
 var faultNames = [faultCount]string{"none", "lost", "undone", "mute", "garbled", "busy", "slow"}
 
-// String is the name of a fault in reports.
+// String returns the name of the fault in reports.
 func (f Fault) String() string { return faultNames[f] }
 
-// executed tells whether a call with this fault is executed.
+// executed reports whether a call with this fault is executed.
 func (f Fault) executed() bool { return f != NotExecuted && f != AnswerBusy }
 
-// unanswered tells whether a call with this fault is executed without the caller learning of it.
+// unanswered reports whether a call with this fault is executed without a readable answer to the caller.
 func (f Fault) unanswered() bool { return f == AnswerLost || f == NoAnswer || f == AnswerGarbled }
 
-// serveCall takes a call with commands, executes it and answers, as its fault has it.
+// serveCall executes the commands of a call and answers it, subject to the injected fault.
 func (r *Relay) serveCall(w http.ResponseWriter, request *http.Request) {
 	commands, ok := readCommands(request)
 	if !ok {
@@ -65,7 +65,7 @@
 	io.WriteString(w, answer)
 }
 
-// readCommands reads the commands of a call; false where the call can't be read or is too long.
+// readCommands reads the commands of a call. It returns false if the call is malformed, not a commit or too long.
 func readCommands(request *http.Request) (commands []string, ok bool) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, maxCallBytes))
 	if err != nil {
@@ -78,7 +78,7 @@
 	return strings.Split(form.Get(commandsField), commandSeparator), true
 }
 
-// executeCall executes a call unless its fault prevents that, and returns how many of its commands were accepted.
+// executeCall executes a call unless its fault prevents that, and returns the number of accepted commands.
 func (r *Relay) executeCall(commands []string) (fault Fault, accepted int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,9 +94,9 @@
 	return fault, r.executeAll(commands, fault.unanswered())
 }
 
-// executeAll executes commands one after another, up to the first that it can't use, and queues what they cost each
-// proxy as one message. A command that is executed again after a call without an answer must change nothing. The
-// caller holds the lock.
+// executeAll executes commands in order, up to the first invalid one, and queues one message to each affected proxy. If
+// the caller got no answer to the last executed call, a command that repeats one of it must not change any state;
+// executeAll reports each repeat to the rule checker. The caller holds the lock.
 func (r *Relay) executeAll(commands []string, unanswered bool) (accepted int) {
 	now := time.Now()
 	messages := &callMessages{at: now, byProxy: map[int]*message{}}
@@ -124,9 +124,9 @@
 	return accepted
 }
 
-// isRepeat tells whether a command was already executed by the last call, which was not answered. A proxy that has
-// disconnected and connected again since is on no table and has received no earlier command, so its assignment is
-// not a repeat: the earlier one took effect on another incarnation, which is gone. A barrier has no effect to repeat.
+// isRepeat reports whether the last executed call had the same command and the caller got no answer to it. An assignment
+// of a proxy that has reconnected since is not a repeat: the earlier assignment affected an incarnation that is gone, and
+// the new one has no table yet. A barrier is never a repeat, because it changes no state.
 func (r *Relay) isRepeat(text string, command command) bool {
 	if _, isBarrier := command.(setBarrier); isBarrier {
 		return false
@@ -135,7 +135,7 @@
 	return executed && reached == r.assignedProxy(command)
 }
 
-// assignedProxy is the connected proxy that an assignment is about; nil for any other command.
+// assignedProxy returns the connected proxy that an assignment refers to, or nil for any other command.
 func (r *Relay) assignedProxy(command command) *proxy {
 	if assignment, ok := command.(assignTable); ok {
 		return r.proxies[assignment.proxy]
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// enqueue puts the messages of a call into the channel, by the number of their proxy.
+// enqueue queues the messages of a call in the order of their proxies' IDs.
 func (r *Relay) enqueue(messages *callMessages) {
 	ids := make([]int, 0, len(messages.byProxy))
 	for id := range messages.byProxy {
@@ -160,7 +160,7 @@
 	r.Rules.checkQueue(messages.at, r.queuedLines)
 }
 
-// countMessage counts a message to a proxy within the site's window.
+// countMessage counts a message to a proxy and checks the number of messages within the site's window.
 func (r *Relay) countMessage(p *proxy, now time.Time) {
 	p.messageTimes = append(p.messageTimes, now)
 	p.messageTimes = slices.DeleteFunc(p.messageTimes, func(at time.Time) bool {
@@ -169,13 +169,13 @@
 	r.Rules.checkMessageCount(now, p.id, len(p.messageTimes))
 }
 
-// callMessages is what one call sends, by proxy.
+// callMessages collects the messages of one call by proxy ID.
 type callMessages struct {
 	at      time.Time
 	byProxy map[int]*message
 }
 
-// add adds lines to the message to a proxy, and returns that message.
+// add adds lines to the message to a proxy, which it creates if necessary, and returns the message.
 func (c *callMessages) add(p *proxy, lines int) *message {
 	m := c.byProxy[p.id]
 	if m == nil {
--- a/internal/fakes/relay_call_test.go
+++ b/internal/fakes/relay_call_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// post makes one call with a command, and returns the answer.
+// post sends one call to the relay and returns the body of the answer.
 func post(t *testing.T, r *Relay, form url.Values, timeout time.Duration) (string, error) {
 	t.Helper()
 	client := http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -27,14 +27,14 @@
 	return url.Values{actionField: {commitAction}, commandsField: {commands}}
 }
 
-// Each fault executes the call or not, and answers it or not.
-func TestEachFaultOfACall(t *testing.T) {
+// Each fault determines whether a call is executed and whether it is answered.
+func TestCallFaults(t *testing.T) {
 	const accepted = `<?xml version="1.0"?><Response><items><item><taken>1</taken></item></items></Response>`
 	const timeout = 200 * time.Millisecond
-	for _, one := range []struct {
+	for _, test := range []struct {
 		fault    Fault
 		executed bool
-		answer   string // a part of it; empty: none comes
+		answer   string // expected substring of the answer; empty if no answer is expected
 		timesOut bool
 	}{
 		{fault: NoFault, executed: true, answer: accepted},
@@ -45,59 +45,59 @@
 		{fault: AnswerBusy, executed: false, answer: "<error>BUSY</error>"},
 		{fault: AnswerDelayed, executed: true, answer: accepted},
 	} {
-		t.Run(one.fault.String(), func(t *testing.T) {
-			r := relay(t)
+		t.Run(test.fault.String(), func(t *testing.T) {
+			r := newTestRelay(t)
 			r.Configure(func(r *Relay) {
-				r.InjectFault = func(int) Fault { return one.fault }
+				r.InjectFault = func(int) Fault { return test.fault }
 				r.AnswerDelay = time.Millisecond
 			})
 			answer, err := post(t, r, commitForm("withdraw,"+ServerID(0)), timeout)
-			if r.Withdrawn(ServerID(0)) != one.executed {
-				t.Errorf("executed %v, want %v", !one.executed, one.executed)
+			if r.Withdrawn(ServerID(0)) != test.executed {
+				t.Errorf("executed: %v, want %v", !test.executed, test.executed)
 			}
-			if (err == nil) != (one.answer != "") || !strings.Contains(answer, one.answer) {
-				t.Errorf("answered %q, %v", answer, err)
+			if (err == nil) != (test.answer != "") || !strings.Contains(answer, test.answer) {
+				t.Errorf("answer %q, error %v; want an answer with %q", answer, err, test.answer)
 			}
-			if isTimeout(err) != one.timesOut {
-				t.Errorf("%v", err)
+			if isTimeout(err) != test.timesOut {
+				t.Errorf("error %v; want a timeout: %v", err, test.timesOut)
 			}
-			if counts := r.Counts(); one.fault != NoFault && counts.Faults[one.fault.String()] != 1 {
-				t.Errorf("counted %v", counts.Faults)
+			if counts := r.Counts(); test.fault != NoFault && counts.Faults[test.fault.String()] != 1 {
+				t.Errorf("fault counts %v, want one %v", counts.Faults, test.fault)
 			}
 		})
 	}
 }
 
 func isTimeout(err error) bool {
-	var failed *url.Error
-	return errors.As(err, &failed) && failed.Timeout()
+	var urlError *url.Error
+	return errors.As(err, &urlError) && urlError.Timeout()
 }
 
-// A call that is not a commit, can't be read or is too long executes nothing.
-func TestACallThatCantBeReadExecutesNothing(t *testing.T) {
+// A call that is not a commit or is too long executes no command.
+func TestInvalidCallExecutesNothing(t *testing.T) {
 	commands := "withdraw," + ServerID(0)
 	for name, form := range map[string]url.Values{
 		"no action":      {commandsField: {commands}},
 		"another action": {actionField: {"Read"}, commandsField: {commands}},
 		"too long":       commitForm(commands + strings.Repeat(commandSeparator+"withdraw,"+ServerID(1), 10_000)),
 	} {
-		r := relay(t)
+		r := newTestRelay(t)
 		answer, err := post(t, r, form, time.Second)
 		if err != nil || !strings.Contains(answer, "<error>SYNTAX</error>") || r.Withdrawn(ServerID(0)) {
-			t.Errorf("%s: answered %q, %v", name, answer, err)
+			t.Errorf("%s: answer %q, error %v", name, answer, err)
 		}
 	}
 }
 
-// While the relay is unavailable a call breaks and executes nothing, whatever its fault.
-func TestAnUnavailableRelayExecutesNothing(t *testing.T) {
-	r := relay(t)
+// While the relay is unavailable, the connection of a call breaks and no command is executed.
+func TestUnavailableRelayExecutesNothing(t *testing.T) {
+	r := newTestRelay(t)
 	r.SetUnavailable(true)
 	if answer, err := post(t, r, commitForm("withdraw,"+ServerID(0)), time.Second); err == nil || r.Withdrawn(ServerID(0)) {
-		t.Errorf("answered %q", answer)
+		t.Errorf("unavailable relay: answer %q", answer)
 	}
 	r.SetUnavailable(false)
 	if answer, err := post(t, r, commitForm("withdraw,"+ServerID(0)), time.Second); err != nil || !r.Withdrawn(ServerID(0)) {
-		t.Errorf("answered %q, %v", answer, err)
+		t.Errorf("available again: answer %q, error %v", answer, err)
 	}
 }
--- a/internal/fakes/relay_channel.go
+++ b/internal/fakes/relay_channel.go
@@ -3,34 +3,35 @@
 import "time"
 
 const (
-	channelInterval = 2 * time.Millisecond // between two looks at the queue
-	burstsPerSecond = 20                   // the channel sends at most so large a part of a second's lines at once
+	channelInterval = 2 * time.Millisecond // interval between two checks of the queue
+	burstsPerSecond = 20                   // one burst has at most 1/20 of the lines that the channel may send per second
 )
 
-// checkEmptyTable notes since when the users of a table have no server to pick, and that they have one again.
+// checkEmptyTable starts or ends the empty period of each proxy on a table, depending on whether the table has a usable
+// server.
 func (r *Relay) checkEmptyTable(t *table) {
 	now := time.Now()
 	empty := !t.hasUsableServer(r.withdrawn)
-	for _, p := range t.users {
+	for _, p := range t.proxies {
 		switch {
 		case empty && p.emptySince.IsZero():
 			p.emptySince = now
 		case !empty && p.messagesApplied > 0:
-			r.endEmptyTime(p, now)
+			r.endEmptyPeriod(p, now)
 		}
 	}
 }
 
-// endEmptyTime notes that a proxy has a server to pick, and judges how long it had none.
-func (r *Relay) endEmptyTime(p *proxy, now time.Time) {
+// endEmptyPeriod ends the time in which a proxy had no usable server and checks its duration.
+func (r *Relay) endEmptyPeriod(p *proxy, now time.Time) {
 	if p.emptySince.IsZero() {
 		return
 	}
-	r.Rules.checkEmptyTime(now, p.id, now.Sub(p.emptySince))
+	r.Rules.checkEmptyPeriod(now, p.id, now.Sub(p.emptySince))
 	p.emptySince = time.Time{}
 }
 
-// runChannel sends what waits, at the site's pace, until the relay is closed.
+// runChannel sends queued messages at the rate of the site's channel until the relay is closed.
 func (r *Relay) runChannel() {
 	ticker := time.NewTicker(channelInterval)
 	defer ticker.Stop()
@@ -47,12 +48,12 @@
 	}
 }
 
-// sendQueued sends as many messages as the channel has lines for after a span of time.
+// sendQueued adds the credit for the elapsed time and sends as many queued messages as the credit covers.
 func (r *Relay) sendQueued(now time.Time, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	pace := r.site.ChannelLinesPerSecond
-	r.credit = min(r.credit+pace*r.speed*elapsed.Seconds(), pace/burstsPerSecond)
+	linesPerSecond := r.site.ChannelLinesPerSecond
+	r.credit = min(r.credit+linesPerSecond*r.speed*elapsed.Seconds(), linesPerSecond/burstsPerSecond)
 	for len(r.queue) > 0 && r.credit >= r.queue[0].lines {
 		m := r.queue[0]
 		r.queue = r.queue[1:]
@@ -66,12 +67,12 @@
 	}
 }
 
-// apply has a proxy apply a message: its assignment, its withdrawals and its barriers.
+// apply applies the assignment, the withdrawals and the barriers of a message at its proxy.
 func (r *Relay) apply(now time.Time, m message) {
 	p := m.to
 	p.messagesApplied++
 	if t := r.tables[p.table]; m.assigns && t != nil && t.hasUsableServer(r.withdrawn) {
-		r.endEmptyTime(p, now)
+		r.endEmptyPeriod(p, now)
 	}
 	r.Rules.withdrawalsApplied(now, m.withdrawn)
 	for _, barrier := range m.barriers {
--- a/internal/fakes/relay_command.go
+++ b/internal/fakes/relay_command.go
@@ -7,30 +7,30 @@
 
 // command is one command of a call.
 type command interface {
-	// execute changes what the relay and its proxies hold, and adds to the messages of the call. It returns false,
-	// and changes nothing, where the relay can't use the command. The caller holds the relay's lock.
+	// execute applies the command to the state of the relay and its proxies, and adds to the messages of the call. If
+	// the command is invalid, it returns false and changes nothing. The caller holds the relay's lock.
 	execute(r *Relay, messages *callMessages) bool
-	// subject is what the command is about: a proxy, a server, a table, a list of classes or a barrier.
+	// subject returns the ID of the proxy, server, table or barrier, or the list of classes, that the command refers to.
 	subject() string
 }
 
-// words are the words of one command.
-type words []string
+// commandWords are the words of one command, starting with its name.
+type commandWords []string
 
-// integer reads a whole number from 0 up.
-func (w words) integer(i int) (int, bool) {
+// integer parses word i as a non-negative integer.
+func (w commandWords) integer(i int) (int, bool) {
 	number, err := strconv.Atoi(w[i])
 	return number, err == nil && number >= 0
 }
 
-// figure reads a number from 0 up.
-func (w words) figure(i int) (float64, bool) {
-	figure, err := strconv.ParseFloat(w[i], 64)
-	return figure, err == nil && figure >= 0
+// number parses word i as a non-negative number.
+func (w commandWords) number(i int) (float64, bool) {
+	number, err := strconv.ParseFloat(w[i], 64)
+	return number, err == nil && number >= 0
 }
 
-// tableOrAny reads a table's number, or the word for all tables.
-func (w words) tableOrAny(i int) (number int, isAny, ok bool) {
+// tableOrAny parses word i as a table number or as anyTable.
+func (w commandWords) tableOrAny(i int) (number int, isAny, ok bool) {
 	if w[i] == anyTable {
 		return 0, true, true
 	}
@@ -38,10 +38,10 @@
 	return number, false, ok
 }
 
-// commandSyntax is how many words a command has, and how they are read.
+// commandSyntax is the number of words of a command, including its name, and its parser.
 type commandSyntax struct {
-	words int
-	parse func(w words) (command, bool)
+	wordCount int
+	parse     func(w commandWords) (command, bool)
 }
 
 var commandSyntaxes = map[string]commandSyntax{
@@ -54,32 +54,32 @@
 	wordBarrier:    {3, parseSetBarrier},
 }
 
-// commandWord is the first word of a command.
+// commandWord returns the first word of a command.
 func commandWord(text string) string {
 	word, _, _ := strings.Cut(text, wordSeparator)
 	return word
 }
 
-// parseCommand reads one command; false where it can't be read.
+// parseCommand parses one command. It returns false if the command is malformed.
 func parseCommand(text string) (command, bool) {
-	w := words(strings.Split(text, wordSeparator))
+	w := commandWords(strings.Split(text, wordSeparator))
 	syntax, known := commandSyntaxes[w[0]]
-	if !known || len(w) != syntax.words {
+	if !known || len(w) != syntax.wordCount {
 		return nil, false
 	}
 	return syntax.parse(w)
 }
 
-// setWeight sets a server's weight in a table, 0 removes the server: share,TABLE,SERVER,WEIGHT.
+// setWeight sets the weight of a server in a table; weight 0 removes the server. Syntax: share,TABLE,SERVER,WEIGHT.
 type setWeight struct {
 	table  int
 	server string
 	weight float64
 }
 
-func parseSetWeight(w words) (command, bool) {
+func parseSetWeight(w commandWords) (command, bool) {
 	number, numberOK := w.integer(1)
-	weight, weightOK := w.figure(3)
+	weight, weightOK := w.number(3)
 	return setWeight{number, w[2], weight}, numberOK && weightOK
 }
 
@@ -89,7 +89,7 @@
 	if !r.registered[c.server] {
 		return false
 	}
-	t := r.tableOf(c.table)
+	t := r.tableByNumber(c.table)
 	if t.weights[c.server] != c.weight {
 		r.stateChanges++
 	}
@@ -97,17 +97,17 @@
 	if c.weight == 0 {
 		delete(t.weights, c.server)
 	}
-	for _, p := range t.users {
+	for _, p := range t.proxies {
 		messages.add(p, 1)
 	}
 	r.checkEmptyTable(t)
 	return true
 }
 
-// resetTable empties a table: clear,TABLE.
+// resetTable removes all weights and admission levels of a table. Syntax: clear,TABLE.
 type resetTable struct{ table int }
 
-func parseResetTable(w words) (command, bool) {
+func parseResetTable(w commandWords) (command, bool) {
 	number, ok := w.integer(1)
 	return resetTable{number}, ok
 }
@@ -116,20 +116,21 @@
 
 func (c resetTable) execute(r *Relay, messages *callMessages) bool {
 	r.stateChanges++
-	t := r.tableOf(c.table)
+	t := r.tableByNumber(c.table)
 	clear(t.weights)
 	clear(t.levels)
-	for _, p := range t.users {
+	for _, p := range t.proxies {
 		messages.add(p, 1)
 	}
 	r.checkEmptyTable(t)
 	return true
 }
 
-// assignTable has a proxy use a table, all of which it is sent: bind,PROXY,TABLE,CLASSES.
+// assignTable assigns a proxy to a table and sends the whole table to it. Syntax: bind,PROXY,TABLE,CLASSES. CLASSES is
+// ignored.
 type assignTable struct{ proxy, table int }
 
-func parseAssignTable(w words) (command, bool) {
+func parseAssignTable(w commandWords) (command, bool) {
 	proxy, proxyOK := w.integer(1)
 	number, numberOK := w.integer(2)
 	return assignTable{proxy, number}, proxyOK && numberOK
@@ -146,11 +147,11 @@
 		r.stateChanges++
 	}
 	if old := r.tables[p.table]; old != nil {
-		delete(old.users, p.id)
+		delete(old.proxies, p.id)
 	}
-	t := r.tableOf(c.table)
+	t := r.tableByNumber(c.table)
 	p.table = c.table
-	t.users[p.id] = p
+	t.proxies[p.id] = p
 	lines := 1 + len(t.weights) + len(t.levels)
 	for server := range t.weights {
 		if r.withdrawn[server] {
@@ -161,15 +162,16 @@
 	return true
 }
 
-// withdrawServer has no proxy send to a server, or lets them again: withdraw,SERVER and restore,SERVER.
+// withdrawServer stops all proxies from sending to a server, or lets them send to it again. Syntax: withdraw,SERVER and
+// restore,SERVER.
 type withdrawServer struct {
 	server  string
 	restore bool
 }
 
-func parseWithdrawServer(w words) (command, bool) { return withdrawServer{server: w[1]}, true }
+func parseWithdrawServer(w commandWords) (command, bool) { return withdrawServer{server: w[1]}, true }
 
-func parseRestoreServer(w words) (command, bool) {
+func parseRestoreServer(w commandWords) (command, bool) {
 	return withdrawServer{server: w[1], restore: true}, true
 }
 
@@ -183,16 +185,16 @@
 		r.stateChanges++
 		r.withdrawn[c.server] = !c.restore
 	}
-	users := 0
+	affected := 0
 	for _, t := range r.tables {
 		if t.weights[c.server] == 0 {
 			continue
 		}
-		for _, p := range t.users {
+		for _, p := range t.proxies {
 			m := messages.add(p, 1)
 			if !c.restore {
 				m.withdrawn = append(m.withdrawn, c.server)
-				users++
+				affected++
 			}
 		}
 		r.checkEmptyTable(t)
@@ -200,12 +202,13 @@
 	if c.restore {
 		r.Rules.serverRestored(messages.at, c.server)
 	} else {
-		r.Rules.serverWithdrawn(messages.at, c.server, users)
+		r.Rules.serverWithdrawn(messages.at, c.server, affected)
 	}
 	return true
 }
 
-// setAdmission sets what a table, or each, admits of some classes, and their attempts: admit,TABLE,CLASSES,AMOUNT,TRIES.
+// setAdmission sets the admission level of some classes in one table or in all tables. Syntax:
+// admit,TABLE,CLASSES,AMOUNT,RETRY_POLICY.
 type setAdmission struct {
 	table    int
 	anyTable bool
@@ -213,12 +216,12 @@
 	level    admissionLevel
 }
 
-func parseSetAdmission(w words) (command, bool) {
+func parseSetAdmission(w commandWords) (command, bool) {
 	number, isAny, tableOK := w.tableOrAny(1)
-	amount, amountOK := w.figure(3)
-	attempts, attemptsOK := w.integer(4)
-	c := setAdmission{table: number, anyTable: isAny, classes: w[2], level: admissionLevel{amount, attempts}}
-	return c, tableOK && amountOK && attemptsOK
+	amount, amountOK := w.number(3)
+	retryPolicy, retryPolicyOK := w.integer(4)
+	c := setAdmission{table: number, anyTable: isAny, classes: w[2], level: admissionLevel{amount, retryPolicy}}
+	return c, tableOK && amountOK && retryPolicyOK
 }
 
 func (c setAdmission) subject() string { return c.classes }
@@ -232,21 +235,22 @@
 			r.stateChanges++
 		}
 		t.levels[c.classes] = c.level
-		for _, p := range t.users {
+		for _, p := range t.proxies {
 			messages.add(p, 1)
 		}
 	}
-	r.Rules.checkAttempts(messages.at, c.classes, c.level.attempts)
+	r.Rules.checkRetryPolicy(messages.at, c.classes, c.level.retryPolicy)
 	return true
 }
 
-// setBarrier has the proxies that the call reaches, or all, acknowledge a number: mark,NUMBER,0 and mark,NUMBER,1.
+// setBarrier makes the proxies that the call already has messages for (mark,NUMBER,0) or all proxies (mark,NUMBER,1)
+// acknowledge a barrier number.
 type setBarrier struct {
 	number     int
 	allProxies bool
 }
 
-func parseSetBarrier(w words) (command, bool) {
+func parseSetBarrier(w commandWords) (command, bool) {
 	number, ok := w.integer(1)
 	return setBarrier{number: number, allProxies: w[2] == "1"}, ok
 }
@@ -268,10 +272,10 @@
 	return true
 }
 
-// tableOf gives a table by its number, an empty one where there was none.
-func (r *Relay) tableOf(number int) *table {
+// tableByNumber returns the table with a number, which it creates if necessary.
+func (r *Relay) tableByNumber(number int) *table {
 	if r.tables[number] == nil {
-		r.tables[number] = &table{weights: map[string]float64{}, levels: map[string]admissionLevel{}, users: map[int]*proxy{}}
+		r.tables[number] = &table{weights: map[string]float64{}, levels: map[string]admissionLevel{}, proxies: map[int]*proxy{}}
 	}
 	return r.tables[number]
 }
--- a/internal/fakes/relay_counts.go
+++ b/internal/fakes/relay_counts.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// RequestRate returns how many requests per second the connected proxies send a server, by the tables that they use.
+// RequestRate returns the requests per second that the connected proxies send to a server, according to their tables.
 func (r *Relay) RequestRate(server string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.requestRate(server)
 }
 
-// requestRate is RequestRate for a caller that holds the lock.
+// requestRate is RequestRate for callers that hold the lock.
 func (r *Relay) requestRate(server string) (rate float64) {
 	if r.withdrawn[server] {
 		return 0
@@ -22,15 +22,15 @@
 	return rate
 }
 
-// offeredRate is how many requests per second the users of a table have.
+// offeredRate returns the total requests per second of the proxies on a table.
 func (t *table) offeredRate() (rate float64) {
-	for _, p := range t.users {
+	for _, p := range t.proxies {
 		rate += p.requestRate
 	}
 	return rate
 }
 
-// usableWeight is the weight of all servers of a table that are not withdrawn.
+// usableWeight returns the total weight of the servers of a table that are not withdrawn.
 func (t *table) usableWeight(withdrawn map[string]bool) (sum float64) {
 	for server, weight := range t.weights {
 		if !withdrawn[server] {
@@ -40,34 +40,34 @@
 	return sum
 }
 
-// CheckState judges what stands now: proxies without a server, and what warming servers get.
+// CheckState checks the current state: how long proxies have had no usable server, and the load of warming servers.
 func (r *Relay) CheckState() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
 	for _, p := range r.proxies {
 		if !p.emptySince.IsZero() {
-			r.Rules.checkEmptyTime(now, p.id, now.Sub(p.emptySince))
+			r.Rules.checkEmptyPeriod(now, p.id, now.Sub(p.emptySince))
 		}
 	}
 	r.Rules.checkWarmingServers(now, r.requestRate)
 }
 
-// Counts is what a relay received so far, and what stands.
+// Counts holds the totals of a relay so far and the size of its current state.
 type Counts struct {
 	Calls            int            `json:"calls"`
 	CommandsAccepted int            `json:"orders_taken"`
 	CommandsRejected int            `json:"orders_refused"`
 	StateChanges     int            `json:"effects"`
 	ConnectedProxies int            `json:"proxies"`
-	AssignedProxies  int            `json:"bound"` // that have applied their assignment
+	AssignedProxies  int            `json:"bound"` // proxies with a table that have applied at least one message
 	Tables           int            `json:"tables"`
 	TableLines       int            `json:"lines"`
-	Withdrawn        int            `json:"withdrawn"` // servers
+	Withdrawn        int            `json:"withdrawn"` // number of withdrawn servers
 	Faults           map[string]int `json:"faults,omitempty"`
 }
 
-// Counts returns what came so far and what stands.
+// Counts returns the totals so far and the size of the current state.
 func (r *Relay) Counts() Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +101,7 @@
 	return counts
 }
 
-// Withdrawn tells whether a server is withdrawn.
+// Withdrawn reports whether a server is withdrawn.
 func (r *Relay) Withdrawn(server string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fakes/relay_events.go
+++ b/internal/fakes/relay_events.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	eventBuffer     = 1 << 16 // events that may wait for one watcher
-	eventsKeepAlive = time.Second
-	keepAliveLine   = ":\n\n"
+	eventBufferLength = 1 << 16 // maximum number of events queued for one watcher
+	eventsKeepAlive   = time.Second
+	keepAliveLine     = ":\n\n"
 )
 
-// publish sends an event to all watchers. One that fell too far behind is closed. The caller holds the lock.
+// publish queues an event for all watchers and closes a watcher whose queue is full. The caller holds the lock.
 func (r *Relay) publish(e event) {
 	for watcher := range r.watchers {
 		select {
@@ -26,10 +26,10 @@
 	}
 }
 
-// serveEvents writes all connected proxies, then each event.
+// serveEvents writes an event for each connected proxy, then all further events.
 func (r *Relay) serveEvents(w http.ResponseWriter, _ *http.Request) {
-	events := make(chan event, eventBuffer)
-	opening, ok := r.addWatcher(events)
+	events := make(chan event, eventBufferLength)
+	initialEvents, ok := r.addWatcher(events)
 	if !ok {
 		breakConnection(w)
 		return
@@ -37,14 +37,14 @@
 	defer r.removeWatcher(events)
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := w.(http.Flusher)
-	io.WriteString(w, opening)
+	io.WriteString(w, initialEvents)
 	flusher.Flush()
 	keepAlive := time.NewTicker(eventsKeepAlive)
 	defer keepAlive.Stop()
 	for {
 		select {
 		case e, open := <-events:
-			if !writeWaiting(w, events, e, open) {
+			if !writeQueued(w, events, e, open) {
 				breakConnection(w)
 				return
 			}
@@ -58,8 +58,9 @@
 	}
 }
 
-// addWatcher registers a watcher, and returns the events of all connected proxies; false while the relay is away.
-func (r *Relay) addWatcher(events chan event) (opening string, ok bool) {
+// addWatcher registers a watcher and returns the events of all connected proxies. It returns false while the relay is
+// unavailable.
+func (r *Relay) addWatcher(events chan event) (initialEvents string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.unavailable {
@@ -80,8 +81,8 @@
 	delete(r.watchers, events)
 }
 
-// writeWaiting writes an event and all that wait behind it; false once the watcher was closed.
-func writeWaiting(w io.Writer, events <-chan event, first event, open bool) bool {
+// writeQueued writes an event and all events queued after it. It returns false if the watcher is closed.
+func writeQueued(w io.Writer, events <-chan event, first event, open bool) bool {
 	if !open {
 		return false
 	}
@@ -96,7 +97,7 @@
 	return true
 }
 
-// breakConnection closes a connection without the end of its answer.
+// breakConnection closes the connection before the response is complete.
 func breakConnection(w http.ResponseWriter) {
 	hijacker, ok := w.(http.Hijacker)
 	if !ok {
--- a/internal/fakes/rule_checker.go
+++ b/internal/fakes/rule_checker.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// RuleResult is what came of one rule: its worst value against its bound, when that was and at what.
+// RuleResult is the result of one rule: its worst value so far, the bound, and when and where the worst value occurred.
 type RuleResult struct {
 	Name       string        `json:"name"`
 	Worst      float64       `json:"worst"`
 	Bound      float64       `json:"bound"`
 	Unit       string        `json:"unit"`
-	At         time.Duration `json:"at_ns"` // since the checker began
-	Subject    string        `json:"whom,omitempty"`
+	At         time.Duration `json:"at_ns"`          // time of the worst value, since the checker was created
+	Subject    string        `json:"whom,omitempty"` // what the worst value refers to, such as a proxy or a server
 	Violations int           `json:"broken"`
-	Checks     int           `json:"seen"` // how often there was something to judge
+	Checks     int           `json:"seen"` // how often the rule was checked
 }
 
-// OK tells whether the rule was kept.
+// OK reports whether the rule was never violated.
 func (r RuleResult) OK() bool { return r.Violations == 0 }
 
-// rule is the index of a rule among the results.
+// rule is the index of a rule in the results.
 type rule int
 
 const (
@@ -35,66 +35,67 @@
 )
 
 const (
-	// slack is what sockets may add to the times of the rules, by the platform's pages.
-	slack = 300 * time.Millisecond
-	// judgedFor is how long a drain that was judged is not judged again.
-	judgedFor = time.Hour
-	// Most attempts of a request: a second one after proof that the first was not executed, or two after any failure.
-	attemptsUnlessExecuted = 1
-	attemptsIfIdempotent   = 3
+	// timingTolerance is the delay that sockets may add to the time limits, according to the platform's documentation.
+	timingTolerance = 300 * time.Millisecond
+	// drainRecheckDelay is how long a drain is exempt from further checks once its end has been checked.
+	drainRecheckDelay = time.Hour
+	// Highest retry policies that a class may have. By default, a request may be sent a second time only after proof
+	// that it was not executed. A request of an idempotent class may be sent up to three times, whatever the failure.
+	maxRetryPolicyByDefault    = 1
+	maxRetryPolicyIfIdempotent = 3
 )
 
-// RuleChecker judges what happens at a relay by the platform's five rules. A rule that is violated once stays so. All
-// its methods may be called at any time.
+// RuleChecker checks the platform's five rules at a relay. A rule that has been violated once stays violated. Its methods
+// are safe for concurrent use.
 type RuleChecker struct {
-	mu      sync.Mutex
-	began   time.Time
-	site    Site
-	results [ruleCount]RuleResult
+	mu        sync.Mutex
+	createdAt time.Time
+	site      Site
+	results   [ruleCount]RuleResult
 
-	maxAttempts        map[string]int       // by class
-	drainKnownAt       map[string]time.Time // by server that drains or was removed
-	pendingWithdrawals map[string]int       // messages that are not applied yet, by server
-	startedAt          map[string]time.Time // by server that may be warming up
-	overloadedSince    map[string]time.Time // by warming server that gets too much
+	maxRetryPolicies   map[string]int       // highest retry policy that is allowed, by class name
+	drainPublishedAt   map[string]time.Time // when discovery published the drain or removal, by server
+	pendingWithdrawals map[string]int       // number of messages with the withdrawal that are not applied yet, by server
+	serverStartedAt    map[string]time.Time // start times of servers that may be warming up
+	overloadedSince    map[string]time.Time // start of the current overload, by warming server
 	warmServerRequired bool
 }
 
-// NewRuleChecker begins with nothing judged.
+// NewRuleChecker returns a checker for the relay of a site that has checked nothing yet.
 func NewRuleChecker(site Site) *RuleChecker {
 	c := &RuleChecker{
-		began: time.Now(),
-		site:  site,
+		createdAt: time.Now(),
+		site:      site,
 		results: [ruleCount]RuleResult{
-			emptyTableRule: {Name: "no proxy without a server", Bound: (site.EmptyTableLimit + slack).Seconds(), Unit: "s"},
+			emptyTableRule: {Name: "no proxy without a server", Bound: (site.EmptyTableLimit + timingTolerance).Seconds(), Unit: "s"},
 			repeatRule:     {Name: "no effect twice", Bound: 0, Unit: "effects"},
-			drainRule:      {Name: "drains kept", Bound: (site.DrainGracePeriod + slack).Seconds(), Unit: "s"},
+			drainRule:      {Name: "drains kept", Bound: (site.DrainGracePeriod + timingTolerance).Seconds(), Unit: "s"},
 			warmUpRule:     {Name: "no cold server pushed over", Bound: site.OverloadFactor, Unit: "x its capacity"},
 			queueRule:      {Name: "queue and messages short", Bound: 1, Unit: "of the limit"},
 		},
-		maxAttempts:        map[string]int{},
-		drainKnownAt:       map[string]time.Time{},
+		maxRetryPolicies:   map[string]int{},
+		drainPublishedAt:   map[string]time.Time{},
 		pendingWithdrawals: map[string]int{},
-		startedAt:          map[string]time.Time{},
+		serverStartedAt:    map[string]time.Time{},
 		overloadedSince:    map[string]time.Time{},
 		warmServerRequired: true,
 	}
 	for _, class := range site.TrafficClasses {
-		c.maxAttempts[class.Name] = attemptsUnlessExecuted
+		c.maxRetryPolicies[class.Name] = maxRetryPolicyByDefault
 		if class.Idempotency == idempotent {
-			c.maxAttempts[class.Name] = attemptsIfIdempotent
+			c.maxRetryPolicies[class.Name] = maxRetryPolicyIfIdempotent
 		}
 	}
 	return c
 }
 
-// record takes one value of a rule. The caller holds the lock.
+// record adds one value to the result of a rule. The caller holds the lock.
 func (c *RuleChecker) record(rule rule, at time.Time, value float64, subject string) {
 	result := &c.results[rule]
 	result.Checks++
 	if value > result.Worst {
 		result.Worst = value
-		result.At = at.Sub(c.began)
+		result.At = at.Sub(c.createdAt)
 		result.Subject = subject
 	}
 	if value > result.Bound {
@@ -102,39 +103,40 @@
 	}
 }
 
-// Results returns all rules as they stand.
+// Results returns the current results of all rules.
 func (c *RuleChecker) Results() []RuleResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.results[:])
 }
 
-// RequireWarmServer says whether a warm server is listed as ready: only then must a proxy have a server to pick.
+// RequireWarmServer sets whether the rule that each proxy has a usable server applies. It applies only while the list has
+// a warm server that is ready.
 func (c *RuleChecker) RequireWarmServer(required bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.warmServerRequired = required
 }
 
-// EndpointChanged says that discovery published a change: a drain, a removal or a start.
+// EndpointChanged reports that discovery published a drain, a removal or a start.
 func (c *RuleChecker) EndpointChanged(at time.Time, endpoint Endpoint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if endpoint.Lifecycle != lifecycleUp {
-		if _, known := c.drainKnownAt[endpoint.ID]; !known {
-			c.drainKnownAt[endpoint.ID] = at
+		if _, known := c.drainPublishedAt[endpoint.ID]; !known {
+			c.drainPublishedAt[endpoint.ID] = at
 		}
-		delete(c.startedAt, endpoint.ID)
+		delete(c.serverStartedAt, endpoint.ID)
 		return
 	}
-	delete(c.drainKnownAt, endpoint.ID)
+	delete(c.drainPublishedAt, endpoint.ID)
 	if endpoint.Started > 0 {
-		c.startedAt[endpoint.ID] = time.UnixMilli(endpoint.Started)
+		c.serverStartedAt[endpoint.ID] = time.UnixMilli(endpoint.Started)
 	}
 }
 
-// checkEmptyTime judges how long a proxy has had no server to pick.
-func (c *RuleChecker) checkEmptyTime(at time.Time, proxy int, elapsed time.Duration) {
+// checkEmptyPeriod checks how long a proxy has had no usable server.
+func (c *RuleChecker) checkEmptyPeriod(at time.Time, proxy int, elapsed time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.warmServerRequired {
@@ -142,7 +144,7 @@
 	}
 }
 
-// commandRepeated judges a command that was executed once more after a call without an answer.
+// commandRepeated checks that a command did not change state when it was executed again after an unanswered call.
 func (c *RuleChecker) commandRepeated(at time.Time, command string, changedState bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,20 +155,20 @@
 	c.record(repeatRule, at, effects, command)
 }
 
-// checkAttempts judges how many attempts the requests of some classes may have.
-func (c *RuleChecker) checkAttempts(at time.Time, classes string, attempts int) {
+// checkRetryPolicy checks the retry policy of some classes.
+func (c *RuleChecker) checkRetryPolicy(at time.Time, classes string, retryPolicy int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	names := splitClasses(classes)
-	for class, most := range c.maxAttempts {
+	for class, limit := range c.maxRetryPolicies {
 		if classes == anyClass || slices.Contains(names, class) {
-			excess := float64(max(0, attempts-most))
-			c.record(repeatRule, at, excess, fmt.Sprintf("%d tries of %s", attempts, class))
+			excess := float64(max(0, retryPolicy-limit))
+			c.record(repeatRule, at, excess, fmt.Sprintf("retry policy %d for class %s", retryPolicy, class))
 		}
 	}
 }
 
-// serverWithdrawn says that a withdrawal was ordered, and how many messages carry it to proxies.
+// serverWithdrawn reports a withdrawal and the number of messages that carry it to proxies.
 func (c *RuleChecker) serverWithdrawn(at time.Time, server string, messages int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,14 +179,15 @@
 	c.endWithdrawal(at, server)
 }
 
-// serverRestored says that a withdrawal was lifted.
+// serverRestored reports that a withdrawal was revoked.
 func (c *RuleChecker) serverRestored(at time.Time, server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.endWithdrawal(at, server)
 }
 
-// withdrawalsApplied says that a message was applied, or will never be: the proxy left.
+// withdrawalsApplied reports that a message with withdrawals was applied, or never will be because its proxy has
+// disconnected.
 func (c *RuleChecker) withdrawalsApplied(at time.Time, servers []string) {
 	if len(servers) == 0 {
 		return
@@ -199,37 +202,38 @@
 	}
 }
 
-// endWithdrawal judges the drain of a server that no proxy sends to any more. The caller holds the lock.
+// endWithdrawal checks the duration of the drain of a server once no message with its withdrawal is pending. The caller
+// holds the lock.
 func (c *RuleChecker) endWithdrawal(at time.Time, server string) {
 	delete(c.pendingWithdrawals, server)
-	knownAt, draining := c.drainKnownAt[server]
+	publishedAt, draining := c.drainPublishedAt[server]
 	if !draining {
 		return
 	}
-	c.record(drainRule, at, at.Sub(knownAt).Seconds(), server)
-	c.drainKnownAt[server] = at.Add(judgedFor)
+	c.record(drainRule, at, at.Sub(publishedAt).Seconds(), server)
+	c.drainPublishedAt[server] = at.Add(drainRecheckDelay)
 }
 
-// CheckDrains judges the drains that are not complete, of servers that proxies still use.
+// CheckDrains records a violation for each drain that exceeds its limit while proxies still use the server.
 func (c *RuleChecker) CheckDrains(at time.Time, inUse func(server string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for server, knownAt := range c.drainKnownAt {
-		elapsed := at.Sub(knownAt).Seconds()
+	for server, publishedAt := range c.drainPublishedAt {
+		elapsed := at.Sub(publishedAt).Seconds()
 		if elapsed > c.results[drainRule].Bound && inUse(server) {
 			c.record(drainRule, at, elapsed, server)
 		}
 	}
 }
 
-// checkWarmingServers judges what servers get that are not warm yet.
+// checkWarmingServers checks the load of the servers that are still warming up.
 func (c *RuleChecker) checkWarmingServers(at time.Time, requestRate func(server string) float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for server, startedAt := range c.startedAt {
+	for server, startedAt := range c.serverStartedAt {
 		age := at.Sub(startedAt)
 		if age >= c.site.WarmUpDuration {
-			delete(c.startedAt, server)
+			delete(c.serverStartedAt, server)
 			delete(c.overloadedSince, server)
 			continue
 		}
@@ -237,8 +241,8 @@
 	}
 }
 
-// checkWarmingServer judges one server by what it gets as a multiple of its capacity: too much is a violation once it
-// has lasted. The caller holds the lock.
+// checkWarmingServer checks the load of one server, as a multiple of its current capacity. An overload is a violation
+// once it has lasted for the site's OverloadDuration. The caller holds the lock.
 func (c *RuleChecker) checkWarmingServer(at time.Time, server string, load float64) {
 	if load <= c.site.OverloadFactor {
 		delete(c.overloadedSince, server)
@@ -254,20 +258,20 @@
 	}
 }
 
-// checkQueue judges how many lines wait in the channel.
+// checkQueue checks the number of lines that are queued in the channel.
 func (c *RuleChecker) checkQueue(at time.Time, lines float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.record(queueRule, at, lines/c.site.ChannelQueueLines, fmt.Sprintf("%.0f lines wait", lines))
+	c.record(queueRule, at, lines/c.site.ChannelQueueLines, fmt.Sprintf("%.0f lines queued", lines))
 }
 
-// checkMessageCount judges how many messages a proxy was sent within the site's window.
+// checkMessageCount checks the number of messages to a proxy within the site's window.
 func (c *RuleChecker) checkMessageCount(at time.Time, proxy, messages int) {
 	if c.site.MaxMessages == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	part := float64(messages) / float64(c.site.MaxMessages)
-	c.record(queueRule, at, part, fmt.Sprintf("%d messages to proxy %d", messages, proxy))
+	share := float64(messages) / float64(c.site.MaxMessages)
+	c.record(queueRule, at, share, fmt.Sprintf("%d messages to proxy %d", messages, proxy))
 }
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Behaviour is how a server answers.
+// Behaviour is the way in which a server responds.
 type Behaviour int32
 
 // The behaviours of a server.
 const (
-	Healthy      Behaviour = iota // answers as a live server does
+	Healthy      Behaviour = iota // answers 200
 	Overloaded                    // answers 503
-	Unresponsive                  // takes connections and says nothing
+	Unresponsive                  // accepts connections but never answers
 	Down                          // refuses connections
 )
 
-// loadPath is where a server tells its load.
+// loadPath is the path at which a server reports its load.
 const loadPath = "/metrics/load"
 
 const (
@@ -28,27 +28,27 @@
 	serverIdleTimeout   = time.Second
 )
 
-// Server answers health checks at an address of its own.
+// Server is a fake server that answers health checks and load requests at its own address.
 type Server struct {
 	ID           string
 	Zone         string
 	Address      string
-	HealthChecks atomic.Int64
-	InFlight     atomic.Int64 // requests that it reports
+	HealthChecks atomic.Int64 // number of requests received
+	InFlight     atomic.Int64 // in-flight requests that it reports
 
 	behaviour atomic.Int32
 	mu        sync.Mutex
 	listener  net.Listener
-	started   time.Time // zero: long ago
+	started   time.Time // time of the last restart; zero if it was never restarted
 }
 
-// NewServers starts the servers of a site, each with a port of its own. They are on a loopback address of this
-// process's own where the system has several, so that no other process takes the port of a server that is down.
+// NewServers starts the servers of a site, each on its own port. Where the system has several loopback addresses, they
+// are on one that is specific to this process, so that no other process takes the port of a server that is down.
 func NewServers(site Site) ([]*Server, error) {
 	var servers []*Server
 	for n := range site.Servers {
 		server := &Server{ID: ServerID(n), Zone: site.Zone(n)}
-		listener, err := listenOnOwnLoopback(serversNet)
+		listener, err := listenOnProcessLoopback(serverNetwork)
 		if err != nil {
 			return servers, fmt.Errorf("start server %s: %w", server.ID, err)
 		}
@@ -58,7 +58,7 @@
 	return servers, nil
 }
 
-// serve answers at a listener until that is closed.
+// serve serves requests from a listener until it is closed.
 func (s *Server) serve(listener net.Listener) {
 	s.mu.Lock()
 	s.listener = listener
@@ -89,10 +89,11 @@
 	}
 }
 
-// Behaviour returns how the server answers.
+// Behaviour returns the current behaviour of the server.
 func (s *Server) Behaviour() Behaviour { return Behaviour(s.behaviour.Load()) }
 
-// SetBehaviour changes how the server answers. One that comes up from Down is a fresh process at the same address.
+// SetBehaviour changes the behaviour of the server. A server that was Down restarts at the same address with a new start
+// time.
 func (s *Server) SetBehaviour(behaviour Behaviour) error {
 	before := Behaviour(s.behaviour.Swap(int32(behaviour)))
 	switch {
@@ -114,7 +115,7 @@
 	return nil
 }
 
-// restart listens again at the server's address.
+// restart listens on the server's address again.
 func (s *Server) restart() error {
 	s.mu.Lock()
 	address := s.Address
@@ -122,13 +123,13 @@
 	s.mu.Unlock()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("restart server %s: %w", s.ID, err)
+		return fmt.Errorf("restart server %s on %s: %w", s.ID, address, err)
 	}
 	s.serve(listener)
 	return nil
 }
 
-// Entry is the server's entry of the endpoint list in a state: up, draining or removed.
+// Entry returns the server's entry of the endpoint list with a lifecycle state: up, draining or removed.
 func (s *Server) Entry(lifecycle string) Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -139,7 +140,7 @@
 	return endpoint
 }
 
-// Close ends the server.
+// Close closes the server's listener.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fakes/site.go
+++ b/internal/fakes/site.go
@@ -1,7 +1,7 @@
-// Package fakes holds stand-ins of all that a manager meets, on loopback: discovery, the relay with its proxies, and
-// servers, written from the platform's pages. They behave and fail as a test has them, and count what reaches them;
-// RuleChecker judges that by the platform's five rules. The daemon must never import it. It decides nothing that the
-// manager decides, and reaches nothing beyond loopback.
+// Package fakes provides stand-ins on loopback for everything that a manager communicates with: discovery, the relay with
+// its proxies, and servers. They follow the platform's documentation, fail as a test requests, and count the requests and
+// commands that they receive. RuleChecker checks the platform's five rules on them. The package makes none of the
+// manager's decisions and connects to nothing beyond loopback. The daemon must never import it.
 package fakes
 
 import (
@@ -9,56 +9,56 @@
 	"time"
 )
 
-// Idempotency of a class, as the platform names it.
+// Idempotency values of a traffic class on the wire.
 const (
 	idempotent = "idempotent"
 	atMostOnce = "at_most_once"
 )
 
-// TrafficClass is a class of requests of a site.
+// TrafficClass describes a class of requests and its limits.
 type TrafficClass struct {
 	Name             string
 	LatencyObjective time.Duration
 	Deadline         time.Duration
 	PriorityWeight   float64
-	Idempotency      string  // idempotent, deduplicated or at_most_once
-	TrafficShare     float64 // of all requests
+	Idempotency      string  // "idempotent", "deduplicated" or "at_most_once"
+	TrafficShare     float64 // share of all requests that are of this class
 }
 
-// Site is a deployment's size, traffic and limits.
+// Site holds the size, the traffic and the limits of a deployment.
 type Site struct {
 	Zones          []string
 	TrafficClasses []TrafficClass
 	Servers        int
 	Proxies        int
 	RequestRate    float64 // requests per second at each proxy
-	ServerCapacity float64 // requests per second of a warm server
+	ServerCapacity float64 // requests per second that a warm server can handle
 
 	ChannelLinesPerSecond float64
-	ChannelQueueLines     float64 // that may wait
-	MessageHeaderLines    float64 // that each message costs beside its own
-	MaxMessages           int     // to one proxy within MessageWindow; 0: no limit
+	ChannelQueueLines     float64 // maximum number of queued lines
+	MessageHeaderLines    float64 // added to the lines of each message
+	MaxMessages           int     // maximum number of messages to one proxy within MessageWindow; 0 means no limit
 	MessageWindow         time.Duration
 
-	InitialCapacityShare float64 // of a server that has just started
+	InitialCapacityShare float64 // capacity of a server that has just started, as a share of ServerCapacity
 	WarmUpDuration       time.Duration
-	OverloadFactor       float64 // more than this multiple of a warming server's capacity is too much
-	OverloadDuration     time.Duration
-	DrainGracePeriod     time.Duration
-	EmptyTableLimit      time.Duration // that a proxy may be without a server to pick
+	OverloadFactor       float64       // a warming server is overloaded above this multiple of its current capacity
+	OverloadDuration     time.Duration // an overload that lasts this long is a violation
+	DrainGracePeriod     time.Duration // how long proxies may still send to a server that drains or was removed
+	EmptyTableLimit      time.Duration // how long a proxy may have no usable server
 }
 
-// Least lines per second of a default site's channel, and what each proxy adds where that is more.
+// The channel of a default site sends channelLinesPerProxy lines per second for each proxy, but at least minChannelLines.
 const (
-	leastChannelLines    = 8600
+	minChannelLines      = 8600
 	channelLinesPerProxy = 10
 )
 
-// DefaultSite is a site with some servers and proxies, and room to spare.
+// DefaultSite returns a site whose servers have twice the capacity that the requests of its proxies need.
 func DefaultSite(servers, proxies int) Site {
 	const requestRate = 4.0
 	const spareCapacity = 2.0
-	lines := max(leastChannelLines, channelLinesPerProxy*float64(proxies))
+	lines := max(minChannelLines, channelLinesPerProxy*float64(proxies))
 	return Site{
 		Zones: []string{"a", "b", "c"},
 		TrafficClasses: []TrafficClass{
@@ -81,17 +81,17 @@
 	}
 }
 
-// Zone is the zone of the n-th server or proxy.
+// Zone returns the zone of the n-th server or proxy.
 func (s Site) Zone(n int) string { return s.Zones[n%len(s.Zones)] }
 
-// capacityAtAge is the capacity of a server some time after its start, until it is warm.
+// capacityAtAge returns the requests per second that a warming server can handle at an age below WarmUpDuration.
 func (s Site) capacityAtAge(age time.Duration) float64 {
 	progress := max(0, age.Seconds()) / s.WarmUpDuration.Seconds()
 	return s.ServerCapacity * (s.InitialCapacityShare + (1-s.InitialCapacityShare)*progress)
 }
 
-// ServerID is the id of the n-th server. Ids carry no order.
+// ServerID returns the ID of the n-th server. IDs are not in the order of n.
 func ServerID(n int) string {
-	const multiplier = 2654435761 // odd, so that distinct numbers have distinct products
+	const multiplier = 2654435761 // odd, so that numbers below 2^20 have distinct products modulo 2^20
 	return fmt.Sprintf("s-%05x", uint32(n)*multiplier&0xfffff)
 }
--- a/internal/fakes/wire.go
+++ b/internal/fakes/wire.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Names of the relay's protocol: paths, form fields and words as the platform's pages give them.
+// Names of the relay's protocol: paths, form fields and separators, as documented by the platform.
 const (
 	callPath      = "/v3/kv/"
 	eventsPath    = "/v3/kv/stream"
@@ -16,8 +16,8 @@
 	commandSeparator = ";"
 	wordSeparator    = ","
 	classSeparator   = "+"
-	anyTable         = "*" // in place of a table's number
-	anyClass         = "*" // in place of a class's name
+	anyTable         = "*" // stands for all tables
+	anyClass         = "*" // stands for all classes
 
 	answerAccepted = `<?xml version="1.0"?><Response><items><item><taken>%d</taken></item></items></Response>`
 	answerError    = `<?xml version="1.0"?><Response><error>%s</error></Response>`
@@ -25,13 +25,13 @@
 	errorSyntax    = "SYNTAX"
 )
 
-// Largest call that the relay reads, and most bytes of commands in one.
+// Maximum number of bytes that the relay reads of a call, and maximum number of bytes of the commands in it.
 const (
 	maxCallBytes     = 1 << 20
 	maxCommandsBytes = 60_000
 )
 
-// Words of the relay's commands.
+// First words of the relay's commands.
 const (
 	wordSetWeight  = "share"
 	wordResetTable = "clear"
@@ -49,31 +49,31 @@
 	eventApplied      = "applied"
 )
 
-// event is one event of the relay's stream.
+// event is one event of the relay's event stream.
 type event struct {
 	name string
 	data string
 }
 
-// connected is the event of a proxy that is connected and on no table.
+// connected returns the event of a proxy that has connected and has no table.
 func connected(p *proxy) event {
 	return event{eventConnected, fmt.Sprintf("id=%d&site=%s&rps=%g&new=1", p.id, p.zone, p.requestRate)}
 }
 
-// disconnected is the event of a proxy that left.
+// disconnected returns the event of a proxy that has disconnected.
 func disconnected(proxy int) event {
 	return event{eventDisconnected, fmt.Sprintf("id=%d", proxy)}
 }
 
-// applied is the event of a proxy that acknowledges a barrier, some milliseconds after the call.
+// applied returns the event of a proxy that acknowledges a barrier, with the milliseconds since the call.
 func applied(proxy, barrier int, milliseconds float64) event {
 	return event{eventApplied, fmt.Sprintf("id=%d&seq=%d&ms=%.1f", proxy, barrier, milliseconds)}
 }
 
-// encode is the event as it stands in the stream.
+// encode returns the event in the format of the event stream.
 func (e event) encode() string {
 	return "event: " + e.name + "\ndata: " + e.data + "\n\n"
 }
 
-// splitClasses gives the names in a list of classes.
+// splitClasses returns the class names in a list of classes.
 func splitClasses(text string) []string { return strings.Split(text, classSeparator) }
--- a/internal/fakes/wire_test.go
+++ b/internal/fakes/wire_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Each command keeps its form on the wire.
-func TestCommandsKeepTheirFormOnTheWire(t *testing.T) {
+// Valid commands must be parsed into their fields, and malformed ones rejected.
+func TestCommandWireFormat(t *testing.T) {
 	for text, want := range map[string]command{
 		"share,3,s-1,0.5":      setWeight{3, "s-1", 0.5},
 		"share,0,s-1,0":        setWeight{0, "s-1", 0},
@@ -45,22 +45,22 @@
 		got, ok := parseCommand(text)
 		switch {
 		case want == nil && ok:
-			t.Errorf("%q is read as %#v", text, got)
+			t.Errorf("%q is parsed as %#v, want it rejected", text, got)
 		case want != nil && (!ok || !reflect.DeepEqual(got, want)):
-			t.Errorf("%q is read as %#v %v, want %#v", text, got, ok, want)
+			t.Errorf("%q is parsed as %#v (ok: %v), want %#v", text, got, ok, want)
 		}
 	}
 }
 
-// Each event keeps its form on the wire.
-func TestEventsKeepTheirFormOnTheWire(t *testing.T) {
+// The encoding of events is part of the relay's protocol and must not change.
+func TestEventWireFormat(t *testing.T) {
 	for want, e := range map[string]event{
 		"event: joined\ndata: id=41&site=a&rps=6.5&new=1\n\n": connected(&proxy{id: 41, zone: "a", requestRate: 6.5}),
 		"event: left\ndata: id=41\n\n":                        disconnected(41),
 		"event: applied\ndata: id=41&seq=12&ms=412.5\n\n":     applied(41, 12, 412.5),
 	} {
 		if got := e.encode(); got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("encoded event %q, want %q", got, want)
 		}
 	}
 }
