--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -19,12 +19,12 @@
 
 // Endpoint is one entry of the endpoint list. The tags are the platform's field names.
 type Endpoint struct {
-	ID        string  `json:"instanceId"`
-	HostPort  string  `json:"hostPort"`
-	Zone      string  `json:"zone"`
-	Lifecycle string  `json:"lifecycle"` // up, draining or removed
-	Weight    float64 `json:"weight"`
-	Started   int64   `json:"startedAtMs"` // start time in Unix milliseconds; 0 if the server started long ago
+	ID          string  `json:"instanceId"`
+	HostPort    string  `json:"hostPort"`
+	Zone        string  `json:"zone"`
+	Lifecycle   string  `json:"lifecycle"` // up, draining or removed
+	Weight      float64 `json:"weight"`
+	StartedAtMs int64   `json:"startedAtMs"` // start time in Unix milliseconds; 0 if the server started long ago
 }
 
 // EndpointList is either the complete endpoint list or a set of changes to it.
--- a/internal/fakes/rule_checker.go
+++ b/internal/fakes/rule_checker.go
@@ -130,8 +130,8 @@
 		return
 	}
 	delete(c.drainPublishedAt, endpoint.ID)
-	if endpoint.Started > 0 {
-		c.serverStartedAt[endpoint.ID] = time.UnixMilli(endpoint.Started)
+	if endpoint.StartedAtMs > 0 {
+		c.serverStartedAt[endpoint.ID] = time.UnixMilli(endpoint.StartedAtMs)
 	}
 }
 
--- a/internal/fakes/rule_checker_test.go
+++ b/internal/fakes/rule_checker_test.go
@@ -76,7 +76,7 @@
 		},
 		"no cold server pushed over": func(r *Relay) {
 			now := time.Now()
-			r.Rules.EndpointChanged(now, Endpoint{ID: ServerID(0), Lifecycle: "up", Started: now.UnixMilli()})
+			r.Rules.EndpointChanged(now, Endpoint{ID: ServerID(0), Lifecycle: "up", StartedAtMs: now.UnixMilli()})
 			r.site.ServerCapacity = 1
 			r.Rules.site.ServerCapacity = 1
 			r.Rules.checkWarmingServers(now, r.requestRate)
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -135,7 +135,7 @@
 	defer s.mu.Unlock()
 	endpoint := Endpoint{ID: s.ID, HostPort: s.Address, Zone: s.Zone, Lifecycle: lifecycle, Weight: 1}
 	if !s.started.IsZero() {
-		endpoint.Started = s.started.UnixMilli()
+		endpoint.StartedAtMs = s.started.UnixMilli()
 	}
 	return endpoint
 }
--- a/internal/scale/messages.go
+++ b/internal/scale/messages.go
@@ -98,6 +98,6 @@
 		return s.scenario.endpoint(s.site, server, "draining")
 	}
 	endpoint := s.scenario.endpoint(s.site, server, "up")
-	endpoint.Started = scriptEpoch.Add(now).UnixMilli()
+	endpoint.StartedAtMs = scriptEpoch.Add(now).UnixMilli()
 	return endpoint
 }
