--- a/internal/node/collector_conn.go
+++ b/internal/node/collector_conn.go
@@ -12,24 +12,24 @@
 	"tamarindshore/internal/config"
 )
 
-// collectorConn is a connection to the manager's address. Until it has reported something it has one fixed deadline,
-// whatever it sends. One goroutine at a time handles its lines; state, zone and lastReport are written under the
-// receiver's lock, since others read them.
+// collectorConn is a connection accepted at the manager's address. Until its first report it has one fixed deadline,
+// which nothing it sends restarts. Only one goroutine at a time handles its lines; state, zone and lastReport are written
+// under the receiver's lock because other goroutines read them.
 type collectorConn struct {
 	deadlineConn
-	state        collectorState
-	zone         balancer.ZoneID // once it is named
-	lastReport   time.Time       // or when it was accepted; renewed at most once in Limits.LastSeenPrecision
-	idleMessages int             // in a row, that report nothing
+	state         collectorState
+	zone          balancer.ZoneID // empty while state is collectorUnnamed
+	lastReport    time.Time       // initially the time of acceptance; updated at most once per Limits.LastSeenPrecision
+	emptyMessages int             // consecutive messages that are not a valid report
 }
 
-// collectorState says what a connection has shown of itself.
+// collectorState says how far a connection has identified itself as a collector's.
 type collectorState int
 
 const (
 	collectorUnnamed   collectorState = iota
-	collectorNamed                    // it has said which zone it reports for
-	collectorReporting                // and has reported something
+	collectorNamed                    // it has named the zone it reports for
+	collectorReporting                // it has named its zone and sent a report
 )
 
 func (c *collectorConn) named() bool    { return c.state != collectorUnnamed }
@@ -46,8 +46,8 @@
 	return conn
 }
 
-// evictedBefore orders connections for eviction: those that never reported anything come first, then the longest
-// silent. Guards against connections of others that name themselves collectors.
+// evictedBefore orders connections for eviction: first those that never sent a report, then those whose last report is
+// oldest. This way clients that only claim to be collectors can't displace collectors that report.
 func (c *collectorConn) evictedBefore(other *collectorConn) bool {
 	if c.reported() != other.reported() {
 		return !c.reported()
@@ -56,14 +56,14 @@
 }
 
 var (
-	errReportsNothing = errors.New("reports nothing")
-	errZoneNotNamed   = errors.New("a collector names its zone first")
+	errTooManyEmptyMessages = errors.New("too many consecutive messages without a report")
+	errZoneNotNamed         = errors.New("the first message must name the collector's zone")
 )
 
-// pong answers a ping.
+// pong is the reply to a ping.
 const pong = "pong\r\n"
 
-// serveConn reads one connection's lines until it ends, sends what can't be read, or is silent for too long.
+// serveConn reads one connection's lines until it is closed, sends unreadable input or misses its deadline.
 func (r *receiver) serveConn(conn *collectorConn) {
 	maxLength := func() int { return r.maxLineLength(conn) }
 	err := recoverPanic(r.metrics, "collector", func() error {
@@ -72,13 +72,13 @@
 	r.closeConn(conn, err)
 }
 
-// decodeLine decodes a line of a collector.
+// decodeLine decodes a line sent by a collector.
 func (r *receiver) decodeLine(text string) decodedLine {
 	message, err := r.decoder.parseLine(text)
 	return decodedLine{text: text, message: message, err: err}
 }
 
-// receiveLine decodes a line and carries out what it asks for; an error ends the connection.
+// receiveLine decodes a line, then answers a ping or enqueues a report; an error ends the connection.
 func (r *receiver) receiveLine(conn *collectorConn, text string) error {
 	line := r.decodeLine(text)
 	reported, pinged, err := r.handleLine(conn, time.Now(), line)
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// maxLineLength is the most bytes of a line from a connection.
+// maxLineLength returns the maximum length in bytes of a line on a connection.
 func (r *receiver) maxLineLength(conn *collectorConn) int {
 	if conn.reported() {
 		return r.limits.MaxCollectorLineBytes
@@ -105,7 +105,7 @@
 	return r.limits.MaxUnidentifiedLineBytes
 }
 
-// sendPongs answers a number of pings, once the manager may be used.
+// sendPongs answers a number of pings; before the manager is ready it sends nothing.
 func (r *receiver) sendPongs(conn *collectorConn, count int) error {
 	if !r.isReady() {
 		return nil
@@ -114,7 +114,7 @@
 	return err
 }
 
-// closeConn ends a connection, for a reason that is counted.
+// closeConn closes and unregisters a connection and counts the reason, err, in the metrics.
 func (r *receiver) closeConn(conn *collectorConn, err error) {
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF):
@@ -131,20 +131,20 @@
 	r.removeConn(conn)
 }
 
-// handleLine handles one decoded line of a connection, and gives the sample that is to be handed on, if it is one, and
-// whether a ping is to be answered; an error ends the connection. A malformed message is dropped alone, but many messages
-// in a row that report nothing end the connection too: the rest can't be read either, or pings take the time that
-// decisions need.
+// handleLine handles one decoded line of a connection. It returns the sample to pass on if the line is one, and whether
+// a ping is to be answered; an error ends the connection. A malformed message is dropped on its own, but too many
+// consecutive messages without a report end the connection: either everything else on it is malformed too, or its pings
+// take up the time needed for decisions.
 func (r *receiver) handleLine(conn *collectorConn, now time.Time, line decodedLine) (reported sample, pinged bool, end error) {
-	name, naming := line.message.(collectorName)
+	name, naming := line.message.(collectorIdentity)
 	_, isPing := line.message.(ping)
 	switch {
 	case errors.Is(line.err, errUnreadable):
 		return nil, false, line.err
-	case conn.idleMessages >= r.limits.MaxEmptyMessages && (line.err != nil || naming || isPing):
-		return nil, false, errors.Join(errUnreadable, errReportsNothing)
+	case conn.emptyMessages >= r.limits.MaxEmptyMessages && (line.err != nil || naming || isPing):
+		return nil, false, errors.Join(errUnreadable, errTooManyEmptyMessages)
 	case isPing:
-		conn.idleMessages++
+		conn.emptyMessages++
 		r.metrics.add(pings, 1)
 		return nil, true, nil
 	case !conn.named() && !naming:
@@ -152,16 +152,17 @@
 	case line.err != nil:
 		return nil, false, r.dropLine(conn, line)
 	case naming:
-		conn.idleMessages++
+		conn.emptyMessages++
 		r.registerCollector(conn, name.zone)
 		return nil, false, nil
 	}
-	r.noteReport(conn, now)
+	r.recordReport(conn, now)
 	reported, _ = line.message.(sample)
 	return reported, false, nil
 }
 
-// dropLine counts a malformed message; it ends the connection where that has not named itself.
+// dropLine counts and logs a malformed message. It returns an error, which ends the connection, if that has not named
+// its zone yet.
 func (r *receiver) dropLine(conn *collectorConn, line decodedLine) error {
 	if line.err == errUnknownName {
 		r.metrics.add(unknownNames, 1)
@@ -169,16 +170,17 @@
 		r.metrics.add(malformedMessages, 1)
 	}
 	r.metrics.logLimited("malformed_message", "from", conn.RemoteAddr().String(), "line", excerpt(line.text), "error", line.err)
-	conn.idleMessages++
+	conn.emptyMessages++
 	if !conn.named() {
 		return errors.Join(errUnreadable, line.err)
 	}
 	return nil
 }
 
-// noteReport notes that a connection reported something: from the first report on it has an idle timeout.
-func (r *receiver) noteReport(conn *collectorConn, now time.Time) {
-	conn.idleMessages = 0
+// recordReport records that a connection sent a report. From the first report on, the idle timeout replaces the
+// connection's fixed deadline.
+func (r *receiver) recordReport(conn *collectorConn, now time.Time) {
+	conn.emptyMessages = 0
 	if conn.reported() && now.Sub(conn.lastReport) <= r.limits.LastSeenPrecision {
 		return
 	}
@@ -189,9 +191,9 @@
 	conn.startIdleTimeout(r.limits.CollectorIdleTimeout)
 }
 
-// registerCollector notes whose collector a connection is. Where no other of its zone reports, it may have nothing to
-// report for a while; where one does, it keeps the deadline of the unnamed. Guards against others that know a zone's
-// name.
+// registerCollector records the zone that a connection reports for. If no other connection reports for that zone, the
+// deadline is extended: there may be nothing to report for a while. If one does, the connection keeps the deadline it
+// has, so that a client that merely knows a zone's name can't hold a connection open.
 func (r *receiver) registerCollector(conn *collectorConn, zone balancer.ZoneID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,7 +211,7 @@
 	conn.postponeDeadline(r.limits.CollectorIdleTimeout)
 }
 
-// maxExcerpt is how many bytes of a message a log line shows.
-const maxExcerpt = 200
+// maxExcerptBytes is the length to which a message is cut in a log line.
+const maxExcerptBytes = 200
 
-func excerpt(line string) string { return line[:min(len(line), maxExcerpt)] }
+func excerpt(line string) string { return line[:min(len(line), maxExcerptBytes)] }
--- a/internal/node/collector_messages.go
+++ b/internal/node/collector_messages.go
@@ -5,16 +5,17 @@
 	"tamarindshore/internal/sharding"
 )
 
-// collectorMessage is what a line of a collector says. The set is closed: ping, collectorName and the samples.
+// collectorMessage is a decoded line of a collector: a ping, a collectorIdentity or a sample. There are no other
+// implementations.
 type collectorMessage interface{ isCollectorMessage() }
 
-// ping asks for a pong, as a sign of life.
+// ping asks the manager for a pong, to check that it is alive.
 type ping struct{}
 
-// collectorName says which zone a connection's collector reports for.
-type collectorName struct{ zone balancer.ZoneID }
+// collectorIdentity names the zone that a connection's collector reports for.
+type collectorIdentity struct{ zone balancer.ZoneID }
 
-// sample is a collector's message that the router handles: a load report or a usage report.
+// sample is a collector's message that is passed on to the router: a load report or a usage report.
 type sample interface {
 	collectorMessage
 	input
@@ -28,45 +29,45 @@
 // usageReport is a collector's report on one proxy.
 type usageReport struct{ balancer.UsageReport }
 
-func (ping) isCollectorMessage()          {}
-func (collectorName) isCollectorMessage() {}
-func (loadReport) isCollectorMessage()    {}
-func (usageReport) isCollectorMessage()   {}
+func (ping) isCollectorMessage()              {}
+func (collectorIdentity) isCollectorMessage() {}
+func (loadReport) isCollectorMessage()        {}
+func (usageReport) isCollectorMessage()       {}
 
 func (in loadReport) handleBy(r *router)  { r.handleLoadReport(in.LoadReport) }
 func (in usageReport) handleBy(r *router) { r.handleUsageReport(in.UsageReport) }
 
-// queued is the sample as it waits for the router, where several cores decode.
+// queued returns the sample in the form that sampleQueue holds, which is used when several cores decode.
 func (in loadReport) queued() sharding.Sample { return sharding.LoadSample{LoadReport: in.LoadReport} }
 func (in usageReport) queued() sharding.Sample {
 	return sharding.UsageSample{UsageReport: in.UsageReport}
 }
 
-// sampleCounts is how many samples of each kind were received.
+// sampleCounts holds the number of samples received, by kind.
 type sampleCounts struct {
-	reports      int64
-	reportedLoad int64 // reports that tell the requests in flight
-	usages       int64
+	loadReports  int64
+	withInFlight int64 // load reports that state the requests in flight
+	usageReports int64
 }
 
 func (in loadReport) counts() sampleCounts {
-	counts := sampleCounts{reports: 1}
+	counts := sampleCounts{loadReports: 1}
 	if in.InFlight >= 0 {
-		counts.reportedLoad = 1
+		counts.withInFlight = 1
 	}
 	return counts
 }
 
-func (usageReport) counts() sampleCounts { return sampleCounts{usages: 1} }
+func (usageReport) counts() sampleCounts { return sampleCounts{usageReports: 1} }
 
 func (c *sampleCounts) add(more sampleCounts) {
-	c.reports += more.reports
-	c.reportedLoad += more.reportedLoad
-	c.usages += more.usages
+	c.loadReports += more.loadReports
+	c.withInFlight += more.withInFlight
+	c.usageReports += more.usageReports
 }
 
 func (c sampleCounts) addTo(m *metrics) {
-	m.add(reportsIn, c.reports)
-	m.add(loadsIn, c.reportedLoad)
-	m.add(usagesIn, c.usages)
+	m.add(reportsIn, c.loadReports)
+	m.add(loadsIn, c.withInFlight)
+	m.add(usagesIn, c.usageReports)
 }
--- a/internal/node/corrupting_proxy_test.go
+++ b/internal/node/corrupting_proxy_test.go
@@ -12,13 +12,14 @@
 	"tamarindshore/client/tables"
 )
 
-// corruptingProxy passes bytes on between the feed and its replicas, and corrupts half of the deltas while it is told to.
+// corruptingProxy forwards bytes between the feed and its replicas; while corrupt is set, it damages half of the deltas.
 type corruptingProxy struct {
-	feed    string // address
+	feed    string // the feed's address
 	corrupt *atomic.Bool
 }
 
-// startCorruptingProxy starts a corruptingProxy of a feed until the test ends, and gives its address.
+// startCorruptingProxy starts a corruptingProxy in front of a feed, and returns the proxy's address. The proxy stops when
+// the test ends.
 func startCorruptingProxy(t *testing.T, feed string, corrupt *atomic.Bool) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,8 +71,8 @@
 	}
 }
 
-// corruptFrame flips a bit of a frame or shortens it; or else its connection is to be cut, between a delta and its
-// acknowledgement.
+// corruptFrame flips a bit of a frame's body, truncates it, or returns cut, which means that the connection is to be
+// closed between the delta and its acknowledgement.
 func corruptFrame(body []byte, random *rand.Rand) (corrupted []byte, cut bool) {
 	switch random.IntN(3) {
 	case 0:
--- a/internal/node/deadline_conn.go
+++ b/internal/node/deadline_conn.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// deadlineConn is a connection whose peer must send something by a deadline. What the kernel holds when the deadline
-// has passed is still read, once. Guards against dropping healthy peers after this process was stalled. One goroutine
-// reads; others may write and move the deadline.
+// deadlineConn is a connection whose peer must send something by a deadline. After the deadline one more read is made,
+// for data that the kernel has already received: if this process was stalled, a healthy peer must not be dropped. One
+// goroutine reads; others may write and move the deadline.
 type deadlineConn struct {
 	net.Conn
-	grace        time.Duration // of the read after the deadline has passed
+	grace        time.Duration // how long the read after the deadline may take
 	writeTimeout time.Duration
-	readErr      error // of the last read; of the reading goroutine
+	readErr      error // of the last read; used by the reading goroutine only
 	pace         readPace
 
-	mu            sync.Mutex // of all below
+	mu            sync.Mutex // guards the fields below
 	idleTimeout   time.Duration
 	deadline      time.Time
-	graceUsed     bool // the read after the deadline was made
-	fixedDeadline bool // no read or write moves the deadline
+	graceUsed     bool // the one read after the deadline has been made
+	fixedDeadline bool // neither reads nor writes move the deadline
 }
 
 // extendDeadline restarts the idle timeout, unless the deadline is fixed.
@@ -34,13 +34,13 @@
 	}
 }
 
-// restartIdleTimeout gives the peer the idle timeout from now on. mu is held.
+// restartIdleTimeout sets the deadline to the idle timeout from now. The caller holds mu.
 func (c *deadlineConn) restartIdleTimeout() {
 	c.deadline = time.Now().Add(c.idleTimeout)
 	c.graceUsed = false
 }
 
-// startIdleTimeout ends a fixed deadline: from now on the peer must send something within the timeout each time.
+// startIdleTimeout replaces a fixed deadline by an idle timeout, which restarts whenever the peer sends something.
 func (c *deadlineConn) startIdleTimeout(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,21 +49,22 @@
 	c.restartIdleTimeout()
 }
 
-// postponeDeadline moves the deadline by a duration.
+// postponeDeadline moves the deadline into the future by a duration.
 func (c *deadlineConn) postponeDeadline(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = c.deadline.Add(by)
 }
 
-// currentDeadline gives the deadline, and whether the read after it was made.
+// currentDeadline returns the deadline, and whether the one read after it has been made.
 func (c *deadlineConn) currentDeadline() (deadline time.Time, graceUsed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.deadline, c.graceUsed
 }
 
-// Read waits until a read is due, and reads until the deadline, and once more within the grace after it.
+// Read waits for the read pace, then reads until the deadline. If the deadline passes, it reads once more, for at most
+// the grace.
 func (c *deadlineConn) Read(buffer []byte) (int, error) {
 	c.pace.beforeRead()
 	n, err := c.readByDeadline(buffer)
@@ -95,7 +96,7 @@
 	return c.Conn.Read(buffer)
 }
 
-// Write writes within the write timeout and then waits for an answer.
+// Write writes within the write timeout, then restarts the idle timeout, within which the peer must answer.
 func (c *deadlineConn) Write(data []byte) (int, error) {
 	c.Conn.SetWriteDeadline(time.Now().Add(c.writeTimeout))
 	n, err := c.Conn.Write(data)
@@ -103,11 +104,11 @@
 	return n, err
 }
 
-// SetDeadline does nothing: the deadlines of the HTTP library are not used.
+// SetDeadline does nothing: deadlines set by the HTTP library are ignored.
 func (c *deadlineConn) SetDeadline(time.Time) error { return nil }
 
-// SetReadDeadline does nothing: the deadlines of the HTTP library are not used.
+// SetReadDeadline does nothing: deadlines set by the HTTP library are ignored.
 func (c *deadlineConn) SetReadDeadline(time.Time) error { return nil }
 
-// SetWriteDeadline does nothing: the deadlines of the HTTP library are not used.
+// SetWriteDeadline does nothing: deadlines set by the HTTP library are ignored.
 func (c *deadlineConn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/node/decoder.go
+++ b/internal/node/decoder.go
@@ -13,11 +13,12 @@
 	"tamarindshore/internal/config"
 )
 
-// errUnknownName is the error of a message that names an unknown zone or traffic class. The message is dropped like a
-// malformed one, and the connection goes on. errUnreadable is the error of what is no message, which ends the connection.
 var (
-	errUnknownName = errors.New("names what the site does not")
-	errUnreadable  = errors.New("unreadable")
+	// errUnknownName is the error of a message that names an unknown zone or traffic class, or of an event of an unknown
+	// kind. The message is dropped like a malformed one and its connection stays open.
+	errUnknownName = errors.New("unknown zone, traffic class or event kind")
+	// errUnreadable is the error of input that is not a message at all; it ends the connection.
+	errUnreadable = errors.New("unreadable input")
 )
 
 // Kinds of lines that collectors send.
@@ -28,38 +29,38 @@
 	kindUsageReport = "usage"
 )
 
-// Names of the requests in flight in a load report.
+// Keys under which a load report may state the requests in flight.
 const (
 	loadInFlight    = "inflight"
 	loadOutstanding = "outstanding"
 )
 
-// Kinds of events that the relay's stream tells.
+// Kinds of events on the relay's stream.
 const (
 	eventJoined  = "joined"
 	eventLeft    = "left"
 	eventApplied = "applied"
 )
 
-// Bounds by the protocol.
+// Bounds set by the protocol.
 const (
 	maxProxyNumber = 65535
 	maxBarrier     = 65535
 )
 
-// decoder decodes and checks each message once. It owns the names on the wire and the names of the site's zones and
-// traffic classes; what it returns has none of them. It must never keep a message, call the balancer or guess a value
-// that was not sent. It is safe for concurrent use.
+// decoder decodes and validates each message once. It translates the names on the wire and the site's names of zones and
+// traffic classes; the decoded messages have typed fields and IDs instead. The decoder must never keep a message, call the
+// balancer or guess a value that was not sent. It is safe for concurrent use.
 type decoder struct {
 	zones       map[string]balancer.ZoneID
 	classes     map[string]balancer.ClassID
-	startedAt   time.Time     // of the router's clock
-	maxFields   int           // of a line
-	maxProxyID  int           // highest number of a proxy
-	maxLatency  time.Duration // highest mean of a report
-	maxInterval time.Duration // of a report
-	maxRequests float64       // a second, and in flight
-	fields      sync.Pool     // of *fields, so that decoding a line allocates none
+	startedAt   time.Time // zero of the router's clock
+	maxFields   int       // per line
+	maxProxyID  int
+	maxLatency  time.Duration // highest mean latency in a report
+	maxInterval time.Duration // longest interval that a report covers
+	maxRequests float64       // highest number of requests per second, and of requests in flight
+	fields      sync.Pool     // of *fields, so that decoding a line allocates no new one
 }
 
 func newDecoder(settings balancer.Settings, classNames []string, startedAt time.Time, limits config.Limits) *decoder {
@@ -81,20 +82,20 @@
 	}
 	for class, name := range classNames {
 		d.classes[name] = balancer.ClassID(class)
-		d.maxLatency = max(d.maxLatency, 2*settings.Classes[class].Deadline) // means come with noise
+		d.maxLatency = max(d.maxLatency, 2*settings.Classes[class].Deadline) // twice the deadline, since reported means are noisy
 	}
 	return d
 }
 
-// decodedLine is what a line was decoded to.
+// decodedLine is a line with the message it was decoded into, or the error.
 type decodedLine struct {
 	text    string
-	message collectorMessage // nil where err says that there is none
+	message collectorMessage // nil if the line could not be decoded
 	err     error
 }
 
-// parseLine decodes a line that came to the manager's address: a kind and fields of the form name=value. With an error of
-// the fields it gives the message too, where its kind is known.
+// parseLine decodes a line that was sent to the manager's address: a kind, then fields of the form name=value. If only a
+// field is invalid, it returns the message along with the error, so that its type is known.
 func (d *decoder) parseLine(text string) (message collectorMessage, err error) {
 	kind, rest, _ := strings.Cut(strings.TrimSpace(text), " ")
 	switch kind {
@@ -102,7 +103,7 @@
 		message = ping{}
 	case kindCollector, kindLoadReport, kindUsageReport:
 	default:
-		return nil, errors.Join(errUnreadable, fmt.Errorf("%.40q is no kind of message", kind))
+		return nil, errors.Join(errUnreadable, fmt.Errorf("unknown message kind %.40q", kind))
 	}
 	f := d.fields.Get().(*fields)
 	defer func() {
@@ -110,11 +111,11 @@
 		d.fields.Put(f)
 	}()
 	if word, ok := f.split(rest, d.maxFields); !ok {
-		return message, fmt.Errorf("%.40q: up to %d words name=value are due", word, d.maxFields)
+		return message, fmt.Errorf("unexpected word %.40q: expected at most %d fields of the form name=value", word, d.maxFields)
 	}
 	switch kind {
 	case kindCollector:
-		message = collectorName{f.zone(d, "site")}
+		message = collectorIdentity{f.zone(d, "site")}
 	case kindLoadReport:
 		message = loadReport{d.parseLoadReport(f)}
 	case kindUsageReport:
@@ -123,30 +124,30 @@
 	return message, f.err
 }
 
-// parseLoadReport takes a collector's report on a server.
+// parseLoadReport reads the fields of a load report.
 func (d *decoder) parseLoadReport(f *fields) balancer.LoadReport {
 	report := balancer.LoadReport{Server: balancer.ServerID(f.text("target")), Zone: f.zone(d, "site"), InFlight: -1}
 	report.Attempts, report.Failed, report.Interval = f.reportCounts(d)
 	if report.Failed > report.Attempts {
-		f.fail("fail", "is more than count")
+		f.fail("fail", fmt.Sprintf("%d is more than the count of %d", report.Failed, report.Attempts))
 	}
-	if _, hasMean := f.value("mean"); hasMean || report.Failed < report.Attempts { // where none succeeded it may be missing
+	if _, hasMean := f.value("mean"); hasMean || report.Failed < report.Attempts { // the mean may be missing if no attempt succeeded
 		report.Latency = f.millis("mean")
 	}
 	if report.Latency > d.maxLatency || report.Failed < report.Attempts && report.Latency == 0 {
-		f.fail("mean", "is no time of an answer")
+		f.fail("mean", fmt.Sprintf("%v is not a latency above 0 and up to %v", report.Latency, d.maxLatency))
 	}
 	if text, hasLoad := f.value("util"); hasLoad && text != "" {
 		load, ok := parseLoad(text, ",", ":", d.maxRequests)
 		if !ok {
-			f.fail("util", "is no load report")
+			f.fail("util", fmt.Sprintf("%.40q is not a list of name:number pairs with at most %v requests in flight", text, d.maxRequests))
 		}
 		report.InFlight = load
 	}
 	return report
 }
 
-// parseUsageReport takes a collector's report on a proxy's usage.
+// parseUsageReport reads the fields of a usage report.
 func (d *decoder) parseUsageReport(f *fields) balancer.UsageReport {
 	usage := balancer.UsageReport{Proxy: balancer.ProxyID(f.integer("id", d.maxProxyID))}
 	usage.Requests, usage.Dropped, usage.Interval = f.reportCounts(d)
@@ -154,8 +155,8 @@
 	return usage
 }
 
-// parseEvent decodes an event of the relay's stream; an event of another kind is an unknown name. With an error of the
-// event's fields it gives the event too, so that its type is known.
+// parseEvent decodes an event of the relay's stream; for an unknown kind the error is errUnknownName. If only a field is
+// invalid, it returns the event along with the error, so that its type is known.
 func (d *decoder) parseEvent(kind, data string) (event proxyEvent, err error) {
 	if kind != eventJoined && kind != eventLeft && kind != eventApplied {
 		return nil, errUnknownName
@@ -180,9 +181,9 @@
 	return event, f.err
 }
 
-// parseLoad gives the requests in flight that a load report tells, -1 where it tells none; false where a figure is
-// malformed. Its pairs are split by pairSeparator, a pair by valueSeparator. The requests in flight come under the
-// protocol's name or under that of the settings.
+// parseLoad returns the requests in flight stated in a list of load figures, or -1 if the list does not state them; ok is
+// false if a figure is malformed or out of range. Pairs are separated by pairSeparator, key and figure by valueSeparator.
+// The key is the protocol's name for the requests in flight or the name used in the settings.
 func parseLoad(text, pairSeparator, valueSeparator string, limit float64) (inFlight float64, ok bool) {
 	inFlight = -1
 	for _, pair := range strings.Split(text, pairSeparator) {
--- a/internal/node/decoder_pool.go
+++ b/internal/node/decoder_pool.go
@@ -8,18 +8,18 @@
 	"tamarindshore/internal/sharding"
 )
 
-// decoderPool decodes the connections of collectors on several cores: each connection's bytes are read by a goroutine of
-// its own, its lines are decoded by the worker of the shard that owns it, and the samples wait in one queue for the
-// router. Package sharding decides which shard owns a connection. The pool owns the workers, the chunks that were read
-// and not yet delivered, and the assigner's clock; it must never deliver a chunk twice, out of order, or under an epoch
-// that is over, nor delay the decisions. Its goroutines end with the receiver's stop.
+// decoderPool decodes the lines of collectors on several cores. Each connection is read by a goroutine of its own and
+// decoded by the worker of the shard that owns it; the samples wait in one queue for the router. Package sharding decides
+// which shard owns a connection. The pool owns the workers, the chunks that were read and not yet delivered, and the
+// assigner's clock. It must never deliver a chunk twice, out of order or under an outdated epoch, nor delay the router's
+// decisions. Its goroutines end when the receiver stops.
 type decoderPool struct {
 	receiver  *receiver
 	samples   *sampleQueue
 	startedAt time.Time
 	decode    func(line string) decodedLine
 
-	mu         sync.Mutex // of all below; locked before that of a shardConn
+	mu         sync.Mutex // guards the fields below; locked before a shardConn's mu
 	assigner   *sharding.Assigner
 	settings   sharding.Settings
 	conns      map[sharding.ConnID]*shardConn
@@ -51,14 +51,14 @@
 
 func (p *decoderPool) now() time.Duration { return time.Since(p.startedAt) }
 
-// notifyAssigner gives the assigner one input and carries out what it decides.
+// notifyAssigner passes one input to the assigner and applies the resulting actions.
 func (p *decoderPool) notifyAssigner(input func(now time.Duration) sharding.Actions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.apply(input)
 }
 
-// apply carries out what the assigner decides on one input. mu is held.
+// apply passes one input to the assigner and applies the resulting actions. The caller holds mu.
 func (p *decoderPool) apply(input func(now time.Duration) sharding.Actions) {
 	actions := input(p.now())
 	for _, assignment := range actions.Drain {
@@ -75,7 +75,7 @@
 	for _, id := range actions.Close {
 		if conn := p.conns[id]; conn != nil {
 			conn.collector.Close()
-			go p.endConn(conn, errors.Join(errUnreadable, errShardsFailed)) // it locks mu
+			go p.endConn(conn, errors.Join(errUnreadable, errShardsFailed)) // in a goroutine, because endConn locks mu
 		}
 	}
 	for _, record := range actions.LogRecords {
@@ -84,9 +84,9 @@
 }
 
 // errShardsFailed ends a connection whose lines made the workers of several shards panic.
-var errShardsFailed = errors.New("several shards failed on it")
+var errShardsFailed = errors.New("the connection's lines made the workers of several shards panic")
 
-// assign gives a connection to an owner. mu is held.
+// assign makes an owner responsible for a connection. The caller holds mu.
 func (p *decoderPool) assign(assignment sharding.Assignment) {
 	if assignment.Owner.Epoch > 1 {
 		p.receiver.metrics.add(shardMoves, 1)
@@ -97,29 +97,29 @@
 	}
 }
 
-// schedule queues a connection for its owner's worker, unless it has another owner by now. With release the owner is to
-// release it. mu is held.
+// schedule queues a connection for the worker of the assignment's owner, unless another shard owns it by now. If release
+// is set, the owner must release the connection. The caller holds mu.
 func (p *decoderPool) schedule(assignment sharding.Assignment, release bool) {
 	conn := p.conns[assignment.Conn]
 	if conn == nil {
 		return
 	}
-	if conn.queueFor(assignment.Owner, release) {
+	if conn.markQueued(assignment.Owner, release) {
 		p.workers[assignment.Owner.Shard].enqueue(conn)
 	}
 }
 
-// wake queues a connection for the worker of its present owner.
+// wake queues a connection for the worker of its current owner.
 func (p *decoderPool) wake(conn *shardConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.schedule(sharding.Assignment{Conn: conn.id, Owner: conn.currentOwner()}, false)
 }
 
-// readConn reads a connection's bytes until it ends; the owner of its shardConn does the rest.
+// readConn reads a connection's bytes until it ends; the shard that owns the connection decodes and closes it.
 func (p *decoderPool) readConn(collector *collectorConn) {
 	conn := p.register(collector)
-	size := p.receiver.limits.ReadChunkBytes / 4 // until a read shows that the connection sends more
+	size := p.receiver.limits.ReadChunkBytes / 4 // until a read fills the chunk
 	for {
 		chunk := make([]byte, size)
 		n, err := collector.Read(chunk)
@@ -136,7 +136,7 @@
 	}
 }
 
-// register gives a connection its number and its first owner.
+// register gives a connection its ID and has the assigner choose its first owner.
 func (p *decoderPool) register(collector *collectorConn) *shardConn {
 	conn := &shardConn{collector: collector, chunkDone: make(chan struct{}, 1)}
 	p.mu.Lock()
@@ -148,7 +148,8 @@
 	return conn
 }
 
-// pushChunk appends a chunk that was read; it waits while there are too many. False once nothing more is wanted.
+// pushChunk appends a chunk that was read, and waits while too many are queued. It returns false once the connection has
+// ended or the receiver stops.
 func (p *decoderPool) pushChunk(conn *shardConn, chunk []byte) bool {
 	for {
 		switch conn.tryPush(chunk, p.receiver.limits.MaxQueuedChunks) {
@@ -169,14 +170,14 @@
 	}
 }
 
-// endConn notes that nothing more is read of a connection, and why; its owner closes it.
+// endConn records that reading from a connection has ended, and why; the connection's owner closes it.
 func (p *decoderPool) endConn(conn *shardConn, err error) {
 	conn.markEnded(err)
 	p.wake(conn)
 }
 
-// runAssignerClock is the assigner's clock: it checks the workers, and once in a window reports the load of each
-// connection. It ends with the receiver's stop.
+// runAssignerClock checks the workers at each CheckInterval, and at each RebalanceInterval reports the load of every
+// connection to the assigner. It returns when the receiver stops.
 func (p *decoderPool) runAssignerClock() {
 	ticker := time.NewTicker(p.settings.CheckInterval)
 	defer ticker.Stop()
@@ -195,10 +196,10 @@
 	}
 }
 
-// workerIdle stands for a worker that waits, in place of how long it has been busy.
+// workerIdle is reported to the assigner as the busy time of a worker that is idle.
 const workerIdle = time.Duration(-1)
 
-// checkWorkers tells the assigner for how long each worker has been busy with one chunk.
+// checkWorkers tells the assigner how long each worker has been busy with its current chunk.
 func (p *decoderPool) checkWorkers() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,7 +214,7 @@
 	p.apply(func(now time.Duration) sharding.Actions { return p.assigner.HandleWorkerCheck(now, busyFor) })
 }
 
-// reportLoad tells the assigner how many cores each connection took in a window.
+// reportLoad tells the assigner how many cores each connection used during a window.
 func (p *decoderPool) reportLoad(window time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/decoder_test.go
+++ b/internal/node/decoder_test.go
@@ -12,10 +12,10 @@
 var testEpoch = time.UnixMilli(1_000_000)
 
 func testDecoder() *decoder {
-	t := testSettings
-	t.Classes = append(t.Classes, t.Classes...)
-	t.Proxies = 50
-	return newDecoder(t, []string{"lookup", "book"}, testEpoch, testLimits)
+	settings := testSettings
+	settings.Classes = append(settings.Classes, settings.Classes...)
+	settings.Proxies = 50
+	return newDecoder(settings, []string{"lookup", "book"}, testEpoch, testLimits)
 }
 
 func TestLineDecodesReports(t *testing.T) {
@@ -23,30 +23,31 @@
 	want := loadReport{balancer.LoadReport{Server: "s-1", Zone: "a", Attempts: 212, Failed: 3, Latency: 41700 * time.Microsecond,
 		Interval: time.Second, InFlight: 7}}
 	if in != want || err != nil {
-		t.Errorf("%T %+v %v", in, in, err)
+		t.Errorf("decoded to %T %+v, %v; expected %+v", in, in, err, want)
 	}
 	in, err = testDecoder().parseLine("heard site=b target=s-1 count=2 fail=2 over=1000")
 	if got := in.(loadReport); got.InFlight != -1 || got.Latency != 0 || err != nil {
-		t.Errorf("%+v %v", in, err)
+		t.Errorf("decoded to %+v, %v; expected no load and no latency", in, err)
 	}
 }
 
 func TestLineDecodesUsage(t *testing.T) {
 	in, err := testDecoder().parseLine("usage id=17 lane=book count=19 fail=1 over=1000.0")
 	if want := (usageReport{balancer.UsageReport{Proxy: 17, Class: 1, Requests: 19, Dropped: 1, Interval: time.Second}}); in != want || err != nil {
-		t.Errorf("%+v %v", in, err)
+		t.Errorf("decoded to %+v, %v; expected %+v", in, err, want)
 	}
 }
 
-// Guards against impossible figures that reach the balancer, and against noise that passes for a message.
+// Impossible figures must not reach the balancer, and input that is no message must end its connection instead of being
+// dropped as a malformed message.
 func TestLineDistinguishesMalformedFromUnreadable(t *testing.T) {
 	for text, want := range map[string]string{
 		"heard site=z target=s-1 count=2 fail=0 mean=1 over=1": errUnknownName.Error(),
 		"usage id=17 lane=none count=19 fail=0 over=1":         errUnknownName.Error(),
 		"collector site=z": errUnknownName.Error(),
 		"collector":        "site: is missing",
-		"":                 "is no kind",
-		"GET / HTTP/1.1":   "is no kind",
+		"":                 "unknown message kind",
+		"GET / HTTP/1.1":   "unknown message kind",
 		"usage id=50 lane=book count=19 fail=0 over=1":                              "id: ",
 		"usage id=1 lane=book count=-1 fail=0 over=1":                               "count: ",
 		"usage id=1 lane=book count=19 fail=0 over=NaN":                             "over: ",
@@ -63,48 +64,48 @@
 		"heard site=a target=s-1 count=2 fail=0 mean=1 over=1 util=inflight:1e9":    "util: ",
 		"heard site=a target=s-1 count=2 fail=0 mean=1 over=1 util=util:-1":         "util: ",
 		"heard site=a target=s-1 count=2 fail=0 mean=1 over=1 util=inflight:7,util": "util: ",
-		"sing":                               "is no kind",
-		"usage" + strings.Repeat(" a=b", 65): "up to 64 words",
+		"sing":                               "unknown message kind",
+		"usage" + strings.Repeat(" a=b", 65): "at most 64 fields",
 	} {
 		_, err := testDecoder().parseLine(text)
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, not %q", text, err, want)
+			t.Errorf("%q: error %v, expected one with %q", text, err, want)
 		}
-		var ofField *fieldError
-		if field, isField := strings.CutSuffix(want, ": "); isField && (!errors.As(err, &ofField) || ofField.field != field) {
-			t.Errorf("%q: %v is no error of the field %s", text, err, field)
+		var fieldErr *fieldError
+		if field, isField := strings.CutSuffix(want, ": "); isField && (!errors.As(err, &fieldErr) || fieldErr.field != field) {
+			t.Errorf("%q: error %v, expected a fieldError of %s", text, err, field)
 		}
-		if errors.Is(err, errUnreadable) != (want == "is no kind") {
-			t.Errorf("%q: %v: only what is no message ends its connection", text, err)
+		if errors.Is(err, errUnreadable) != (want == "unknown message kind") {
+			t.Errorf("%q: %v: exactly the errors of unknown message kinds must be errUnreadable", text, err)
 		}
 	}
 }
 
-func TestLoadIsTheRequestsInFlight(t *testing.T) {
+func TestLoadIsTheNumberOfRequestsInFlight(t *testing.T) {
 	for text, want := range map[string]float64{"inflight=7, queue=2": 7, "queue=2, outstanding=2.5": 2.5, "": -1, "queue=2": -1, "inflight=x": -1, "inflight=-1": -1, "inflight=101": -1} {
 		if got, ok := parseLoad(text, ",", "=", 100); got != want || ok != (strings.Contains(text, "2")) {
-			t.Errorf("%q: %v %v", text, got, ok)
+			t.Errorf("%q: %v requests in flight, ok %v; expected %v", text, got, ok, want)
 		}
 	}
 }
 
 func TestEventDecodesProxyEvents(t *testing.T) {
-	w := testDecoder()
+	d := testDecoder()
 	for data, want := range map[string]proxyEvent{
 		"joined id=17&site=a&rps=21.5&new=1": proxyConnected{17, "a", 21.5},
 		"left id=17":                         proxyDisconnected{17},
 		"applied id=17&seq=905&ms=310.4":     barrierAck{17, 905},
 	} {
 		kind, text, _ := strings.Cut(data, " ")
-		if in, err := w.parseEvent(kind, text); in != want || err != nil {
-			t.Errorf("%s: %+v %v", data, in, err)
+		if in, err := d.parseEvent(kind, text); in != want || err != nil {
+			t.Errorf("%s: decoded to %+v, %v; expected %+v", data, in, err, want)
 		}
 	}
-	if _, err := w.parseEvent("joined", "id=17&site=z&rps=1&new=1"); err != errUnknownName {
-		t.Error(err)
+	if _, err := d.parseEvent("joined", "id=17&site=z&rps=1&new=1"); err != errUnknownName {
+		t.Errorf("unknown zone: error %v, expected %v", err, errUnknownName)
 	}
-	if _, err := w.parseEvent("left", "id=x"); err == nil || err == errUnknownName {
-		t.Error(err)
+	if _, err := d.parseEvent("left", "id=x"); err == nil || err == errUnknownName {
+		t.Errorf("malformed id: error %v, expected one of the field", err)
 	}
 }
 
@@ -115,21 +116,21 @@
 		{"instanceId":"s-3","hostPort":"127.0.0.1:3","zone":"z","lifecycle":"up","startedAtMs":0},
 		{"instanceId":"s-4","zone":"b","lifecycle":"removed"}]}`))
 	if err != nil || unknown != 1 || !in.snapshot || in.generation != 43 || len(in.entries) != 3 {
-		t.Fatalf("%+v %d %v", in, unknown, err)
+		t.Fatalf("decoded to %+v with %d unknown zones, %v", in, unknown, err)
 	}
 	if e := in.entries[0]; !e.RecentlyStarted || e.Started != 2500*time.Millisecond || e.Weight != 1.5 || in.addresses["s-1"] != "127.0.0.1:1" {
-		t.Errorf("%+v", e)
+		t.Errorf("s-1: %+v at %q", e, in.addresses["s-1"])
 	}
 	if e := in.entries[1]; e.RecentlyStarted || e.State != balancer.Draining || e.Weight != 1 {
-		t.Errorf("%+v", e)
+		t.Errorf("s-2: %+v", e)
 	}
 	_, hasAddress := in.addresses["s-4"]
 	if in.entries[2].State != balancer.Removed || hasAddress {
-		t.Errorf("%+v %v", in.entries[2], hasAddress)
+		t.Errorf("s-4: %+v, has an address: %v", in.entries[2], hasAddress)
 	}
 }
 
-func TestListNamesWhatIsWrong(t *testing.T) {
+func TestListErrorsNameTheField(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"generation":1`:               "JSON",
 		`{"reset":true,"instances":[]}`: "generation",
@@ -139,11 +140,11 @@
 	} {
 		_, _, err := testDecoder().parseList([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, not %q", text, err, want)
+			t.Errorf("%s: error %v, expected one with %q", text, err, want)
 		}
-		var ofField *fieldError
-		if errors.As(err, &ofField) == (want == "JSON") {
-			t.Errorf("%s: %v: only what is valid JSON has an error of a field", text, err)
+		var fieldErr *fieldError
+		if errors.As(err, &fieldErr) == (want == "JSON") {
+			t.Errorf("%s: error %v: exactly the errors of valid JSON must be fieldErrors", text, err)
 		}
 	}
 }
--- a/internal/node/line_fields.go
+++ b/internal/node/line_fields.go
@@ -9,33 +9,34 @@
 	"tamarindshore/balancer"
 )
 
-// Bounds of the figures that a message may tell.
+// Bounds of the numbers in a message.
 const (
 	maxNumber = 1e12
 	maxCount  = 1 << 40
 )
 
-// fieldError is the error of a message with a field that is missing or out of range.
+// fieldError is the error of a message with a field that is missing or invalid.
 type fieldError struct {
-	field   string // as on the wire
-	problem string // what was expected, or what came
+	field   string // name on the wire
+	problem string // what was found or expected
 }
 
 func (e *fieldError) Error() string { return e.field + ": " + e.problem }
 
-// field is one name=value of a message.
+// field is one name=value pair of a message.
 type field struct {
 	name  string
 	value string
 }
 
-// fields gives the values of one message; the first error stays in err. It is for one goroutine.
+// fields holds the fields of one message and converts their values. The first error is kept in err. It is not safe for
+// concurrent use.
 type fields struct {
 	all []field
 	err error
 }
 
-// reset empties fields, which keep their memory.
+// reset removes all fields and the error, and keeps the allocated memory.
 func (f *fields) reset() {
 	f.all = f.all[:0]
 	f.err = nil
@@ -50,7 +51,8 @@
 	return "", false
 }
 
-// split parses words of the form name=value, up to a limit; where that fails it gives the word at fault.
+// split parses words of the form name=value, at most limit of them. If a word is malformed or one too many, it returns
+// that word and false.
 func (f *fields) split(text string, limit int) (word string, ok bool) {
 	start, equals := 0, -1
 	for i := 0; i <= len(text); i++ {
@@ -60,7 +62,7 @@
 				equals = i
 			}
 		case i < len(text) && text[i] != ' ' && text[i] != '\t':
-			// within a word
+			// inside a word
 		case i > start:
 			if equals < 0 || len(f.all) == limit {
 				return text[start:i], false
@@ -91,7 +93,7 @@
 func (f *fields) number(name string) float64 {
 	number, err := strconv.ParseFloat(f.text(name), 64)
 	if err != nil || math.IsNaN(number) || number < 0 || number > maxNumber {
-		f.fail(name, "is not a number from 0 up")
+		f.fail(name, fmt.Sprintf("is not a number from 0 to %g", float64(maxNumber)))
 		return 0
 	}
 	return number
@@ -100,7 +102,7 @@
 func (f *fields) integer(name string, limit int) int {
 	number, err := strconv.Atoi(f.text(name))
 	if err != nil || number < 0 || number > limit {
-		f.fail(name, fmt.Sprintf("is not a whole number from 0 to %d", limit))
+		f.fail(name, fmt.Sprintf("is not an integer from 0 to %d", limit))
 		return 0
 	}
 	return number
@@ -110,17 +112,18 @@
 	return time.Duration(f.number(name) * float64(time.Millisecond))
 }
 
-// reportCounts gives the interval of a report, the count of requests in it, and how many failed, which may have begun in
-// the interval before. Guards against counts that no interval makes possible, which would distort rates for seconds.
+// reportCounts returns the interval of a report, the number of requests in it, and how many failed; a failed request may
+// have started in an earlier interval. Counts that are impossible for the interval are rejected: they would distort rates
+// for seconds.
 func (f *fields) reportCounts(d *decoder) (count, failed int, interval time.Duration) {
 	count = f.integer("count", maxCount)
 	failed = f.integer("fail", maxCount)
 	interval = f.millis("over")
 	switch {
 	case interval <= 0 || interval > d.maxInterval:
-		f.fail("over", "is no span of a report")
+		f.fail("over", fmt.Sprintf("%v is not an interval above 0 and up to %v", interval, d.maxInterval))
 	case float64(max(count, failed)) > d.maxRequests*max(1, interval.Seconds()):
-		f.fail("count", "is more than the span makes possible")
+		f.fail("count", fmt.Sprintf("%d requests in %v are more than %v per second", max(count, failed), interval, d.maxRequests))
 	}
 	return count, failed, interval
 }
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -12,8 +12,8 @@
 	"tamarindshore/internal/config"
 )
 
-// listen waits a while for an address that is still in use. Guards against a start that fails because the process
-// before it has not ended yet.
+// listen opens a listener at an address. While the address is in use it retries, up to Limits.ListenTimeout: the previous
+// process may not have exited yet.
 func listen(ctx context.Context, address string, limits config.Limits) (net.Listener, error) {
 	deadline := time.Now().Add(limits.ListenTimeout)
 	for {
@@ -29,7 +29,7 @@
 	}
 }
 
-// acceptLoop accepts connections at the manager's address until the manager ends.
+// acceptLoop accepts connections at the manager's address until the manager stops.
 func (r *receiver) acceptLoop(listener net.Listener) {
 	for {
 		netConn, err := listener.Accept()
@@ -45,7 +45,7 @@
 		conn := newCollectorConn(netConn, r.limits, time.Now())
 		r.addConn(conn)
 		select {
-		case <-r.stop: // a connection accepted at the instant of the end is closed too
+		case <-r.stop: // also closes a connection that was accepted while the manager was stopping
 			netConn.Close()
 		default:
 		}
@@ -54,7 +54,7 @@
 		} else {
 			go r.serveConn(conn)
 		}
-		runtime.Gosched() // guards against a collector that is evicted in a flood before its name is read
+		runtime.Gosched() // during a flood of connections, lets a collector's zone be read before the collector is evicted
 	}
 }
 
@@ -67,7 +67,8 @@
 	r.evictExcess(false, r.limits.MaxUnidentifiedConns)
 }
 
-// evictExcess closes one of the named or of the unnamed connections where there are more than limit. mu is held.
+// evictExcess closes one connection if more than limit connections are named, or unnamed if named is false. The caller
+// holds mu.
 func (r *receiver) evictExcess(named bool, limit int) {
 	var victim *collectorConn
 	count := 0
@@ -86,7 +87,7 @@
 	}
 }
 
-// removeConn removes a connection from those that count. mu is held.
+// removeConn unregisters a connection. The caller holds mu.
 func (r *receiver) removeConn(conn *collectorConn) {
 	if i := slices.Index(r.conns, conn); i >= 0 {
 		r.conns = slices.Delete(r.conns, i, i+1)
@@ -94,7 +95,7 @@
 	}
 }
 
-// closeConns ends all connections to the manager's address.
+// closeConns closes all connections to the manager's address.
 func (r *receiver) closeConns() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against unidentified connections in hundreds that cost a collector its place.
+// Many connections that send nothing, or only a zone's name, must not evict a collector that reports.
 func TestUnidentifiedConnectionsDoNotEvictACollector(t *testing.T) {
 	_, address, inputs := startReceiver(t, testLimits, true)
 	c := dialManager(t, address, "collector site=a\r\n"+usageLine)
@@ -15,7 +15,7 @@
 		dialManager(t, address, "")
 	}
 	if got := readToEnd(first); got != "" {
-		t.Errorf("the longest silent unidentified connection: %q", got)
+		t.Errorf("the oldest unidentified connection received %q, expected only a close", got)
 	}
 	io.WriteString(c, usageLine)
 	<-inputs
--- a/internal/node/read_lines.go
+++ b/internal/node/read_lines.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	readBufferSize = 4 << 10
-	maxKeptBuffer  = 64 << 10 // of the buffer of a partial line; a larger one is dropped after use
+	readBufferSize    = 4 << 10
+	maxRetainedBuffer = 64 << 10 // capacity of a partial line's buffer; a larger one is released after use
 )
 
-var errLineTooLong = errors.New("a line is too long")
+var errLineTooLong = errors.New("line too long")
 
-// readLines cuts what is read into lines, however the network cut it; maxLength is asked for each. A partial line at the
-// end is dropped with io.ErrUnexpectedEOF.
+// readLines splits what it reads into lines and passes each to take, until an error or the end of the input. maxLength
+// is called for each line, since the limit may change in between. A partial line at the end is dropped and reported as
+// io.ErrUnexpectedEOF.
 func readLines(reader io.Reader, maxLength func() int, take func(line []byte) error) error {
 	var partial []byte
 	buffer := make([]byte, readBufferSize)
@@ -41,8 +42,8 @@
 	}
 }
 
-// cutLines passes on the lines of a partial line and the data behind it, each without its line end, and gives the
-// partial line that is left, in the memory of the first.
+// cutLines passes each complete line of partial followed by data to take, without its line ending. It returns the partial
+// line that remains, which may reuse the memory of partial.
 func cutLines(partial, data []byte, take func(line []byte) error) (rest []byte, err error) {
 	for len(data) > 0 {
 		end := bytes.IndexByte(data, '\n')
@@ -59,7 +60,7 @@
 		}
 		data = data[end+1:]
 		partial = partial[:0]
-		if cap(partial) > maxKeptBuffer {
+		if cap(partial) > maxRetainedBuffer {
 			partial = nil
 		}
 	}
--- a/internal/node/read_pace_test.go
+++ b/internal/node/read_pace_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// bufferedConn is a connection whose peer has written what the buffer holds.
+// bufferedConn is a fake connection whose reads return what is in the buffer arrived.
 type bufferedConn struct {
 	net.Conn
 	arrived bytes.Buffer
@@ -24,7 +24,8 @@
 
 func (c *bufferedConn) SetReadDeadline(time.Time) error { return nil }
 
-// pacedConn is a connection with a pace whose clock is the test's; arrives is called in place of each wait.
+// pacedConn returns a connection with a read pace whose clock stands at the time at; instead of sleeping, the pace calls
+// arrives.
 func pacedConn(interval time.Duration, at time.Time, arrives func(conn *bufferedConn, waited time.Duration)) (*deadlineConn, *bufferedConn) {
 	peer := &bufferedConn{}
 	pace := newReadPace(interval)
@@ -50,18 +51,18 @@
 		return nil
 	})
 	if err != io.EOF || strings.Join(lines, " ") != "first second third" {
-		t.Fatalf("%v, %v", lines, err)
+		t.Fatalf("read lines %v, error %v", lines, err)
 	}
 	if readsAt["first"] != 1 || readsAt["second"] != 2 || readsAt["third"] != 2 || waits < 1 {
-		t.Errorf("reads %v, %d waits", readsAt, waits)
+		t.Errorf("number of the read by line: %v; %d waits", readsAt, waits)
 	}
 }
 
-func TestAReadWaitsForTheNextCommonInstant(t *testing.T) {
+func TestAReadWaitsForTheNextMultipleOfTheInterval(t *testing.T) {
 	var waited []time.Duration
-	note := func(_ *bufferedConn, span time.Duration) { waited = append(waited, span) }
+	record := func(_ *bufferedConn, wait time.Duration) { waited = append(waited, wait) }
 	for _, passed := range []time.Duration{0, 10 * time.Millisecond, 49 * time.Millisecond} {
-		conn, peer := pacedConn(50*time.Millisecond, time.Unix(1000, 0).Add(passed), note)
+		conn, peer := pacedConn(50*time.Millisecond, time.Unix(1000, 0).Add(passed), record)
 		peer.arrived.WriteString("line\n")
 		buffer := make([]byte, 100)
 		conn.Read(buffer)
@@ -69,12 +70,12 @@
 	}
 	want := []time.Duration{50 * time.Millisecond, 40 * time.Millisecond, time.Millisecond}
 	if len(waited) != len(want) || waited[0] != want[0] || waited[1] != want[1] || waited[2] != want[2] {
-		t.Errorf("%v, not %v", waited, want)
+		t.Errorf("waited %v, expected %v", waited, want)
 	}
 }
 
-// More may wait behind a buffer that was filled; it must not wait for its share of reads.
-func TestAFilledBufferIsReadOnAtOnce(t *testing.T) {
+// When a read fills its buffer, more data may be available; reading it must not be delayed.
+func TestAReadAfterAFilledBufferIsNotDelayed(t *testing.T) {
 	waits := 0
 	conn, peer := pacedConn(50*time.Millisecond, time.Unix(0, 0), func(*bufferedConn, time.Duration) { waits++ })
 	peer.arrived.WriteString(strings.Repeat("x", 30))
@@ -85,12 +86,12 @@
 		}
 	}
 	if waits != 0 {
-		t.Errorf("%d waits", waits)
+		t.Errorf("%d waits, expected none", waits)
 	}
 }
 
-func TestReadsAreNotSpacedUnlessItIsAskedFor(t *testing.T) {
-	conn, peer := pacedConn(0, time.Unix(0, 0), func(*bufferedConn, time.Duration) { t.Error("waited") })
+func TestReadsAreNotDelayedWithoutAnInterval(t *testing.T) {
+	conn, peer := pacedConn(0, time.Unix(0, 0), func(*bufferedConn, time.Duration) { t.Error("a read was delayed") })
 	peer.arrived.WriteString("line\n")
 	buffer := make([]byte, 100)
 	for range 3 {
@@ -99,30 +100,30 @@
 }
 
 func TestSpacedReadsLoseNothingAndTimeOutSilentPeers(t *testing.T) {
-	l := testLimits
-	l.ReadInterval = 20 * time.Millisecond
-	l.CollectorIdleTimeout = 100 * time.Millisecond
-	_, address, inputs := startReceiver(t, l, true)
+	limits := testLimits
+	limits.ReadInterval = 20 * time.Millisecond
+	limits.CollectorIdleTimeout = 100 * time.Millisecond
+	_, address, inputs := startReceiver(t, limits, true)
 	c := dialManager(t, address, "collector site=a\r\n")
 	for range 5 {
 		for _, part := range []string{usageLine[:7], usageLine[7:], usageLine} {
 			io.WriteString(c, part)
 		}
 		for range 2 {
-			if in := (<-inputs).(usageReport); in.Proxy != 17 || in.Requests != 19 {
-				t.Errorf("%+v", in)
+			if report := (<-inputs).(usageReport); report.Proxy != 17 || report.Requests != 19 {
+				t.Errorf("received %+v, expected proxy 17 with 19 requests", report)
 			}
 		}
 	}
 	if got := readToEnd(c); got != "" {
-		t.Errorf("a collector that fell silent: %q", got)
+		t.Errorf("a silent collector received %q, expected only a close", got)
 	}
 }
 
-func TestSpacedReadsTakeAllThatCameBeforeAnEnd(t *testing.T) {
-	l := testLimits
-	l.ReadInterval = 20 * time.Millisecond
-	_, address, inputs := startReceiver(t, l, true)
+func TestSpacedReadsDeliverEverythingSentBeforeTheClose(t *testing.T) {
+	limits := testLimits
+	limits.ReadInterval = 20 * time.Millisecond
+	_, address, inputs := startReceiver(t, limits, true)
 	c := dialManager(t, address, "collector site=a\r\n")
 	const reports = 5000 // more than the buffers hold
 	sent := make(chan error, 1)
@@ -133,11 +134,11 @@
 	for n := range reports {
 		select {
 		case in := <-inputs:
-			if used := in.(usageReport); used.Proxy != 17 {
-				t.Fatalf("%+v", used)
+			if report := in.(usageReport); report.Proxy != 17 {
+				t.Fatalf("received %+v, expected a report of proxy 17", report)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%d of %d reports within 10 s", n, reports)
+			t.Fatalf("received %d of %d reports within 10 s", n, reports)
 		}
 	}
 	if err := <-sent; err != nil {
--- a/internal/node/receiver_test.go
+++ b/internal/node/receiver_test.go
@@ -14,10 +14,10 @@
 	"tamarindshore/internal/config"
 )
 
-// testReceiver makes a receiver that stops at the end of the test.
-func testReceiver(t testing.TB, l config.Limits) *receiver {
+// testReceiver returns a receiver that stops at the end of the test.
+func testReceiver(t testing.TB, limits config.Limits) *receiver {
 	return &receiver{
-		limits:  l,
+		limits:  limits,
 		decoder: testDecoder(),
 		inputs:  make(chan input, 64),
 		stop:    t.Context().Done(),
@@ -27,9 +27,9 @@
 	}
 }
 
-// testReceiverWithInputs makes a receiver whose inputs come out of a channel.
-func testReceiverWithInputs(t testing.TB, l config.Limits, capacity int) (*receiver, chan input) {
-	r := testReceiver(t, l)
+// testReceiverWithInputs returns a receiver and the channel to which it sends inputs.
+func testReceiverWithInputs(t testing.TB, limits config.Limits, capacity int) (*receiver, chan input) {
+	r := testReceiver(t, limits)
 	inputs := make(chan input, capacity)
 	r.inputs = inputs
 	return r, inputs
@@ -37,18 +37,19 @@
 
 func testUpstream(t testing.TB, address string) *upstream { return newUpstream(t.Context(), address) }
 
-// startReceiver starts a receiver that accepts connections at an address; its inputs come out of the channel.
-func startReceiver(t *testing.T, l config.Limits, ready bool) (r *receiver, address string, inputs chan input) {
+// startReceiver starts a receiver that accepts connections; it returns the receiver's address and the channel of its
+// inputs.
+func startReceiver(t *testing.T, limits config.Limits, ready bool) (r *receiver, address string, inputs chan input) {
 	t.Helper()
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in, inputs := testReceiverWithInputs(t, l, 64)
-	in.isReady = func() bool { return ready }
-	go in.acceptLoop(at)
-	t.Cleanup(func() { at.Close() })
-	return in, at.Addr().String(), inputs
+	started, inputs := testReceiverWithInputs(t, limits, 64)
+	started.isReady = func() bool { return ready }
+	go started.acceptLoop(listener)
+	t.Cleanup(func() { listener.Close() })
+	return started, listener.Addr().String(), inputs
 }
 
 func dialManager(t *testing.T, address, text string) net.Conn {
@@ -62,7 +63,7 @@
 	return c
 }
 
-// readToEnd reads to the end of a connection that the manager closes.
+// readToEnd returns what the manager sends until it closes the connection, or "still open" if it does not close it in time.
 func readToEnd(c net.Conn) string {
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	text, err := io.ReadAll(c)
@@ -81,7 +82,7 @@
 	return all
 }
 
-// ifElse is one of two values by a condition.
+// ifElse returns yes if condition is true, otherwise no.
 func ifElse[T any](condition bool, yes, no T) T {
 	if condition {
 		return yes
--- a/internal/node/sample_queue.go
+++ b/internal/node/sample_queue.go
@@ -6,15 +6,15 @@
 	"tamarindshore/internal/sharding"
 )
 
-// sampleQueue holds the samples that several cores decoded, for the router. It is bounded: where it is full, samples of
-// the same kind are merged, and connections wait. It is safe for concurrent use.
+// sampleQueue holds the samples that several cores have decoded until the router takes them. It is bounded: when it is
+// full, samples of the same kind are merged and connections wait. It is safe for concurrent use.
 type sampleQueue struct {
 	metrics *metrics
-	filled  chan struct{} // signalled once samples are queued
+	filled  chan struct{} // signalled when samples are queued
 
-	mu         sync.Mutex // of all below
+	mu         sync.Mutex // guards the fields below
 	samples    *sharding.Mailbox
-	spaceFreed chan struct{} // closed once samples are taken, and replaced
+	spaceFreed chan struct{} // closed when samples are taken, then replaced by a new channel
 }
 
 func newSampleQueue(limit int, m *metrics) *sampleQueue {
@@ -26,29 +26,29 @@
 	}
 }
 
-// full returns nil where there is room for samples, else a channel that is closed once there may be.
+// full returns nil if there is room for samples, otherwise a channel that is closed when there may be room again.
 func (q *sampleQueue) full() <-chan struct{} {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	mergedBefore := q.samples.Merged
 	hasRoom := q.samples.HasRoom()
-	q.noteChange(mergedBefore)
+	q.recordMergesAndNotify(mergedBefore)
 	if hasRoom {
 		return nil
 	}
 	return q.spaceFreed
 }
 
-// push queues samples for which there was room a moment ago.
+// push queues samples, even beyond the limit. The caller has checked with full that there was room.
 func (q *sampleQueue) push(samples []sharding.Sample) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	mergedBefore := q.samples.Merged
 	q.samples.Put(samples)
-	q.noteChange(mergedBefore)
+	q.recordMergesAndNotify(mergedBefore)
 }
 
-// next takes up to limit of the oldest samples, in the memory of into.
+// next takes up to limit of the oldest samples; the result reuses the memory of into.
 func (q *sampleQueue) next(limit int, into []sharding.Sample) []sharding.Sample {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -69,8 +69,9 @@
 	return q.samples.Len()
 }
 
-// noteChange counts the samples that were merged since and wakes the router. mu is held.
-func (q *sampleQueue) noteChange(mergedBefore int) {
+// recordMergesAndNotify counts the samples merged since the total was mergedBefore, and wakes the router. The caller
+// holds mu.
+func (q *sampleQueue) recordMergesAndNotify(mergedBefore int) {
 	q.metrics.add(samplesMerged, int64(q.samples.Merged-mergedBefore))
 	notify(q.filled)
 }
--- a/internal/node/shard_conn.go
+++ b/internal/node/shard_conn.go
@@ -8,47 +8,48 @@
 	"tamarindshore/internal/sharding"
 )
 
-// shardConn is one connection on its way through a shard. All that must go along when the connection moves to another
-// shard is here; nothing of it is in a worker. Any goroutine may call its methods.
+// shardConn is a collector's connection as the shards process it. It holds all state that must follow the connection to
+// another shard; workers hold none of it. Its methods are safe for concurrent use.
 type shardConn struct {
 	id        sharding.ConnID
 	collector *collectorConn
-	workNanos atomic.Int64  // in this window
-	chunkDone chan struct{} // there may be room for another chunk
+	workNanos atomic.Int64  // time spent on it in the current rebalance window
+	chunkDone chan struct{} // signalled when there may be room for another chunk
 
-	mu               sync.Mutex // of all below
+	mu               sync.Mutex // guards the fields below
 	phase            connPhase
-	err              error // why the phase is no longer connReading
+	err              error // why reading ended; nil while the phase is connReading
 	owner            sharding.Owner
-	acquired         bool     // the owner has begun
-	releaseRequested bool     // the owner is to stop, and to say so
-	queued           bool     // for its owner's worker
-	isolateLines     bool     // a worker panicked on it: each line is decoded by itself
-	chunks           [][]byte // that were read and not delivered, oldest first
-	partial          []byte   // the partial line before them
+	acquired         bool     // the owner has started to process it
+	releaseRequested bool     // the owner must stop and tell the assigner
+	queued           bool     // in the queue of its owner's worker
+	isolateLines     bool     // a worker panicked on it, so a panic is recovered line by line
+	chunks           [][]byte // read and not delivered yet, oldest first
+	partial          []byte   // the partial line that the first chunk continues
 }
 
-// connPhase says how far a connection has come.
+// connPhase is the phase of a connection's life.
 type connPhase int
 
 const (
-	connReading connPhase = iota // its bytes are read
-	connEnded                    // nothing more is read; chunks may still be queued
-	connClosed                   // all of it was delivered
+	connReading connPhase = iota // its bytes are being read
+	connEnded                    // reading has ended; chunks may still be queued
+	connClosed                   // everything read has been delivered
 )
 
-// shardTask is what is due next for a connection, by an owner.
+// shardTask is the next piece of work for a connection's owner.
 type shardTask struct {
 	epoch        sharding.Epoch
-	acquired     bool // the owner had begun before
-	release      bool
+	acquired     bool // the owner had started before this task
+	release      bool // the owner must release the connection
 	isolateLines bool
 	partial      []byte
 	chunk        []byte // nil: none is queued
 	last         bool   // nothing more will come
 }
 
-// nextTask gives what is due next for the connection; false where it is not the shard's.
+// nextTask returns the next task for the connection; ok is false if the shard does not own the connection, or the
+// connection is closed or not queued.
 func (c *shardConn) nextTask(shard sharding.ShardID) (task shardTask, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +76,7 @@
 	return task, true
 }
 
-// assign gives the connection to another owner.
+// assign makes another owner responsible for the connection.
 func (c *shardConn) assign(owner sharding.Owner) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,9 +86,9 @@
 	c.queued = false
 }
 
-// queueFor notes that the connection is to be queued for an owner, with release to be released by it; false where it is
-// queued already, or has another owner.
-func (c *shardConn) queueFor(owner sharding.Owner, release bool) bool {
+// markQueued marks the connection as queued for an owner, which must release it if release is set. It returns false if
+// the connection was queued already or has another owner.
+func (c *shardConn) markQueued(owner sharding.Owner, release bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.owner != owner {
@@ -107,7 +108,7 @@
 	return c.owner
 }
 
-// markEnded notes that nothing more is read, and why. The first reason counts.
+// markEnded records that reading has ended, and why; only the first call has an effect.
 func (c *shardConn) markEnded(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +118,7 @@
 	}
 }
 
-// abort ends the connection and drops what was read and not delivered.
+// abort closes the connection and drops everything that was read and not delivered.
 func (c *shardConn) abort(err error) {
 	c.collector.Close()
 	c.mu.Lock()
@@ -129,24 +130,24 @@
 	c.chunks = nil
 }
 
-// isolate has each line decoded by itself from now on.
+// isolate makes a panic from now on skip only the line that caused it.
 func (c *shardConn) isolate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isolateLines = true
 }
 
-// pushResult is what became of a chunk that was read.
+// pushResult is the outcome of tryPush.
 type pushResult int
 
 const (
-	pushFull     pushResult = iota // too many chunks are queued
-	pushEnded                      // nothing more is wanted
-	pushWake                       // it was appended, and the owner is to be woken
-	pushAccepted                   // it was appended, and the owner will see it
+	pushFull     pushResult = iota // not appended: too many chunks are queued
+	pushEnded                      // not appended: the connection has ended
+	pushWake                       // appended; the caller must wake the owner
+	pushAccepted                   // appended; the connection is queued, so its owner will see it
 )
 
-// tryPush appends a chunk that was read, where fewer than limit are queued.
+// tryPush appends a chunk that was read, if fewer than limit chunks are queued.
 func (c *shardConn) tryPush(chunk []byte, limit int) pushResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/wire_names_test.go
+++ b/internal/node/wire_names_test.go
@@ -14,8 +14,8 @@
 	"tamarindshore/internal/logging"
 )
 
-// These tests pin the names on the wire, as the protocol's pages and the operators' tools know them, against renames of
-// Go identifiers.
+// These tests pin the names on the wire, which the protocol's documentation and the operators' tools use, so that renaming
+// a Go identifier can't change them.
 
 func TestAdminRequestKeepsItsNamesOnTheWire(t *testing.T) {
 	request := AdminRequest{Command: "rollback", Version: "7.1", OtherVersion: "7.2", Key: "k", Duration: 3}
@@ -49,7 +49,7 @@
 		t.Fatal(err)
 	}
 	if string(text) != want {
-		t.Errorf("encoded as\n%s\nnot\n%s", text, want)
+		t.Errorf("encoded as\n%s\nexpected\n%s", text, want)
 	}
 }
 
@@ -62,17 +62,17 @@
 	list, unknown, err := testDecoder().parseList([]byte(text))
 	want := balancer.Endpoint{Server: "s-1", Zone: "a", Weight: 1.5, Started: 2500 * time.Millisecond, RecentlyStarted: true}
 	if err != nil || unknown != 0 || list.generation != 43 || !list.snapshot || !slices.Equal(list.entries, []balancer.Endpoint{want}) {
-		t.Errorf("%+v, %d unknown, %v", list, unknown, err)
+		t.Errorf("decoded to %+v with %d unknown zones, %v", list, unknown, err)
 	}
 	if list.addresses["s-1"] != "10.0.0.1:80" {
-		t.Errorf("addresses %v", list.addresses)
+		t.Errorf("addresses %v, expected s-1 at 10.0.0.1:80", list.addresses)
 	}
 }
 
 func TestCollectorLinesKeepTheirNamesOnTheWire(t *testing.T) {
 	for text, want := range map[string]collectorMessage{
 		"ping":             ping{},
-		"collector site=b": collectorName{"b"},
+		"collector site=b": collectorIdentity{"b"},
 		"heard site=a target=s-1 count=4 fail=1 mean=41.5 over=1000 util=inflight:7": loadReport{balancer.LoadReport{
 			Server: "s-1", Zone: "a", Attempts: 4, Failed: 1, Latency: 41500 * time.Microsecond, Interval: time.Second, InFlight: 7}},
 		"heard site=a target=s-1 count=4 fail=1 mean=41.5 over=1000 util=outstanding:6": loadReport{balancer.LoadReport{
@@ -81,7 +81,7 @@
 			Proxy: 17, Class: 1, Requests: 19, Dropped: 2, Interval: 500 * time.Millisecond}},
 	} {
 		if got, err := testDecoder().parseLine(text); err != nil || got != want {
-			t.Errorf("%q: %T %+v, %v; want %T %+v", text, got, got, err, want, want)
+			t.Errorf("%q: decoded to %T %+v, %v; expected %T %+v", text, got, got, err, want, want)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	} {
 		got, err := testDecoder().parseEvent(event.kind, event.data)
 		if err != nil || got != event.want {
-			t.Errorf("%s %s: %+v, %v", event.kind, event.data, got, err)
+			t.Errorf("%s %s: decoded to %+v, %v; expected %+v", event.kind, event.data, got, err, event.want)
 		}
 	}
 }
@@ -106,11 +106,11 @@
 	got := []string{alivePath, loadPath, proxyEventsPath, watchPath, callPath}
 	want := []string{"/alive", "/metrics/load", "/v3/kv/stream", "/discovery/hosts?watch=1&after=", "/v3/kv/"}
 	if !slices.Equal(got, want) {
-		t.Errorf("%q", got)
+		t.Errorf("paths %q, expected %q", got, want)
 	}
 }
 
-// A call as the relay reads it is also pinned, with its path and form fields, by the fake relay of relay_test.go.
+// The fake relay in relay_test.go also pins how a call is sent, with its path and form fields.
 func TestRelayCommandsKeepTheirNamesOnTheWire(t *testing.T) {
 	all := balancer.Commands{
 		Withdraw:        []balancer.ServerID{"s-1"},
@@ -122,34 +122,35 @@
 	}
 	want := "withdraw,s-1;share,4,s-2,1.5;admit,4,lookup+book,0.9,1;restore,s-2;bind,17,4,book;mark,905,0"
 	if got := strings.Join(encodeCommands(all, []string{"lookup", "book", "write"}, 60000), ";"); got != want {
-		t.Errorf("%s", got)
+		t.Errorf("encoded as %s, expected %s", got, want)
 	}
 }
 
 func TestRelayAnswersKeepTheirNamesOnTheWire(t *testing.T) {
 	if n, err := parseAnswer([]byte(`<?xml version="1.0"?><Response><items><item><taken>3</taken></item></items></Response>`), 3); n != 3 || err != nil {
-		t.Errorf("%d %v", n, err)
+		t.Errorf("%d commands taken, %v; expected 3", n, err)
 	}
 	for word, want := range map[string]error{"BUSY": errBusy, "SYNTAX": errSyntax} {
 		body := fmt.Sprintf("<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>", word)
 		if _, err := parseAnswer([]byte(body), 3); err != want {
-			t.Errorf("%s: %v", word, err)
+			t.Errorf("answer %s: error %v, expected %v", word, err, want)
 		}
 	}
 }
 
-// The frames' contents are pinned in client/follow and client/tables; these are the kinds that the feed sends and reads.
+// The contents of frames are pinned in client/follow and client/tables; this test pins the kinds that the feed sends and
+// reads.
 func TestFeedFramesKeepTheirKindsOnTheWire(t *testing.T) {
 	var got bytes.Buffer
 	for _, kind := range []byte{follow.FrameNonce, follow.FrameHello, follow.FrameDelta, follow.FrameAck, follow.FrameRejection, follow.FrameSnapshotRequest} {
 		got.WriteByte(kind)
 	}
 	if want := "NHDARW"; got.String() != want {
-		t.Errorf("kinds %q, not %q", got.String(), want)
+		t.Errorf("frame kinds %q, expected %q", got.String(), want)
 	}
 }
 
-// Tools of the operators and of this repository read these counters by name; the others are listed in docs/on-call.md.
+// Operators' tools and tools in this repository read these counters by name; docs/on-call.md lists the other counters.
 func TestCountersThatToolsReadKeepTheirNames(t *testing.T) {
 	var text bytes.Buffer
 	m := newMetrics(0, logging.New(logging.NewFormatWriter(logging.JSON, &text), "info"))
@@ -165,10 +166,10 @@
 		"reports_in": reportsIn, "usages_in": usagesIn, "samples_folded": samplesMerged, "probes_sent": healthChecksSent,
 	} {
 		if line[name] != float64(c)+1 {
-			t.Errorf("%s is %v, not %d", name, line[name], c+1)
+			t.Errorf("%s is %v, expected %d", name, line[name], c+1)
 		}
 	}
 	if line["event"] != "counters" {
-		t.Errorf("event %v", line["event"])
+		t.Errorf("event %v, expected counters", line["event"])
 	}
 }
