--- a/internal/node/collector_conn.go
+++ b/internal/node/collector_conn.go
@@ -23,7 +23,7 @@
 	emptyMessages int             // consecutive messages that are not a valid report
 }
 
-// collectorState says how far a connection has identified itself as a collector's.
+// collectorState states whether a connection has named its zone and sent a report.
 type collectorState int
 
 const (
@@ -63,7 +63,7 @@
 // pong is the reply to a ping.
 const pong = "pong\r\n"
 
-// serveConn reads one connection's lines until it is closed, sends unreadable input or misses its deadline.
+// serveConn reads one connection's lines until the connection is closed, sends unreadable input or misses its deadline.
 func (r *receiver) serveConn(conn *collectorConn) {
 	maxLength := func() int { return r.maxLineLength(conn) }
 	err := recoverPanic(r.metrics, "collector", func() error {
@@ -133,27 +133,27 @@
 
 // handleLine handles one decoded line of a connection. It returns the sample to pass on if the line is one, and whether
 // a ping is to be answered; an error ends the connection. A malformed message is dropped on its own, but too many
-// consecutive messages without a report end the connection: either everything else on it is malformed too, or its pings
+// consecutive messages without a report end the connection: either the rest of its input is malformed too, or its pings
 // take up the time needed for decisions.
 func (r *receiver) handleLine(conn *collectorConn, now time.Time, line decodedLine) (reported sample, pinged bool, end error) {
-	name, naming := line.message.(collectorIdentity)
+	identity, isIdentity := line.message.(collectorIdentity)
 	_, isPing := line.message.(ping)
 	switch {
 	case errors.Is(line.err, errUnreadable):
 		return nil, false, line.err
-	case conn.emptyMessages >= r.limits.MaxEmptyMessages && (line.err != nil || naming || isPing):
+	case conn.emptyMessages >= r.limits.MaxEmptyMessages && (line.err != nil || isIdentity || isPing):
 		return nil, false, errors.Join(errUnreadable, errTooManyEmptyMessages)
 	case isPing:
 		conn.emptyMessages++
 		r.metrics.add(pings, 1)
 		return nil, true, nil
-	case !conn.named() && !naming:
+	case !conn.named() && !isIdentity:
 		return nil, false, errors.Join(errUnreadable, errZoneNotNamed)
 	case line.err != nil:
 		return nil, false, r.dropLine(conn, line)
-	case naming:
+	case isIdentity:
 		conn.emptyMessages++
-		r.registerCollector(conn, name.zone)
+		r.registerCollector(conn, identity.zone)
 		return nil, false, nil
 	}
 	r.recordReport(conn, now)
--- a/internal/node/collector_conn_test.go
+++ b/internal/node/collector_conn_test.go
@@ -83,7 +83,7 @@
 			}
 		}()
 		if got := readToEnd(c); got == "still open" || time.Since(began) > time.Second {
-			t.Errorf("%q: closed after %v", start, time.Since(began))
+			t.Errorf("start %q: read %q after %v, expected a close within 1 s", start, got, time.Since(began))
 		}
 	}
 }
--- a/internal/node/decode_fuzz_test.go
+++ b/internal/node/decode_fuzz_test.go
@@ -152,7 +152,7 @@
 func TestDecodersOnMutatedInput(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	d := testDecoder()
-	for _, one := range []struct {
+	for _, target := range []struct {
 		seeds []string
 		check func(text string)
 	}{
@@ -160,7 +160,7 @@
 		{listSeeds, func(s string) { checkList(t, d, s) }}, {answerSeeds, func(s string) { checkAnswer(t, s) }},
 	} {
 		for i := range 20_000 {
-			one.check(mutate(random, one.seeds[i%len(one.seeds)]))
+			target.check(mutate(random, target.seeds[i%len(target.seeds)]))
 		}
 	}
 }
@@ -172,21 +172,21 @@
 		var sent, got []string
 		text := ""
 		for i := range random.IntN(6) {
-			one := strings.Repeat(string(rune('a'+i)), random.IntN(40))
-			sent = append(sent, one)
-			text = text + one + []string{"\n", "\r\n"}[random.IntN(2)]
+			line := strings.Repeat(string(rune('a'+i)), random.IntN(40))
+			sent = append(sent, line)
+			text = text + line + []string{"\n", "\r\n"}[random.IntN(2)]
 		}
-		var held []byte
+		var partial []byte
 		for rest := []byte(text); len(rest) > 0; {
 			n := 1 + random.IntN(len(rest))
-			held, _ = cutLines(held, rest[:n], func(line []byte) error {
+			partial, _ = cutLines(partial, rest[:n], func(line []byte) error {
 				got = append(got, string(line))
 				return nil
 			})
 			rest = rest[n:]
 		}
-		if fmt.Sprint(got) != fmt.Sprint(sent) || len(held) > 0 {
-			t.Fatalf("%q was cut into %q with the rest %q, not %q", text, got, held, sent)
+		if fmt.Sprint(got) != fmt.Sprint(sent) || len(partial) > 0 {
+			t.Fatalf("%q was cut into %q with the rest %q, not %q", text, got, partial, sent)
 		}
 	}
 }
--- a/internal/node/decoder.go
+++ b/internal/node/decoder.go
@@ -15,7 +15,7 @@
 
 var (
 	// errUnknownName is the error of a message that names an unknown zone or traffic class, or of an event of an unknown
-	// kind. The message is dropped like a malformed one and its connection stays open.
+	// kind. The message is dropped like a malformed one, which by itself does not end a connection.
 	errUnknownName = errors.New("unknown zone, traffic class or event kind")
 	// errUnreadable is the error of input that is not a message at all; it ends the connection.
 	errUnreadable = errors.New("unreadable input")
@@ -60,7 +60,7 @@
 	maxLatency  time.Duration // highest mean latency in a report
 	maxInterval time.Duration // longest interval that a report covers
 	maxRequests float64       // highest number of requests per second, and of requests in flight
-	fields      sync.Pool     // of *fields, so that decoding a line allocates no new one
+	fields      sync.Pool     // reuses *fields, to avoid an allocation per line
 }
 
 func newDecoder(settings balancer.Settings, classNames []string, startedAt time.Time, limits config.Limits) *decoder {
--- a/internal/node/decoder_pool.go
+++ b/internal/node/decoder_pool.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// schedule queues a connection for the worker of the assignment's owner, unless another shard owns it by now. If release
-// is set, the owner must release the connection. The caller holds mu.
+// schedule queues a connection for the worker of the assignment's owner, unless the connection has another owner by now.
+// If release is set, the owner must release the connection. The caller holds mu.
 func (p *decoderPool) schedule(assignment sharding.Assignment, release bool) {
 	conn := p.conns[assignment.Conn]
 	if conn == nil {
--- a/internal/node/decoder_pool_test.go
+++ b/internal/node/decoder_pool_test.go
@@ -88,7 +88,7 @@
 	return got
 }
 
-// dialAndSendSamples opens a connection and sends samples of a proxy whose numbers of requests count from 0 to n-1.
+// dialAndSendSamples opens a connection and sends n samples of a proxy, with 0 to n-1 requests.
 func dialAndSendSamples(t *testing.T, address string, proxy, n int) {
 	if c, err := net.Dial("tcp", address); err != nil {
 		t.Error(err)
@@ -98,8 +98,8 @@
 	}
 }
 
-// sendSamples sends text and then samples whose numbers of requests count from from to to-1. It writes pieces of 97 bytes,
-// so that most lines are split between two writes.
+// sendSamples sends text, then one sample of a proxy for each number of requests in [from, to). It writes pieces of 97
+// bytes, so that most lines are split between two writes.
 func sendSamples(c net.Conn, text string, proxy, from, to int) {
 	for i := from; i < to; i++ {
 		text += fmt.Sprintf("usage id=%d lane=book count=%d fail=0 over=60000\r\n", proxy, i)
@@ -109,7 +109,7 @@
 	}
 }
 
-// assertInOrder checks that each proxy's numbers of requests count from 0 to n-1, without those in missing.
+// assertInOrder checks that each proxy's samples have 0 to n-1 requests, in this order and without the numbers in missing.
 func assertInOrder(t *testing.T, got map[balancer.ProxyID][]int, n int, missing map[int]bool) {
 	t.Helper()
 	for proxy, requests := range got {
--- a/internal/node/encode.go
+++ b/internal/node/encode.go
@@ -31,7 +31,8 @@
 
 // encodeCommands encodes as many commands as fit into a call of limit bytes, in the order in which they are to be
 // executed. The barrier comes last even if some commands don't fit: its acknowledgement shows that the commands before it
-// have left the channel. The first command is always included, so that a command larger than the limit does not wait forever.
+// have left the channel. The first command is always included, so that a command larger than the limit does not wait
+// forever.
 func encodeCommands(all balancer.Commands, classes []string, limit int) []string {
 	e := commandEncoder{classes: classes, limit: limit}
 	barrier := ""
@@ -53,14 +54,14 @@
 			return
 		}
 	}
-	for _, one := range all.Weights {
-		if !e.appendCommand(commandWeight, formatTable(one.Table), string(one.Server), formatNumber(one.Weight)) {
+	for _, weight := range all.Weights {
+		if !e.appendCommand(commandWeight, formatTable(weight.Table), string(weight.Server), formatNumber(weight.Weight)) {
 			return
 		}
 	}
-	for _, one := range all.AdmissionLevels {
-		classes := classNames(one.Classes, e.classes)
-		if !e.appendCommand(commandAdmit, formatTable(one.Table), classes, formatNumber(one.Amount), strconv.Itoa(int(one.Retry))) {
+	for _, level := range all.AdmissionLevels {
+		classes := classNames(level.Classes, e.classes)
+		if !e.appendCommand(commandAdmit, formatTable(level.Table), classes, formatNumber(level.Amount), strconv.Itoa(int(level.Retry))) {
 			return
 		}
 	}
@@ -69,8 +70,8 @@
 			return
 		}
 	}
-	for _, one := range all.Assign {
-		if !e.appendCommand(commandAssign, strconv.Itoa(int(one.Proxy)), formatTable(one.Table), classNames(one.Classes, e.classes)) {
+	for _, entry := range all.Assign {
+		if !e.appendCommand(commandAssign, strconv.Itoa(int(entry.Proxy)), formatTable(entry.Table), classNames(entry.Classes, e.classes)) {
 			return
 		}
 	}
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -67,8 +67,8 @@
 	r.evictExcess(false, r.limits.MaxUnidentifiedConns)
 }
 
-// evictExcess closes one connection if more than limit connections are named, or unnamed if named is false. The caller
-// holds mu.
+// evictExcess considers either the connections that have named their zone or those that have not; if there are more than
+// limit, it closes one of them. The caller holds mu.
 func (r *receiver) evictExcess(named bool, limit int) {
 	var victim *collectorConn
 	count := 0
--- a/internal/node/read_lines.go
+++ b/internal/node/read_lines.go
@@ -8,7 +8,7 @@
 
 const (
 	readBufferSize    = 4 << 10
-	maxRetainedBuffer = 64 << 10 // capacity of a partial line's buffer; a larger one is released after use
+	maxRetainedBuffer = 64 << 10 // largest buffer of a partial line that is kept for reuse
 )
 
 var errLineTooLong = errors.New("line too long")
--- a/internal/node/read_pace_test.go
+++ b/internal/node/read_pace_test.go
@@ -54,7 +54,7 @@
 		t.Fatalf("read lines %v, error %v", lines, err)
 	}
 	if readsAt["first"] != 1 || readsAt["second"] != 2 || readsAt["third"] != 2 || waits < 1 {
-		t.Errorf("number of the read by line: %v; %d waits", readsAt, waits)
+		t.Errorf("the read that returned each line: %v, after %d waits; expected first in read 1, second and third in read 2", readsAt, waits)
 	}
 }
 
--- a/internal/node/shard_conn.go
+++ b/internal/node/shard_conn.go
@@ -108,7 +108,7 @@
 	return c.owner
 }
 
-// markEnded records that reading has ended, and why; only the first call has an effect.
+// markEnded records that reading has ended, and why; it does nothing if reading had ended before.
 func (c *shardConn) markEnded(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,7 +130,7 @@
 	c.chunks = nil
 }
 
-// isolate makes a panic from now on skip only the line that caused it.
+// isolate has lines decoded one by one from now on, so that a panic costs only the line that caused it.
 func (c *shardConn) isolate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/wire_names_test.go
+++ b/internal/node/wire_names_test.go
@@ -55,8 +55,8 @@
 
 func TestEndpointListKeepsItsNamesOnTheWire(t *testing.T) {
 	weight := 1.5
-	one := instance{InstanceID: "s-1", HostPort: "10.0.0.1:80", Zone: "a", Lifecycle: "up", Weight: &weight, StartedAtMs: 1_002_500}
-	assertJSON(t, one, `{"instanceId":"s-1","hostPort":"10.0.0.1:80","zone":"a","lifecycle":"up","weight":1.5,"startedAtMs":1002500}`)
+	server := instance{InstanceID: "s-1", HostPort: "10.0.0.1:80", Zone: "a", Lifecycle: "up", Weight: &weight, StartedAtMs: 1_002_500}
+	assertJSON(t, server, `{"instanceId":"s-1","hostPort":"10.0.0.1:80","zone":"a","lifecycle":"up","weight":1.5,"startedAtMs":1002500}`)
 	text := `{"generation":43,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"10.0.0.1:80","zone":"a",` +
 		`"lifecycle":"up","weight":1.5,"startedAtMs":1002500}]}`
 	list, unknown, err := testDecoder().parseList([]byte(text))
@@ -130,10 +130,10 @@
 	if n, err := parseAnswer([]byte(`<?xml version="1.0"?><Response><items><item><taken>3</taken></item></items></Response>`), 3); n != 3 || err != nil {
 		t.Errorf("%d commands taken, %v; expected 3", n, err)
 	}
-	for word, want := range map[string]error{"BUSY": errBusy, "SYNTAX": errSyntax} {
-		body := fmt.Sprintf("<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>", word)
+	for code, want := range map[string]error{"BUSY": errBusy, "SYNTAX": errSyntax} {
+		body := fmt.Sprintf("<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>", code)
 		if _, err := parseAnswer([]byte(body), 3); err != want {
-			t.Errorf("answer %s: error %v, expected %v", word, err, want)
+			t.Errorf("answer %s: error %v, expected %v", code, err, want)
 		}
 	}
 }
