--- a/internal/node/backlog.go
+++ b/internal/node/backlog.go
@@ -7,14 +7,14 @@
 	"tamarindshore/internal/commands"
 )
 
-// backlog holds the commands that the router has flushed and the relay client has not taken, in their order. It is
-// bounded: where too many are queued, they are merged to their latest state. It is safe for concurrent use.
+// backlog is the queue of commands from the router to the relay client. It is bounded: if too many batches are queued,
+// they are merged into one that has the latest state of each setting. It is safe for concurrent use.
 type backlog struct {
-	limit   int           // calls
-	filled  chan struct{} // signalled once something is queued
+	limit   int           // maximum number of queued batches
+	filled  chan struct{} // signalled when a batch is queued
 	metrics *metrics
 
-	mu    sync.Mutex // of queue
+	mu    sync.Mutex // protects queue
 	queue []balancer.Commands
 }
 
@@ -22,23 +22,23 @@
 	return &backlog{limit: limit, filled: make(chan struct{}, 1), metrics: m}
 }
 
-// push queues commands behind those that wait.
-func (b *backlog) push(one balancer.Commands) {
-	b.append(one)
+// push appends a batch of commands and wakes the relay client.
+func (b *backlog) push(batch balancer.Commands) {
+	b.append(batch)
 	notify(b.filled)
 }
 
-func (b *backlog) append(one balancer.Commands) {
+func (b *backlog) append(batch balancer.Commands) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.queue = append(b.queue, one)
+	b.queue = append(b.queue, batch)
 	if len(b.queue) > b.limit {
 		b.metrics.add(callsMerged, int64(len(b.queue)-1))
 		b.queue = []balancer.Commands{commands.Merge(b.queue...)}
 	}
 }
 
-// next takes the oldest commands; false where none are queued.
+// next removes and returns the oldest batch. It returns false if none is queued.
 func (b *backlog) next() (oldest balancer.Commands, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,7 +50,7 @@
 	return oldest, true
 }
 
-// takeAll takes all that are queued, oldest first.
+// takeAll removes and returns all queued batches, oldest first.
 func (b *backlog) takeAll() []balancer.Commands {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/node/backlog_test.go
+++ b/internal/node/backlog_test.go
@@ -13,7 +13,7 @@
 
 var testClasses = []string{"lookup", "book"}
 
-// commandsOfEachKind gives commands of every kind, in the order in which they are carried out.
+// commandsOfEachKind returns commands of every kind, in the order in which they are carried out.
 func commandsOfEachKind() balancer.Commands {
 	return balancer.Commands{
 		Withdraw:        []balancer.ServerID{"s-1"},
@@ -29,19 +29,19 @@
 	got := strings.Join(encodeCommands(commandsOfEachKind(), testClasses, 60000), ";")
 	want := "withdraw,s-1;share,4,s-2,1.5;share,4,s-1,0;admit,4,lookup,0.9,1;restore,s-2;bind,17,4,*;mark,905,0"
 	if got != want {
-		t.Errorf("%s", got)
+		t.Errorf("encoded %s, want %s", got, want)
 	}
 }
 
 func TestEncodeStopsAtTheLimit(t *testing.T) {
-	for most, want := range map[int]string{60: "withdraw share mark", 1: "withdraw mark"} {
+	for limit, want := range map[int]string{60: "withdraw share mark", 1: "withdraw mark"} {
 		kinds := []string{}
-		for _, one := range encodeCommands(commandsOfEachKind(), testClasses, most) {
-			kind, _, _ := strings.Cut(one, ",")
+		for _, command := range encodeCommands(commandsOfEachKind(), testClasses, limit) {
+			kind, _, _ := strings.Cut(command, ",")
 			kinds = append(kinds, kind)
 		}
 		if got := strings.Join(kinds, " "); got != want {
-			t.Errorf("%d bytes: %s", most, got)
+			t.Errorf("limit of %d bytes: encoded %s, want %s", limit, got, want)
 		}
 	}
 }
@@ -49,26 +49,26 @@
 func TestClassNamesOfAMask(t *testing.T) {
 	for mask, want := range map[uint]string{0: "*", 1: "lookup", 2: "book", 3: "*"} {
 		if got := classNames(mask, testClasses); got != want {
-			t.Errorf("%b: %s", mask, got)
+			t.Errorf("classes of mask %b: %s, want %s", mask, got, want)
 		}
 	}
 	if got := classNames(5, []string{"x", "y", "z"}); got != "x+z" {
-		t.Error(got)
+		t.Errorf("classes of mask 101: %s, want x+z", got)
 	}
 }
 
-func TestSkipAndFirstSplitAtTheSamePlace(t *testing.T) {
-	o := commandsOfEachKind()
-	all := encodeCommands(o, testClasses, 60000)
-	for n := range o.Count() + 1 {
-		head := encodeCommands(commands.KeepFirst(o, n, 0), testClasses, 60000)
-		tail := encodeCommands(commands.SkipFirst(o, n), testClasses, 60000)
+func TestKeepFirstAndSkipFirstAreComplementary(t *testing.T) {
+	cmds := commandsOfEachKind()
+	all := encodeCommands(cmds, testClasses, 60000)
+	for n := range cmds.Count() + 1 {
+		head := encodeCommands(commands.KeepFirst(cmds, n, 0), testClasses, 60000)
+		tail := encodeCommands(commands.SkipFirst(cmds, n), testClasses, 60000)
 		if got := append(head, tail...); !reflect.DeepEqual(got, all) {
-			t.Errorf("at %d: %q", n, got)
+			t.Errorf("split after %d commands: %q, want %q", n, got, all)
 		}
 	}
-	if !commands.IsEmpty(commands.SkipFirst(o, 7)) {
-		t.Error("something is left")
+	if !commands.IsEmpty(commands.SkipFirst(cmds, 7)) {
+		t.Error("commands are left after skipping more than there are")
 	}
 }
 
@@ -82,7 +82,7 @@
 	want := "withdraw,s-2;share,4,s-1,0;share,4,s-2,3;share,5,s-2,1;admit,4,lookup,1,1;admit,4,book,0.5,0;" +
 		"restore,s-1;bind,17,5,*;mark,906,0"
 	if text := strings.Join(encodeCommands(got, testClasses, 60000), ";"); text != want {
-		t.Errorf("%s", text)
+		t.Errorf("merged to %s, want %s", text, want)
 	}
 }
 
@@ -92,9 +92,9 @@
 		b.push(commandsOfEachKind())
 	}
 	if len(b.queue) > 2 || b.metrics.counts[callsMerged].Load() == 0 {
-		t.Errorf("%d wait", len(b.queue))
+		t.Errorf("%d batches queued, want at most 2 after a merge", len(b.queue))
 	}
-	if o, ok := b.next(); !ok || o.Count() != commandsOfEachKind().Count() {
-		t.Errorf("%+v", o)
+	if cmds, ok := b.next(); !ok || cmds.Count() != commandsOfEachKind().Count() {
+		t.Errorf("commands %+v, want one of each kind", cmds)
 	}
 }
--- a/internal/node/config_reader.go
+++ b/internal/node/config_reader.go
@@ -6,13 +6,13 @@
 	"tamarindshore/internal/config"
 )
 
-// configReader reads the configuration again when it is asked to. It reads in a goroutine of its own: guards against a
-// shutdown that waits for a file that never comes. A request that comes meanwhile has it read once more, and an invalid
-// configuration is read again a few times: guards against a signal that comes while the file is being written, after
-// which no other comes. Its fields belong to the goroutine that calls it; the one that reads only sends to results.
+// configReader rereads the configuration on request. It reads in a goroutine of its own, so that a read that blocks does
+// not delay the shutdown. A request during a read causes one more read after it. An invalid configuration is read again
+// a few times, because the signal may have come while the file was being written, and no other signal may follow. The
+// fields belong to the goroutine that calls the methods; the reading goroutine only sends to results.
 type configReader struct {
 	read          func() (config.Config, error)
-	maxRetries    int // after each reload
+	maxRetries    int // for each reload
 	retryInterval time.Duration
 
 	state       readState
@@ -21,16 +21,16 @@
 	retry       <-chan time.Time // nil: no retry is due
 }
 
-// readState says what a configReader does.
+// readState is the state of a configReader.
 type readState int
 
 const (
 	readIdle     readState = iota
-	readRunning            // the configuration is being read
-	readOutdated           // it is being read, and was asked for again since that began
+	readRunning            // a read is in progress
+	readOutdated           // a read is in progress, and another was requested since it began
 )
 
-// readResult is the configuration as it was read, or why it could not be.
+// readResult is the configuration that was read, or the error of the read.
 type readResult struct {
 	config config.Config
 	err    error
@@ -45,13 +45,13 @@
 	}
 }
 
-// reload has the configuration read on a signal, with all its retries.
+// reload starts a read on a reload signal, and allows it all retries.
 func (c *configReader) reload() {
 	c.retriesLeft = c.maxRetries
 	c.request()
 }
 
-// request has the configuration read; its result comes out of results.
+// request starts a read, or requests another one after the read in progress. The result is sent to results.
 func (c *configReader) request() {
 	if c.state != readIdle {
 		c.state = readOutdated
@@ -60,11 +60,11 @@
 	c.state = readRunning
 	go func() {
 		read, err := c.read()
-		c.results <- readResult{config: read, err: err} // there is room: one read runs at a time
+		c.results <- readResult{config: read, err: err} // never blocks: only one read runs at a time
 	}()
 }
 
-// finish must be called after each result, with whether the configuration was valid.
+// finish must be called after each result. valid says whether the configuration was valid.
 func (c *configReader) finish(valid bool) {
 	outdated := c.state == readOutdated
 	c.state = readIdle
--- a/internal/node/config_reader_test.go
+++ b/internal/node/config_reader_test.go
@@ -8,7 +8,7 @@
 	"tamarindshore/internal/config"
 )
 
-// countingReader is a configReader whose reads are counted, and end once the test lets them.
+// countingReader returns a configReader whose reads each send to began, and then return the next error from end.
 func countingReader(retries int) (reader *configReader, began chan struct{}, end chan error) {
 	began = make(chan struct{}, 8)
 	end = make(chan error, 8)
@@ -31,7 +31,7 @@
 		reader.finish((<-reader.results).err == nil)
 	}
 	if len(began) != 1 || reader.state != readIdle || reader.retry != nil {
-		t.Errorf("%d more reads, state %d", len(began), reader.state)
+		t.Errorf("%d reads after the first one, want 1; state %d, want %d", len(began), reader.state, readIdle)
 	}
 }
 
@@ -40,14 +40,14 @@
 	reader, began, end := countingReader(retries)
 	reader.reload()
 	for range retries {
-		end <- errors.New("half a file")
+		end <- errors.New("incomplete file")
 		reader.finish((<-reader.results).err == nil)
 		<-reader.retry
 		reader.request()
 	}
-	end <- errors.New("half a file")
+	end <- errors.New("incomplete file")
 	reader.finish((<-reader.results).err == nil)
 	if reader.retry != nil || reader.state != readIdle || len(began) != 1+retries {
-		t.Errorf("%d reads, state %d", len(began), reader.state)
+		t.Errorf("%d reads, want %d; state %d, want %d", len(began), 1+retries, reader.state, readIdle)
 	}
 }
--- a/internal/node/deployment_test.go
+++ b/internal/node/deployment_test.go
@@ -23,46 +23,47 @@
 var testKey = bytes.Repeat([]byte{5}, 32)
 
 func newTestKey(t testing.TB, secret []byte) tables.Key {
-	k, err := tables.NewKey(secret)
+	key, err := tables.NewKey(secret)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return key
 }
 
 // managerDeployment is a deployment whose manager has an admin socket, a store and a listener for replicas.
 type managerDeployment struct {
 	*fakes.Deployment
-	socket   string // file of the admin socket
-	feed     string // address for replicas
-	heldFeed net.Listener
-	settings string // of the operator
-	store    string // file
-	manager  *inProcessManager
+	socket       string       // path of the admin socket
+	feed         string       // address for replicas
+	reservedFeed net.Listener // keeps the address for replicas in use until the manager starts
+	settings     string       // the operator's settings
+	store        string       // path of the store
+	manager      *inProcessManager
 }
 
-// startReader reads the operator's settings, and with each call of the result the start's file joined to them.
-func startReader(start, settings string) (read func() (config.Config, error), err error) {
+// startReader reads the operator's settings from a file. Each call of the returned function rereads the configuration file
+// and combines it with these settings.
+func startReader(configFile, settings string) (read func() (config.Config, error), err error) {
 	operator, err := config.ReadOperatorSettings(settings)
 	if err != nil {
 		return nil, err
 	}
 	return func() (config.Config, error) {
-		s, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": start}[key] })
+		cfg, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": configFile}[key] })
 		if err != nil {
-			return s, err
+			return cfg, err
 		}
-		return s.WithOperator(operator)
+		return cfg.WithOperator(operator)
 	}, nil
 }
 
-// startDeployment starts a manager with all that the operator's settings can name, and fakes of what it talks to, until the
-// test ends.
+// startDeployment starts a manager that has an admin socket, a store and a listener for replicas, and fakes of its peers.
+// They run until the test ends.
 func startDeployment(t testing.TB, site fakes.Site) *managerDeployment {
 	t.Helper()
 	dir := t.TempDir()
 	v := &managerDeployment{socket: filepath.Join(dir, "s"), store: filepath.Join(dir, "v.db")}
-	v.holdFeedAddress(t)
+	v.reserveFeedAddress(t)
 	keys := filepath.Join(dir, "keys")
 	if err := os.WriteFile(keys, []byte(hex.EncodeToString(testKey)+"\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -78,23 +79,23 @@
 	return v
 }
 
-// holdFeedAddress finds an address for replicas and listens there until the manager begins, so that the deployment does
-// not find the same address for something else.
-func (v *managerDeployment) holdFeedAddress(t testing.TB) {
+// reserveFeedAddress finds a free address for replicas and listens there until the manager starts, so that the deployment
+// does not use the same address for another listener.
+func (v *managerDeployment) reserveFeedAddress(t testing.TB) {
 	t.Helper()
 	v.feed = freeAddress(t)
 	listener, err := net.Listen("tcp", v.feed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.heldFeed = listener
+	v.reservedFeed = listener
 	t.Cleanup(func() { listener.Close() })
 }
 
 // begin starts the manager in this process.
-func (v *managerDeployment) begin(start, settings string) (fakes.Manager, error) {
-	v.heldFeed.Close()
-	read, err := startReader(start, settings)
+func (v *managerDeployment) begin(configFile, settings string) (fakes.Manager, error) {
+	v.reservedFeed.Close()
+	read, err := startReader(configFile, settings)
 	if err != nil {
 		return nil, err
 	}
@@ -103,23 +104,23 @@
 }
 
 func freeAddress(t testing.TB) string {
-	at, err := fakes.FreeAddress()
+	address, err := fakes.FreeAddress()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return at
+	return address
 }
 
-func (v *managerDeployment) admin(t testing.TB, a AdminRequest) (string, error) {
+func (v *managerDeployment) admin(t testing.TB, request AdminRequest) (string, error) {
 	t.Helper()
-	c, err := net.Dial("unix", v.socket)
+	conn, err := net.Dial("unix", v.socket)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	json.NewEncoder(c).Encode(a)
+	defer conn.Close()
+	json.NewEncoder(conn).Encode(request)
 	var response AdminResponse
-	if err := json.NewDecoder(c).Decode(&response); err != nil {
+	if err := json.NewDecoder(conn).Decode(&response); err != nil {
 		t.Fatal(err)
 	}
 	if response.Error != "" {
@@ -128,7 +129,7 @@
 	return strings.Join(response.Lines, "\n"), nil
 }
 
-// versionIDs are those kept, newest first.
+// versionIDs returns the IDs of the kept versions, newest first.
 func (v *managerDeployment) versionIDs(t testing.TB) (all []string) {
 	t.Helper()
 	text, err := v.admin(t, AdminRequest{Command: "log"})
@@ -136,8 +137,8 @@
 		t.Fatal(err)
 	}
 	for _, line := range strings.Split(text, "\n") {
-		if f := strings.Fields(line); len(f) > 1 && f[0] != "held" {
-			all = append(all, f[0])
+		if fields := strings.Fields(line); len(fields) > 1 && fields[0] != "held" {
+			all = append(all, fields[0])
 		}
 	}
 	return all
@@ -171,16 +172,16 @@
 	})
 }
 
-// startReplica starts a replica that follows the feed until the test ends.
+// startReplica starts a replica that follows the feed until the test ends, and calls applied for each applied version.
 func startReplica(t testing.TB, address string, number int, applied func(tables.VersionRef)) *tables.Replica {
 	t.Helper()
 	keys := tables.Keys{newTestKey(t, testKey)}
 	retry := tables.RetrySettings{InitialInterval: 50 * time.Millisecond, MaxInterval: time.Second}
-	h := tables.NewReplica(keys, retry, uint64(number))
-	f := &follow.Follower{
+	replica := tables.NewReplica(keys, retry, uint64(number))
+	follower := &follow.Follower{
 		Name:       fmt.Sprint("h", number),
 		Keys:       keys,
-		Replica:    h,
+		Replica:    replica,
 		MaxBackoff: 200 * time.Millisecond,
 		Dial:       func(ctx context.Context) (net.Conn, error) { return (&net.Dialer{}).DialContext(ctx, "tcp", address) },
 		OnApplied:  func(version tables.VersionRef, _ *tables.State) { applied(version) },
@@ -188,41 +189,42 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		f.Run(t.Context())
+		follower.Run(t.Context())
 	}()
 	t.Cleanup(func() { <-done })
-	return h
+	return replica
 }
 
-// replicaVersions records what each of some replicas runs. It is safe for concurrent use.
+// replicaVersions records the version that each replica has applied. It is safe for concurrent use.
 type replicaVersions struct {
-	mu      sync.Mutex // of all below
-	held    map[int]tables.VersionRef
-	applied map[int]map[tables.ID]int // how often each version was applied
+	mu      sync.Mutex                // protects the fields below
+	held    map[int]tables.VersionRef // the current version of each replica
+	applied map[int]map[tables.ID]int // how often each replica applied each version
 }
 
 func newReplicaVersions() *replicaVersions {
 	return &replicaVersions{held: map[int]tables.VersionRef{}, applied: map[int]map[tables.ID]int{}}
 }
 
-func (l *replicaVersions) recorder(i int) func(tables.VersionRef) {
-	return func(h tables.VersionRef) {
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		if l.applied[i] == nil {
-			l.applied[i] = map[tables.ID]int{}
+// recorder returns a function that records the versions that a replica applies.
+func (r *replicaVersions) recorder(i int) func(tables.VersionRef) {
+	return func(version tables.VersionRef) {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		if r.applied[i] == nil {
+			r.applied[i] = map[tables.ID]int{}
 		}
-		l.held[i] = h
-		l.applied[i][h.ID]++
+		r.held[i] = version
+		r.applied[i][version.ID]++
 	}
 }
 
-// allRun tells whether the first n replicas run a version.
-func (l *replicaVersions) allRun(n int, id string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// allRun reports whether the first n replicas have a version.
+func (r *replicaVersions) allRun(n int, id string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for i := range n {
-		if l.held[i].ID.String() != id {
+		if r.held[i].ID.String() != id {
 			return false
 		}
 	}
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -11,11 +11,11 @@
 	"tamarindshore/internal/config"
 )
 
-// errNotConnected is the error of a connection that was never established: nothing was sent.
-var errNotConnected = errors.New("unreached")
+// errNotConnected reports that no connection was established, so nothing was sent.
+var errNotConnected = errors.New("connection not established")
 
-// dial connects to an address, once. The peer must send something within the idle timeout each time. The error wraps
-// errNotConnected.
+// dial makes one attempt to connect to an address. On the returned connection the peer must not stay silent for longer
+// than the idle timeout. The error wraps errNotConnected.
 func dial(ctx context.Context, limits config.Limits, address string, idleTimeout time.Duration) (*deadlineConn, error) {
 	netConn, err := (&net.Dialer{Timeout: limits.ConnectTimeout}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -30,7 +30,7 @@
 	}, nil
 }
 
-// newClient makes an HTTP client of one connection. It never retries a request.
+// newClient returns an HTTP client that uses a single, existing connection. It never retries a request.
 func newClient(limits config.Limits, address string, conn net.Conn, streamBody bool) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// pollInterval is the time between two looks at something that has no event to wait for.
+// pollInterval is the time between two checks of a condition that has no event to wait for.
 const pollInterval = time.Millisecond
 
-// mustEventually waits until something holds, and ends the test where it does not within a timeout.
-func mustEventually(t testing.TB, timeout time.Duration, what string, holds func() bool) {
+// mustEventually waits until a condition holds, and fails the test if it does not hold within a timeout.
+func mustEventually(t testing.TB, timeout time.Duration, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(timeout); !holds(); time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(timeout); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %v", what, timeout)
+			t.Fatalf("condition %q does not hold after %v", what, timeout)
 		}
 	}
 }
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -6,85 +6,85 @@
 	"tamarindshore/balancer"
 )
 
-// input is one thing that the router handles. The set is closed: it is the types of this file. A collector's messages
-// are inputs where they are samples.
+// input is an event that the router handles. The set of inputs is closed: the types of this file, and the samples among
+// a collector's messages.
 type input interface {
-	// handleBy hands the input to the router's handler for its type. It is called in the router's goroutine.
+	// handleBy calls the router's handler for the input's type. It is called in the router's goroutine.
 	handleBy(r *router)
 }
 
-// proxyEvent is an input that the relay's event stream tells.
+// proxyEvent is an input that comes from the relay's event stream.
 type proxyEvent interface {
 	input
 	counter() counter
 }
 
-// proxyEventsOpened says that the relay's event stream has opened. All connected proxies follow, as proxyConnected.
+// proxyEventsOpened reports that the relay's event stream has opened. A proxyConnected follows for each connected proxy.
 type proxyEventsOpened struct{}
 
-// proxySnapshotComplete says that all connected proxies have been notified since proxyEventsOpened.
+// proxySnapshotComplete reports that all connected proxies have been announced since proxyEventsOpened.
 type proxySnapshotComplete struct{}
 
-// proxyConnected says that a proxy is connected to the relay.
+// proxyConnected reports that a proxy is connected to the relay.
 type proxyConnected struct {
 	proxy       balancer.ProxyID
 	zone        balancer.ZoneID
-	requestRate float64 // expected of the proxy, requests a second
+	requestRate float64 // expected from the proxy, requests per second
 }
 
-// proxyDisconnected says that a proxy has left the relay.
+// proxyDisconnected reports that a proxy has disconnected from the relay.
 type proxyDisconnected struct{ proxy balancer.ProxyID }
 
-// barrierAck is a proxy's answer that it applied all commands up to a barrier.
+// barrierAck is a proxy's acknowledgement that it applied all commands up to a barrier.
 type barrierAck struct {
 	proxy   balancer.ProxyID
 	barrier balancer.BarrierID
 }
 
-// endpointList is the list of servers, or changes of it.
+// endpointList is the list of servers, or changes to it.
 type endpointList struct {
 	generation int64
-	snapshot   bool // the complete list, not changes of it
-	complete   bool // nothing before its generation is missing
-	stored     bool // it was read from the store
+	snapshot   bool // the complete list, not changes to it
+	complete   bool // no change before its generation is missing
+	stored     bool // read from the store
 	entries    []balancer.Endpoint
 	addresses  map[balancer.ServerID]string
 	instances  []instance // as discovery sent them
 }
 
-// endpointListFailed says that a requested watch of the endpoint list has ended.
+// endpointListFailed reports that a requested watch of the endpoint list has ended.
 type endpointListFailed struct{}
 
 // healthCheckResult is the outcome of one health check.
 type healthCheckResult struct {
 	server   balancer.ServerID
-	address  string // that was checked
+	address  string // the address that was checked
 	outcome  balancer.HealthCheckResult
 	latency  time.Duration
-	inFlight float64 // requests that the server reports in flight; -1: it reports none
+	inFlight float64 // in-flight requests that the server reports; -1 if it does not report them
 }
 
-// resendRequest asks which commands of a failed or split call go out now.
+// resendRequest asks which commands of a failed or split call may be sent now.
 type resendRequest struct {
 	commands        balancer.Commands
-	barrier         balancer.BarrierID // of the call
-	mayHaveExecuted bool               // the first of the commands may have been carried out
+	barrier         balancer.BarrierID // barrier of the call
+	mayHaveExecuted bool               // the commands under the barrier may have been carried out
 	reply           chan<- resendReply
 }
 
 // resendReply answers a resendRequest.
 type resendReply struct {
-	allowed  balancer.Commands // go out now
-	deferred balancer.Commands // have to wait
+	allowed  balancer.Commands // to be sent now
+	deferred balancer.Commands // to be sent later
 }
 
-// callCompleted says that the commands up to a barrier are in the relay's channel.
+// callCompleted reports that the commands up to a barrier are in the relay's channel.
 type callCompleted struct {
 	barrier  balancer.BarrierID
-	complete bool // none of them was rejected
+	complete bool // none of the commands was rejected
 }
 
-// routerCall is a function that runs in the router's goroutine, on behalf of an operator's command.
+// routerCall is a function that runs in the router's goroutine to carry out an operator's command.
 type routerCall func(r *router)
 
 func (in proxyEventsOpened) handleBy(r *router)     { r.handleProxyEventsOpened() }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,10 +1,10 @@
-// Package node is the manager around the balancer: it receives and decodes messages, hands them to the balancer, and
-// encodes the balancer's commands and sends them to the relay. It carries and never decides.
+// Package node implements the manager process around the balancer. It receives and decodes messages, passes them to the
+// balancer, and encodes the balancer's commands and sends them to the relay. It makes no load balancing decisions.
 //
-// Goroutines: the router owns the balancer and handles all inputs; the relay client makes the calls; the receiver's
-// goroutines read collectors, the relay's events, discovery's watch and health checks; a decoder pool decodes
-// collectors' lines on several cores; a store writer saves versions and the endpoint list. All of them end with the
-// context of the Node's lifetime.
+// Goroutines: the router owns the balancer and handles all inputs; the relay client makes the calls to the relay; the
+// receiver's goroutines read from the collectors, the relay's event stream and discovery's watch, and make the health
+// checks; the decoder pool decodes the collectors' lines on several cores; the store writer saves versions and the
+// endpoint list. All of them end with the context of the Node's lifetime.
 package node
 
 import (
@@ -22,8 +22,8 @@
 	"tamarindshore/internal/versions"
 )
 
-// Node is one manager. It serves while Run runs; its fields belong to the goroutine that calls Run, and each part says
-// what others may call.
+// Node is a manager. It serves during Run. Its fields belong to the goroutine that calls Run; the types of the fields
+// document what other goroutines may call.
 type Node struct {
 	config            config.Config
 	startedAt         time.Time
@@ -34,43 +34,43 @@
 	decoderPool       *decoderPool // nil: each connection decodes its own lines
 	router            *router
 	relay             *relayClient
-	store             *store.Store // nil: the settings name none
+	store             *store.Store // nil: not configured
 	watchState        *watchState
 	proxyEvents       *upstream      // the relay's event stream; replaced by a reload
 	endpointWatch     *upstream      // discovery's watch; replaced by a reload
-	operatorListeners []net.Listener // closed at the end
+	operatorListeners []net.Listener // closed at shutdown
 	readiness         readiness
-	lifetime          context.Context // of all goroutines of the manager
+	lifetime          context.Context // for all goroutines of the manager
 	cancelLifetime    context.CancelFunc
 }
 
-// New makes a manager from a checked configuration. It logs to a writer. It opens the store, and listens nowhere: Run
-// does. An error names the key of the configuration that is at fault.
-func New(start config.Config, log io.Writer) (*Node, error) {
-	n := &Node{config: start, startedAt: time.Now()}
-	limits := start.Limits
-	logFormatter := logging.NewFormatWriter(start.LogFormat, log)
+// New creates a manager from a valid configuration. The manager writes its log to log. New opens the store; Run opens the
+// listeners. An error names the configuration key that caused it.
+func New(cfg config.Config, log io.Writer) (*Node, error) {
+	n := &Node{config: cfg, startedAt: time.Now()}
+	limits := cfg.Limits
+	logFormatter := logging.NewFormatWriter(cfg.LogFormat, log)
 	n.logWriter = logging.NewAsyncWriter(logFormatter, limits.MaxQueuedLogLines, func() { n.metrics.add(logDropped, 1) })
-	n.metrics = newMetrics(limits.LogInterval, logging.New(n.logWriter, start.LogLevel))
+	n.metrics = newMetrics(limits.LogInterval, logging.New(n.logWriter, cfg.LogLevel))
 	n.lifetime, n.cancelLifetime = context.WithCancel(context.Background())
 	n.readiness.startedAt = n.startedAt
 	n.readiness.timeout = limits.MaxReadyDelay
-	n.decoder = newDecoder(start.Balancer, start.ClassNames, n.startedAt, limits)
-	list, _, err := n.decoder.parseList(start.CachedEndpointList)
+	n.decoder = newDecoder(cfg.Balancer, cfg.ClassNames, n.startedAt, limits)
+	list, _, err := n.decoder.parseList(cfg.CachedEndpointList)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	n.initialList = list
-	n.router = newRouter(start, n.startedAt, n.metrics)
-	if start.Spill > 0 {
-		n.router.subsetFilter = newSubsetFilter(start)
+	n.router = newRouter(cfg, n.startedAt, n.metrics)
+	if cfg.Spill > 0 {
+		n.router.subsetFilter = newSubsetFilter(cfg)
 	}
 	if err := n.openStore(); err != nil {
 		return nil, err
 	}
 	n.watchState = newWatchState(n.initialList.generation, n.startedAt)
-	if start.TablesAddress != "" {
-		keys, err := readKeys(start.KeyFile)
+	if cfg.TablesAddress != "" {
+		keys, err := readKeys(cfg.KeyFile)
 		if err != nil {
 			return nil, fmt.Errorf("keys: %w", err)
 		}
@@ -79,17 +79,17 @@
 	return n, nil
 }
 
-// minReplicas is how many replicas of tables a manager serves at least.
+// minReplicas is the minimum number of replicas that a manager accepts, however few sockets it may open.
 const minReplicas = 16
 
-func newRouter(start config.Config, startedAt time.Time, m *metrics) *router {
+func newRouter(cfg config.Config, startedAt time.Time, m *metrics) *router {
 	return &router{
-		limits:        start.Limits,
+		limits:        cfg.Limits,
 		startedAt:     startedAt,
-		manager:       balancer.New(start.Seed, start.Balancer),
-		inputs:        make(chan input, start.Limits.MaxQueuedInputs),
-		backlog:       newBacklog(start.Limits.MaxQueuedCalls, m),
-		healthChecks:  make(chan healthCheckTarget, start.Limits.MaxQueuedHealthChecks),
+		manager:       balancer.New(cfg.Seed, cfg.Balancer),
+		inputs:        make(chan input, cfg.Limits.MaxQueuedInputs),
+		backlog:       newBacklog(cfg.Limits.MaxQueuedCalls, m),
+		healthChecks:  make(chan healthCheckTarget, cfg.Limits.MaxQueuedHealthChecks),
 		listRequested: make(chan struct{}, 1),
 		metrics:       m,
 		proxies:       map[balancer.ProxyID]bool{},
@@ -98,7 +98,7 @@
 	}
 }
 
-// openStore opens the store, if the settings name one, and continues the chain of versions from its contents.
+// openStore opens the store, if one is configured, and restores the chain of versions from its contents.
 func (n *Node) openStore() error {
 	epoch := uint64(n.startedAt.UnixMilli())
 	stored := store.Contents{}
@@ -121,23 +121,23 @@
 	return nil
 }
 
-// useStoredList begins with the stored endpoint list in place of the configured one, where it is the later one. An
-// invalid stored list is ignored.
-func (n *Node) useStoredList(kept store.ServerList) {
-	if versions.StoredListIsNewer(n.initialList.generation, kept.Generation, len(kept.Entries)) {
-		stored, _, err := n.decoder.checkList(kept.Generation, true, instancesOf(kept.Entries))
+// useStoredList replaces the configured endpoint list by the stored one if that is newer. An invalid stored list is
+// ignored.
+func (n *Node) useStoredList(list store.ServerList) {
+	if versions.StoredListIsNewer(n.initialList.generation, list.Generation, len(list.Entries)) {
+		stored, _, err := n.decoder.checkList(list.Generation, true, instancesOf(list.Entries))
 		if err == nil {
 			n.initialList = stored
 			n.initialList.stored = true
 			return
 		}
-		n.metrics.logEvent("stored_list_ignored", "version", kept.Generation, "error", err)
+		n.metrics.logEvent("stored_list_ignored", "version", list.Generation, "error", err)
 	}
 }
 
-// readiness tells whether a manager may be used: once the relay's event stream has opened, or after a timeout without.
-// Guards against a restart that is never ready because the relay is out of reach: what is known serves until it is back.
-// It is safe for concurrent use.
+// readiness tracks whether a manager is ready: once the relay's event stream has opened, or after a timeout. Without the
+// timeout, a manager that restarts while the relay is unreachable would never become ready, although it can serve with
+// the state that it has. It is safe for concurrent use.
 type readiness struct {
 	relayOpened atomic.Bool
 	startedAt   time.Time
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -23,113 +23,114 @@
 		Balancer: testSettings, ClassNames: []string{"lookup"}, CachedEndpointList: json.RawMessage(`{"generation":41,"instances":[]}`)}
 }
 
-// occupyAddress has something listen at an address until the test ends.
+// occupyAddress listens at an address until the test ends.
 func occupyAddress(t *testing.T, address string) net.Listener {
 	t.Helper()
-	at, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { at.Close() })
-	return at
+	t.Cleanup(func() { listener.Close() })
+	return listener
 }
 
-func TestRunEndsOnSIGTERMWithItsCounters(t *testing.T) {
+func TestRunLogsItsCountersAtShutdown(t *testing.T) {
 	var text bytes.Buffer
-	s := testConfig(t)
-	s.Limits.Memory = 192 << 20
-	s.Limits.Cores = 1
-	n, err := New(s, &text)
+	cfg := testConfig(t)
+	cfg.Limits.Memory = 192 << 20
+	cfg.Limits.Cores = 1
+	n, err := New(cfg, &text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	count := make(chan os.Signal)
-	ctx, end := context.WithCancel(t.Context())
+	logCounters := make(chan os.Signal)
+	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		count <- syscall.SIGUSR1
-		end()
+		logCounters <- syscall.SIGUSR1
+		cancel()
 	}()
-	if err := n.Run(ctx, Signals{LogCounters: count}, nil); err != nil {
+	if err := n.Run(ctx, Signals{LogCounters: logCounters}, nil); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"event=counters ", "event=end ", " reports_in=0 "} {
 		if !strings.Contains(text.String(), want) {
-			t.Errorf("no %q in %s", want, text.String())
+			t.Errorf("the log has no %q:\n%s", want, text.String())
 		}
 	}
 }
 
-func TestRunNamesAnAddressThatIsTaken(t *testing.T) {
-	s := testConfig(t)
-	l, err := net.Listen("tcp", s.Listen)
+func TestRunReportsAnAddressInUse(t *testing.T) {
+	cfg := testConfig(t)
+	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	n, err := New(s, io.Discard)
+	defer listener.Close()
+	n, err := New(cfg, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := n.Run(t.Context(), Signals{}, nil); err == nil || !strings.HasPrefix(err.Error(), "listen: ") {
-		t.Error(err)
+		t.Errorf("error %v, want one that begins with \"listen: \"", err)
 	}
 }
 
-// Guards against a start that fails because the process before it has not ended yet.
-func TestRunWaitsForItsAddress(t *testing.T) {
-	s := testConfig(t)
-	s.Limits.ListenTimeout = time.Minute
-	before := occupyAddress(t, s.Listen)
-	tried := time.AfterFunc(20*time.Millisecond, func() { before.Close() })
-	defer tried.Stop()
-	at, err := listen(t.Context(), s.Listen, s.Limits)
+// A start must not fail because the previous process has not released the address yet.
+func TestListenWaitsForAnAddressInUse(t *testing.T) {
+	cfg := testConfig(t)
+	cfg.Limits.ListenTimeout = time.Minute
+	previous := occupyAddress(t, cfg.Listen)
+	release := time.AfterFunc(20*time.Millisecond, func() { previous.Close() })
+	defer release.Stop()
+	listener, err := listen(t.Context(), cfg.Listen, cfg.Limits)
 	if err != nil {
 		t.Fatal(err)
 	}
-	at.Close()
+	listener.Close()
 }
 
-// Guards against an end that waits for an address in use.
-func TestAnEndReachesAStartThatWaitsForItsAddress(t *testing.T) {
-	s := testConfig(t)
-	s.Limits.ListenTimeout = time.Hour
-	occupyAddress(t, s.Listen)
-	ctx, end := context.WithCancel(t.Context())
-	end()
-	if at, err := listen(ctx, s.Listen, s.Limits); err == nil {
-		at.Close()
-		t.Error("it listens at an address in use")
+// A shutdown during the start must not wait until the address becomes free.
+func TestListenStopsWaitingAtShutdown(t *testing.T) {
+	cfg := testConfig(t)
+	cfg.Limits.ListenTimeout = time.Hour
+	occupyAddress(t, cfg.Listen)
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if listener, err := listen(ctx, cfg.Listen, cfg.Limits); err == nil {
+		listener.Close()
+		t.Error("listen succeeded at an address in use")
 	}
 }
 
-// Guards against a restart that is never ready because the relay is out of reach.
-func TestReadyAfterAWhileWithoutTheRelay(t *testing.T) {
+// A manager that restarts while the relay is unreachable must become ready after the timeout.
+func TestReadyAfterATimeoutWithoutTheRelay(t *testing.T) {
 	r := readiness{startedAt: time.Now(), timeout: time.Hour}
 	if r.ready() {
-		t.Error("ready before the relay's event stream and its timeout")
+		t.Error("ready before the relay's event stream opened and before the timeout")
 	}
 	if r.noteRelayOpened(); !r.ready() {
-		t.Error("not ready with the relay's event stream")
+		t.Error("not ready after the relay's event stream opened")
 	}
 	if r := (readiness{startedAt: time.Now().Add(-time.Second), timeout: time.Second}); !r.ready() {
-		t.Error("not ready after its time")
+		t.Error("not ready after the timeout")
 	}
 }
 
-func TestNewNamesAnInvalidInitialList(t *testing.T) {
-	s := testConfig(t)
-	s.CachedEndpointList = json.RawMessage(`{"instances":[]}`)
-	if _, err := New(s, io.Discard); err == nil || err.Error() != "known: generation: is missing" {
-		t.Error(err)
+func TestNewReportsAnInvalidEndpointList(t *testing.T) {
+	cfg := testConfig(t)
+	cfg.CachedEndpointList = json.RawMessage(`{"instances":[]}`)
+	if _, err := New(cfg, io.Discard); err == nil || err.Error() != "known: generation: is missing" {
+		t.Errorf("error %v, want \"known: generation: is missing\"", err)
 	}
 }
 
 func TestLogLineHasEveryCounter(t *testing.T) {
 	var text bytes.Buffer
-	b := newMetrics(0, logging.New(logging.NewFormatWriter(logging.Text, &text), "info"))
-	b.add(reloadsFailed, 3)
-	b.logCounters("counters")
-	if line := strings.TrimSpace(text.String()); strings.Count(line, "=") != int(counterCount)+1 || !strings.Contains(line, " reloads_failed=3 ") {
-		t.Error(line)
+	m := newMetrics(0, logging.New(logging.NewFormatWriter(logging.Text, &text), "info"))
+	m.add(reloadsFailed, 3)
+	m.logCounters("counters")
+	if line := strings.TrimSpace(text.String()); strings.Count(line, "=") != int(counterCount)+1 ||
+		!strings.Contains(line, " reloads_failed=3 ") {
+		t.Errorf("log line %q, want %d counters and reloads_failed=3", line, counterCount)
 	}
 }
--- a/internal/node/notify.go
+++ b/internal/node/notify.go
@@ -1,6 +1,6 @@
 package node
 
-// notify wakes whoever waits on a channel with room for one; a signal that nobody has taken yet stands for this one too.
+// notify signals a channel with a buffer of one. It does nothing if an earlier signal has not been received yet.
 func notify(wake chan<- struct{}) {
 	select {
 	case wake <- struct{}{}:
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -1,6 +1,7 @@
 package node
 
-// How soon a restarted manager is ready, and its proxies have tables, at full size and with relay or discovery in trouble.
+// These tests measure how soon a restarted manager is ready and its proxies are assigned to tables, with 2400 proxies and
+// with faults of the relay or discovery.
 
 import (
 	"io"
@@ -11,18 +12,20 @@
 	"tamarindshore/internal/fakes"
 )
 
-const readyWithin = 10 * time.Second // the users' term, for nine in ten restarts; here for each
+// readyWithin is how long each restart may take until the manager is ready. The requirement is that nine in ten restarts
+// meet it.
+const readyWithin = 10 * time.Second
 
 // assignedWithin is how long all proxies may take to be assigned after a restart.
 const assignedWithin = 30 * time.Second
 
-// restarts are the restarts of TestReadyAfterARestart, each with what fails before it.
+// restarts are the cases of TestReadyAfterARestart.
 var restarts = []struct {
 	name     string
-	assigned bool // all proxies are to be assigned
-	trouble  func(t *testing.T, v *managerDeployment)
+	assigned bool                                     // all proxies must be assigned after the restart
+	fail     func(t *testing.T, v *managerDeployment) // injects a fault before the restart
 }{
-	{"sound", true, func(*testing.T, *managerDeployment) {}},
+	{"no fault", true, func(*testing.T, *managerDeployment) {}},
 	{"discovery is silent", true, func(_ *testing.T, v *managerDeployment) { v.Discovery.SetUnresponsive(true) }},
 	{"discovery is out of reach", true, func(_ *testing.T, v *managerDeployment) { v.Discovery.Close() }},
 	{"the relay is busy", true, func(_ *testing.T, v *managerDeployment) {
@@ -41,14 +44,14 @@
 	site := fakes.DefaultSite(200, proxies)
 	site.ChannelLinesPerSecond = 60_000
 	site.ChannelQueueLines = 60_000
-	for _, one := range restarts {
-		t.Run(one.name, func(t *testing.T) {
+	for _, restart := range restarts {
+		t.Run(restart.name, func(t *testing.T) {
 			v := startDeployment(t, site)
 			v.Relay.ConnectProxies(proxyIDs(0, proxies)...)
 			eventually(t, "all connected", func() bool { return v.manager.metrics.counts[proxyConnects].Load() == proxies })
 			v.manager.Stop(false)
 			allAssigned := notifyOnceAssigned(v.Relay, proxies)
-			one.trouble(t, v)
+			restart.fail(t, v)
 			began := time.Now()
 			if err := v.Deployment.StartManager(); err != nil {
 				t.Fatal(err)
@@ -56,9 +59,9 @@
 			ready := time.Since(began)
 			t.Logf("ready after %v", ready.Round(10*time.Millisecond))
 			if ready > readyWithin {
-				t.Errorf("ready after %v", ready)
+				t.Errorf("ready after %v, want at most %v", ready, readyWithin)
 			}
-			if !one.assigned {
+			if !restart.assigned {
 				return
 			}
 			select {
@@ -71,9 +74,9 @@
 	}
 }
 
-// notifyOnceAssigned returns a channel that is closed once so many proxies have been assigned to a table.
+// notifyOnceAssigned returns a channel that is closed when the given number of proxies have been assigned to tables.
 func notifyOnceAssigned(relay *fakes.Relay, proxies int) <-chan struct{} {
-	assigned := map[string]bool{} // used under the relay's lock
+	assigned := map[string]bool{} // accessed with the relay's lock held
 	done := make(chan struct{})
 	relay.Configure(func(r *fakes.Relay) {
 		r.OnCommand = func(_ time.Time, kind, proxy string) {
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -8,9 +8,9 @@
 	"tamarindshore/internal/config"
 )
 
-// relayClient makes the calls to the relay, one at a time and in order. It owns the outcome of each: accepted, rejected,
-// not sent, or unknown; then what may be missing is sent again before anything else. It must never drop a command that
-// was not rejected, nor send a later one before it. Its fields belong to the goroutine that runs run.
+// relayClient makes the calls to the relay, one at a time and in order. It handles the outcome of each call: if commands
+// were not sent, or it is unknown whether they were executed, it sends them again before any others. It must never drop a
+// command that was not rejected, nor send a later command before it. Its fields belong to the goroutine that calls run.
 type relayClient struct {
 	limits      config.Limits
 	address     string
@@ -18,17 +18,17 @@
 	backlog     *backlog
 	receiver    *receiver
 	metrics     *metrics
-	nextAddress atomic.Pointer[string] // by a reload; nil: address still counts
+	nextAddress atomic.Pointer[string] // set by a reload; nil: address is current
 }
 
 func newRelayClient(limits config.Limits, address string, classes []string, backlog *backlog, r *receiver) *relayClient {
 	return &relayClient{limits: limits, address: address, classes: classes, backlog: backlog, receiver: r, metrics: r.metrics}
 }
 
-// setAddress sets the address of all calls after the one in progress. Any goroutine may call it.
+// setAddress sets the address for all calls after the one in progress. It is safe for concurrent use.
 func (r *relayClient) setAddress(address string) { r.nextAddress.Store(&address) }
 
-// run delivers what comes to the backlog until the receiver stops.
+// run delivers the commands of the backlog until the receiver stops.
 func (r *relayClient) run() {
 	for {
 		batch, ok := r.backlog.next()
@@ -46,10 +46,12 @@
 	}
 }
 
-// deliver sends commands until none of them is missing; false once the receiver stops. What is to be sent again, or
-// later, is asked of the balancer together with all that is queued by then: nothing outdated goes out in a burst once
-// the relay is back, and retries count against the balancer's limits. What is too long for one call is later too: each
-// call makes messages of its own.
+// deliver sends commands until all are accepted or rejected. It returns false once the receiver stops.
+//
+// Before it resends commands, deliver asks the router which ones to send. The router merges them with all commands queued
+// by then, so that outdated commands are not sent in a burst once the relay is back, and the balancer counts the retries
+// against its limits. Commands that did not fit into the call take the same path, because each call results in messages
+// of its own.
 func (r *relayClient) deliver(batch balancer.Commands) bool {
 	var deferred balancer.Commands
 	for attempts := 0; ; attempts++ {
@@ -79,7 +81,7 @@
 	}
 }
 
-// requestResend asks the router which commands go out now; false once the receiver stops.
+// requestResend asks the router which commands may be sent now. It returns false once the receiver stops.
 func (r *relayClient) requestResend(request resendRequest) (resendReply, bool) {
 	replies := make(chan resendReply, 1)
 	request.reply = replies
--- a/internal/node/relay_call.go
+++ b/internal/node/relay_call.go
@@ -16,33 +16,33 @@
 	"tamarindshore/internal/commands"
 )
 
-// callOutcome is the outcome of a call; the log shows it.
+// callOutcome is the outcome of a call. It is written to the log.
 type callOutcome string
 
 const (
 	callDone           callOutcome = "done"
-	callBusy           callOutcome = "busy"    // nothing was executed
+	callBusy           callOutcome = "busy"    // the relay executed nothing
 	callNotSent        callOutcome = "unsent"  // no connection was established
-	callOutcomeUnknown callOutcome = "unknown" // it may have been executed
+	callOutcomeUnknown callOutcome = "unknown" // the relay may have executed the call
 )
 
 var (
 	errBusy             = errors.New("the relay is busy")
-	errSyntax           = errors.New("the relay can't read the call")
-	errUnreadableAnswer = errors.New("unreadable answer")
+	errSyntax           = errors.New("the relay reports a syntax error in the call")
+	errUnreadableAnswer = errors.New("malformed answer from the relay")
 )
 
-// Words of the relay's answers.
+// Error codes and elements in the relay's answers.
 const (
 	answerBusy    = "BUSY"
 	answerSyntax  = "SYNTAX"
-	answerElement = "taken" // holds how many commands were accepted
+	answerElement = "taken" // contains the number of accepted commands
 )
 
-// callPath is where the relay accepts calls.
+// callPath is the path at which the relay accepts calls.
 const callPath = "/v3/kv/"
 
-// send sends as many commands as a call holds, and gives how many are settled: accepted or rejected.
+// send sends as many commands as fit into one call. It returns how many are settled, that is accepted or rejected.
 func (r *relayClient) send(batch balancer.Commands) (settled int, outcome callOutcome) {
 	if commands.IsEmpty(batch) {
 		return 0, callDone
@@ -62,7 +62,7 @@
 		r.metrics.add(callsBusy, 1)
 		return 0, callBusy
 	case errors.Is(err, errSyntax):
-		accepted = 0 // the first command counts as rejected: guards against repeating it for ever
+		accepted = 0 // treat the first command as rejected, else the same call would be retried forever
 	case err != nil:
 		r.metrics.add(callsUnknown, 1)
 		r.metrics.logLimited("call_failed", "error", err)
@@ -71,7 +71,7 @@
 	return r.settle(batch, text, accepted), callDone
 }
 
-// settle counts how many of a call's commands the relay accepted, tells the router that their barrier left, and gives how
+// settle counts the commands of a call that the relay accepted, reports the call's barrier to the router, and returns how
 // many commands of the batch are settled.
 func (r *relayClient) settle(batch balancer.Commands, text []string, accepted int) (settled int) {
 	r.metrics.add(callsAnswered, 1)
@@ -79,7 +79,8 @@
 	if accepted < len(text) {
 		r.metrics.logLimited("command_rejected", "command", text[accepted])
 		r.metrics.add(commandsRejected, 1)
-		// guards against a queue that stays full of commands that no barrier will show to have left
+		// The barrier was not accepted, so no proxy acknowledges it. Without this report, the balancer would continue to
+		// count the accepted commands as queued.
 		r.receiver.enqueue(callCompleted{barrier: batch.Barrier, complete: false})
 		return accepted + 1
 	}
@@ -93,9 +94,9 @@
 	return accepted - 1 // without the barrier
 }
 
-// call makes one call of some commands and gives how many of them were accepted. Each call has a connection of its own:
-// guards against one that the relay closes as idle in the instant of a call, and against an answer that belongs to the
-// call before.
+// call makes one call with count encoded commands and returns how many of them were accepted. Each call has a connection
+// of its own: the relay might close an idle connection at the moment of a call, and the answer to a previous call might
+// arrive on a shared one.
 func (r *relayClient) call(encoded string, count int) (accepted int, err error) {
 	if address := r.nextAddress.Swap(nil); address != nil {
 		r.address = *address
@@ -115,12 +116,12 @@
 	}
 	accepted, err = parseAnswer(response.Body(), count)
 	if err == nil && response.StatusCode() != fasthttp.StatusOK {
-		return 0, fmt.Errorf("%w: status %d", errUnreadableAnswer, response.StatusCode())
+		return 0, fmt.Errorf("%w: HTTP status %d", errUnreadableAnswer, response.StatusCode())
 	}
 	return accepted, err
 }
 
-// prepareCall makes a request of a call to the relay.
+// prepareCall fills in the HTTP request of a call to the relay.
 func prepareCall(request *fasthttp.Request, address, encoded string) {
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetRequestURI("http://" + address + callPath)
@@ -133,8 +134,9 @@
 	request.SetConnectionClose()
 }
 
-// parseAnswer reads the relay's answer to a call of at most limit commands: how many it accepted, or an error word. An
-// error is errBusy, errSyntax or wraps errUnreadableAnswer. Guards against a malformed count that passes for success.
+// parseAnswer parses the relay's answer to a call with limit commands, and returns how many of them it accepted. An error
+// is errBusy, errSyntax or wraps errUnreadableAnswer. A count that is malformed, repeated or out of range is an error, so
+// that it is not mistaken for success.
 func parseAnswer(body []byte, limit int) (accepted int, err error) {
 	decoder := xml.NewDecoder(bytes.NewReader(body))
 	element := ""
@@ -163,13 +165,13 @@
 			}
 			accepted, err = strconv.Atoi(text)
 			if err != nil || found || accepted < 0 || accepted > limit {
-				return 0, fmt.Errorf("%w: taken %.20q of %d", errUnreadableAnswer, text, limit)
+				return 0, fmt.Errorf("%w: element <taken> has %.20q, want one number from 0 to %d", errUnreadableAnswer, text, limit)
 			}
 			found = true
 		}
 	}
 	if !found {
-		return 0, fmt.Errorf("%w: %.80q", errUnreadableAnswer, body)
+		return 0, fmt.Errorf("%w: no element <taken> in %.80q", errUnreadableAnswer, body)
 	}
 	return accepted, nil
 }
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -15,17 +15,17 @@
 	"tamarindshore/internal/config"
 )
 
-// startServer answers each connection on loopback with serve, one after another.
+// startServer listens on loopback and calls serve for each connection, in a goroutine of its own. It returns the address.
 func startServer(t *testing.T, serve func(c net.Conn)) string {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -35,12 +35,13 @@
 			}()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// startTestRelay calls a fake that answers each call with the next of bodies; "" breaks the
-// connection after the call's last byte, "-" before it. The calls' commands come out of the channel.
-func startTestRelay(t *testing.T, l config.Limits, bodies ...string) (*relayClient, <-chan string) {
+// startTestRelay returns a client of a fake relay that answers each call with the next of bodies. Instead of an answer,
+// "" closes the connection after the last byte of the call, "silent" sends nothing, and "-", as the first body, closes the
+// connection before reading the call. The channel receives the commands of each call.
+func startTestRelay(t *testing.T, limits config.Limits, bodies ...string) (*relayClient, <-chan string) {
 	calls := make(chan string, 64)
 	next := make(chan string, 64)
 	for _, b := range bodies {
@@ -59,7 +60,7 @@
 			}
 			req.ParseForm()
 			if req.Method != "POST" || req.URL.Path != "/v3/kv/" || req.PostForm.Get("Action") != "CommitChanges" {
-				calls <- "no call: " + req.URL.Path
+				calls <- "not a call: " + req.URL.Path
 			}
 			calls <- req.PostForm.Get("orders")
 			body := takenAnswer(strings.Count(req.PostForm.Get("orders"), ";") + 1)
@@ -78,34 +79,35 @@
 	})
 	r := testRouter(t)
 	r.pendingCommands()
-	in := testReceiver(t, l)
+	in := testReceiver(t, limits)
 	in.inputs = r.inputs
 	in.metrics = r.metrics
 	go r.run(t.Context().Done())
-	return newRelayClient(l, address, testClasses, r.backlog, in), calls
+	return newRelayClient(limits, address, testClasses, r.backlog, in), calls
 }
 
 func takenAnswer(n int) string {
 	return fmt.Sprintf(`<?xml version="1.0"?><Response><items><item><taken>%d</taken></item></items></Response>`, n)
 }
 
-func testWeights(weights ...float64) (o balancer.Commands) {
-	for i, w := range weights {
-		o.Weights = append(o.Weights, balancer.EndpointWeight{Table: 0, Server: balancer.ServerID(fmt.Sprint("s-", i+1)), Weight: w})
+func testWeights(weights ...float64) (cmds balancer.Commands) {
+	for i, weight := range weights {
+		cmds.Weights = append(cmds.Weights,
+			balancer.EndpointWeight{Table: 0, Server: balancer.ServerID(fmt.Sprint("s-", i+1)), Weight: weight})
 	}
-	return o
+	return cmds
 }
 
 func expectCalls(t *testing.T, calls <-chan string, want ...string) {
 	t.Helper()
 	for _, w := range want {
 		if got := <-calls; got != w {
-			t.Errorf("call %q, not %q", got, w)
+			t.Errorf("call %q, want %q", got, w)
 		}
 	}
 	select {
 	case got := <-calls:
-		t.Errorf("one call too many: %q", got)
+		t.Errorf("unexpected call %q", got)
 	default:
 	}
 }
@@ -117,21 +119,25 @@
 }
 
 func TestDeliverSplitsAtTheLimit(t *testing.T) {
-	l := testLimits
-	l.MaxCallBytes = 30
-	r, calls := startTestRelay(t, l)
+	limits := testLimits
+	limits.MaxCallBytes = 30
+	r, calls := startTestRelay(t, limits)
 	r.deliver(testWeights(1, 2))
-	expectCalls(t, calls, "share,0,s-1,1", "share,0,s-2,2;mark,2,0") // as late as what goes out once more, under a mark of its own
+	expectCalls(t, calls, "share,0,s-1,1", "share,0,s-2,2;mark,2,0") // the rest is sent like a resend, with a barrier of its own
 }
 
-// Guards against an unknown outcome that is taken for a known one: the call goes out again, before others.
+// An answer that does not tell whether the call was executed must count as an unknown outcome: the call is sent again
+// before any others.
 func TestDeliverRetriesAnUnknownOutcome(t *testing.T) {
-	for _, answer := range []string{"", "<Response><items>", "<Response/>", "nonsense", takenAnswer(-1), takenAnswer(3), "<Response><taken>1</taken><taken>2</taken></Response>"} {
+	for _, answer := range []string{
+		"", "<Response><items>", "<Response/>", "nonsense", takenAnswer(-1), takenAnswer(3),
+		"<Response><taken>1</taken><taken>2</taken></Response>",
+	} {
 		r, calls := startTestRelay(t, testLimits, answer)
 		r.deliver(testWeights(1, 2))
 		expectCalls(t, calls, "share,0,s-1,1;share,0,s-2,2", "share,0,s-1,1;share,0,s-2,2;mark,2,0")
 		if n := r.metrics.counts[callsUnknown].Load(); n != 1 {
-			t.Errorf("%q: %d unknown", answer, n)
+			t.Errorf("answer %q: %d unknown outcomes counted, want 1", answer, n)
 		}
 	}
 }
@@ -143,36 +149,37 @@
 }
 
 func TestDeliverRetriesACallWithoutAnAnswer(t *testing.T) {
-	l := testLimits
-	l.RelayTimeout = 200 * time.Millisecond
-	r, calls := startTestRelay(t, l, "silent")
+	limits := testLimits
+	limits.RelayTimeout = 200 * time.Millisecond
+	r, calls := startTestRelay(t, limits, "silent")
 	r.deliver(testWeights(1))
 	expectCalls(t, calls, "share,0,s-1,1", "share,0,s-1,1;mark,2,0")
 }
 
-// Guards against one bad order that holds up all behind it.
+// A command that the relay rejects must not block the commands behind it.
 func TestDeliverSkipsTheRejectedCommand(t *testing.T) {
 	r, calls := startTestRelay(t, testLimits, takenAnswer(1))
 	r.deliver(testWeights(1, 2, 3))
 	expectCalls(t, calls, "share,0,s-1,1;share,0,s-2,2;share,0,s-3,3", "share,0,s-3,3;mark,2,0")
 	if n := r.metrics.counts[commandsRejected].Load(); n != 1 {
-		t.Errorf("%d refused", n)
+		t.Errorf("%d rejected commands counted, want 1", n)
 	}
 }
 
-// Guards against commands that the relay accepted and the balancer does not account for, when the rest of them finds it busy.
+// If the relay accepts only a part of a call, the balancer must learn that the accepted commands were sent even if the
+// relay is busy when the rest is resent.
 func TestDeliverReportsAPartlyAcceptedCall(t *testing.T) {
 	r, _ := startTestRelay(t, testLimits, takenAnswer(1))
 	inputs := make(chan input, 8)
 	r.receiver.inputs = inputs
-	o := testWeights(1, 2, 3)
-	o.Barrier = 7
-	go r.deliver(o)
+	cmds := testWeights(1, 2, 3)
+	cmds.Barrier = 7
+	go r.deliver(cmds)
 	if in := (<-inputs).(callCompleted); in.barrier != 7 || in.complete {
-		t.Errorf("%+v", in)
+		t.Errorf("%+v, want barrier 7, not complete", in)
 	}
 	if in := (<-inputs).(resendRequest); in.barrier != 7 || !in.mayHaveExecuted || in.commands.Count() != 1 {
-		t.Errorf("%+v", in)
+		t.Errorf("%+v, want one command under barrier 7 that may have been executed", in)
 	}
 }
 
@@ -182,11 +189,12 @@
 	r.deliver(testWeights(1))
 	expectCalls(t, calls, "share,0,s-1,1", "share,0,s-1,1;mark,2,0", "share,0,s-1,1;mark,3,0")
 	if n := r.metrics.counts[callsBusy].Load(); n != 2 {
-		t.Errorf("%d busy", n)
+		t.Errorf("%d busy answers counted, want 2", n)
 	}
 }
 
-// Guards against stale states that go out in a burst: what waits by then is folded into the call.
+// After an interruption, outdated commands must not be sent in a burst: all queued commands are merged into the resent
+// call.
 func TestDeliverMergesQueuedCommands(t *testing.T) {
 	r, calls := startTestRelay(t, testLimits, "")
 	r.backlog.push(testWeights(5))
@@ -196,22 +204,22 @@
 }
 
 func TestCallReportsThatNothingWasSent(t *testing.T) {
-	l, _ := net.Listen("tcp", "127.0.0.1:0")
-	l.Close()
-	r := &relayClient{limits: testLimits, address: l.Addr().String()}
+	listener, _ := net.Listen("tcp", "127.0.0.1:0")
+	listener.Close()
+	r := &relayClient{limits: testLimits, address: listener.Addr().String()}
 	if _, err := r.call("mark,1,0", 1); !errors.Is(err, errNotConnected) {
-		t.Error(err)
+		t.Errorf("error %v, want %v", err, errNotConnected)
 	}
 }
 
-func TestAnswerReadsErrorWords(t *testing.T) {
+func TestParseAnswerReturnsErrorCodes(t *testing.T) {
 	for body, want := range map[string]error{
 		"<Response><Error><Code>BUSY</Code></Error></Response>":   errBusy,
 		"<Response><Error><Code>SYNTAX</Code></Error></Response>": errSyntax,
 		takenAnswer(7): nil,
 	} {
 		if n, err := parseAnswer([]byte(body), 7); err != want || want == nil && n != 7 {
-			t.Errorf("%s: %d %v", body, n, err)
+			t.Errorf("answer %s: %d accepted, error %v, want error %v", body, n, err, want)
 		}
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -8,10 +8,10 @@
 	"tamarindshore/internal/config"
 )
 
-// reload moves a running manager to the configuration as it was read again, make before break; false where that is
-// invalid, which changes nothing. A stream is opened at a new address at once, while the old upstream serves until the
-// new one has sent something. Settings that only count at the start are named in the log. It must never touch what the
-// balancer learnt, nor apply a part of a file.
+// reload applies a reread configuration to the running manager. It returns false and changes nothing if the configuration
+// is invalid; a file is never applied in part. If an address changed, a stream is opened at the new one at once, and the
+// old upstream stays in use until the new one has sent something. Changed settings that take effect only at a restart are
+// named in the log. The balancer's state must never change.
 func (n *Node) reload(r *receiver, next config.Config, err error) bool {
 	if err == nil {
 		err = n.checkEndpointList(next)
@@ -39,7 +39,7 @@
 	return true
 }
 
-// checkKnown checks the list that a configuration gives.
+// checkEndpointList returns an error if the cached endpoint list of a configuration is invalid.
 func (n *Node) checkEndpointList(next config.Config) error {
 	if _, _, err := n.decoder.parseList(next.CachedEndpointList); err != nil {
 		return fmt.Errorf("known: %w", err)
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// reloadKeys reads the keys of tables again; where they are invalid, those in force stay.
+// reloadKeys rereads the keys that sign versions. If they are invalid, the current keys stay in use.
 func (n *Node) reloadKeys() {
 	if n.router.feed == nil {
 		return
@@ -60,7 +60,7 @@
 	n.router.feed.keys.Store(&keys)
 }
 
-// ignoredChanges names the settings that differ and only count at the start.
+// ignoredChanges returns the keys of the changed settings that take effect only at a restart.
 func ignoredChanges(current, next config.Config) (keys []string) {
 	sameSettings := reflect.DeepEqual(current.Balancer, next.Balancer) && reflect.DeepEqual(current.ClassNames, next.ClassNames) &&
 		current.ServersReportLoad == next.ServersReportLoad
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -16,51 +16,51 @@
 	"tamarindshore/internal/config"
 )
 
-// Guards against an end, a gap or a dial of the old addresses at SIGHUP, and against half a reload by a
-// faulty file.
-func TestReloadMovesToTheFilesAddresses(t *testing.T) {
-	s := testConfig(t)
-	n, err := New(s, io.Discard)
+// A reload on SIGHUP must not end the manager, interrupt its service or dial the old addresses again, and an invalid file
+// must change nothing.
+func TestReloadSwitchesToTheNewAddresses(t *testing.T) {
+	cfg := testConfig(t)
+	n, err := New(cfg, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := s
-	var relayAsked, discoveryAsked <-chan string
-	next.Relay, relayAsked = startStreamServer(t, "event: joined\ndata: id=18&site=a&rps=21.5&new=1\n\n...")
-	next.Discovery, discoveryAsked = startStreamServer(t, watchLine(43, false, "s-2")+"...")
+	next := cfg
+	var relayRequests, discoveryRequests <-chan string
+	next.Relay, relayRequests = startStreamServer(t, "event: joined\ndata: id=18&site=a&rps=21.5&new=1\n\n...")
+	next.Discovery, discoveryRequests = startStreamServer(t, watchLine(43, false, "s-2")+"...")
 	next.Name = "n9"
-	files := make(chan error, 2)
-	files <- errors.New("store.address: is missing")
-	files <- nil
+	readErrors := make(chan error, 2)
+	readErrors <- errors.New("store.address: is missing")
+	readErrors <- nil
 	reload := make(chan os.Signal, 4)
 	ended := make(chan error)
 	reload <- syscall.SIGHUP
 	reload <- syscall.SIGHUP
-	ctx, end := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		ended <- n.Run(ctx, Signals{Reload: reload}, func() (config.Config, error) { return next, <-files })
+		ended <- n.Run(ctx, Signals{Reload: reload}, func() (config.Config, error) { return next, <-readErrors })
 	}()
-	if got := <-relayAsked; got != "GET /v3/kv/stream HTTP/1.1" {
-		t.Errorf("relay: %s", got)
+	if got := <-relayRequests; got != "GET /v3/kv/stream HTTP/1.1" {
+		t.Errorf("request to the new relay: %s", got)
 	}
-	if got := <-discoveryAsked; !strings.HasPrefix(got, "GET /discovery/hosts?watch=1&after=4") {
-		t.Errorf("discovery: %s", got)
+	if got := <-discoveryRequests; !strings.HasPrefix(got, "GET /discovery/hosts?watch=1&after=4") {
+		t.Errorf("request to the new discovery: %s", got)
 	}
-	end()
+	cancel()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if good, faulty := n.metrics.counts[reloads].Load(), n.metrics.counts[reloadsFailed].Load(); good != 1 || faulty != 1 {
-		t.Errorf("%d reloads, %d faulty", good, faulty)
+	if valid, invalid := n.metrics.counts[reloads].Load(), n.metrics.counts[reloadsFailed].Load(); valid != 1 || invalid != 1 {
+		t.Errorf("%d reloads and %d failed reloads counted, want 1 and 1", valid, invalid)
 	}
 }
 
-// The old upstream serves until the new one has opened; what it held back by then no longer counts.
+// The old upstream is read until the new one has opened; after that, no input of the old one may follow.
 func TestAnUpstreamServesUntilItsSuccessorHasOpened(t *testing.T) {
 	before, _ := startStreamServer(t, "event: joined\ndata: id=17&site=a&rps=21.5&new=1\n\n...")
-	late := make(chan bool)
+	mayOpen := make(chan bool)
 	after := startServer(t, func(c net.Conn) {
-		<-late
+		<-mayOpen
 		body := "event: joined\ndata: id=18&site=a&rps=21.5&new=1\n\n"
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(body), body)
 		io.ReadAll(c)
@@ -74,19 +74,19 @@
 	next := old.successor(t.Context(), after)
 	go in.runProxyEvents(next)
 	if old.ctx.Err() != nil {
-		t.Error("given up before the next has opened")
+		t.Error("the old upstream was canceled before the new one opened")
 	}
-	close(late)
+	close(mayOpen)
 	if got := fmt.Sprint(<-inputs, <-inputs); got != fmt.Sprint(proxyEventsOpened{}, proxyConnected{18, "a", 21.5}) {
 		t.Error(got)
 	}
 	if old.ctx.Err() == nil {
-		t.Error("kept after the next has opened")
+		t.Error("the old upstream was not canceled after the new one opened")
 	}
 	<-old.done
 }
 
-// Guards against dialling an old address again.
+// The stream of an upstream that has a successor must not be reopened at the old address.
 func TestAReplacedUpstreamIsNotReopened(t *testing.T) {
 	n := 0
 	w := testUpstream(t, "")
@@ -96,34 +96,34 @@
 		return true, errors.New("broken")
 	})
 	if n != 1 {
-		t.Errorf("opened %d times", n)
+		t.Errorf("the stream was opened %d times, want 1", n)
 	}
 }
 
-// Guards against calls to the old address, and against a call lost by the move.
-func TestCallsFollowAReload(t *testing.T) {
+// After a reload, calls go to the new address, and none is lost.
+func TestCallsUseTheAddressOfTheLastReload(t *testing.T) {
 	r, calls := startTestRelay(t, testLimits)
 	r.deliver(testWeights(1))
-	other, elsewhere := startTestRelay(t, testLimits)
+	other, otherCalls := startTestRelay(t, testLimits)
 	r.setAddress(other.address)
 	r.deliver(testWeights(2))
 	expectCalls(t, calls, "share,0,s-1,1")
-	expectCalls(t, elsewhere, "share,0,s-1,2")
+	expectCalls(t, otherCalls, "share,0,s-1,2")
 }
 
-// Guards against a watch that loses the version held when it moves.
+// A watch that is reopened at a new address must continue from the version that the manager has.
 func TestAWatchKeepsItsVersionAcrossAReload(t *testing.T) {
 	held := &watchState{version: 41, lowestReset: -1}
 	ids, _ := readWatchText(t, testLimits, held, watchLine(42, false, "s-1"))
-	address, asked := startStreamServer(t, "")
+	address, requests := startStreamServer(t, "")
 	testReceiver(t, testLimits).readWatch(testUpstream(t, address), held)
-	if got := <-asked; !strings.Contains(got, "after=42 ") || !slices.Equal(ids, []balancer.ServerID{"s-1"}) {
-		t.Errorf("%s %v", got, ids)
+	if got := <-requests; !strings.Contains(got, "after=42 ") || !slices.Equal(ids, []balancer.ServerID{"s-1"}) {
+		t.Errorf("request %s with servers %v, want after=42 and s-1", got, ids)
 	}
 }
 
-// Guards against old upstreams that are left open, or wait for one another, when reloads follow quickly or one
-// names an address that is out of reach.
+// Several reloads in quick succession, one of them with an unreachable address, must not leave old upstreams open or
+// waiting for each other.
 func TestSuccessiveUpstreamsAreAllReleased(t *testing.T) {
 	first := testUpstream(t, "")
 	close(first.done)
@@ -140,6 +140,6 @@
 		}
 	}
 	if third.previous != nil {
-		t.Error("old upstreams are remembered")
+		t.Error("the newest upstream still refers to its predecessors")
 	}
 }
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -14,41 +14,43 @@
 	"tamarindshore/internal/versions"
 )
 
-// router is the one goroutine that owns the balancer and its clock, and what is known beside it: which proxies are
-// connected and where servers listen. It hands the balancer each input in the order in which its connection delivered
-// it and passes the commands on. It must never wait for the network, and never choose a server, a weight, an admission
-// level or the time of a command. All its fields belong to its goroutine; other goroutines reach it by its channels.
+// router is the only goroutine that uses the balancer. It owns the balancer, its clock, the set of connected proxies and
+// the addresses of the servers. It passes the inputs of each connection to the balancer in the order in which they
+// arrived, and queues the resulting commands for the relay. It must never wait for the network, and never choose a
+// server, a weight, an admission level or the time of a command. All its fields belong to its goroutine; other goroutines
+// communicate with it through its channels.
 type router struct {
 	limits              config.Limits
 	startedAt           time.Time
 	manager             *balancer.Manager
 	inputs              chan input      // from all other goroutines
-	chain               *versions.Chain // versions of the tables; nil: commands go out as they are
-	feed                *feed           // sends versions to replicas; nil: there is none
-	storeWriter         *storeWriter    // saves versions and commands; nil: they end with the process
-	nextHoldCheck       time.Duration   // time of the next checkHold that does something
-	sampleQueue         *sampleQueue    // samples that several cores decoded; nil: they come with the inputs
+	chain               *versions.Chain // versions of the tables; nil: commands are sent without versions
+	feed                *feed           // sends versions to replicas; nil: not configured
+	storeWriter         *storeWriter    // saves versions and commands; nil: they are not stored
+	nextHoldCheck       time.Duration   // time of the next check by checkHold
+	sampleQueue         *sampleQueue    // samples from the decoder pool; nil: samples arrive as inputs
 	backlog             *backlog
 	healthChecks        chan healthCheckTarget
-	listRequested       chan struct{} // signalled where the balancer requests the endpoint list
-	onProxyEventsOpened func()        // called once the relay's event stream has opened
-	flushLog            func()        // writes what is left of the log, before an exit
+	listRequested       chan struct{} // signalled when the balancer requests the endpoint list
+	onProxyEventsOpened func()        // called each time the relay's event stream opens
+	flushLog            func()        // writes the queued log lines before the process exits
 	metrics             *metrics
-	subsetFilter        *subsetFilter // which servers the balancer needs; nil: all that are listed
+	subsetFilter        *subsetFilter // selects the servers that the balancer needs; nil: all listed servers
 
 	now          time.Duration // since startedAt
-	nextTimer    time.Duration // 0: none
+	nextTimer    time.Duration // time of the balancer's next timer; 0: none
 	proxies      map[balancer.ProxyID]bool
-	unconfirmed  map[balancer.ProxyID]bool    // connected before a gap of the event stream, not confirmed since
-	addresses    map[balancer.ServerID]string // of the servers that the balancer knows
+	unconfirmed  map[balancer.ProxyID]bool    // connected before the event stream was interrupted, not announced since
+	addresses    map[balancer.ServerID]string // addresses of the servers that the balancer knows
 	sampleBuffer []sharding.Sample            // reused by handleSamples
-	decisions    []balancer.Commands          // since the last flush
+	decisions    []balancer.Commands          // decided since the last flush
 }
 
-// maxTimerWait is how long the router waits without an input or a timer of the balancer.
+// maxTimerWait is the longest time that the router waits while the balancer has no timer set.
 const maxTimerWait = time.Hour
 
-// run handles inputs until stop is closed. What is queued together is decided at one time, and its commands are one call.
+// run handles inputs until stop is closed. Inputs that are queued together are handled as one batch, whose commands are
+// flushed together.
 func (r *router) run(stop <-chan struct{}) {
 	defer r.exitOnPanic()
 	timer := time.NewTimer(maxTimerWait)
@@ -63,7 +65,7 @@
 	}
 }
 
-// exitOnPanic ends the process after a panic of the balancer, whose state may be half changed. It must be deferred.
+// exitOnPanic ends the process after a panic, which may leave the balancer's state inconsistent. It must be deferred.
 func (r *router) exitOnPanic() {
 	cause := recover()
 	if cause == nil {
@@ -79,8 +81,8 @@
 	os.Exit(1)
 }
 
-// awaitInput waits until there is something to do, and handles the input that ended the wait, if one did. It returns
-// false once stop is closed.
+// awaitInput waits for an input, queued samples or the timer. If an input ended the wait, awaitInput handles it. It
+// returns false once stop is closed.
 func (r *router) awaitInput(timer *time.Timer, stop <-chan struct{}) bool {
 	wait := maxTimerWait
 	if r.nextTimer > 0 {
@@ -105,7 +107,7 @@
 	return true
 }
 
-// handleQueuedInputs handles the inputs that are queued behind the first, up to a bound.
+// handleQueuedInputs handles the inputs that are queued behind the first one, up to MaxInputBatch in all.
 func (r *router) handleQueuedInputs() {
 	for handled := 1; handled < r.limits.MaxInputBatch; handled++ {
 		select {
@@ -117,8 +119,8 @@
 	}
 }
 
-// handleSamples handles the samples that several cores decoded. They come behind the other inputs, so that a drain never
-// waits for a sample.
+// handleSamples handles the samples from the decoder pool. They are handled after the other inputs, so that a drain never
+// waits for samples.
 func (r *router) handleSamples() {
 	if r.sampleQueue == nil {
 		return
@@ -134,7 +136,7 @@
 	}
 }
 
-// handleDueTimer has the balancer handle its timer, where that is due.
+// handleDueTimer has the balancer handle its timer if it is due.
 func (r *router) handleDueTimer() {
 	if r.nextTimer > 0 && r.now >= r.nextTimer {
 		r.nextTimer = 0
@@ -142,14 +144,14 @@
 	}
 }
 
-// advanceClock moves the clock; no two times are the same.
+// advanceClock advances the clock by at least 1 ns, so that no two calls give the same time.
 func (r *router) advanceClock() { r.now = max(r.now+1, time.Since(r.startedAt)) }
 
-// handle handles one input.
+// handle passes an input to its handler.
 func (r *router) handle(in input) { in.handleBy(r) }
 
-// apply carries out what the balancer decided: it logs, requests health checks and the endpoint list, keeps the next
-// timer, and collects the commands until they are flushed.
+// apply carries out the balancer's decisions: it writes log records, requests health checks and the endpoint list, sets
+// the next timer, and collects the commands until they are flushed.
 func (r *router) apply(decided balancer.Commands) {
 	r.logRecords(decided.LogRecords)
 	for _, server := range decided.HealthCheck {
@@ -166,7 +168,7 @@
 	}
 }
 
-// requestHealthCheck queues a health check; it is dropped where too many are queued, and the balancer asks again.
+// requestHealthCheck queues a health check. It drops the check if the queue is full; the balancer will request it again.
 func (r *router) requestHealthCheck(server balancer.ServerID) {
 	select {
 	case r.healthChecks <- healthCheckTarget{server: server, address: r.addresses[server]}:
@@ -175,14 +177,14 @@
 	}
 }
 
-// logRecords logs records of decisions, with the seconds since the manager's start.
+// logRecords logs the records of decisions, with the time in seconds since the manager started.
 func (r *router) logRecords(records []balancer.LogRecord) {
 	for _, record := range records {
 		r.metrics.logRecord(record, "stage", "route", "at", roundedSeconds(r.now))
 	}
 }
 
-// flush queues what was decided at one time for the relay, as far as it may go out as a version.
+// flush queues the collected commands for the relay. With a chain, only those that the chain accepts are queued.
 func (r *router) flush() {
 	if len(r.decisions) == 0 {
 		return
@@ -197,8 +199,9 @@
 	}
 }
 
-// dropDisconnected drops the assignments of proxies that have left meanwhile: the relay would stop a call at them.
+// dropDisconnected drops the assignments of proxies that have disconnected since: the relay would reject such an
+// assignment and stop the call there.
 func (r *router) dropDisconnected(all balancer.Commands) balancer.Commands {
-	all.Assign = slices.DeleteFunc(all.Assign, func(one balancer.TableAssignment) bool { return !r.proxies[one.Proxy] })
+	all.Assign = slices.DeleteFunc(all.Assign, func(assignment balancer.TableAssignment) bool { return !r.proxies[assignment.Proxy] })
 	return all
 }
--- a/internal/node/router_inputs.go
+++ b/internal/node/router_inputs.go
@@ -8,16 +8,16 @@
 	"tamarindshore/internal/commands"
 )
 
-// This file holds the router's handler of each input.
+// This file contains the router's handlers of inputs.
 
-// handleProxyEventsOpened begins a new snapshot of the connected proxies.
+// handleProxyEventsOpened starts a new snapshot of the connected proxies.
 func (r *router) handleProxyEventsOpened() {
 	r.unconfirmed = maps.Clone(r.proxies)
 	r.onProxyEventsOpened()
 }
 
 // handleProxySnapshotComplete disconnects the proxies that were connected before the event stream opened and were not
-// confirmed since: they left in the gap.
+// announced since: they left while the stream was interrupted.
 func (r *router) handleProxySnapshotComplete() {
 	for _, proxy := range slices.Sorted(maps.Keys(r.unconfirmed)) {
 		r.handleProxyDisconnected(proxyDisconnected{proxy})
@@ -25,8 +25,8 @@
 	clear(r.unconfirmed)
 }
 
-// handleProxyConnected has a proxy assigned to a table. One that connects again after a gap of the event stream may have
-// left and come back: the balancer assigns it again.
+// handleProxyConnected has the balancer assign a proxy to a table. A proxy that is announced again after an interruption
+// of the event stream may have left and come back, so the balancer assigns it again.
 func (r *router) handleProxyConnected(in proxyConnected) {
 	delete(r.unconfirmed, in.proxy)
 	r.proxies[in.proxy] = true
@@ -52,8 +52,8 @@
 	r.apply(r.manager.HandleBarrierAck(r.now, in.proxy, in.barrier))
 }
 
-// handleHealthCheckResult passes on the outcome of a health check. One of an address that is no longer the server's is
-// dropped: it says nothing of the server.
+// handleHealthCheckResult passes the outcome of a health check to the balancer. It drops the result if the server has
+// another address by now.
 func (r *router) handleHealthCheckResult(in healthCheckResult) {
 	if r.addresses[in.server] != in.address {
 		r.metrics.add(healthChecksDropped, 1)
@@ -69,7 +69,8 @@
 	}
 }
 
-// handleResendRequest answers which commands of a call go out now. What has been decided so far is queued behind them.
+// handleResendRequest answers which commands of a call may be sent now. All commands decided so far are queued behind
+// them.
 func (r *router) handleResendRequest(in resendRequest) {
 	r.flush()
 	r.advanceClock()
@@ -95,9 +96,9 @@
 	r.forgetAddresses()
 }
 
-// forgetAddresses drops the addresses of servers that the balancer does not know.
+// forgetAddresses drops the addresses of servers that the balancer no longer knows.
 func (r *router) forgetAddresses() {
-	maps.DeleteFunc(r.addresses, func(s balancer.ServerID, _ string) bool { return !r.manager.KnowsServer(s) })
+	maps.DeleteFunc(r.addresses, func(server balancer.ServerID, _ string) bool { return !r.manager.KnowsServer(server) })
 }
 
 func (r *router) handleLoadReport(in balancer.LoadReport) {
--- a/internal/node/router_versions.go
+++ b/internal/node/router_versions.go
@@ -8,10 +8,10 @@
 	"tamarindshore/internal/versions"
 )
 
-// This file joins the router to the chain of table versions.
+// This file connects the router to the chain of table versions.
 
-// proposeVersion asks the chain which of some commands may go out, as a version of the tables. Where that is not all of
-// them, the balancer is notified of the tables that stand.
+// proposeVersion proposes commands to the chain as a new version of the tables, and returns those that may be sent. If
+// the chain changed them, the balancer is told the current contents of the tables.
 func (r *router) proposeVersion(proposed balancer.Commands) balancer.Commands {
 	r.chain.SetLayout(r.manager.Layout())
 	result := r.chain.Propose(r.now, proposed, describeCommands(proposed), r.fleet())
@@ -32,7 +32,7 @@
 	return result.Commands
 }
 
-// resetTables tells the balancer the tables as they stand.
+// resetTables tells the balancer the current contents of the tables.
 func (r *router) resetTables() {
 	current := r.chain.CurrentTables()
 	state := r.chain.State()
@@ -40,16 +40,16 @@
 	r.manager.HandleTablesReset(r.now, current.Weights, current.AdmissionLevels, withdrawn)
 }
 
-// describeCommands says in a few words what a version changes. The text is stored with the version.
+// describeCommands summarizes the changes of a version. The text is stored with the version and shown to operators.
 func describeCommands(all balancer.Commands) string {
-	return fmt.Sprintf("%d withdrawn, %d lines, %d levels, %d let back in",
+	return fmt.Sprintf("%d withdrawn, %d weights, %d admission levels, %d restored",
 		len(all.Withdraw), len(all.Weights), len(all.AdmissionLevels), len(all.Restore))
 }
 
-// holdCheckInterval is the time between two checks whether a hold has expired.
+// holdCheckInterval is the time between two checks for an expired hold.
 const holdCheckInterval = time.Second
 
-// checkHold ends a hold of the tables that has expired.
+// checkHold ends the hold of the tables if it has expired.
 func (r *router) checkHold() {
 	if r.chain == nil || r.now < r.nextHoldCheck {
 		return
@@ -62,7 +62,7 @@
 	}
 }
 
-// applyPin tells the balancer at what the chain holds the tables, or that it holds them no longer.
+// applyPin tells the balancer which weights and admission levels the chain holds, or that no hold is in force.
 func (r *router) applyPin() {
 	r.advanceClock()
 	pin, held := r.chain.Pinned()
@@ -72,10 +72,10 @@
 	r.apply(r.manager.HandlePin(r.now, pin.Weights, pin.AdmissionLevels))
 }
 
-// fleetView is the balancer's view of the fleet, as the chain asks for it (versions.FleetView).
+// fleetView implements versions.FleetView from the balancer's state.
 type fleetView struct {
 	manager  *balancer.Manager
-	restored map[balancer.ServerID]bool // servers that the balancer has forgotten and whose withdrawals are lifted
+	restored map[balancer.ServerID]bool // servers that the balancer no longer knows and whose withdrawals are lifted
 }
 
 func (r *router) fleet() fleetView {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -13,22 +13,23 @@
 	"tamarindshore/internal/config"
 )
 
-// Signals ask a running manager for something. Each kind has a channel of its own, so that none is lost behind others.
+// Signals are the operating system signals that a running manager handles. Each kind has a channel of its own, so that a
+// pending signal of one kind does not displace another kind.
 type Signals struct {
-	Reload      <-chan os.Signal // read the configuration again
-	LogCounters <-chan os.Signal // log the counters
+	Reload      <-chan os.Signal // requests to reread the configuration
+	LogCounters <-chan os.Signal // requests to log the counters
 }
 
-// Run listens and serves until ctx ends, and returns nil then. It reads the configuration again, by reread, at each
-// Reload signal. An error names the address that it could not listen at.
+// Run listens and serves until ctx ends, and then returns nil. At each Reload signal it calls reread for the current
+// configuration. It returns an error if it cannot listen; the error names the setting or the address.
 func (n *Node) Run(ctx context.Context, signals Signals, reread func() (config.Config, error)) error {
 	limits := n.config.Limits
 	runtime.GOMAXPROCS(limits.Cores)
 	n.router.flushLog = func() { n.logWriter.Shutdown(limits.LogFlushTimeout) }
 	defer n.router.flushLog()
-	debug.SetMemoryLimit(limits.Memory / 2) // the runtime exceeds it by what it collects late
+	debug.SetMemoryLimit(limits.Memory / 2) // half, because the heap exceeds the limit while the garbage collector lags
 	listener, err := listen(ctx, n.config.Listen, limits)
-	if ctx.Err() != nil { // asked to end during its start
+	if ctx.Err() != nil { // asked to stop during the start
 		if err == nil {
 			listener.Close()
 		}
@@ -70,7 +71,7 @@
 	}
 }
 
-// shutDown ends all goroutines, and waits for a short time until what is to be stored is saved.
+// shutDown stops all goroutines, and waits for a limited time until all queued data is stored.
 func (n *Node) shutDown(r *receiver, listener net.Listener) {
 	n.cancelLifetime()
 	listener.Close()
@@ -80,7 +81,7 @@
 	n.metrics.logCounters("end")
 }
 
-// newReceiver makes the receiver, with a decoder pool where several cores are to decode.
+// newReceiver creates the receiver, with a decoder pool if the configuration has several shards.
 func (n *Node) newReceiver() *receiver {
 	limits := n.config.Limits
 	r := &receiver{
@@ -100,13 +101,13 @@
 	return r
 }
 
-// Where servers answer a health check.
+// Paths at which servers answer health checks.
 const (
 	alivePath = "/alive"
 	loadPath  = "/metrics/load"
 )
 
-// startWorkers starts the goroutines that carry messages. The router's first input is the initial endpoint list.
+// startWorkers starts the goroutines that process messages. The router's first input is the initial endpoint list.
 func (n *Node) startWorkers(r *receiver, listener net.Listener) {
 	limits := n.config.Limits
 	n.router.onProxyEventsOpened = n.readiness.noteRelayOpened
@@ -116,7 +117,7 @@
 	n.initialList.snapshot = true
 	n.initialList.complete = true
 	n.router.inputs <- n.initialList
-	n.initialList.instances = nil // the router has them, and they are many
+	n.initialList.instances = nil // the router has them; a second reference would keep this large list in memory
 	go n.router.run(n.lifetime.Done())
 	n.relay = newRelayClient(limits, n.config.Relay, n.config.ClassNames, n.router.backlog, r)
 	go n.relay.run()
@@ -134,7 +135,7 @@
 	go r.acceptLoop(listener)
 }
 
-// startOperatorListeners starts the listeners that the operator's settings name. An error names their key.
+// startOperatorListeners starts the listeners that the operator's settings configure. An error names the setting's key.
 func (n *Node) startOperatorListeners() error {
 	if address := n.config.TablesAddress; address != "" {
 		listener, err := n.router.feed.listen(address, n.lifetime.Done())
@@ -156,14 +157,14 @@
 	return nil
 }
 
-// closeOperatorListeners closes the operators' listeners, so that the next process can listen there at once.
+// closeOperatorListeners closes the operator's listeners, so that a new process can listen at the addresses at once.
 func (n *Node) closeOperatorListeners() {
 	for _, listener := range n.operatorListeners {
 		listener.Close()
 	}
 }
 
-// awaitStore waits for a short time until all that is queued for the store is saved.
+// awaitStore waits, up to LogFlushTimeout, until all data that is queued for the store is saved.
 func (n *Node) awaitStore() {
 	if n.router.storeWriter == nil {
 		return
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -2,17 +2,17 @@
 
 import "context"
 
-// upstream is the address that a stream is read from until a reload names another one. One goroutine reads it; another one
-// may make its successor.
+// upstream is a peer that a stream is read from until a reload changes its address. One goroutine reads the stream;
+// another one may create the successor.
 type upstream struct {
 	address      string
-	ctx          context.Context    // of reading; done once the upstream is given up
-	cancel       context.CancelFunc // of ctx
-	redialCtx    context.Context    // of dialling again; done once there is a successor
-	stopRedial   context.CancelFunc // of redialCtx
-	done         chan struct{}      // closed once it passes on nothing more
-	previous     *upstream          // still read; nil: none is
-	decodeFailed bool               // it ended at something unreadable, and has not been read completely since
+	ctx          context.Context    // for reading; canceled when the upstream is abandoned
+	cancel       context.CancelFunc // cancels ctx
+	redialCtx    context.Context    // for reconnecting; canceled when there is a successor
+	stopRedial   context.CancelFunc // cancels redialCtx
+	done         chan struct{}      // closed when no more inputs come from the upstream
+	previous     *upstream          // upstream that is still read until this one takes over; nil: none
+	decodeFailed bool               // a message could not be decoded, and the stream was not read completely since
 }
 
 func newUpstream(lifetime context.Context, address string) *upstream {
@@ -22,7 +22,7 @@
 	return up
 }
 
-// successor makes the upstream at another address; this one is not dialled again.
+// successor returns an upstream that replaces this one at another address. This one is not reconnected any more.
 func (u *upstream) successor(lifetime context.Context, address string) *upstream {
 	next := newUpstream(lifetime, address)
 	next.previous = u
@@ -30,8 +30,8 @@
 	return next
 }
 
-// takeOver cancels the older upstreams; once it returns they pass on nothing more, so that nothing stale follows what
-// the new one opens with. They end at once, also in a dial.
+// takeOver cancels the older upstreams and waits until they have ended, which is at once, even during a dial. After that
+// they send no more inputs, so nothing stale can follow the first input of this upstream.
 func (u *upstream) takeOver() {
 	for old := u.previous; old != nil; old = old.previous {
 		old.cancel()
@@ -40,13 +40,14 @@
 	u.previous = nil
 }
 
-// noteDecodeError notes that something could not be read, and tells whether to ask for it again at once. Guards against
-// an unreadable message that comes at each opening and would block for ever all that is valid behind it.
+// noteDecodeError records that a message could not be decoded, and reports whether to request it again at once. Only the
+// first failure since the last complete read is retried: a malformed message that is sent at each opening would otherwise
+// block all valid messages behind it forever.
 func (u *upstream) noteDecodeError() (retry bool) {
 	retry = !u.decodeFailed
 	u.decodeFailed = true
 	return retry
 }
 
-// clearDecodeError notes that the stream was read completely.
+// clearDecodeError records that the stream was read completely.
 func (u *upstream) clearDecodeError() { u.decodeFailed = false }
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -12,16 +12,16 @@
 	"tamarindshore/internal/sharding"
 )
 
-// worker decodes the lines of a shard's connections in a goroutine of its own. A shard whose worker stalls or panics
-// gets another one.
+// worker decodes the lines of a shard's connections in a goroutine of its own. If it stalls or panics, the shard gets
+// another worker.
 type worker struct {
 	shard     sharding.ShardID
-	busySince atomic.Int64 // start of the chunk in work, nanoseconds since the pool's start; 0: none
+	busySince atomic.Int64 // start of work on the current chunk, in nanoseconds since the pool started; 0: idle
 	current   atomic.Pointer[shardConn]
 	filled    chan struct{}
-	replaced  chan struct{} // closed once another worker has the shard
+	replaced  chan struct{} // closed when another worker takes over the shard
 
-	mu    sync.Mutex // of queue
+	mu    sync.Mutex // protects queue
 	queue []*shardConn
 }
 
@@ -29,7 +29,7 @@
 	return &worker{shard: shard, filled: make(chan struct{}, 1), replaced: make(chan struct{})}
 }
 
-// enqueue puts a connection behind those that are queued for the worker.
+// enqueue appends a connection to the worker's queue.
 func (w *worker) enqueue(conn *shardConn) {
 	w.mu.Lock()
 	w.queue = append(w.queue, conn)
@@ -37,7 +37,7 @@
 	notify(w.filled)
 }
 
-// next takes the connection that was queued first; nil without one.
+// next removes and returns the first connection of the queue, or nil if the queue is empty.
 func (w *worker) next() *shardConn {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -49,7 +49,7 @@
 	return conn
 }
 
-// busyFor tells how long the worker has been busy with one chunk; false where it waits.
+// busyFor returns how long the worker has been busy with its current chunk, or false if it is idle.
 func (w *worker) busyFor(now time.Duration) (time.Duration, bool) {
 	since := w.busySince.Load()
 	if since <= 0 {
@@ -58,7 +58,8 @@
 	return now - time.Duration(since), true
 }
 
-// runWorker works for a shard until the worker is replaced or the receiver stops. A panic ends it; the assigner is notified.
+// runWorker serves a shard until the worker is replaced or the receiver stops. After a panic it notifies the assigner and
+// returns.
 func (p *decoderPool) runWorker(w *worker) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -80,7 +81,7 @@
 	}
 }
 
-// handlePanic has the assigner replace a worker that panicked, unless that has been done.
+// handlePanic has the assigner replace a worker that panicked, unless the worker has been replaced already.
 func (p *decoderPool) handlePanic(w *worker, cause any) {
 	conn := w.current.Load()
 	p.receiver.metrics.logEvent("shard_worker_panic", "shard", int(w.shard), "cause", fmt.Sprint(cause), "stack", string(debug.Stack()))
@@ -95,7 +96,8 @@
 	p.apply(func(now time.Duration) sharding.Actions { return p.assigner.HandleWorkerFailed(now, w.shard, conn.id) })
 }
 
-// serveNext does the next thing that is due for a connection: it releases it, delivers one chunk, or closes it.
+// serveNext carries out the next task of a connection: it releases the connection, delivers one chunk, or closes the
+// connection.
 func (p *decoderPool) serveNext(w *worker, conn *shardConn) {
 	w.current.Store(conn)
 	task, ok := conn.nextTask(w.shard)
@@ -119,26 +121,26 @@
 	if task.chunk == nil {
 		return
 	}
-	began := p.now()
-	w.busySince.Store(int64(began))
+	startedAt := p.now()
+	w.busySince.Store(int64(startedAt))
 	batch := p.decodeChunk(task)
 	wake := p.deliver(w, conn, batch)
 	w.busySince.Store(0)
-	conn.workNanos.Add(int64(p.now() - began))
+	conn.workNanos.Add(int64(p.now() - startedAt))
 	if wake {
 		p.wake(conn)
 	}
 }
 
-// decodedChunk is what a chunk was decoded to, under the epoch of the owner that did.
+// decodedChunk is a decoded chunk, with the epoch of the owner that decoded it.
 type decodedChunk struct {
 	epoch   sharding.Epoch
 	lines   []decodedLine
-	partial []byte // the partial line behind them
+	partial []byte // the incomplete line at the end
 }
 
-// decodeChunk decodes the lines of a chunk. Where a worker panicked on the connection, a line that makes the decoder
-// panic is skipped alone.
+// decodeChunk decodes the lines of a chunk. If a worker panicked on the connection before, a line on which the decoder
+// panics is skipped and the others are still decoded.
 func (p *decoderPool) decodeChunk(task shardTask) decodedChunk {
 	chunk := decodedChunk{epoch: task.epoch}
 	chunk.partial, _ = cutLines(task.partial, task.chunk, func(line []byte) error {
@@ -153,7 +155,7 @@
 	return chunk
 }
 
-// decodeIsolated decodes a line; false where the decoder panics.
+// decodeIsolated decodes a line. It returns false if the decoder panics.
 func (p *decoderPool) decodeIsolated(text string) (line decodedLine, ok bool) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -164,8 +166,8 @@
 	return p.decode(text), true
 }
 
-// deliver hands on what a chunk was decoded to, once and completely. It waits while the sample queue is full. It tells
-// whether more is to be done for the connection.
+// deliver commits a decoded chunk exactly once. It waits while the sample queue is full. It reports whether the connection
+// must be scheduled again.
 func (p *decoderPool) deliver(w *worker, conn *shardConn, chunk decodedChunk) (wake bool) {
 	for {
 		outcome := p.commit(conn, chunk)
@@ -176,7 +178,7 @@
 			p.finish(conn, outcome)
 			return true
 		}
-		w.busySince.Store(0) // it waits for the router, it is not stalled
+		w.busySince.Store(0) // waiting for the router does not count as stalled
 		select {
 		case <-outcome.full:
 		case <-w.replaced:
@@ -188,10 +190,10 @@
 	}
 }
 
-// finish answers the pings of a committed chunk and ends the connection where that is due.
+// finish answers the pings of a committed chunk, and ends the connection if the result says so.
 func (p *decoderPool) finish(conn *shardConn, outcome commitResult) {
 	end := outcome.end
-	if outcome.pings > 0 { // also before a close, as where one core decodes
+	if outcome.pings > 0 { // also if the connection ends, as without a decoder pool
 		if err := p.receiver.sendPongs(conn.collector, outcome.pings); end == nil {
 			end = err
 		}
@@ -202,15 +204,16 @@
 	notify(conn.chunkDone)
 }
 
-// commitResult is what became of a decoded chunk.
+// commitResult is the result of committing a decoded chunk.
 type commitResult struct {
-	stale bool            // the connection has another owner
-	full  <-chan struct{} // not nil: there is no room, until it is closed
-	pings int             // to be answered
-	end   error           // why the connection is to end
+	stale bool            // the chunk is dropped: the connection has a new owner or was aborted
+	full  <-chan struct{} // not nil: the sample queue is full until this channel is closed
+	pings int             // number of pings to answer
+	end   error           // why the connection must end; nil: it continues
 }
 
-// commit is the one place where what a connection sent takes effect: under its lock, by the owner in force.
+// commit puts a decoded chunk into effect, under the connection's lock and only for its current owner. Nothing that a
+// connection sends takes effect elsewhere.
 func (p *decoderPool) commit(conn *shardConn, chunk decodedChunk) commitResult {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -231,7 +234,7 @@
 	return outcome
 }
 
-// handleLines handles the lines of a chunk in order, up to the first that ends the connection.
+// handleLines handles the lines of a chunk in order, up to the first one that must end the connection.
 func (p *decoderPool) handleLines(conn *collectorConn, chunk decodedChunk, batch *sampleBatch) (outcome commitResult) {
 	now := time.Now()
 	for _, line := range chunk.lines {
@@ -257,18 +260,20 @@
 	return outcome
 }
 
-// sampleBatch is the samples of one chunk, with their counts: cores that write a counter for each line contend for it.
+// sampleBatch holds the samples of one chunk, and counts them: updating a shared counter for each line would make the cores
+// contend for it.
 type sampleBatch struct {
 	samples []sharding.Sample
 	counts  sampleCounts
 }
 
-func (b *sampleBatch) add(one sample) {
-	b.samples = append(b.samples, one.queued())
-	b.counts.add(one.counts())
+func (b *sampleBatch) add(reported sample) {
+	b.samples = append(b.samples, reported.queued())
+	b.counts.add(reported.counts())
 }
 
-// finishConn closes a connection of which all is delivered. Its phase is connClosed, so that err no longer changes.
+// finishConn closes a connection after all its chunks are delivered. Its phase is connClosed, so conn.err no longer
+// changes.
 func (p *decoderPool) finishConn(conn *shardConn, partial []byte) {
 	err := conn.err
 	if err == io.EOF && len(partial) > 0 {
