--- a/internal/node/router_versions.go
+++ b/internal/node/router_versions.go
@@ -42,7 +42,7 @@
 
 // describeCommands summarizes the changes of a version. The text is stored with the version and shown to operators.
 func describeCommands(all balancer.Commands) string {
-	return fmt.Sprintf("%d withdrawn, %d weights, %d admission levels, %d restored",
+	return fmt.Sprintf("%d withdrawn, %d lines, %d levels, %d let back in",
 		len(all.Withdraw), len(all.Weights), len(all.AdmissionLevels), len(all.Restore))
 }
 
