--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -15,42 +15,42 @@
 	"tamarindshore/client/tables"
 )
 
-// This file answers operators' commands on a Unix socket, which the operator's settings name; without them there is
-// none. A line of JSON becomes one call in the router's goroutine, and its result a line of JSON. It must never decide
-// what becomes of a command, nor answer anyone but who may open the socket.
+// This file serves the admin socket, a Unix socket on which operators send commands. The operator's settings name its
+// path; without that setting there is no socket. A request and its response are one line of JSON each. The router executes
+// the command in its own goroutine; this file only transports it. Only processes that may open the socket file are served.
 
-// AdminCommand says what an AdminRequest asks for.
+// AdminCommand is the kind of an AdminRequest.
 type AdminCommand string
 
 // The commands of the admin socket.
 const (
-	AdminLog      AdminCommand = "log"      // list the versions of the tables, newest first
-	AdminShow     AdminCommand = "show"     // print a version
-	AdminDiff     AdminCommand = "diff"     // print the changes from a version to another one
-	AdminVerify   AdminCommand = "verify"   // check the chain of versions
-	AdminRollback AdminCommand = "rollback" // go back to a version and hold the tables there
-	AdminHold     AdminCommand = "hold"     // hold the tables as they are
-	AdminResume   AdminCommand = "resume"   // end a rollback or a hold
+	AdminLog      AdminCommand = "log"      // lists the versions of the tables, newest first
+	AdminShow     AdminCommand = "show"     // prints a version
+	AdminDiff     AdminCommand = "diff"     // prints the changes between two versions
+	AdminVerify   AdminCommand = "verify"   // checks that each version follows from the one before it
+	AdminRollback AdminCommand = "rollback" // restores a version and holds the tables there
+	AdminHold     AdminCommand = "hold"     // holds the tables as they are
+	AdminResume   AdminCommand = "resume"   // ends a rollback or a hold
 )
 
-// changesTables tells whether a command may change the tables; such commands are logged.
+// changesTables reports whether a command may change the tables. Such commands are logged.
 func (c AdminCommand) changesTables() bool {
 	return c == AdminRollback || c == AdminHold || c == AdminResume
 }
 
-// AdminRequest is one command of an operator, as it is encoded on the admin socket.
+// AdminRequest is a command of an operator, as encoded on the admin socket.
 type AdminRequest struct {
 	Command      AdminCommand  `json:"do"`
-	Version      string        `json:"version,omitempty"` // EPOCH.NUMBER
-	OtherVersion string        `json:"other,omitempty"`   // of AdminDiff
-	Key          string        `json:"key,omitempty"`     // idempotency key: a command takes effect once under it
-	Duration     time.Duration `json:"for_ns,omitempty"`  // of AdminRollback and AdminHold; 0: the default
+	Version      string        `json:"version,omitempty"` // in the form EPOCH.NUMBER
+	OtherVersion string        `json:"other,omitempty"`   // the version that AdminDiff compares with
+	Key          string        `json:"key,omitempty"`     // idempotency key: a command takes effect only once per key
+	Duration     time.Duration `json:"for_ns,omitempty"`  // of a rollback or a hold; 0 for the default
 }
 
-// AdminResponse is the result of an AdminRequest, as it is encoded on the admin socket.
+// AdminResponse is the result of an AdminRequest, as encoded on the admin socket.
 type AdminResponse struct {
 	Lines []string `json:"lines,omitempty"`
-	Error string   `json:"error,omitempty"` // empty: the command succeeded
+	Error string   `json:"error,omitempty"` // empty if the command succeeded
 }
 
 const (
@@ -59,18 +59,18 @@
 )
 
 var (
-	errAddressInUse   = errors.New("another process listens there")
-	errInvalidVersion = errors.New("EPOCH.NUMBER is due")
+	errAddressInUse   = errors.New("another process is listening on this socket")
+	errInvalidVersion = errors.New("expected EPOCH.NUMBER")
 )
 
-// startAdmin serves the admin socket until the manager ends. The socket file of a manager that has ended is replaced.
+// startAdmin serves the admin socket until the manager ends. It replaces a socket file left behind by an earlier process.
 func (n *Node) startAdmin(path string) error {
 	if conn, err := net.Dial("unix", path); err == nil {
 		conn.Close()
 		return fmt.Errorf("%s: %w", path, errAddressInUse)
 	}
 	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
-		os.Remove(path) // where this fails, listening does too and says why
+		os.Remove(path) // if this fails, Listen fails too and returns the reason
 	}
 	listener, err := net.Listen("unix", path)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// serveAdmin serves one connection after another until the listener is closed: commands take effect in order.
+// serveAdmin serves one connection after another until the listener is closed, so that commands take effect in order.
 func (n *Node) serveAdmin(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -96,7 +96,7 @@
 	}
 }
 
-// serveAdminConn answers the one request of a connection.
+// serveAdminConn reads the request of a connection and sends the response. A connection carries only one request.
 func (n *Node) serveAdminConn(conn net.Conn) {
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(adminTimeout))
@@ -107,7 +107,7 @@
 	var request AdminRequest
 	var response AdminResponse
 	if err := json.Unmarshal(line, &request); err != nil {
-		response.Error = "unreadable: " + err.Error()
+		response.Error = "malformed request: " + err.Error()
 	} else if response.Lines, err = n.executeAdmin(request); err != nil {
 		response.Error = err.Error()
 	}
@@ -115,7 +115,7 @@
 		n.metrics.logEvent("admin_command", "do", string(request.Command), "version", request.Version, "key", request.Key,
 			"lines", strings.Join(response.Lines, "; "), "error", response.Error)
 	}
-	json.NewEncoder(conn).Encode(response) // the operator's tool reports an answer that is lost
+	json.NewEncoder(conn).Encode(response) // if the response is lost, the operator's tool reports it
 }
 
 // executeAdmin parses a request and executes it in the router's goroutine.
@@ -129,16 +129,16 @@
 	return n.callRouter(func(r *router) ([]string, error) { return r.executeAdmin(call) })
 }
 
-// callRouter runs a function in the router's goroutine and waits for its result, or for the manager's end. The result is
-// handed over by a channel: the function may still be running when the manager ends.
-func (n *Node) callRouter(do func(r *router) ([]string, error)) ([]string, error) {
+// callRouter runs a function in the router's goroutine and waits for its result or the end of the manager. The function
+// may still be running when the manager ends, so it passes its result through a channel instead of shared variables.
+func (n *Node) callRouter(run func(r *router) ([]string, error)) ([]string, error) {
 	type result struct {
 		lines []string
 		err   error
 	}
 	results := make(chan result, 1)
 	call := routerCall(func(r *router) {
-		lines, err := do(r)
+		lines, err := run(r)
 		results <- result{lines, err}
 	})
 	if !enqueue(call, n.router.inputs, n.lifetime.Done()) {
@@ -152,12 +152,12 @@
 	}
 }
 
-// parseVersionID reads EPOCH.NUMBER; an empty text is the zero ID.
+// parseVersionID parses a version ID of the form EPOCH.NUMBER. An empty text gives the zero ID.
 func parseVersionID(text string) (id tables.ID, err error) {
 	if text == "" {
 		return tables.ID{}, nil
 	}
-	invalid := fmt.Errorf("%q is no version: %w", text, errInvalidVersion)
+	invalid := fmt.Errorf("invalid version %q: %w", text, errInvalidVersion)
 	epoch, number, ok := strings.Cut(text, ".")
 	if !ok {
 		return tables.ID{}, invalid
--- a/internal/node/admin_commands.go
+++ b/internal/node/admin_commands.go
@@ -10,18 +10,18 @@
 	"tamarindshore/internal/versions"
 )
 
-// This file executes operators' commands in the router's goroutine and formats their results as text.
+// This file executes the commands of the admin socket in the router's goroutine and formats their results as text.
 
-var errUnknownAdminCommand = errors.New("log, show, diff, verify, rollback, hold or resume is due")
+var errUnknownAdminCommand = errors.New("expected log, show, diff, verify, rollback, hold or resume")
 
-// adminCall is an AdminRequest with its versions parsed.
+// adminCall is an AdminRequest with its version IDs parsed.
 type adminCall struct {
 	AdminRequest
 	version tables.ID
 	other   tables.ID
 }
 
-// executeAdmin executes one command of an operator and gives the lines to print.
+// executeAdmin executes a command and returns the lines to print.
 func (r *router) executeAdmin(call adminCall) ([]string, error) {
 	switch call.Command {
 	case AdminLog:
@@ -39,22 +39,25 @@
 	case AdminResume:
 		return r.finishAdmin(r.chain.Resume(r.now, call.Key))
 	}
-	return nil, fmt.Errorf("%q is no command: %w", call.Command, errUnknownAdminCommand)
+	return nil, fmt.Errorf("unknown command %q: %w", call.Command, errUnknownAdminCommand)
 }
 
-// versionLog lists the hold in force, if there is one, and the versions, newest first.
+// versionLog returns a line for the hold in force, if there is one, and a line for each version, newest first. Versions
+// that the proxies may be using are marked if there are several.
 func (r *router) versionLog() (lines []string) {
 	if hold, held := r.chain.CurrentHold(r.fleet()); held {
-		lines = append(lines, fmt.Sprintf("held by key %q until %s, %.2f of its weight is left", hold.Key, hold.Until.Format(time.RFC3339), hold.RemainingFraction))
+		lines = append(lines, fmt.Sprintf("held by key %q until %s, %.2f of its weight is on available servers",
+			hold.Key, hold.Until.Format(time.RFC3339), hold.RemainingFraction))
 	}
 	bases := r.chain.PossibleBases()
 	for _, version := range slices.Backward(r.chain.Versions()) {
 		suffix := ""
 		if len(bases) > 1 && slices.Contains(bases, version.ID) {
-			suffix = " may stand"
+			suffix = " (may be in use)"
 		}
 		created := version.CreatedAt.Format(time.RFC3339Nano)
-		lines = append(lines, fmt.Sprintf("%v %v %s %s%s%s", version.ID, version.Digest, created, version.Cause, keySuffix(version.CommandKey), suffix))
+		lines = append(lines, fmt.Sprintf("%v %v %s %s%s%s",
+			version.ID, version.Digest, created, version.Cause, keySuffix(version.CommandKey), suffix))
 	}
 	return lines
 }
@@ -82,23 +85,24 @@
 	return lines, nil
 }
 
-// finishAdmin puts a command that the chain has carried out into force and has it saved. One that was completed before
-// under the same key has no further effect.
-func (r *router) finishAdmin(completed versions.CompletedCommand, fresh bool, err error) ([]string, error) {
+// finishAdmin applies and saves a command that the chain has carried out, and returns the lines to print. If the command
+// was completed under the same key before, it has no further effect.
+func (r *router) finishAdmin(completed versions.CompletedCommand, executed bool, err error) ([]string, error) {
 	if err != nil {
 		return nil, err
 	}
-	if !fresh {
-		return []string{fmt.Sprintf("done before, at %s: %s", completed.CompletedAt.Format(time.RFC3339), completed.Command)}, nil
+	if !executed {
+		return []string{fmt.Sprintf("already completed at %s: %s", completed.CompletedAt.Format(time.RFC3339), completed.Command)}, nil
 	}
 	r.applyPin()
 	if r.storeWriter != nil {
 		r.storeWriter.saveCompleted(completed)
 	}
-	return []string{fmt.Sprintf("%s: done under key %q, from version %v on", completed.Command, completed.Key, completed.Head)}, nil
+	return []string{fmt.Sprintf("%s: completed under key %q, the newest version was %v",
+		completed.Command, completed.Key, completed.Head)}, nil
 }
 
-// keySuffix names the key of the command that made a version, if one did.
+// keySuffix returns the end of a line that names the key of the command that made a version. It is empty if no command did.
 func keySuffix(key string) string {
 	if key == "" {
 		return ""
@@ -106,7 +110,7 @@
 	return fmt.Sprintf(" by %q", key)
 }
 
-// formatState gives the lines that show a state: each table's weights and admission levels, then the withdrawn servers.
+// formatState returns the lines for a state: each table's weights and admission levels, then the withdrawn servers.
 func formatState(state *tables.State) (lines []string) {
 	ops := tables.Diff(tables.EmptyState(), state)
 	for _, id := range state.TableIDs() {
@@ -122,17 +126,17 @@
 	return lines
 }
 
-// formatOp gives the line that shows one change of a state.
+// formatOp returns the line for a change of a state.
 func formatOp(op tables.Op) string {
 	switch op.Kind {
 	case tables.SetWeight:
 		return fmt.Sprintf("table %d %s %g", op.Table, op.Server, op.Weight)
 	case tables.SetAdmissionLevel:
-		return fmt.Sprintf("table %d groups %b let in %g tries %d", op.Table, op.Classes, op.AdmissionLevel.Amount, op.AdmissionLevel.Retry)
+		return fmt.Sprintf("table %d classes %b admission %g retry %d", op.Table, op.Classes, op.AdmissionLevel.Amount, op.AdmissionLevel.Retry)
 	case tables.Withdraw:
 		return "withdraw " + op.Server
 	case tables.Restore:
-		return "let back in " + op.Server
+		return "restore " + op.Server
 	}
-	return fmt.Sprintf("table %d empty", op.Table)
+	return fmt.Sprintf("table %d cleared", op.Table)
 }
--- a/internal/node/endpoint_list.go
+++ b/internal/node/endpoint_list.go
@@ -9,7 +9,7 @@
 	"tamarindshore/balancer"
 )
 
-// instance is a server in discovery's list, as it is encoded there.
+// instance is a server in discovery's list, as encoded on the wire.
 type instance struct {
 	InstanceID  string   `json:"instanceId"`
 	HostPort    string   `json:"hostPort"`
@@ -19,20 +19,20 @@
 	StartedAtMs int64    `json:"startedAtMs"`
 }
 
-// Lifecycles of an instance.
+// Lifecycle states of an instance.
 const (
 	lifecycleUp       = "up"
 	lifecycleDraining = "draining"
 	lifecycleRemoved  = "removed"
 )
 
-// maxWeight is the highest weight of a server.
+// maxWeight is the maximum weight of a server.
 const maxWeight = 1e9
 
 var errMissingGeneration error = &fieldError{field: "generation", problem: "is missing"}
 
-// parseList decodes a snapshot of the list or changes of it. Entries of unknown zones are ignored and counted. An error
-// names the field at fault.
+// parseList decodes a snapshot of the list or changes to it. Entries of unknown zones are ignored and counted in unknown.
+// The error for an invalid field names the field.
 func (d *decoder) parseList(text []byte) (list endpointList, unknown int, err error) {
 	var message struct {
 		Generation *int64     `json:"generation"`
@@ -48,7 +48,7 @@
 	return d.checkList(*message.Generation, message.Reset, message.Instances)
 }
 
-// checkList checks the servers of a list. Entries of unknown zones are ignored and counted.
+// checkList validates the servers of a list. Entries of unknown zones are ignored and counted in unknown.
 func (d *decoder) checkList(generation int64, snapshot bool, instances []instance) (list endpointList, unknown int, err error) {
 	list = endpointList{generation: generation, snapshot: snapshot, addresses: map[balancer.ServerID]string{}, instances: instances}
 	for i, server := range instances {
@@ -61,14 +61,14 @@
 			return endpointList{}, 0, fmt.Errorf("instances[%d].%w", i, err)
 		}
 		list.entries = append(list.entries, entry)
-		if server.HostPort != "" { // a removed one may come without; its health may still be checked
+		if server.HostPort != "" { // a removed server may lack its address; the known one is kept for health checks
 			list.addresses[entry.Server] = server.HostPort
 		}
 	}
 	return list, unknown, nil
 }
 
-// checkInstance checks a server of the list. The error is errUnknownName where its zone is unknown.
+// checkInstance validates a server of the list. The error is errUnknownName if its zone is unknown.
 func (d *decoder) checkInstance(server instance) (entry balancer.Endpoint, err error) {
 	entry = balancer.Endpoint{Server: balancer.ServerID(server.InstanceID), Weight: 1}
 	switch server.Lifecycle {
@@ -81,13 +81,13 @@
 		return entry, &fieldError{"lifecycle", fmt.Sprintf("%q is not up, draining or removed", server.Lifecycle)}
 	}
 	if server.InstanceID == "" || strings.ContainsAny(server.InstanceID, ",; \t\r\n") {
-		return entry, &fieldError{"instanceId", fmt.Sprintf("%q is no name", server.InstanceID)}
+		return entry, &fieldError{"instanceId", fmt.Sprintf("%q is empty or contains white space, a comma or a semicolon", server.InstanceID)}
 	}
 	if server.Weight != nil {
 		entry.Weight = *server.Weight
 	}
 	if entry.Weight < 0 || entry.Weight > maxWeight {
-		return entry, &fieldError{"weight", fmt.Sprintf("%v is not from 0 to 1e9", entry.Weight)}
+		return entry, &fieldError{"weight", fmt.Sprintf("%v is not between 0 and 1e9", entry.Weight)}
 	}
 	zone, ok := d.zones[server.Zone]
 	if !ok {
--- a/internal/node/feed.go
+++ b/internal/node/feed.go
@@ -10,32 +10,32 @@
 	"tamarindshore/internal/versions"
 )
 
-// feed serves replicas of versioned tables at a listener of its own, which the operator's settings name; without them
-// there is none. It owns the connections; what a replica is sent is decided by versions.Peer from the view that was
-// published last. It must never hold up the decisions, nor send anything to a replica that cannot prove that it has a
-// key. Its methods are safe for concurrent use.
+// feed serves the replicas of the versioned tables on a listener of its own. The operator's settings name its address;
+// without that setting there is no feed. The feed owns the connections; versions.Peer decides what to send to a replica,
+// based on the view published last. The feed must not delay the router, and must not send tables to a replica that has
+// not proved that it has a key. Its methods are safe for concurrent use.
 type feed struct {
 	metrics     *metrics
 	startedAt   time.Time
 	maxReplicas int
 	retry       versions.RetrySettings
-	keys        atomic.Pointer[tables.Keys] // replaced by a reload
-	replicas    atomic.Int64                // connected
+	keys        atomic.Pointer[tables.Keys] // a reload replaces them
+	replicas    atomic.Int64                // number of open connections
 
-	mu      sync.Mutex // of all below
+	mu      sync.Mutex // guards the fields below
 	view    versions.View
-	changed chan struct{}       // closed once another view is published
-	encoded map[deltaKey][]byte // deltas to the newest version: most replicas run the same one
+	changed chan struct{}       // closed when the next view is published
+	encoded map[deltaKey][]byte // deltas to the newest version; most replicas have the same base
 }
 
-// deltaKey identifies a delta among those to the newest version.
+// deltaKey identifies an encoded delta in the cache.
 type deltaKey struct {
 	head       tables.ID
 	base       tables.ID
 	baseDigest tables.Digest
 }
 
-// maxEncodedDeltas is how many encoded deltas are cached.
+// maxEncodedDeltas is the maximum number of cached encoded deltas.
 const maxEncodedDeltas = 64
 
 func newFeed(keys tables.Keys, maxReplicas int, m *metrics) *feed {
@@ -51,7 +51,7 @@
 	return f
 }
 
-// publish replaces the view that replicas are sent.
+// publish replaces the view that replicas are brought up to date with.
 func (f *feed) publish(view versions.View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,14 +61,14 @@
 	f.changed = make(chan struct{})
 }
 
-// current gives the view, and a channel that is closed once there is another one.
+// current returns the view, and a channel that is closed when the next one is published.
 func (f *feed) current() (versions.View, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view, f.changed
 }
 
-// encode encodes a delta, once for all replicas that run its base.
+// encode returns an encoded delta. It caches the result for other replicas with the same base.
 func (f *feed) encode(delta *tables.Delta) ([]byte, error) {
 	key := deltaKey{head: delta.ID, base: delta.Base, baseDigest: delta.BaseDigest}
 	f.mu.Lock()
@@ -83,7 +83,7 @@
 	return encoded, err
 }
 
-// listen accepts replicas until the listener that it returns is closed; their connections end once stop is closed.
+// listen accepts replicas until the returned listener is closed. Closing stop ends their connections.
 func (f *feed) listen(address string, stop <-chan struct{}) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -10,14 +10,14 @@
 	"tamarindshore/balancer"
 )
 
-// healthCheckTarget is a server whose health is to be asked for, and where it listens.
+// healthCheckTarget is a server to check, and the address that it listens on.
 type healthCheckTarget struct {
 	server  balancer.ServerID
 	address string
 }
 
 // runHealthChecks makes the requested health checks one after another until the manager ends. Several goroutines run it,
-// so that no check waits for another's answer.
+// so that a server that doesn't answer doesn't delay the other checks.
 func (r *receiver) runHealthChecks(targets <-chan healthCheckTarget, path string) {
 	for {
 		select {
@@ -31,11 +31,11 @@
 	}
 }
 
-// checkAndReport checks one server and hands on the outcome; false once the manager ends.
+// checkAndReport checks a server and passes the result to the router. It returns false once the manager ends.
 func (r *receiver) checkAndReport(target healthCheckTarget, path string) bool {
 	r.metrics.add(healthChecksSent, 1)
-	result, asked := r.checkOnce(target, path)
-	if !asked {
+	result, sent := r.checkOnce(target, path)
+	if !sent {
 		r.metrics.add(healthChecksDropped, 1)
 		r.metrics.logLimited("health_check_not_sent", "server", string(target.server), "error", "no descriptor or port is left")
 		return true
@@ -48,11 +48,12 @@
 	return r.enqueue(result)
 }
 
-// checkOnce asks one server whether it is alive, and for its load where servers tell it; false where it could not ask.
-func (r *receiver) checkOnce(target healthCheckTarget, path string) (result healthCheckResult, asked bool) {
+// checkOnce sends a health check to a server. The response also states its load, if servers of the site report it. sent
+// is false if this process lacked the resources to connect.
+func (r *receiver) checkOnce(target healthCheckTarget, path string) (result healthCheckResult, sent bool) {
 	result = healthCheckResult{server: target.server, address: target.address, outcome: balancer.HealthCheckTimedOut, inFlight: -1}
-	began := time.Now()
-	defer func() { result.latency = time.Since(began) }()
+	startedAt := time.Now()
+	defer func() { result.latency = time.Since(startedAt) }()
 	conn, err := dial(context.Background(), r.limits, target.address, r.limits.HealthCheckTimeout)
 	if err != nil {
 		result.outcome = balancer.HealthCheckUnreachable
@@ -69,8 +70,8 @@
 	err = recoverPanic(r.metrics, "health_check", func() error { return client.Do(request, response) })
 	switch status := response.StatusCode(); {
 	case err != nil && conn.readErr == nil:
-		result.outcome = balancer.HealthCheckInvalid // something answers there, but not as a server does
-	case err != nil: // silent
+		result.outcome = balancer.HealthCheckInvalid // something other than a server answers at the address
+	case err != nil: // no complete response: HealthCheckTimedOut
 	case status == fasthttp.StatusOK:
 		result.outcome = balancer.HealthCheckPassed
 		result.inFlight, _ = parseLoad(strings.TrimPrefix(string(response.Body()), "TEXT "), ",", "=", r.decoder.maxRequests)
--- a/internal/node/health_check_test.go
+++ b/internal/node/health_check_test.go
@@ -37,22 +37,24 @@
 		})
 		got, _ := testReceiver(t, l).checkOnce(healthCheckTarget{"s-1", address}, "/metrics/load")
 		if got.outcome != want.outcome || got.inFlight != want.inFlight || got.latency <= 0 {
-			t.Errorf("%.30q: %+v", answer, got)
+			t.Errorf("%.30q: got %+v, want outcome %v, %g in flight and a latency", answer, got, want.outcome, want.inFlight)
 		}
 	}
 }
 
-func TestHealthCheckOfNoServerIsUnreachable(t *testing.T) {
+func TestHealthCheckWithoutAListenerIsUnreachable(t *testing.T) {
 	l, _ := net.Listen("tcp", "127.0.0.1:0")
 	l.Close()
 	for _, address := range []string{l.Addr().String(), "", "no address"} {
-		if got, asked := testReceiver(t, testLimits).checkOnce(healthCheckTarget{"s-1", address}, "/alive"); !asked || got.outcome != balancer.HealthCheckUnreachable {
-			t.Errorf("%q: %+v", address, got)
+		if got, sent := testReceiver(t, testLimits).checkOnce(healthCheckTarget{"s-1", address}, "/alive"); !sent ||
+			got.outcome != balancer.HealthCheckUnreachable {
+			t.Errorf("%q: got %+v, sent %v, want unreachable", address, got, sent)
 		}
 	}
 }
 
-func TestAHealthCheckWithoutADescriptorSaysNothingOfTheServer(t *testing.T) {
+// Without a free descriptor the check can't be sent. That must not count as a failure of the server.
+func TestAHealthCheckWithoutAFreeDescriptorIsNotSent(t *testing.T) {
 	address := startServer(t, func(c net.Conn) { io.ReadAll(c) })
 	var was syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &was); err != nil {
@@ -63,9 +65,9 @@
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
 		t.Fatal(err)
 	}
-	got, asked := testReceiver(t, testLimits).checkOnce(healthCheckTarget{"s-1", address}, "/alive")
+	got, sent := testReceiver(t, testLimits).checkOnce(healthCheckTarget{"s-1", address}, "/alive")
 	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)
-	if asked {
-		t.Errorf("%+v", got)
+	if sent {
+		t.Errorf("got %+v, want a check that was not sent", got)
 	}
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,7 +10,7 @@
 	"tamarindshore/balancer"
 )
 
-// counter is one of the counters of a manager; counterNames has their names.
+// counter identifies a counter of a manager. counterNames maps counters to their outer names.
 type counter int
 
 const (
@@ -67,9 +67,8 @@
 	counterCount
 )
 
-// counterNames are the counters' names in the log and on the status page. The load test and the scale measurement read
-// reports_in, usages_in, samples_folded and probes_sent there, so these and the rest of the probes_ family keep their
-// names.
+// counterNames holds the names of the counters in the log and on the status page. The load test and the scale measurement
+// read reports_in, usages_in, samples_folded and probes_sent, so these names and the other probes_ names must not change.
 var counterNames = [counterCount]string{
 	reportsIn:            "reports_in",
 	loadsIn:              "loads_in",
@@ -123,14 +122,14 @@
 	outsideSubset:        "outside_subset",
 }
 
-// metrics counts what is received, sent, answered, rejected, retried, dropped and reconnected, and logs what repeats at a
-// bounded rate. It must never change what the others do. It is safe for concurrent use.
+// metrics holds the counters of a manager and writes log events, those that may repeat often at a limited rate. It must
+// not affect the behaviour of its callers. It is safe for concurrent use.
 type metrics struct {
 	counts      [counterCount]atomic.Int64
-	logInterval time.Duration // between two lines of an event that repeats
+	logInterval time.Duration // minimum time between two log lines of the same event that logLimited writes
 	logger      zerolog.Logger
 
-	mu         sync.Mutex // of lastLogged
+	mu         sync.Mutex // guards lastLogged
 	lastLogged map[string]time.Time
 }
 
@@ -140,12 +139,12 @@
 
 // add adds n to a counter.
 func (m *metrics) add(c counter, n int64) {
-	if n != 0 { // most samples add nothing to most counters
+	if n != 0 { // avoids the atomic write, as most samples add nothing to most counters
 		m.counts[c].Add(n)
 	}
 }
 
-// logLimited logs an event with pairs of key and value, at most once within the log interval.
+// logLimited logs an event with key-value pairs, at most once per log interval.
 func (m *metrics) logLimited(event string, pairs ...any) {
 	if m.isLogDue(event, time.Now()) {
 		m.logEvent(event, pairs...)
@@ -162,12 +161,12 @@
 	return true
 }
 
-// logEvent logs an event with pairs of key and value.
+// logEvent logs an event with key-value pairs.
 func (m *metrics) logEvent(event string, pairs ...any) {
 	m.logger.Info().Str("event", event).Fields(pairs).Send()
 }
 
-// logRecord logs a record of a decision, with further pairs of key and value before its fields.
+// logRecord logs a record of a decision. The key-value pairs come before the fields of the record.
 func (m *metrics) logRecord(record balancer.LogRecord, pairs ...any) {
 	line := m.logger.Info().Str("event", string(record.Event)).Fields(pairs)
 	for _, field := range record.Fields {
@@ -176,7 +175,7 @@
 	line.Send()
 }
 
-// logCounters logs all counters under an event's name.
+// logCounters logs the values of all counters as one event.
 func (m *metrics) logCounters(event string) {
 	line := m.logger.Info().Str("event", event)
 	for c, name := range counterNames {
@@ -185,7 +184,7 @@
 	line.Send()
 }
 
-// values gives all counters by name.
+// values returns the values of all counters by name.
 func (m *metrics) values() map[string]int64 {
 	values := make(map[string]int64, counterCount)
 	for c, name := range counterNames {
--- a/internal/node/proxy_events.go
+++ b/internal/node/proxy_events.go
@@ -6,141 +6,141 @@
 	"time"
 )
 
-// proxyEventsPath is where the relay streams events of proxies, as an event stream (text/event-stream).
+// proxyEventsPath is the path at which the relay streams events of proxies, as server-sent events (text/event-stream).
 const proxyEventsPath = "/v3/kv/stream"
 
-// eventNameLetters are what the name of an event may be made of.
+// eventNameLetters are the characters allowed in the name of an event.
 const eventNameLetters = "abcdefghijklmnopqrstuvwxyz_"
 
-// proxyEventReader reads the relay's event stream once, to its end. It opens with a snapshot of the connected proxies,
-// which is complete at the first heartbeat that comes a while after the first line.
+// proxyEventReader reads one event stream of the relay until the stream ends. The stream starts with a snapshot of the
+// connected proxies, which counts as complete at the first heartbeat at least ProxySnapshotTimeout after its start.
 type proxyEventReader struct {
 	receiver     *receiver
 	up           *upstream
 	phase        proxyStreamPhase
-	startedAt    time.Time // of proxyStreamSnapshot
-	eventSkipped bool      // a join or a leave could not be read
-	event        string    // name of the event in progress
-	data         string    // of the event in progress
+	startedAt    time.Time // of the phase proxyStreamSnapshot
+	eventSkipped bool      // a malformed join or leave event was skipped
+	event        string    // name of the event being read
+	data         string    // of the event being read
 }
 
-// proxyStreamPhase says how far an event stream has come.
+// proxyStreamPhase is the progress of an event stream.
 type proxyStreamPhase int
 
 const (
-	proxyStreamDialling proxyStreamPhase = iota
-	proxyStreamOpened                    // the relay accepted it; it has not replaced the previous upstream yet
-	proxyStreamSnapshot                  // it sends its snapshot
-	proxyStreamLive                      // the snapshot is complete
+	proxyStreamDialling proxyStreamPhase = iota // the relay has not accepted the stream yet
+	proxyStreamOpened                           // the relay accepted the stream, which has not replaced the previous upstream yet
+	proxyStreamSnapshot                         // the relay is sending the snapshot
+	proxyStreamLive                             // the snapshot is complete
 )
 
-// runProxyEvents keeps the relay's event stream open at an upstream, until that is replaced or the manager ends.
+// runProxyEvents keeps the event stream of an upstream open until the upstream is replaced or the manager ends.
 func (r *receiver) runProxyEvents(up *upstream) {
 	r.runStream(up, "proxy_stream", proxyStreamBreaks, func() (bool, error) { return r.readProxyEvents(up) })
 }
 
-// readProxyEvents reads the relay's event stream once, to its end.
+// readProxyEvents opens the relay's event stream and reads it until it ends.
 func (r *receiver) readProxyEvents(up *upstream) (opened bool, err error) {
 	reader := proxyEventReader{receiver: r, up: up}
-	wanted := streamRequest{address: up.address, path: proxyEventsPath, idleTimeout: r.limits.ProxyWatchIdleTimeout, maxLength: r.limits.MaxWatchEventBytes,
-		readInterval: r.limits.ReadInterval}
-	err = stream(up.ctx, r.limits, wanted, reader.open, reader.readLine)
+	request := streamRequest{address: up.address, path: proxyEventsPath, idleTimeout: r.limits.ProxyWatchIdleTimeout,
+		maxLength: r.limits.MaxWatchEventBytes, readInterval: r.limits.ReadInterval}
+	err = stream(up.ctx, r.limits, request, reader.open, reader.readLine)
 	return reader.phase >= proxyStreamOpened, err
 }
 
-// open notes that the relay accepted the stream.
-func (n *proxyEventReader) open() error {
-	n.phase = proxyStreamOpened
-	n.receiver.metrics.add(proxyStreamOpens, 1)
-	if n.up.previous == nil {
-		n.begin()
+// open handles the acceptance of the stream by the relay.
+func (p *proxyEventReader) open() error {
+	p.phase = proxyStreamOpened
+	p.receiver.metrics.add(proxyStreamOpens, 1)
+	if p.up.previous == nil {
+		p.startSnapshot()
 	}
 	return nil
 }
 
-// begin replaces the previous upstream, once.
-func (n *proxyEventReader) begin() {
-	n.up.takeOver()
-	n.phase = proxyStreamSnapshot
-	n.startedAt = time.Now()
-	n.enqueue(proxyEventsOpened{})
+// startSnapshot replaces the previous upstream and begins the snapshot. It is called once per stream.
+func (p *proxyEventReader) startSnapshot() {
+	p.up.takeOver()
+	p.phase = proxyStreamSnapshot
+	p.startedAt = time.Now()
+	p.enqueue(proxyEventsOpened{})
 }
 
-func (n *proxyEventReader) enqueue(in input) bool {
-	return enqueue(in, n.receiver.inputs, n.up.ctx.Done())
+func (p *proxyEventReader) enqueue(in input) bool {
+	return enqueue(in, p.receiver.inputs, p.up.ctx.Done())
 }
 
-// readLine takes one line of the event stream; an error ends it.
-func (n *proxyEventReader) readLine(line []byte) error {
-	if n.phase < proxyStreamSnapshot { // guards against giving up the previous upstream for one that sends nothing
-		n.begin()
+// readLine handles a line of the event stream. An error ends the stream.
+func (p *proxyEventReader) readLine(line []byte) error {
+	if p.phase < proxyStreamSnapshot { // only now, so that the previous upstream is kept if the new one sends nothing
+		p.startSnapshot()
 	}
 	text := string(line)
 	name, value, _ := strings.Cut(text, ":")
 	value = strings.TrimPrefix(value, " ")
 	switch {
 	case text == "":
-		return n.endEvent()
+		return p.endEvent()
 	case name == "":
-		n.heartbeat()
+		p.handleHeartbeat()
 	case name == "event" && strings.Trim(value, eventNameLetters) == "":
-		n.event = value
+		p.event = value
 	case name == "data":
-		n.data += value
-		if len(n.data) > n.receiver.limits.MaxWatchEventBytes {
+		p.data += value
+		if len(p.data) > p.receiver.limits.MaxWatchEventBytes {
 			return errLineTooLong
 		}
 	case name != "id" && name != "retry":
-		return fmt.Errorf("%.40q is no line of an event stream", text)
+		return fmt.Errorf("unexpected line %.40q in an event stream", text)
 	}
 	return nil
 }
 
-// heartbeat takes a comment of the event stream, which the relay sends as a heartbeat.
-func (n *proxyEventReader) heartbeat() {
-	if n.phase == proxyStreamLive || time.Since(n.startedAt) < n.receiver.limits.ProxySnapshotTimeout {
+// handleHeartbeat handles a comment line of the event stream, which the relay sends as a heartbeat.
+func (p *proxyEventReader) handleHeartbeat() {
+	if p.phase == proxyStreamLive || time.Since(p.startedAt) < p.receiver.limits.ProxySnapshotTimeout {
 		return
 	}
-	n.phase = proxyStreamLive
-	if n.eventSkipped {
-		return // guards against disconnecting a proxy that an unreadable event was about
+	p.phase = proxyStreamLive
+	if p.eventSkipped {
+		return // the skipped event may be the join of a proxy, which a complete snapshot without it would disconnect
 	}
-	n.up.clearDecodeError()
-	n.enqueue(proxySnapshotComplete{})
+	p.up.clearDecodeError()
+	p.enqueue(proxySnapshotComplete{})
 }
 
-// endEvent decodes the event that an empty line ends and hands it on.
-func (n *proxyEventReader) endEvent() error {
-	if n.event == "" && n.data == "" {
+// endEvent handles the empty line that ends an event: it decodes the event and passes it to the router.
+func (p *proxyEventReader) endEvent() error {
+	if p.event == "" && p.data == "" {
 		return nil
 	}
-	event, err := n.receiver.decoder.parseEvent(n.event, n.data)
-	n.event = ""
-	n.data = ""
+	event, err := p.receiver.decoder.parseEvent(p.event, p.data)
+	p.event = ""
+	p.data = ""
 	if err != nil {
-		return n.dropEvent(event, err)
+		return p.dropEvent(event, err)
 	}
-	n.receiver.metrics.add(event.counter(), 1)
-	if !n.enqueue(event) {
+	p.receiver.metrics.add(event.counter(), 1)
+	if !p.enqueue(event) {
 		return errStopped
 	}
 	return nil
 }
 
-// dropEvent counts an event that could not be read; an error ends the stream, so that its next opening sends it again.
-func (n *proxyEventReader) dropEvent(event proxyEvent, err error) error {
-	metrics := n.receiver.metrics
+// dropEvent counts an event that could not be decoded. An error ends the stream, so that the relay sends a new snapshot.
+func (p *proxyEventReader) dropEvent(event proxyEvent, err error) error {
+	metrics := p.receiver.metrics
 	if err == errUnknownName {
 		metrics.add(unknownNames, 1)
 		return nil
 	}
 	metrics.add(malformedMessages, 1)
 	if _, isAck := event.(barrierAck); isAck {
-		return nil // alone: a later barrier settles it; a join or a leave that is lost would stay lost
+		return nil // a later acknowledgement makes up for this one, unlike for a lost join or leave
 	}
-	metrics.logLimited("malformed_proxy_event", "from", n.up.address, "error", err)
-	n.eventSkipped = true
-	if n.up.noteDecodeError() {
+	metrics.logLimited("malformed_proxy_event", "from", p.up.address, "error", err)
+	p.eventSkipped = true
+	if p.up.noteDecodeError() {
 		return err
 	}
 	return nil
--- a/internal/node/proxy_events_test.go
+++ b/internal/node/proxy_events_test.go
@@ -15,20 +15,21 @@
 	in, inputs := testReceiverWithInputs(t, testLimits, 64)
 	opened, err := in.readProxyEvents(testUpstream(t, address))
 	if got := <-asked; got != "GET /v3/kv/stream HTTP/1.1" || !opened || !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("%q %v %v", got, opened, err)
+		t.Errorf("request %q, opened %v, error %v; want GET /v3/kv/stream, opened, unexpected EOF", got, opened, err)
 	}
-	want := fmt.Sprint([]input{proxyEventsOpened{}, proxyConnected{17, "a", 21.5}, proxySnapshotComplete{}, barrierAck{17, 905}, proxyDisconnected{17}})
+	want := fmt.Sprint([]input{proxyEventsOpened{}, proxyConnected{17, "a", 21.5}, proxySnapshotComplete{},
+		barrierAck{17, 905}, proxyDisconnected{17}})
 	if got := fmt.Sprint(receivedInputs(inputs)); got != want {
-		t.Errorf("%s", got)
+		t.Errorf("got inputs %s, want %s", got, want)
 	}
 }
 
-func TestProxyEventStreamEndsWhereItIsSilentOrUnreadable(t *testing.T) {
+func TestASilentOrMalformedProxyEventStreamEnds(t *testing.T) {
 	for text, want := range map[string]string{
 		"event: joined\ndata: id=17&site=a&rps=21.5&new=1\n\n...":      "timeout",
 		"event: applied\ndata: id=x\n\nevent: left\ndata: id=x\n\n...": "id: ",
-		"\x00\xff\xfe\n...":                             "no line",
-		"event: \x01left\ndata: id=17\n\n...":           "no line",
+		"\x00\xff\xfe\n...":                             "unexpected line",
+		"event: \x01left\ndata: id=17\n\n...":           "unexpected line",
 		strings.Repeat("data: x", 1000) + "...":         errLineTooLong.Error(),
 		strings.Repeat("data: xxxxxxx\n", 1000) + "...": errLineTooLong.Error(),
 	} {
@@ -38,7 +39,7 @@
 		}
 		address, _ := startStreamServer(t, text)
 		if _, err := testReceiver(t, l).readProxyEvents(testUpstream(t, address)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.30q: %v", text, err)
+			t.Errorf("%.30q: got error %v, want one with %q", text, err, want)
 		}
 	}
 }
--- a/internal/node/replica_conn.go
+++ b/internal/node/replica_conn.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	greetingTimeout = 1500 * time.Millisecond // for the replica to prove that it has a key
-	sendTimeout     = 5 * time.Second         // for one version
+	helloTimeout    = 1500 * time.Millisecond // within which a replica must prove that it has a key
+	sendTimeout     = 5 * time.Second         // to write one delta
 	nonceLength     = 16                      // bytes
 	maxReplicaFrame = 256                     // bytes
 	maxQueuedFrames = 4
 )
 
-// replicaConn is the connection of a replica that has proved that it has a key. It belongs to the goroutine that serves
-// the replica; another one only reads its frames.
+// replicaConn is the connection of a replica that has proved that it has a key. Only the goroutine that serves the replica
+// uses it; another goroutine reads frames from the network connection.
 type replicaConn struct {
 	feed   *feed
 	conn   net.Conn
-	name   string // as the replica says
+	name   string // that the replica reported
 	peer   *versions.Peer
-	frames <-chan replicaFrame // closed once nothing more can be read
+	frames <-chan replicaFrame // closed when no more frames can be read
 }
 
-// replicaFrame is a frame that a replica sent.
+// replicaFrame is a frame received from a replica.
 type replicaFrame struct {
 	kind byte // follow.FrameAck, follow.FrameRejection or follow.FrameSnapshotRequest
 	body []byte
 }
 
-// serve keeps one replica up to date until its connection ends or stop is closed. The caller closes the connection.
+// serve keeps a replica up to date until its connection ends or stop is closed. The caller closes the connection.
 func (f *feed) serve(conn net.Conn, stop <-chan struct{}) {
 	replica, ok := f.authenticate(conn)
 	if !ok {
@@ -48,11 +48,12 @@
 	}
 }
 
-// authenticate challenges a new connection; false where the replica does not prove in time that it has a key.
+// authenticate sends a nonce on a new connection. It returns false if the replica does not prove in time that it has a
+// key, by signing the nonce.
 func (f *feed) authenticate(conn net.Conn) (*replicaConn, bool) {
 	nonce := make([]byte, nonceLength)
 	rand.Read(nonce)
-	conn.SetDeadline(time.Now().Add(greetingTimeout))
+	conn.SetDeadline(time.Now().Add(helloTimeout))
 	if follow.WriteFrame(conn, follow.FrameNonce, nonce) != nil {
 		return nil, false
 	}
@@ -61,7 +62,7 @@
 		f.metrics.add(replicasRejected, 1)
 		return nil, false
 	}
-	name, runs, err := follow.VerifyHello(nonce, *f.keys.Load(), body)
+	name, version, err := follow.VerifyHello(nonce, *f.keys.Load(), body)
 	if err != nil {
 		f.metrics.add(replicasRejected, 1)
 		f.metrics.logLimited("replica_failed", "from", conn.RemoteAddr().String(), "error", err)
@@ -69,10 +70,10 @@
 	}
 	conn.SetDeadline(time.Time{})
 	seed := uint64(binary.BigEndian.Uint16(nonce))
-	return &replicaConn{feed: f, conn: conn, name: name, peer: versions.NewPeer(f.retry, runs, seed)}, true
+	return &replicaConn{feed: f, conn: conn, name: name, peer: versions.NewPeer(f.retry, version, seed)}, true
 }
 
-// readFrames reads frames in a goroutine, until the connection ends or done is closed.
+// readFrames starts a goroutine that reads frames until the connection ends or done is closed.
 func readFrames(conn net.Conn, done <-chan struct{}) <-chan replicaFrame {
 	frames := make(chan replicaFrame, maxQueuedFrames)
 	go func() {
@@ -92,7 +93,8 @@
 	return frames
 }
 
-// sendOrWait sends the replica the delta that is due, or waits for the next thing to happen; false ends the connection.
+// sendOrWait sends the delta that is due. If there is none, it waits for a frame, a new view or the next attempt. It
+// returns false if the connection must end.
 func (c *replicaConn) sendOrWait(stop <-chan struct{}) bool {
 	view, changed := c.feed.current()
 	delta, nextAttempt := c.peer.NextDelta(time.Since(c.feed.startedAt), view)
@@ -128,7 +130,8 @@
 	return true
 }
 
-// handleFrame handles what the replica answers; false ends the connection. A frame of an unknown kind is ignored.
+// handleFrame handles a frame of the replica. It returns false if the frame is malformed, which ends the connection. A
+// frame of an unknown kind is ignored.
 func (c *replicaConn) handleFrame(frame replicaFrame) bool {
 	outcome := tables.Applied
 	body := frame.body
@@ -136,27 +139,27 @@
 		outcome = tables.Outcome(body[0])
 		body = body[1:]
 	}
-	runs, _, err := follow.ParseVersionRef(body)
+	version, _, err := follow.ParseVersionRef(body)
 	if err != nil || outcome < tables.Applied || outcome > tables.Conflict {
 		return false
 	}
 	switch frame.kind {
 	case follow.FrameAck:
 		c.feed.metrics.add(versionsAcked, 1)
-		c.peer.HandleAck(runs)
+		c.peer.HandleAck(version)
 	case follow.FrameSnapshotRequest:
-		c.peer.HandleSnapshotRequest(runs)
+		c.peer.HandleSnapshotRequest(version)
 	case follow.FrameRejection:
-		c.handleRejection(outcome, runs)
+		c.handleRejection(outcome, version)
 	}
 	return true
 }
 
-func (c *replicaConn) handleRejection(outcome tables.Outcome, runs tables.VersionRef) {
+func (c *replicaConn) handleRejection(outcome tables.Outcome, version tables.VersionRef) {
 	c.feed.metrics.add(versionsRejected, 1)
-	c.feed.metrics.logLimited("version_rejected", "replica", c.name, "reason", outcome.String(), "runs", runs.ID.String())
-	c.peer.HandleRejection(time.Since(c.feed.startedAt), outcome, runs)
+	c.feed.metrics.logLimited("version_rejected", "replica", c.name, "reason", outcome.String(), "runs", version.ID.String())
+	c.peer.HandleRejection(time.Since(c.feed.startedAt), outcome, version)
 	if c.peer.Superseded() {
-		c.feed.metrics.logLimited("replica_superseded", "replica", c.name, "runs", runs.ID.String())
+		c.feed.metrics.logLimited("replica_superseded", "replica", c.name, "runs", version.ID.String())
 	}
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -1,7 +1,7 @@
 package node
 
-// This file answers operators at an HTTP listener of their own, which the operator's settings name; without them there is
-// none. It must never change anything, nor hold up other goroutines.
+// This file serves the status page to operators on an HTTP listener of its own. The operator's settings name its address;
+// without that setting there is no listener. It is read-only and must not delay other goroutines.
 
 import (
 	"encoding/json"
@@ -11,14 +11,14 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ShardStatus is one shard of the decoder pool.
+// ShardStatus is the status of a shard of the decoder pool.
 type ShardStatus struct {
 	Cores       float64 `json:"cores"`
 	Connections int     `json:"connections"`
-	BusySeconds float64 `json:"busy_s"` // with the present chunk; 0: it waits
+	BusySeconds float64 `json:"busy_s"` // time spent on the current chunk so far; 0 if idle
 }
 
-// Status is what GET /status answers.
+// Status is the response to GET /status.
 type Status struct {
 	Name           string           `json:"name"`
 	UptimeSeconds  float64          `json:"uptime_s"`
@@ -29,11 +29,11 @@
 	Counters       map[string]int64 `json:"counters"`
 }
 
-// ListStatus is the endpoint list that a manager uses.
+// ListStatus is the status of the endpoint list that a manager uses.
 type ListStatus struct {
 	Version    int64   `json:"version"`
-	AgeSeconds float64 `json:"age_s"`     // since discovery sent or confirmed it, or since the manager started with it
-	Confirmed  bool    `json:"confirmed"` // by discovery, since the manager started
+	AgeSeconds float64 `json:"age_s"`     // since discovery last sent or confirmed the list, or since the manager started
+	Confirmed  bool    `json:"confirmed"` // whether discovery has sent or confirmed the list since the manager started
 }
 
 func (n *Node) currentStatus() Status {
@@ -53,7 +53,7 @@
 	return status
 }
 
-// status gives the state of each shard, by its number.
+// status returns the status of each shard, indexed by shard number.
 func (p *decoderPool) status() (shards []ShardStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,10 +68,10 @@
 	return shards
 }
 
-// statusPath is where operators get the status.
+// statusPath is the path of the status page.
 const statusPath = "/status"
 
-// startStatus serves the status at an address until the manager ends.
+// startStatus serves the status page on an address until the manager ends.
 func (n *Node) startStatus(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -95,7 +95,7 @@
 
 func (n *Node) serveStatus(c *fasthttp.RequestCtx) {
 	if string(c.Path()) != statusPath {
-		c.Error("known is "+statusPath, fasthttp.StatusNotFound)
+		c.Error("not found; the status is at "+statusPath, fasthttp.StatusNotFound)
 		return
 	}
 	text, err := json.MarshalIndent(n.currentStatus(), "", "  ")
@@ -107,7 +107,7 @@
 	c.Write(append(text, '\n'))
 }
 
-// discardLogger drops what the HTTP library logs about single connections.
+// discardLogger drops the messages that the HTTP library logs about single connections.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
--- a/internal/node/store_writer.go
+++ b/internal/node/store_writer.go
@@ -10,26 +10,26 @@
 	"tamarindshore/internal/versions"
 )
 
-// storeWriter saves versions, completed commands and the endpoint list in a goroutine of its own, so that decisions never
-// wait for a disk. It owns what is not saved yet. Where saving fails it logs that once, goes on without, and saves the
-// complete state once saving succeeds again; it must never change what is decided. Its methods are safe for concurrent
-// use; save is for its own goroutine.
+// storeWriter saves versions, completed commands and the endpoint list in a goroutine of its own, so that the router never
+// waits for the disk. It owns the changes that are not saved yet. If a save fails, it logs the first failure, keeps the
+// changes and retries; the first save that succeeds stores the complete state again. Failures must not affect the router's
+// decisions. Its methods are safe for concurrent use, except for those that only its own goroutine calls: save and close.
 type storeWriter struct {
 	store      *store.Store
 	metrics    *metrics
-	stop       <-chan struct{} // ends the goroutine, after a last save
-	retryAfter time.Duration
-	filled     chan struct{} // signalled once something waits
-	done       chan struct{} // closed once the goroutine has ended
+	stop       <-chan struct{} // closed to end the goroutine, after a last save
+	retryDelay time.Duration
+	wake       chan struct{} // signalled when there are unsaved changes
+	done       chan struct{} // closed when the goroutine has ended
 
-	mu      sync.Mutex // of all below
-	waiting unsavedChanges
-	saved   tables.Digest        // of the last version saved
-	drains  map[string]time.Time // saved last, by server: since when
-	failing bool                 // the last save failed
+	mu      sync.Mutex // guards the fields below
+	unsaved unsavedChanges
+	saved   tables.Digest        // digest of the last version saved
+	drains  map[string]time.Time // by server: when it was first withdrawn, as last saved
+	failing bool                 // whether the last save failed
 }
 
-// unsavedChanges is what waits to be saved, each kind oldest first.
+// unsavedChanges holds the changes that are not saved yet, each kind oldest first.
 type unsavedChanges struct {
 	versions []*versions.Version
 	commands []versions.CompletedCommand
@@ -38,114 +38,114 @@
 
 func (u unsavedChanges) empty() bool { return len(u.versions)+len(u.commands)+len(u.lists) == 0 }
 
-// followedBy joins what waits to what came later. Of too many versions only the newest is kept, to be saved as a
-// snapshot. Too many changes of the list are merged into one, which has each server once. Guards against a disk that
-// hangs, behind which they would grow without bound.
-func (u unsavedChanges) followedBy(later unsavedChanges) unsavedChanges {
+// concat returns the changes followed by later ones. It bounds their number, which would otherwise grow without limit while
+// the disk hangs: of too many versions only the newest is kept, which is then saved as a snapshot, and too many changes of
+// the list are merged into one, which contains each server once.
+func (u unsavedChanges) concat(later unsavedChanges) unsavedChanges {
 	joined := unsavedChanges{
 		versions: slices.Concat(u.versions, later.versions),
 		commands: slices.Concat(u.commands, later.commands),
 		lists:    slices.Concat(u.lists, later.lists),
 	}
-	if excess := len(joined.versions) - maxWaitingVersions; excess > 0 {
+	if excess := len(joined.versions) - maxUnsavedVersions; excess > 0 {
 		joined.versions = joined.versions[len(joined.versions)-1:]
 	}
-	if len(joined.lists) > maxWaitingLists {
+	if len(joined.lists) > maxUnsavedListChanges {
 		joined.lists = mergeLists(joined.lists)
 	}
 	return joined
 }
 
 const (
-	maxWaitingVersions = 64 // past that only the newest is saved, as a snapshot
-	maxWaitingLists    = 256
-	storeRetry         = 5 * time.Second
+	maxUnsavedVersions    = 64  // beyond this only the newest is saved, as a snapshot
+	maxUnsavedListChanges = 256 // beyond this they are merged into one
+	storeRetryDelay       = 5 * time.Second
 )
 
-func newStoreWriter(s *store.Store, kept store.Contents, m *metrics, stop <-chan struct{}) *storeWriter {
+func newStoreWriter(s *store.Store, stored store.Contents, m *metrics, stop <-chan struct{}) *storeWriter {
 	w := &storeWriter{
 		store:      s,
 		metrics:    m,
 		stop:       stop,
-		retryAfter: storeRetry,
-		filled:     make(chan struct{}, 1),
+		retryDelay: storeRetryDelay,
+		wake:       make(chan struct{}, 1),
 		done:       make(chan struct{}),
-		saved:      kept.State.Digest(),
-		drains:     kept.Drains,
+		saved:      stored.State.Digest(),
+		drains:     stored.Drains,
 	}
 	go w.run()
 	return w
 }
 
-// enqueue has changes saved soon.
-func (w *storeWriter) enqueue(one unsavedChanges) {
-	w.append(one)
-	notify(w.filled)
+// enqueue adds changes to the unsaved ones and wakes up the goroutine that saves them.
+func (w *storeWriter) enqueue(changes unsavedChanges) {
+	w.append(changes)
+	notify(w.wake)
 }
 
-func (w *storeWriter) append(one unsavedChanges) {
+func (w *storeWriter) append(changes unsavedChanges) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.waiting = w.waiting.followedBy(one)
+	w.unsaved = w.unsaved.concat(changes)
 }
 
-func (w *storeWriter) saveVersion(one *versions.Version) {
-	w.enqueue(unsavedChanges{versions: []*versions.Version{one}})
+func (w *storeWriter) saveVersion(version *versions.Version) {
+	w.enqueue(unsavedChanges{versions: []*versions.Version{version}})
 }
 
 func (w *storeWriter) saveCompleted(command versions.CompletedCommand) {
 	w.enqueue(unsavedChanges{commands: []versions.CompletedCommand{command}})
 }
 
-// saveList has a list, or changes of it, saved.
+// saveList enqueues a list, or changes of it, for saving. A list that was read from the store is not saved again.
 func (w *storeWriter) saveList(in endpointList) {
 	if in.stored {
 		return
 	}
-	change := store.ListChange{Complete: in.snapshot, Entries: entriesOf(in.instances)}
+	change := store.ListChange{Complete: in.snapshot, Entries: toStoreEntries(in.instances)}
 	if in.complete {
 		change.Generation = in.generation
 	}
 	w.enqueue(unsavedChanges{lists: []store.ListChange{change}})
 }
 
-// mergeLists merges changes of the list into one, which has each server once. It takes time in proportion to the servers,
-// so it is done where the store is written, and not where a change comes in unless very many wait.
+// mergeLists merges changes of the list into one, which contains each server once. Its cost is proportional to the number
+// of servers, so it runs in the goroutine that saves, and when a change is enqueued only if there are too many unsaved ones.
 func mergeLists(changes []store.ListChange) []store.ListChange {
 	if len(changes) < 2 {
 		return changes
 	}
-	all := changes[0]
+	merged := changes[0]
 	for _, change := range changes[1:] {
-		all = all.Merge(change)
+		merged = merged.Merge(change)
 	}
-	return []store.ListChange{all}
+	return []store.ListChange{merged}
 }
 
-// entriesOf gives servers in the form of the store.
-func entriesOf(instances []instance) (entries []store.ListEntry) {
-	for _, one := range instances {
-		entries = append(entries, store.ListEntry{ID: one.InstanceID, HostPort: one.HostPort, Zone: one.Zone, Lifecycle: one.Lifecycle,
-			Weight: one.Weight, StartedAtMs: one.StartedAtMs})
+// toStoreEntries converts servers from the form of discovery to that of the store.
+func toStoreEntries(instances []instance) (entries []store.ListEntry) {
+	for _, server := range instances {
+		entries = append(entries, store.ListEntry{ID: server.InstanceID, HostPort: server.HostPort, Zone: server.Zone,
+			Lifecycle: server.Lifecycle, Weight: server.Weight, StartedAtMs: server.StartedAtMs})
 	}
 	return entries
 }
 
-// instancesOf gives servers in the form of discovery.
+// instancesOf converts servers from the form of the store to that of discovery.
 func instancesOf(entries []store.ListEntry) (instances []instance) {
-	for _, one := range entries {
-		instances = append(instances, instance{InstanceID: one.ID, HostPort: one.HostPort, Zone: one.Zone, Lifecycle: one.Lifecycle,
-			Weight: one.Weight, StartedAtMs: one.StartedAtMs})
+	for _, entry := range entries {
+		instances = append(instances, instance{InstanceID: entry.ID, HostPort: entry.HostPort, Zone: entry.Zone, Lifecycle: entry.Lifecycle,
+			Weight: entry.Weight, StartedAtMs: entry.StartedAtMs})
 	}
 	return instances
 }
 
-// run saves what waits until stop is closed. After a failure it tries again after a while, or at the end.
+// run saves changes until stop is closed. After a failure it retries after retryDelay, or when stop is closed.
 func (w *storeWriter) run() {
 	defer close(w.done)
 	for {
 		select {
-		case <-w.filled:
+		case <-w.wake:
 		case <-w.stop:
 			w.save()
 			w.close()
@@ -153,36 +153,36 @@
 		}
 		if !w.save() {
 			select {
-			case <-time.After(w.retryAfter):
-				notify(w.filled)
+			case <-time.After(w.retryDelay):
+				notify(w.wake)
 			case <-w.stop:
-				notify(w.filled)
+				notify(w.wake)
 			}
 		}
 	}
 }
 
-// close closes the store, which may hold what the disk has not.
+// close closes the store. It logs an error, because saved changes may then be missing on the disk.
 func (w *storeWriter) close() {
 	if err := w.store.Close(); err != nil {
 		w.metrics.logger.Error().Str("event", "store_close_failed").Err(err).Send()
 	}
 }
 
-// save saves all that waits as one change; false where that failed, and all of it waits on.
+// save saves all unsaved changes in one transaction. It returns false if that failed, and keeps the changes as unsaved.
 func (w *storeWriter) save() bool {
-	waiting := w.takeWaiting()
-	if waiting.empty() {
+	unsaved := w.takeUnsaved()
+	if unsaved.empty() {
 		return true
 	}
-	waiting.lists = mergeLists(waiting.lists)
-	change, saved := w.changeOf(waiting)
+	unsaved.lists = mergeLists(unsaved.lists)
+	change, saved := w.toStoreChange(unsaved)
 	err := w.store.Save(change)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err != nil {
-		w.noteFailure(err)
-		w.waiting = waiting.followedBy(w.waiting)
+		w.recordFailure(err)
+		w.unsaved = unsaved.concat(w.unsaved)
 		return false
 	}
 	if w.failing {
@@ -196,16 +196,16 @@
 	return true
 }
 
-func (w *storeWriter) takeWaiting() unsavedChanges {
+func (w *storeWriter) takeUnsaved() unsavedChanges {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	waiting := w.waiting
-	w.waiting = unsavedChanges{}
-	return waiting
+	unsaved := w.unsaved
+	w.unsaved = unsavedChanges{}
+	return unsaved
 }
 
-// noteFailure counts a save that failed and logs the first of several. mu is held.
-func (w *storeWriter) noteFailure(err error) {
+// recordFailure counts a failed save, and logs it if it is the first in a row. The caller holds mu.
+func (w *storeWriter) recordFailure(err error) {
 	w.metrics.add(storeWriteFailures, 1)
 	if !w.failing {
 		w.metrics.logger.Error().Str("event", "store_write_failed").Err(err).Send()
@@ -213,49 +213,51 @@
 	w.failing = true
 }
 
-// changeOf gives what waits in the form of the store, and the digest of its last version.
-func (w *storeWriter) changeOf(waiting unsavedChanges) (change store.Change, saved tables.Digest) {
-	if len(waiting.lists) > 0 {
-		change.ServerList = &waiting.lists[0]
+// toStoreChange converts unsaved changes to the form of the store. It also returns the digest of the last saved version
+// after the change.
+func (w *storeWriter) toStoreChange(unsaved unsavedChanges) (change store.Change, saved tables.Digest) {
+	if len(unsaved.lists) > 0 {
+		change.ServerList = &unsaved.lists[0]
 	}
 	saved = w.saved
-	for _, one := range waiting.versions {
-		change.Versions = append(change.Versions, storedVersion(one, saved))
-		saved = one.Digest
+	for _, version := range unsaved.versions {
+		change.Versions = append(change.Versions, toStoredVersion(version, saved))
+		saved = version.Digest
 	}
-	if n := len(waiting.versions); n > 0 {
-		change.Drains = w.drainsOf(waiting.versions[n-1])
+	if n := len(unsaved.versions); n > 0 {
+		change.Drains = w.drainTimes(unsaved.versions[n-1])
 	}
-	for _, command := range waiting.commands {
+	for _, command := range unsaved.commands {
 		change.CompletedCommands = append(change.CompletedCommands, store.CompletedCommand(command))
 	}
 	return change, saved
 }
 
-// storedVersion gives a version in the form of the store: a snapshot where the one before it was not saved.
-func storedVersion(one *versions.Version, saved tables.Digest) store.Version {
+// toStoredVersion converts a version to the form of the store. It becomes a snapshot if the version before it is not the
+// last saved one.
+func toStoredVersion(version *versions.Version, saved tables.Digest) store.Version {
 	stored := store.Version{
-		ID:         one.ID,
-		Digest:     one.Digest,
-		Parent:     one.Parent,
-		CreatedAt:  one.CreatedAt,
-		Cause:      one.Cause,
-		Layout:     one.Layout,
-		CommandKey: one.CommandKey,
-		Ops:        one.Ops,
+		ID:         version.ID,
+		Digest:     version.Digest,
+		Parent:     version.Parent,
+		CreatedAt:  version.CreatedAt,
+		Cause:      version.Cause,
+		Layout:     version.Layout,
+		CommandKey: version.CommandKey,
+		Ops:        version.Ops,
 	}
-	if one.Parent != saved {
+	if version.Parent != saved {
 		stored.Snapshot = true
-		stored.Ops = tables.Diff(tables.EmptyState(), one.State)
+		stored.Ops = tables.Diff(tables.EmptyState(), version.State)
 	}
 	return stored
 }
 
-// drainsOf gives the servers that a version withdraws, and since when each is.
-func (w *storeWriter) drainsOf(last *versions.Version) map[string]time.Time {
+// drainTimes returns the time at which each withdrawn server of a version was withdrawn.
+func (w *storeWriter) drainTimes(version *versions.Version) map[string]time.Time {
 	drains := map[string]time.Time{}
-	for _, server := range last.State.WithdrawnServers() {
-		drains[server] = last.CreatedAt
+	for _, server := range version.State.WithdrawnServers() {
+		drains[server] = version.CreatedAt
 		if since := w.drains[server]; !since.IsZero() {
 			drains[server] = since
 		}
--- a/internal/node/stored_list_test.go
+++ b/internal/node/stored_list_test.go
@@ -10,22 +10,23 @@
 	"tamarindshore/internal/store"
 )
 
-// awaitList waits until a manager holds a version of the list.
+// awaitList waits until the manager uses a version of the list.
 func (v *managerDeployment) awaitList(t *testing.T, version int64) {
 	t.Helper()
-	mustEventually(t, 10*time.Second, fmt.Sprintf("version %d of the list held", version), func() bool {
+	mustEventually(t, 10*time.Second, fmt.Sprintf("the manager uses version %d of the list", version), func() bool {
 		return v.manager.currentStatus().List.Version == version
 	})
 }
 
-// restartWith restarts the manager with an initial list.
+// restartWith restarts the manager with an initial list in its start configuration.
 func (v *managerDeployment) restartWith(t *testing.T, initial fakes.EndpointList) {
 	t.Helper()
 	if err := v.Manager.Stop(false); err != nil {
 		t.Fatal(err)
 	}
-	start := fakes.ManagerConfig{Dir: t.TempDir(), Name: "n1", ListenAddress: v.ManagerAddress, StatusAddress: v.StatusAddress, DiscoveryAddress: v.Discovery.Address,
-		RelayAddress: v.Relay.Address, Endpoints: initial, Options: fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 2, OperatorSettings: v.settings}}
+	start := fakes.ManagerConfig{Dir: t.TempDir(), Name: "n1", ListenAddress: v.ManagerAddress, StatusAddress: v.StatusAddress,
+		DiscoveryAddress: v.Discovery.Address, RelayAddress: v.Relay.Address, Endpoints: initial,
+		Options: fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 2, OperatorSettings: v.settings}}
 	var err error
 	if v.Manager, err = v.Site.StartManager(start, v.begin); err != nil {
 		t.Fatal(err)
@@ -35,9 +36,9 @@
 	}
 }
 
-// A region that is cut off has no discovery. A manager that restarts there must not use an hour-old list, and once
-// discovery is back it must not ask for the complete list.
-func TestARestartWithoutDiscoveryBeginsWithTheStoredList(t *testing.T) {
+// A manager may restart in a region that is cut off from discovery. It must start with the stored list, not with the one
+// in its start configuration, which may be an hour old. Once discovery is back, it must request only the changes.
+func TestARestartWithoutDiscoveryStartsWithTheStoredList(t *testing.T) {
 	v := startDeployment(t, fakes.DefaultSite(6, 20))
 	v.assignAllProxies(t)
 	old := v.Discovery.Snapshot()
@@ -48,18 +49,18 @@
 	held := int64(old.Version + 2)
 	v.awaitList(t, held)
 	if list := v.manager.currentStatus().List; !list.Confirmed {
-		t.Errorf("sent by discovery, and yet %+v", list)
+		t.Errorf("got %+v, want a confirmed list, as discovery has sent it", list)
 	}
 
 	v.Discovery.SetUnresponsive(true)
 	v.restartWith(t, old)
 	if list := v.manager.currentStatus().List; list.Version != held || list.Confirmed {
-		t.Errorf("without discovery: %+v, not version %d unconfirmed", list, held)
+		t.Errorf("without discovery: got %+v, want version %d, unconfirmed", list, held)
 	}
 	v.awaitAssignments(t)
 	for _, server := range []*fakes.Server{drains, leaves} {
 		if rate := v.Relay.RequestRate(server.ID); rate > 0 {
-			t.Errorf("%s gets %g requests a second", server.ID, rate)
+			t.Errorf("%s gets %g requests per second, want none", server.ID, rate)
 		}
 	}
 
@@ -68,7 +69,7 @@
 	v.awaitList(t, held+1)
 	asked := v.Discovery.WatchedVersions()
 	if resumed := asked[len(asked)-1]; int64(resumed) != held || slices.Contains(asked, 0) {
-		t.Errorf("watches asked from %v, the list held was %d", asked, held)
+		t.Errorf("watches requested changes after versions %v, want the last after %d and none after 0", asked, held)
 	}
 }
 
@@ -83,13 +84,13 @@
 	v.restartWith(t, initial)
 	v.awaitList(t, int64(initial.Version))
 	v.restartWith(t, fakes.EndpointList{Version: 1, Complete: true, Endpoints: []fakes.Endpoint{}})
-	v.awaitList(t, int64(initial.Version)) // the store has the one used since
+	v.awaitList(t, int64(initial.Version)) // the store holds the list that the last manager used
 	if servers := len(v.manager.initialList.entries); servers != 3 {
-		t.Errorf("%d servers at the start, not 3", servers)
+		t.Errorf("the manager started with %d servers, want 3", servers)
 	}
 }
 
-// The stored list is checked as one that discovery sends; an invalid one must not keep the manager from starting.
+// The stored list is validated like a list from discovery. An invalid one must not prevent the manager from starting.
 func TestAnInvalidStoredListIsIgnored(t *testing.T) {
 	v := startDeployment(t, fakes.DefaultSite(4, 8))
 	initial := v.Discovery.Snapshot()
@@ -107,32 +108,33 @@
 	kept.Close()
 	v.restartWith(t, initial)
 	if version := v.manager.currentStatus().List.Version; version != int64(initial.Version) {
-		t.Errorf("began with version %d, not %d", version, initial.Version)
+		t.Errorf("the manager started with version %d of the list, want %d", version, initial.Version)
 	}
 }
 
-// A save that hangs accepts nothing more; what is queued meanwhile must not grow with time, only with the fleet.
+// While a save hangs, the queued changes of the list must be bounded by the number of servers, not grow with time.
 func TestChangesQueuedForAHungDiskAreBounded(t *testing.T) {
 	const servers, changes = 10, 5000
-	writer := &storeWriter{filled: make(chan struct{}, 1)}
+	writer := &storeWriter{wake: make(chan struct{}, 1)}
 	for n := range changes {
 		writer.saveList(endpointList{generation: int64(n + 1), complete: true, snapshot: n == 0,
 			instances: []instance{{InstanceID: fmt.Sprint("s-", n%servers), Zone: "a", Lifecycle: "up", StartedAtMs: int64(n)}}})
 	}
 	entries := 0
-	for _, change := range writer.waiting.lists {
+	for _, change := range writer.unsaved.lists {
 		entries += len(change.Entries)
 	}
-	if len(writer.waiting.lists) > maxWaitingLists || entries > maxWaitingLists+servers {
-		t.Errorf("%d changes with %d entries wait", len(writer.waiting.lists), entries)
+	if len(writer.unsaved.lists) > maxUnsavedListChanges || entries > maxUnsavedListChanges+servers {
+		t.Errorf("%d changes with %d entries are queued, want at most %d and %d",
+			len(writer.unsaved.lists), entries, maxUnsavedListChanges, maxUnsavedListChanges+servers)
 	}
-	last := mergeLists(writer.waiting.lists)
+	last := mergeLists(writer.unsaved.lists)
 	if len(last) != 1 || !last[0].Complete || last[0].Generation != changes || len(last[0].Entries) != servers {
-		t.Fatalf("%+v", last)
+		t.Fatalf("got %+v, want one complete change of generation %d with %d entries", last, changes, servers)
 	}
 	for _, entry := range last[0].Entries {
 		if entry.StartedAtMs < changes-servers {
-			t.Errorf("%s is as sent %d changes ago", entry.ID, changes-entry.StartedAtMs)
+			t.Errorf("the entry of %s is %d changes old", entry.ID, changes-entry.StartedAtMs)
 		}
 	}
 }
--- a/internal/node/stored_state.go
+++ b/internal/node/stored_state.go
@@ -8,25 +8,26 @@
 	"tamarindshore/internal/versions"
 )
 
-// recoverVersions gives the stored versions, oldest first, with their states, and the completed commands by time.
-func recoverVersions(stored store.Contents) (old []*versions.Version, completed []versions.CompletedCommand) {
+// recoverVersions returns the stored versions with their states, oldest first, and the completed commands, ordered by time
+// of completion.
+func recoverVersions(stored store.Contents) (recovered []*versions.Version, completed []versions.CompletedCommand) {
 	state := tables.EmptyState()
-	for _, one := range stored.Versions {
-		if one.Snapshot {
+	for _, version := range stored.Versions {
+		if version.Snapshot {
 			state = tables.EmptyState()
 		}
-		next, err := state.Apply(one.Ops)
+		next, err := state.Apply(version.Ops)
 		if err != nil {
-			return nil, nil // the store has checked them: to begin without history is safer than with a part of it
+			return nil, nil // unexpected, as the store has checked them: no history is safer than a part of it
 		}
 		state = next
-		old = append(old, recoverVersion(one, state))
+		recovered = append(recovered, recoverVersion(version, state))
 	}
 	for _, command := range stored.CompletedCommands {
 		completed = append(completed, versions.CompletedCommand(command))
 	}
 	slices.SortFunc(completed, func(a, b versions.CompletedCommand) int { return a.CompletedAt.Compare(b.CompletedAt) })
-	return old, completed
+	return recovered, completed
 }
 
 func recoverVersion(stored store.Version, state *tables.State) *versions.Version {
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -11,40 +11,42 @@
 	"tamarindshore/internal/config"
 )
 
-// streamRequest says which endless answer is requested, and how it is read.
+// streamRequest describes a request whose response is an endless stream of lines.
 type streamRequest struct {
 	address      string
 	path         string
 	idleTimeout  time.Duration
-	maxLength    int           // bytes of a line
-	readInterval time.Duration // 0: what comes is read at once
+	maxLength    int           // maximum length of a line in bytes
+	readInterval time.Duration // minimum time between reads of the connection; 0 for none
 }
 
-// errNoStream is the error of an answer that is no stream.
-var errNoStream = errors.New("the answer is no stream")
+// errNoStream is wrapped by the error for a response that is not a successful stream.
+var errNoStream = errors.New("not a streaming response")
 
-// stream requests a path and hands each line of the endless answer to handleLine, without its line end. The answer must
-// begin within limits.StreamOpenTimeout and then bring a line within the idle timeout each time: guards against a new
-// connection that is as silent as the last, while there is time for another. It returns why it ended, soon after ctx
-// does; an error of opened or handleLine ends it too.
-func stream(ctx context.Context, limits config.Limits, wanted streamRequest, opened func() error, handleLine func(line []byte) error) error {
-	conn, err := dial(ctx, limits, wanted.address, limits.StreamOpenTimeout)
+// stream sends a request and passes each line of the endless response to handleLine, without its line end. It calls opened
+// once the response has begun. The response must begin within limits.StreamOpenTimeout, so that time is left for another
+// attempt if the new connection is as silent as the last one. After that, each line must arrive within the idle timeout.
+// stream returns the reason for its end: the stream ended, ctx is done, or opened or handleLine returned an error.
+func stream(
+	ctx context.Context, limits config.Limits, target streamRequest, opened func() error, handleLine func(line []byte) error,
+) error {
+	conn, err := dial(ctx, limits, target.address, limits.StreamOpenTimeout)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	client := newClient(limits, wanted.address, conn, true)
+	client := newClient(limits, target.address, conn, true)
 	request := fasthttp.AcquireRequest()
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + wanted.address + wanted.path)
+	request.SetRequestURI("http://" + target.address + target.path)
 	if err := client.Do(request, response); err != nil {
 		return err
 	}
 	defer func() {
-		conn.Close() // first, so that nothing of an endless answer is read on
+		conn.Close() // first, because CloseBodyStream would read on from an endless response
 		response.CloseBodyStream()
 	}()
 	if response.StatusCode() != fasthttp.StatusOK || response.BodyStream() == nil {
@@ -53,20 +55,21 @@
 	if err := opened(); err != nil {
 		return err
 	}
-	conn.startIdleTimeout(wanted.idleTimeout)
-	conn.pace = newReadPace(wanted.readInterval)
-	return readLines(response.BodyStream(), func() int { return wanted.maxLength }, func(line []byte) error {
+	conn.startIdleTimeout(target.idleTimeout)
+	conn.pace = newReadPace(target.readInterval)
+	return readLines(response.BodyStream(), func() int { return target.maxLength }, func(line []byte) error {
 		conn.extendDeadline()
 		return handleLine(line)
 	})
 }
 
-// runStream opens a stream again whenever it ends: at once where it had opened for a while, else with a jittered backoff,
-// until its upstream is cancelled or replaced. It counts and logs each end under the stream's name.
+// runStream opens a stream, and reopens it whenever it ends, until its upstream is cancelled or replaced. The first
+// reopening is immediate, as is that of a stream that was open for longer than MaxBackoff; others wait for a jittered
+// backoff. Each end is counted and logged under the name of the stream.
 func (r *receiver) runStream(up *upstream, name string, breaks counter, open func() (opened bool, err error)) {
 	defer close(up.done)
 	for attempts := 0; up.redialCtx.Err() == nil; attempts++ {
-		began := time.Now()
+		startedAt := time.Now()
 		opened := false
 		err := recoverPanic(r.metrics, name, func() (err error) {
 			opened, err = open()
@@ -75,7 +78,7 @@
 		if up.ctx.Err() != nil {
 			return
 		}
-		lasted := time.Since(began)
+		lasted := time.Since(startedAt)
 		r.metrics.add(breaks, 1)
 		r.metrics.logLimited(name+"_closed", "lasted", roundedSeconds(lasted), "opened", opened, "error", err)
 		if opened && lasted > r.limits.MaxBackoff {
@@ -87,7 +90,7 @@
 	}
 }
 
-// waitBackoff waits for a random time within the bounds of the backoff; false where it is stopped meanwhile.
+// waitBackoff waits for a random time between MinBackoff and MaxBackoff. It returns false if stop is closed first.
 func (r *receiver) waitBackoff(stop <-chan struct{}) bool {
 	r.mu.Lock()
 	spread := r.jitter.Float64()
@@ -101,5 +104,5 @@
 	}
 }
 
-// roundedSeconds gives a duration in seconds, cut to the millisecond.
+// roundedSeconds returns a duration in seconds, rounded down to the millisecond.
 func roundedSeconds(d time.Duration) float64 { return float64(d.Milliseconds()) / 1000 }
--- a/internal/node/stream_test.go
+++ b/internal/node/stream_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// startStreamServer is a fake that answers each request for a stream with the next of parts, in pieces;
-// one that ends in "..." stays open and silent after it.
-func startStreamServer(t *testing.T, parts ...string) (string, <-chan string) {
+// startStreamServer starts a fake that answers each request for a stream with the next of the bodies, in small chunks. If a
+// body ends in "...", the stream stays open and silent after it. It returns the address and the received request lines.
+func startStreamServer(t *testing.T, bodies ...string) (string, <-chan string) {
 	asked := make(chan string, 64)
 	next := make(chan string, 64)
-	for _, p := range parts {
-		next <- p
+	for _, body := range bodies {
+		next <- body
 	}
 	return startServer(t, func(c net.Conn) {
 		line, err := bufio.NewReader(c).ReadString('\n')
@@ -37,7 +37,7 @@
 	}), asked
 }
 
-func TestAStreamThatHadOpenedIsReopenedAtOnce(t *testing.T) {
+func TestAnOpenedStreamIsReopenedAtOnce(t *testing.T) {
 	l := testLimits
 	l.MinBackoff = time.Hour
 	l.MaxBackoff = time.Hour
@@ -50,15 +50,15 @@
 		return true, io.EOF
 	})
 	if n != 2 {
-		t.Errorf("opened %d times", n)
+		t.Errorf("opened %d times, want twice", n)
 	}
 }
 
-func TestAStreamThatDoesNotBeginTimesOut(t *testing.T) {
+func TestAStreamWithoutAResponseTimesOut(t *testing.T) {
 	l := testLimits
 	l.StreamOpenTimeout = 30 * time.Millisecond
 	address := startServer(t, func(c net.Conn) { io.ReadAll(c) })
 	if opened, err := testReceiver(t, l).readProxyEvents(testUpstream(t, address)); opened || err == nil {
-		t.Errorf("%v %v", opened, err)
+		t.Errorf("opened %v, error %v; want an error before it opened", opened, err)
 	}
 }
--- a/internal/node/table_keys.go
+++ b/internal/node/table_keys.go
@@ -10,16 +10,17 @@
 	"tamarindshore/client/tables"
 )
 
-// maxTableKeys is how many keys are valid at once: the one in use and, while keys are changed, the next or the last one.
+// maxTableKeys is the maximum number of keys that are valid at once. During key rotation both the old and the new key are
+// valid.
 const maxTableKeys = 2
 
 var (
-	errInvalidKey  = errors.New("no hex digits")
-	errTooManyKeys = errors.New("two at most are valid at once")
+	errInvalidKey  = errors.New("expected 64 hexadecimal digits")
+	errTooManyKeys = errors.New("expected at most two")
 )
 
-// readKeys reads a file of keys for versioned tables: 64 hex digits a line, at most maxTableKeys lines. The first key
-// signs.
+// readKeys reads a file with the keys for the versioned tables: one key of 64 hexadecimal digits per line, and at most
+// maxTableKeys lines. The first key signs.
 func readKeys(path string) (tables.Keys, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -28,7 +29,7 @@
 	var keys tables.Keys
 	for i, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
 		secret, err := hex.DecodeString(strings.TrimSpace(line))
-		if err != nil { // not wrapped: its text would show a part of the secret
+		if err != nil { // not wrapped, because its text contains a part of the secret
 			return nil, fmt.Errorf("%s:%d: %w", path, i+1, errInvalidKey)
 		}
 		key, err := tables.NewKey(secret)
@@ -38,7 +39,7 @@
 		keys = append(keys, key)
 	}
 	if len(keys) > maxTableKeys {
-		return nil, fmt.Errorf("%s: %d keys, %w", path, len(keys), errTooManyKeys)
+		return nil, fmt.Errorf("%s: found %d keys, %w", path, len(keys), errTooManyKeys)
 	}
 	return keys, nil
 }
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -22,7 +22,8 @@
 	"tamarindshore/internal/versions"
 )
 
-func TestARollbackTakesEffectOnceAlsoAfterARestart(t *testing.T) {
+// A retried rollback must have no second effect, even if the manager restarted in between.
+func TestARollbackTakesEffectOnceAcrossARestart(t *testing.T) {
 	const replicas = 8
 	v := startDeployment(t, fakes.DefaultSite(6, 12))
 	l := newReplicaVersions()
@@ -30,24 +31,24 @@
 		startReplica(t, v.feed, i, l.recorder(i))
 	}
 	v.assignAllProxies(t)
-	time.Sleep(1200 * time.Millisecond) // the tables settle within a second
+	time.Sleep(1200 * time.Millisecond) // the tables converge within a second
 	good := v.versionIDs(t)[0]
 	before := v.show(t, good)
 	drained := v.Servers[0]
 	v.Discovery.Publish(drained.Entry("draining"))
-	eventually(t, "drained", func() bool { return v.Relay.RequestRate(drained.ID) == 0 })
+	eventually(t, "the drained server gets no requests", func() bool { return v.Relay.RequestRate(drained.ID) == 0 })
 	rollback := AdminRequest{Command: AdminRollback, Version: good, Key: "k1", Duration: time.Minute}
 	lines, err := v.admin(t, rollback)
-	if err != nil || !strings.Contains(lines, "done under key") {
+	if err != nil || !strings.Contains(lines, "completed under key") {
 		t.Fatal(lines, err)
 	}
-	eventually(t, "rolled back", func() bool {
+	eventually(t, "the rollback is in effect", func() bool {
 		return strings.Contains(strings.Join(v.versionLog(t), "\n"), `by "k1"`) || v.show(t, v.versionIDs(t)[0]) != before
 	})
 	v.assertRolledBack(t, before, drained.ID)
 	newest := v.versionIDs(t)[0]
-	eventually(t, "all replicas run it", func() bool { return l.allRun(replicas, newest) })
-	v.assertDoneBefore(t, good)
+	eventually(t, "all replicas run the version of the rollback", func() bool { return l.allRun(replicas, newest) })
+	v.assertAlreadyCompleted(t, good)
 	if text, err := v.admin(t, AdminRequest{Command: AdminVerify}); err != nil || !strings.Contains(text, "hold") {
 		t.Error(text, err)
 	}
@@ -55,43 +56,43 @@
 	if err := v.StartManager(); err != nil {
 		t.Fatal(err)
 	}
-	v.assertDoneBefore(t, good)
+	v.assertAlreadyCompleted(t, good)
 	if !slices.Contains(v.versionIDs(t), good) {
-		t.Error("the versions of before the restart are gone")
+		t.Errorf("version %s from before the restart is no longer listed", good)
 	}
-	eventually(t, "replicas follow the new epoch", func() bool {
+	eventually(t, "all replicas run the newest version of the new epoch", func() bool {
 		all := v.versionIDs(t)
 		return len(all) > 0 && !strings.HasPrefix(all[0], strings.Split(good, ".")[0]+".") && l.allRun(replicas, all[0])
 	})
 	l.assertAppliedOnce(t)
 }
 
-// assertRolledBack fails where the weights of a version before are not back, but for those of a server that has drained
-// since.
+// assertRolledBack fails the test unless the newest version has the weights of an earlier one, except for a server that has
+// drained since, which must be withdrawn. before is the output of show for the earlier version.
 func (v *managerDeployment) assertRolledBack(t *testing.T, before, drained string) {
 	t.Helper()
 	now := v.show(t, v.versionIDs(t)[0])
 	for _, line := range strings.Split(before, "\n") {
-		isWeight := strings.HasPrefix(line, "table") && !strings.Contains(line, "groups")
+		isWeight := strings.HasPrefix(line, "table") && !strings.Contains(line, "classes")
 		if isWeight && !strings.Contains(line, drained) && !strings.Contains(now, line) {
-			t.Errorf("%q is not back in\n%s", line, now)
+			t.Errorf("%q is not restored; the newest version is\n%s", line, now)
 		}
 	}
 	if v.Relay.RequestRate(drained) != 0 || !strings.Contains(now, "withdrawn "+drained) {
-		t.Error("a server that drained since gets requests back")
+		t.Errorf("%s gets requests again or is not withdrawn, although it has drained since", drained)
 	}
 }
 
-// assertDoneBefore fails where a rollback under the key k1 is not known as completed.
-func (v *managerDeployment) assertDoneBefore(t *testing.T, version string) {
+// assertAlreadyCompleted fails the test unless a rollback under the key k1 is reported as completed before.
+func (v *managerDeployment) assertAlreadyCompleted(t *testing.T, version string) {
 	t.Helper()
 	lines, err := v.admin(t, AdminRequest{Command: AdminRollback, Version: version, Key: "k1"})
-	if err != nil || !strings.HasPrefix(lines, "done before") {
+	if err != nil || !strings.HasPrefix(lines, "already completed") {
 		t.Error(lines, err)
 	}
 }
 
-// assertAppliedOnce fails where a replica applied a version more than once.
+// assertAppliedOnce fails the test if a replica applied a version more than once.
 func (l *replicaVersions) assertAppliedOnce(t *testing.T) {
 	t.Helper()
 	l.mu.Lock()
@@ -105,7 +106,8 @@
 	}
 }
 
-func TestCorruptDeltasLeaveEachReplicaOnItsLastGoodVersion(t *testing.T) {
+// A replica must never apply a corrupt delta, and must catch up once its connection is sound.
+func TestReplicasRejectCorruptDeltas(t *testing.T) {
 	v := startDeployment(t, fakes.DefaultSite(9, 12))
 	var corrupt atomic.Bool
 	corrupt.Store(true)
@@ -129,86 +131,90 @@
 	l.mu.Lock()
 	for i, h := range l.held {
 		if !good[h.ID.String()] {
-			t.Errorf("replica %d runs %v, which never was published", i, h.ID)
+			t.Errorf("replica %d runs %v, which was never published", i, h.ID)
 		}
 	}
 	l.mu.Unlock()
 	corrupt.Store(false)
-	eventually(t, "all run the newest", func() bool { return l.allRun(30, v.versionIDs(t)[0]) })
+	eventually(t, "all replicas run the newest version", func() bool { return l.allRun(30, v.versionIDs(t)[0]) })
 	if n := v.manager.metrics.counts[versionsRejected].Load(); n == 0 {
-		t.Error("no delta was refused")
+		t.Error("no corrupt delta was rejected")
 	}
 }
 
 func TestAnUnauthenticatedReplicaReceivesNothing(t *testing.T) {
 	v := startDeployment(t, fakes.DefaultSite(3, 3))
-	for name, greet := range map[string]func(c net.Conn, nonce []byte){
+	for name, greet := range map[string]func(conn net.Conn, nonce []byte){
 		"silent":  func(net.Conn, []byte) {},
-		"rubbish": func(c net.Conn, _ []byte) { io.WriteString(c, "GET / HTTP/1.1\r\n\r\n") },
-		"other key": func(c net.Conn, nonce []byte) {
-			follow.WriteFrame(c, follow.FrameHello, follow.EncodeHello(nonce, newTestKey(t, bytes.Repeat([]byte{6}, 32)), "x", tables.VersionRef{}))
+		"rubbish": func(conn net.Conn, _ []byte) { io.WriteString(conn, "GET / HTTP/1.1\r\n\r\n") },
+		"other key": func(conn net.Conn, nonce []byte) {
+			follow.WriteFrame(conn, follow.FrameHello,
+				follow.EncodeHello(nonce, newTestKey(t, bytes.Repeat([]byte{6}, 32)), "x", tables.VersionRef{}))
 		},
-		"replay": func(c net.Conn, _ []byte) {
-			follow.WriteFrame(c, follow.FrameHello, follow.EncodeHello(make([]byte, 16), newTestKey(t, testKey), "x", tables.VersionRef{}))
+		"replay": func(conn net.Conn, _ []byte) {
+			follow.WriteFrame(conn, follow.FrameHello, follow.EncodeHello(make([]byte, 16), newTestKey(t, testKey), "x", tables.VersionRef{}))
 		},
 	} {
-		c, err := net.Dial("tcp", v.feed)
+		conn, err := net.Dial("tcp", v.feed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(4 * time.Second))
-		kind, nonce, err := follow.ReadFrame(c, 64)
+		conn.SetDeadline(time.Now().Add(4 * time.Second))
+		kind, nonce, err := follow.ReadFrame(conn, 64)
 		if err != nil || kind != follow.FrameNonce {
 			t.Fatal(kind, err)
 		}
-		greet(c, nonce)
-		if kind, _, err := follow.ReadFrame(c, 1<<20); err == nil {
-			t.Errorf("%s: got a frame %c", name, kind)
-		} else if late, ok := err.(net.Error); ok && late.Timeout() {
-			t.Errorf("%s: still open", name)
+		greet(conn, nonce)
+		if kind, _, err := follow.ReadFrame(conn, 1<<20); err == nil {
+			t.Errorf("%s: received a frame of kind %c, want a closed connection", name, kind)
+		} else if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
+			t.Errorf("%s: the connection is still open after 4 s", name)
 		}
-		c.Close()
+		conn.Close()
 	}
 }
 
-// A store that fails costs no decision; once it is back, what it missed is saved as a whole.
-func TestAFailingStoreIsLoggedOnceAndCaughtUp(t *testing.T) {
+// A failing store must be logged only once, and the unsaved versions must stay bounded. Once the store works again, its
+// state must become the current one, although not all versions were kept.
+func TestAStoreIsBroughtUpToDateAfterFailures(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "v.db")
-	s, kept, err := store.Open(path, 1, store.DefaultLimits(), nil)
+	s, stored, err := store.Open(path, 1, store.DefaultLimits(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
-	b := newMetrics(0, zerolog.New(&log))
-	va := &storeWriter{store: s, metrics: b, filled: make(chan struct{}, 1), saved: kept.State.Digest()}
-	c := versions.New(versions.DefaultSettings(1))
-	propose := func(w float64) {
-		r := c.Propose(0, balancer.Commands{Weights: []balancer.EndpointWeight{{Table: 0, Server: balancer.ServerID(fmt.Sprint("s", w)), Weight: w}}}, "x", allServersReady{})
-		va.saveVersion(r.Version)
+	m := newMetrics(0, zerolog.New(&log))
+	writer := &storeWriter{store: s, metrics: m, wake: make(chan struct{}, 1), saved: stored.State.Digest()}
+	chain := versions.New(versions.DefaultSettings(1))
+	propose := func(weight float64) {
+		result := chain.Propose(0, balancer.Commands{Weights: []balancer.EndpointWeight{
+			{Table: 0, Server: balancer.ServerID(fmt.Sprint("s", weight)), Weight: weight}}}, "x", allServersReady{})
+		writer.saveVersion(result.Version)
 	}
 	propose(1)
-	if !va.save() {
-		t.Fatal("not saved")
+	if !writer.save() {
+		t.Fatal("the first version was not saved")
 	}
-	s.Close() // as if the disk were gone
-	for i := range maxWaitingVersions + 20 {
+	s.Close() // every save fails from now on
+	for i := range maxUnsavedVersions + 20 {
 		propose(float64(i + 2))
-		if va.save() {
-			t.Fatal("saved to a store that is closed")
+		if writer.save() {
+			t.Fatal("a save to a closed store succeeded")
 		}
 	}
-	if n := strings.Count(log.String(), "store_write_failed"); n != 1 || len(va.waiting.versions) > maxWaitingVersions {
-		t.Errorf("logged %d times, %d wait", n, len(va.waiting.versions))
+	if logged := strings.Count(log.String(), "store_write_failed"); logged != 1 || len(writer.unsaved.versions) > maxUnsavedVersions {
+		t.Errorf("the failure was logged %d times, want once; %d versions are unsaved, want at most %d",
+			logged, len(writer.unsaved.versions), maxUnsavedVersions)
 	}
-	if va.store, _, err = store.Open(path, 1, store.DefaultLimits(), nil); err != nil {
+	if writer.store, _, err = store.Open(path, 1, store.DefaultLimits(), nil); err != nil {
 		t.Fatal(err)
 	}
-	if !va.save() || !strings.Contains(log.String(), "store_recovered") {
-		t.Error("not caught up")
+	if !writer.save() || !strings.Contains(log.String(), "store_recovered") {
+		t.Error("the versions were not saved to the reopened store, or its recovery was not logged")
 	}
-	va.store.Close()
-	if kept, err := store.Check(path, store.DefaultLimits()); err != nil || kept.State.Digest() != c.State().Digest() {
-		t.Error(err)
+	writer.store.Close()
+	if stored, err := store.Check(path, store.DefaultLimits()); err != nil || stored.State.Digest() != chain.State().Digest() {
+		t.Errorf("the store does not hold the current state: error %v", err)
 	}
 }
 
@@ -220,7 +226,8 @@
 func (allServersReady) RequestRate(balancer.TableID) float64 { return 1 }
 func (allServersReady) ReadyServers() (int, int)             { return 1, 1 }
 
-// BenchmarkRollback measures from an operator's command to the last of a thousand replicas that runs the version.
+// BenchmarkRollback measures the time from an operator's rollback command until all of a thousand replicas run the new
+// version.
 func BenchmarkRollback(b *testing.B) {
 	v := startDeployment(b, fakes.DefaultSite(30, 60))
 	l := newReplicaVersions()
@@ -230,22 +237,22 @@
 	}
 	v.assignAllProxies(b)
 	wait := func(id func() string) {
-		mustEventually(b, 20*time.Second, "all run the newest", func() bool { return l.allRun(n, id()) })
+		mustEventually(b, 20*time.Second, "all replicas run the newest version", func() bool { return l.allRun(n, id()) })
 	}
 	newest := func() string { return v.versionIDs(b)[0] }
 	wait(newest)
 	time.Sleep(time.Second)
 	good := newest()
-	c, err := net.Dial("tcp", v.ManagerAddress)
+	conn, err := net.Dial("tcp", v.ManagerAddress)
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer c.Close()
-	fmt.Fprintf(c, "collector site=a\r\n")
-	report := func() { // a third of the servers are slow, so that the tables move
+	defer conn.Close()
+	fmt.Fprintf(conn, "collector site=a\r\n")
+	report := func() { // a third of the servers are slow, so that the weights change
 		for range 8 {
 			for s := range v.Site.Servers {
-				fmt.Fprintf(c, "heard site=a target=%s count=20 fail=0 mean=%d over=250\r\n", fakes.ServerID(s), 100+2000*(1-min(1, s%3)))
+				fmt.Fprintf(conn, "heard site=a target=%s count=20 fail=0 mean=%d over=250\r\n", fakes.ServerID(s), 100+2000*(1-min(1, s%3)))
 			}
 			time.Sleep(250 * time.Millisecond)
 		}
@@ -260,7 +267,7 @@
 		}
 		now := newest()
 		if now == was {
-			b.Fatal("nothing was to go back to")
+			b.Fatal("the rollback made no new version")
 		}
 		wait(func() string { return now })
 		took = append(took, time.Since(began))
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,38 +7,39 @@
 	"time"
 )
 
-// watchPath is where discovery streams its list, from a version on.
+// watchPath is the path at which discovery streams the changes of its list after a version, which is appended.
 const watchPath = "/discovery/hosts?watch=1&after="
 
-// errStaleList ends a watch that opens with a list older than the one held.
-var errStaleList = errors.New("an older list than the one held")
+// errStaleList ends a watch whose first list is a snapshot older than the list held.
+var errStaleList = errors.New("the watch started with a snapshot older than the list held")
 
-// errResync ends a watch so that the next one asks again for what is missing.
+// errResync ends a watch so that the next one requests the missing changes again.
 var errResync = errors.New("what is missing is asked for again")
 
-// watchReader reads discovery's watch once, to its end.
+// watchReader reads one watch of discovery's list until the watch ends.
 type watchReader struct {
 	receiver   *receiver
 	up         *upstream
 	state      *watchState
 	phase      watchPhase
-	gapSince   time.Time // when something that could not be read began to be missing; zero: nothing is
-	staleSince time.Time // when the first of only older lists was received; zero: newer ones are
+	gapSince   time.Time // when the first change was lost because its line was malformed; zero if no change is missing
+	staleSince time.Time // when the first stale list since the last accepted one was received; zero if there was none
 }
 
-// watchPhase says how far a watch has come.
+// watchPhase is the progress of a watch.
 type watchPhase int
 
 const (
-	watchDialling watchPhase = iota
-	watchOpened              // discovery accepted it; it has not replaced the previous upstream yet
-	watchStarted             // a line was received
-	watchListed              // the first list was received
+	watchDialling watchPhase = iota // discovery has not accepted the watch yet
+	watchOpened                     // discovery accepted the watch, which has not replaced the previous upstream yet
+	watchStarted                    // the first line was received
+	watchListed                     // the first list was received
 )
 
-// runWatch keeps discovery's watch open at an upstream, until that is replaced or the manager ends: always where the site
-// pushes changes, else where the balancer requests the list, with one endpointListFailed for each watch that ends. With
-// requested the first watch is opened without a request.
+// runWatch watches discovery's list at an upstream until the upstream is replaced or the manager ends. If the site pushes
+// changes, the watch is always kept open. If the site is polled, a watch is opened each time the balancer requests the
+// list, and an endpointListFailed is enqueued when it ends. If requested is true, the first watch is opened without a
+// request.
 func (n *Node) runWatch(r *receiver, up *upstream, requested bool) {
 	read := func() (bool, error) { return r.readWatch(up, n.watchState) }
 	if !n.config.Balancer.PollsEndpoints {
@@ -68,17 +69,19 @@
 	}
 }
 
-// readWatch reads discovery's watch once, to its end.
+// readWatch opens a watch of discovery's list and reads it until it ends.
 func (r *receiver) readWatch(up *upstream, state *watchState) (opened bool, err error) {
 	reader := watchReader{receiver: r, up: up, state: state}
 	path := watchPath + strconv.FormatInt(state.resumeVersion(), 10)
-	wanted := streamRequest{address: up.address, path: path, idleTimeout: r.limits.EndpointWatchIdleTimeout, maxLength: r.limits.MaxEndpointListBytes}
-	err = stream(up.ctx, r.limits, wanted, reader.open, reader.readLine)
+	request := streamRequest{address: up.address, path: path, idleTimeout: r.limits.EndpointWatchIdleTimeout,
+		maxLength: r.limits.MaxEndpointListBytes}
+	err = stream(up.ctx, r.limits, request, reader.open, reader.readLine)
 	r.logListAge(state)
 	return reader.phase >= watchOpened, err
 }
 
-// logListAge logs how old the list is that the manager goes on with, where that is more than a break of the watch.
+// logListAge logs the age of the list in use if it exceeds the idle timeout of the watch, so that short interruptions are
+// not logged.
 func (r *receiver) logListAge(state *watchState) {
 	held := state.held(time.Now())
 	if held.age > r.limits.EndpointWatchIdleTimeout {
@@ -86,16 +89,16 @@
 	}
 }
 
-// open notes that discovery accepted the watch.
+// open handles the acceptance of the watch by discovery.
 func (w *watchReader) open() error {
 	w.phase = watchOpened
 	w.receiver.metrics.add(watchOpens, 1)
 	return nil
 }
 
-// readLine handles one line, which holds a list or is a heartbeat; an error ends the watch.
+// readLine handles a line, which is either a list or an empty heartbeat. An error ends the watch.
 func (w *watchReader) readLine(line []byte) error {
-	if w.phase < watchStarted { // guards against giving up the previous upstream for one that sends nothing
+	if w.phase < watchStarted { // only now, so that the previous upstream is kept if the new one sends nothing
 		w.phase = watchStarted
 		w.up.takeOver()
 	}
@@ -103,40 +106,40 @@
 		return errResync
 	}
 	if w.isOverdue(w.staleSince) {
-		w.state.noteStaleWatch()
+		w.state.recordStaleWatch()
 		return errResync
 	}
 	if len(bytes.TrimSpace(line)) == 0 {
-		w.noteHeartbeat()
+		w.handleHeartbeat()
 		return nil
 	}
-	opening := w.phase < watchListed
+	isFirst := w.phase < watchListed
 	w.phase = watchListed
 	list, unknown, err := w.receiver.decoder.parseList(line)
 	if err != nil {
 		return w.dropList(err)
 	}
 	w.receiver.metrics.add(unknownNames, int64(unknown))
-	if !w.state.accepts(list, opening) {
-		return w.dropStaleList(list, opening)
+	if !w.state.accepts(list, isFirst) {
+		return w.dropStaleList(list, isFirst)
 	}
 	return w.acceptList(list)
 }
 
-// noteHeartbeat notes that discovery confirms the list that is held, unless something of it is missing.
-func (w *watchReader) noteHeartbeat() {
+// handleHeartbeat records that discovery confirmed the list held, unless the watch has skipped a list since.
+func (w *watchReader) handleHeartbeat() {
 	if w.phase == watchListed && w.gapSince.IsZero() && w.staleSince.IsZero() {
-		w.state.noteConfirmed(time.Now())
+		w.state.recordConfirmation(time.Now())
 	}
 }
 
-// isOverdue tells whether a fault that has lasted since some time has lasted for too long.
+// isOverdue reports whether a fault that began at a time has lasted for MaxWatchGap. Zero means that there is no fault.
 func (w *watchReader) isOverdue(since time.Time) bool {
 	return !since.IsZero() && time.Since(since) >= w.receiver.limits.MaxWatchGap
 }
 
-// dropList counts a list that could not be read. It is requested again by another watch; where it was malformed there
-// too, what follows is accepted meanwhile.
+// dropList counts a malformed list. The first time, it returns an error, so that another watch requests the list again. If
+// the list is malformed there too, the watch goes on, so that later lists are accepted in the meantime.
 func (w *watchReader) dropList(err error) error {
 	w.receiver.metrics.add(malformedMessages, 1)
 	w.receiver.metrics.logLimited("malformed_endpoint_list", "from", w.up.address, "error", err)
@@ -147,27 +150,27 @@
 	return nil
 }
 
-// dropStaleList counts a list that is older than the one held.
-func (w *watchReader) dropStaleList(list endpointList, opening bool) error {
+// dropStaleList counts a list that is older than the one held. It ends a watch that starts with an older snapshot.
+func (w *watchReader) dropStaleList(list endpointList, isFirst bool) error {
 	w.receiver.metrics.add(staleEndpointLists, 1)
 	w.receiver.metrics.logLimited("stale_endpoint_list", "version", list.generation, "held", w.state.heldVersion())
-	if opening && list.snapshot {
+	if isFirst && list.snapshot {
 		return errStaleList
 	}
-	if w.staleSince.IsZero() { // guards against all that follows a version that was never true counting as old
+	if w.staleSince.IsZero() { // if the held version was wrong, every later list would count as stale: isOverdue limits this
 		w.staleSince = time.Now()
 	}
 	return nil
 }
 
-// acceptList hands a list on. The version held advances only where nothing before it is missing.
+// acceptList passes a list to the router. The held version advances only if no earlier change is missing.
 func (w *watchReader) acceptList(list endpointList) error {
 	w.staleSince = time.Time{}
 	list.complete = list.snapshot || w.gapSince.IsZero()
-	if list.snapshot || len(list.entries) > 0 { // else nothing has changed
+	if list.snapshot || len(list.entries) > 0 { // otherwise the list changes nothing
 		w.receiver.metrics.add(endpointLists, 1)
 		if !enqueue(list, w.receiver.inputs, w.up.ctx.Done()) {
-			return errStopped // it is not held: guards against a change that the next watch takes for an old one
+			return errStopped // the version must not advance, or the next watch would treat this change as stale
 		}
 	}
 	if list.snapshot {
--- a/internal/node/watch_state.go
+++ b/internal/node/watch_state.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// watchState is the version of discovery's list that is held, and what is needed to tell an older one. It is safe for
-// concurrent use.
+// watchState holds the version of the list that the manager uses, and what is needed to recognize a stale list. It is
+// safe for concurrent use.
 type watchState struct {
-	mu           sync.Mutex // of all below
-	version      int64
-	lowestReset  int64     // version of an older snapshot at the opening of the last watch; or noReset
-	staleWatches int       // watches in a row that sent only older lists
-	confirmedAt  time.Time // when discovery last sent or confirmed the list; at first, when the manager started
-	confirmed    bool      // by discovery, since the manager started
+	mu           sync.Mutex // guards the fields below
+	version      int64      // held
+	lowestReset  int64      // of the older snapshot that the last watch started with, until a second watch confirms it; else noReset
+	staleWatches int        // consecutive watches that sent only older lists
+	confirmedAt  time.Time  // when discovery last sent or confirmed the list; until then, when the manager started
+	confirmed    bool       // whether discovery has sent or confirmed the list since the manager started
 }
 
-// heldList is the list that a manager uses, as operators see it.
+// heldList describes the list that a manager uses, for the log and the status page.
 type heldList struct {
 	version   int64
-	age       time.Duration // since discovery sent or confirmed it, or since the manager started with it
-	confirmed bool          // by discovery, since the manager started
+	age       time.Duration // time since discovery last sent or confirmed the list, or since the manager started
+	confirmed bool          // whether discovery has sent or confirmed the list since the manager started
 }
 
-func newWatchState(version int64, began time.Time) *watchState {
-	return &watchState{version: version, lowestReset: noReset, confirmedAt: began}
+func newWatchState(version int64, startedAt time.Time) *watchState {
+	return &watchState{version: version, lowestReset: noReset, confirmedAt: startedAt}
 }
 
 func (s *watchState) held(now time.Time) heldList {
@@ -33,18 +33,18 @@
 	return heldList{version: s.version, age: now.Sub(s.confirmedAt), confirmed: s.confirmed}
 }
 
-// noteConfirmed notes that discovery confirmed the list that is held.
-func (s *watchState) noteConfirmed(now time.Time) {
+// recordConfirmation records that discovery confirmed the list held.
+func (s *watchState) recordConfirmation(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.confirmedAt = now
 	s.confirmed = true
 }
 
-// noReset stands for no older snapshot at the opening of the last watch.
+// noReset means that no older snapshot awaits confirmation by a second watch.
 const noReset = -1
 
-// maxStaleWatches is how many watches in a row may send only older lists before the list is asked for from its beginning.
+// maxStaleWatches is how many consecutive watches may send only older lists before the complete list is requested.
 const maxStaleWatches = 1
 
 func (s *watchState) heldVersion() int64 {
@@ -53,8 +53,9 @@
 	return s.version
 }
 
-// resumeVersion is the version to ask from: that held, or the beginning where discovery sends only older lists.
-// Guards against a version that was never true, which a discovery may take for one to come.
+// resumeVersion returns the version after which the next watch requests changes: the one held, or 0 for the complete list
+// if discovery has been sending only older lists. The held version may be wrong, and discovery may take it for a version
+// that it has not reached yet.
 func (s *watchState) resumeVersion() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,22 +65,23 @@
 	return s.version
 }
 
-func (s *watchState) noteStaleWatch() {
+func (s *watchState) recordStaleWatch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.staleWatches++
 }
 
-// accepts tells whether a list is new. An older one never replaces a newer by accident: a snapshot with a lower version
-// is accepted only where two watches in a row open with one, as after a restart of discovery.
-func (s *watchState) accepts(list endpointList, opening bool) bool {
+// accepts reports whether a list may be used. isFirst is whether it is the first one of its watch. So that an older list
+// doesn't replace a newer one by accident, a snapshot with a lower version is accepted only if two consecutive watches
+// start with one, as after a restart of discovery.
+func (s *watchState) accepts(list endpointList, isFirst bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sameVersionChange := list.generation == s.version && !list.snapshot && len(list.entries) > 0
 	if list.generation >= s.version && !sameVersionChange {
 		return true
 	}
-	if !opening || !list.snapshot {
+	if !isFirst || !list.snapshot {
 		return false
 	}
 	if s.lowestReset >= 0 && list.generation >= s.lowestReset {
@@ -89,7 +91,7 @@
 	return false
 }
 
-// advance moves the version held to that of a list that was handed on.
+// advance sets the held version to that of a list that was passed to the router.
 func (s *watchState) advance(list endpointList, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -12,11 +12,12 @@
 	"tamarindshore/internal/config"
 )
 
-func watchLine(version int, whole bool, id string) string {
-	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[{"instanceId":%q,"zone":"a","lifecycle":"up"}]}`+"\n", version, whole, id)
+// watchLine returns a line of a watch with one server.
+func watchLine(version int, snapshot bool, id string) string {
+	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[{"instanceId":%q,"zone":"a","lifecycle":"up"}]}`+"\n", version, snapshot, id)
 }
 
-// readWatchText is what a watch from version 41 hands on.
+// readWatchText reads a watch that sends a text, and returns the servers of the lists passed on and the watch's error.
 func readWatchText(t *testing.T, l config.Limits, held *watchState, text string) (ids []balancer.ServerID, err error) {
 	address, _ := startStreamServer(t, text)
 	in, inputs := testReceiverWithInputs(t, l, 64)
@@ -29,66 +30,72 @@
 
 func TestWatchAcceptsNewLists(t *testing.T) {
 	held := &watchState{version: 41, lowestReset: -1}
-	ids, err := readWatchText(t, testLimits, held, "\n"+watchLine(42, false, "s-1")+"\r\n"+watchLine(42, false, "old")+watchLine(40, false, "old")+
+	ids, err := readWatchText(t, testLimits, held, "\n"+watchLine(42, false, "s-1")+"\r\n"+
+		watchLine(42, false, "old")+watchLine(40, false, "old")+
 		`{"generation":42,"reset":false,"instances":[]}`+"\n"+watchLine(50, true, "s-2")+`{"generation":51`)
 	if fmt.Sprint(ids) != "[s-1 s-2]" || held.version != 50 || !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("%v %d %v", ids, held.version, err)
+		t.Errorf("accepted lists %v, held version %d, error %v; want s-1 and s-2, version 50, unexpected EOF", ids, held.version, err)
 	}
 }
 
-func TestWatchEndsWhereItIsSilentOrUnreadable(t *testing.T) {
+func TestASilentOrMalformedWatchEnds(t *testing.T) {
 	l := testLimits
 	l.EndpointWatchIdleTimeout = 200 * time.Millisecond
-	for text, want := range map[string]string{watchLine(42, false, "s-1") + "...": "timeout", "{]\n...": "invalid", "{\"generation\":43}x\n...": "invalid"} {
-		if _, err := readWatchText(t, l, &watchState{version: 41, lowestReset: -1}, text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.30q: %v", text, err)
+	for text, want := range map[string]string{
+		watchLine(42, false, "s-1") + "...": "timeout",
+		"{]\n...":                           "invalid",
+		"{\"generation\":43}x\n...":         "invalid",
+	} {
+		if _, err := readWatchText(t, l, &watchState{version: 41, lowestReset: -1}, text); err == nil ||
+			!strings.Contains(err.Error(), want) {
+			t.Errorf("%.30q: got error %v, want one with %q", text, err, want)
 		}
 	}
 }
 
-// Guards against an old list that replaces a newer one by accident, and against keeping a list that
-// discovery no longer knows after it restarted.
+// An older list must not replace a newer one by accident. But after a restart of discovery, whose versions start again from
+// a lower one, the manager must not keep the list from before the restart.
 func TestAnOlderSnapshotNeedsConfirmationByASecondWatch(t *testing.T) {
 	held := &watchState{version: 41, lowestReset: -1}
 	if ids, err := readWatchText(t, testLimits, held, watchLine(3, true, "s-1")+"..."); len(ids) > 0 || err == nil {
-		t.Errorf("first: %v %v", ids, err)
+		t.Errorf("first watch: accepted lists %v, error %v; want none and an error", ids, err)
 	}
 	if ids, _ := readWatchText(t, testLimits, held, watchLine(3, true, "s-1")); fmt.Sprint(ids) != "[s-1]" || held.version != 3 {
-		t.Errorf("second: %v %d", ids, held.version)
+		t.Errorf("second watch: accepted lists %v, held version %d; want s-1 and version 3", ids, held.version)
 	}
 }
 
 func TestTheAgeOfTheListGrowsUntilDiscoveryConfirmsIt(t *testing.T) {
-	began := time.Unix(1000, 0)
-	state := newWatchState(41, began)
-	if held := state.held(began.Add(time.Hour)); held.age != time.Hour || held.confirmed || held.version != 41 {
-		t.Errorf("never confirmed: %+v", held)
+	startedAt := time.Unix(1000, 0)
+	state := newWatchState(41, startedAt)
+	if held := state.held(startedAt.Add(time.Hour)); held.age != time.Hour || held.confirmed || held.version != 41 {
+		t.Errorf("never confirmed: got %+v, want version 41, one hour old, unconfirmed", held)
 	}
-	state.noteConfirmed(began.Add(time.Minute))
-	if held := state.held(began.Add(time.Hour)); held.age != 59*time.Minute || !held.confirmed {
-		t.Errorf("confirmed: %+v", held)
+	state.recordConfirmation(startedAt.Add(time.Minute))
+	if held := state.held(startedAt.Add(time.Hour)); held.age != 59*time.Minute || !held.confirmed {
+		t.Errorf("confirmed after a minute: got %+v, want 59 minutes old, confirmed", held)
 	}
-	state.advance(endpointList{generation: 42}, began.Add(2*time.Minute))
-	if held := state.held(began.Add(time.Hour)); held.age != 58*time.Minute || held.version != 42 {
-		t.Errorf("a change: %+v", held)
+	state.advance(endpointList{generation: 42}, startedAt.Add(2*time.Minute))
+	if held := state.held(startedAt.Add(time.Hour)); held.age != 58*time.Minute || held.version != 42 {
+		t.Errorf("changed after two minutes: got %+v, want version 42, 58 minutes old", held)
 	}
 }
 
-func TestAHeartbeatConfirmsTheListUnlessSomethingIsMissing(t *testing.T) {
+func TestAHeartbeatConfirmsTheListUnlessAChangeIsMissing(t *testing.T) {
 	for text, want := range map[string]bool{
-		"\n":                              false, // nothing of the list was told yet
+		"\n":                              false, // no list was received yet
 		watchLine(42, true, "s-1") + "\n": true,
 		`{"generation":41,"reset":false,"instances":[]}` + "\n\n": true,
-		"{]\n\n": false, // a change could not be read
+		"{]\n\n": false, // a malformed change was skipped
 	} {
 		state := newWatchState(41, time.Unix(1000, 0))
 		reader := watchReader{receiver: testReceiver(t, testLimits), up: testUpstream(t, "127.0.0.1:1"), state: state}
-		reader.up.noteDecodeError() // one unreadable line is passed over
+		reader.up.noteDecodeError() // the next malformed line is skipped instead of ending the watch
 		for _, line := range strings.SplitAfter(text, "\n") {
 			reader.readLine([]byte(strings.TrimSuffix(line, "\n")))
 		}
 		if held := state.held(time.Now()); held.confirmed != want {
-			t.Errorf("%q: %+v", text, held)
+			t.Errorf("%q: got %+v, want confirmed %v", text, held, want)
 		}
 	}
 }
