--- a/internal/node/health_check_test.go
+++ b/internal/node/health_check_test.go
@@ -23,19 +23,19 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 33\r\n\r\nTEXT": {outcome: balancer.HealthCheckTimedOut, inFlight: -1},
 		"...": {outcome: balancer.HealthCheckTimedOut, inFlight: -1},
 	} {
-		l := testLimits
+		limits := testLimits
 		text, silent := strings.CutSuffix(answer, "...")
 		if silent {
-			l.HealthCheckTimeout = 30 * time.Millisecond
+			limits.HealthCheckTimeout = 30 * time.Millisecond
 		}
-		address := startServer(t, func(c net.Conn) {
-			bufio.NewReader(c).ReadString('\n')
-			io.WriteString(c, text)
+		address := startServer(t, func(conn net.Conn) {
+			bufio.NewReader(conn).ReadString('\n')
+			io.WriteString(conn, text)
 			if silent {
-				io.ReadAll(c)
+				io.ReadAll(conn)
 			}
 		})
-		got, _ := testReceiver(t, l).checkOnce(healthCheckTarget{"s-1", address}, "/metrics/load")
+		got, _ := testReceiver(t, limits).checkOnce(healthCheckTarget{"s-1", address}, "/metrics/load")
 		if got.outcome != want.outcome || got.inFlight != want.inFlight || got.latency <= 0 {
 			t.Errorf("%.30q: got %+v, want outcome %v, %g in flight and a latency", answer, got, want.outcome, want.inFlight)
 		}
@@ -43,9 +43,9 @@
 }
 
 func TestHealthCheckWithoutAListenerIsUnreachable(t *testing.T) {
-	l, _ := net.Listen("tcp", "127.0.0.1:0")
-	l.Close()
-	for _, address := range []string{l.Addr().String(), "", "no address"} {
+	listener, _ := net.Listen("tcp", "127.0.0.1:0")
+	listener.Close()
+	for _, address := range []string{listener.Addr().String(), "", "no address"} {
 		if got, sent := testReceiver(t, testLimits).checkOnce(healthCheckTarget{"s-1", address}, "/alive"); !sent ||
 			got.outcome != balancer.HealthCheckUnreachable {
 			t.Errorf("%q: got %+v, sent %v, want unreachable", address, got, sent)
@@ -55,18 +55,18 @@
 
 // Without a free descriptor the check can't be sent. That must not count as a failure of the server.
 func TestAHealthCheckWithoutAFreeDescriptorIsNotSent(t *testing.T) {
-	address := startServer(t, func(c net.Conn) { io.ReadAll(c) })
-	var was syscall.Rlimit
-	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &was); err != nil {
+	address := startServer(t, func(conn net.Conn) { io.ReadAll(conn) })
+	var original syscall.Rlimit
+	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &original); err != nil {
 		t.Fatal(err)
 	}
-	none := was
-	none.Cur = 0
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
+	exhausted := original
+	exhausted.Cur = 0
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &exhausted); err != nil {
 		t.Fatal(err)
 	}
 	got, sent := testReceiver(t, testLimits).checkOnce(healthCheckTarget{"s-1", address}, "/alive")
-	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &was)
+	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &original)
 	if sent {
 		t.Errorf("got %+v, want a check that was not sent", got)
 	}
--- a/internal/node/proxy_events_test.go
+++ b/internal/node/proxy_events_test.go
@@ -10,11 +10,11 @@
 )
 
 func TestProxyEventsAreReadInOrder(t *testing.T) {
-	address, asked := startStreamServer(t, "event: joined\ndata: id=17&site=a&rps=21.5&new=1\n\n:\n"+
+	address, requestLines := startStreamServer(t, "event: joined\ndata: id=17&site=a&rps=21.5&new=1\n\n:\n"+
 		"event: applied\r\ndata: id=17&seq=905&ms=310.4\r\n\r\nevent: other\ndata: x\n\nevent: left\ndata: id=17\n\nevent: left\nda")
-	in, inputs := testReceiverWithInputs(t, testLimits, 64)
-	opened, err := in.readProxyEvents(testUpstream(t, address))
-	if got := <-asked; got != "GET /v3/kv/stream HTTP/1.1" || !opened || !errors.Is(err, io.ErrUnexpectedEOF) {
+	receiver, inputs := testReceiverWithInputs(t, testLimits, 64)
+	opened, err := receiver.readProxyEvents(testUpstream(t, address))
+	if got := <-requestLines; got != "GET /v3/kv/stream HTTP/1.1" || !opened || !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("request %q, opened %v, error %v; want GET /v3/kv/stream, opened, unexpected EOF", got, opened, err)
 	}
 	want := fmt.Sprint([]input{proxyEventsOpened{}, proxyConnected{17, "a", 21.5}, proxySnapshotComplete{},
@@ -33,12 +33,12 @@
 		strings.Repeat("data: x", 1000) + "...":         errLineTooLong.Error(),
 		strings.Repeat("data: xxxxxxx\n", 1000) + "...": errLineTooLong.Error(),
 	} {
-		l := testLimits
+		limits := testLimits
 		if want == "timeout" {
-			l.ProxyWatchIdleTimeout = 200 * time.Millisecond
+			limits.ProxyWatchIdleTimeout = 200 * time.Millisecond
 		}
 		address, _ := startStreamServer(t, text)
-		if _, err := testReceiver(t, l).readProxyEvents(testUpstream(t, address)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := testReceiver(t, limits).readProxyEvents(testUpstream(t, address)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.30q: got error %v, want one with %q", text, err, want)
 		}
 	}
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -27,21 +27,19 @@
 // once the response has begun. The response must begin within limits.StreamOpenTimeout, so that time is left for another
 // attempt if the new connection is as silent as the last one. After that, each line must arrive within the idle timeout.
 // stream returns the reason for its end: the stream ended, ctx is done, or opened or handleLine returned an error.
-func stream(
-	ctx context.Context, limits config.Limits, target streamRequest, opened func() error, handleLine func(line []byte) error,
-) error {
-	conn, err := dial(ctx, limits, target.address, limits.StreamOpenTimeout)
+func stream(ctx context.Context, limits config.Limits, spec streamRequest, opened func() error, handleLine func(line []byte) error) error {
+	conn, err := dial(ctx, limits, spec.address, limits.StreamOpenTimeout)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	client := newClient(limits, target.address, conn, true)
+	client := newClient(limits, spec.address, conn, true)
 	request := fasthttp.AcquireRequest()
 	response := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + target.address + target.path)
+	request.SetRequestURI("http://" + spec.address + spec.path)
 	if err := client.Do(request, response); err != nil {
 		return err
 	}
@@ -55,9 +53,9 @@
 	if err := opened(); err != nil {
 		return err
 	}
-	conn.startIdleTimeout(target.idleTimeout)
-	conn.pace = newReadPace(target.readInterval)
-	return readLines(response.BodyStream(), func() int { return target.maxLength }, func(line []byte) error {
+	conn.startIdleTimeout(spec.idleTimeout)
+	conn.pace = newReadPace(spec.readInterval)
+	return readLines(response.BodyStream(), func() int { return spec.maxLength }, func(line []byte) error {
 		conn.extendDeadline()
 		return handleLine(line)
 	})
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -18,12 +18,12 @@
 }
 
 // readWatchText reads a watch that sends a text, and returns the servers of the lists passed on and the watch's error.
-func readWatchText(t *testing.T, l config.Limits, held *watchState, text string) (ids []balancer.ServerID, err error) {
+func readWatchText(t *testing.T, limits config.Limits, held *watchState, text string) (ids []balancer.ServerID, err error) {
 	address, _ := startStreamServer(t, text)
-	in, inputs := testReceiverWithInputs(t, l, 64)
-	_, err = in.readWatch(testUpstream(t, address), held)
-	for _, one := range receivedInputs(inputs) {
-		ids = append(ids, one.(endpointList).entries[0].Server)
+	receiver, inputs := testReceiverWithInputs(t, limits, 64)
+	_, err = receiver.readWatch(testUpstream(t, address), held)
+	for _, in := range receivedInputs(inputs) {
+		ids = append(ids, in.(endpointList).entries[0].Server)
 	}
 	return ids, err
 }
@@ -39,14 +39,14 @@
 }
 
 func TestASilentOrMalformedWatchEnds(t *testing.T) {
-	l := testLimits
-	l.EndpointWatchIdleTimeout = 200 * time.Millisecond
+	limits := testLimits
+	limits.EndpointWatchIdleTimeout = 200 * time.Millisecond
 	for text, want := range map[string]string{
 		watchLine(42, false, "s-1") + "...": "timeout",
 		"{]\n...":                           "invalid",
 		"{\"generation\":43}x\n...":         "invalid",
 	} {
-		if _, err := readWatchText(t, l, &watchState{version: 41, lowestReset: -1}, text); err == nil ||
+		if _, err := readWatchText(t, limits, &watchState{version: 41, lowestReset: -1}, text); err == nil ||
 			!strings.Contains(err.Error(), want) {
 			t.Errorf("%.30q: got error %v, want one with %q", text, err, want)
 		}
