--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -14,89 +14,93 @@
 	"tamarindshore/internal/config"
 )
 
-// MessageKind says which peer a message comes from or goes to.
+// MessageKind identifies the peer that a message comes from or goes to.
 type MessageKind int
 
 // Kinds of messages.
 const (
 	EndpointListMessage   MessageKind = iota // a line of discovery's watch
 	ProxyEventMessage                        // an event of the relay's stream
-	LoadReportMessage                        // a collector's line on a server
-	UsageReportMessage                       // a collector's line on a proxy
-	HealthCheckMessage                       // a health check and its answer
-	RelayCallMessage                         // a call to the relay and its answer
+	LoadReportMessage                        // a collector's report on a server
+	UsageReportMessage                       // a collector's report on a proxy
+	HealthCheckMessage                       // a health check and its response
+	RelayCallMessage                         // a call to the relay and its response
 	HeartbeatMessage                         // a heartbeat on a stream
-	ProxyEventsOpened                        // the relay's stream has opened; it has no bytes of its own
-	ProxySnapshotComplete                    // the relay's stream has sent its snapshot; it has no bytes of its own
-	messageKinds          int         = iota
+	ProxyEventsOpened                        // the relay's stream has opened; has no bytes on the wire
+	ProxySnapshotComplete                    // the relay's stream has sent its snapshot; has no bytes on the wire
+	messageKindCount      int         = iota
 )
 
-// Message is one message to a hollow manager.
+// Message is one input of a hollow manager.
 type Message struct {
 	Kind   MessageKind
-	Event  string            // the event's name, of a ProxyEventMessage
-	Text   string            // the message as on the wire, without its framing
-	Server balancer.ServerID // that answers a HealthCheckMessage
+	Event  string            // name of the event, for a ProxyEventMessage
+	Text   string            // the message as on the wire, without framing
+	Server balancer.ServerID // the server that responds, for a HealthCheckMessage
 }
 
-// Traffic counts the messages and bytes of one kind. TCP and IP headers are not counted.
+// Traffic counts messages and their bytes. TCP and IP headers are not counted.
 type Traffic struct {
 	Messages int64
-	In       int64 // bytes
-	Out      int64 // bytes
+	In       int64 // bytes received by the manager
+	Out      int64 // bytes sent by the manager
 }
 
-// StepResult is what a hollow manager did in one step.
+// StepResult holds what a hollow manager sent in one step.
 type StepResult struct {
-	RelayCalls   []balancer.Commands // in the order in which the relay gets them
-	HealthChecks []balancer.ServerID // that the manager requests
+	RelayCalls   []balancer.Commands // in the order in which the relay receives them
+	HealthChecks []balancer.ServerID // servers that the manager requests health checks of
 }
 
-// relayRetry is how long commands wait that the balancer's limits hold back: the mean of the relay client's backoff.
-const relayRetry = 125 * time.Millisecond
+// relayRetryDelay is how long commands that the balancer's limits defer wait before they are tried again: the mean of the
+// relay client's backoff.
+const relayRetryDelay = 125 * time.Millisecond
 
-// HollowManager is a manager without its process: the decoders, the router with the balancer and the chain of versions,
-// and the encoder of calls, driven step by step on a virtual clock. It serves measurements of how the manager's cost
-// grows; the daemon never makes one. docs/design/scale.md lists what it lacks. It is not safe for concurrent use.
+// HollowManager is a manager without a process and connections of its own: the decoders, the router with the balancer
+// and the version chain, and the encoder of relay calls, driven step by step on a virtual clock. It is used to measure
+// how the manager's cost grows; the daemon never creates one. docs/design/scale.md lists the parts that it lacks. It is
+// not safe for concurrent use.
 type HollowManager struct {
 	node            *Node
-	traffic         [messageKinds]Traffic
-	deferred        balancer.Commands  // by the balancer's limits
-	deferredBarrier balancer.BarrierID // of the call that they were part of
-	retryAt         time.Duration      // 0: nothing waits
+	traffic         [messageKindCount]Traffic
+	deferred        balancer.Commands  // commands that the balancer's limits defer
+	deferredBarrier balancer.BarrierID // barrier of the call that contained the deferred commands
+	retryAt         time.Duration      // when to retry the deferred commands; 0: there are none
 	result          StepResult
-	// Observe is called with each input before and after the router takes it, where it is set.
+	// Observe, if set, is called twice for each input: with true before the router handles it, and with false afterwards.
 	Observe func(before bool)
 }
 
-// NewHollowManager makes a hollow manager from a daemon's configuration, without its store and the operator's listeners.
-// The virtual clock starts at epoch. Errors are those of New.
-func NewHollowManager(start config.Config, epoch time.Time) (*HollowManager, error) {
-	start.StorePath = ""
-	start.TablesAddress = ""
-	start.AdminSocket = ""
-	start.StatusAddress = ""
-	node, err := New(start, io.Discard)
+// NewHollowManager creates a hollow manager from a daemon's configuration. It has no store and none of the listeners for
+// operators and replicas. The virtual clock starts at epoch. Errors are those of New.
+func NewHollowManager(cfg config.Config, epoch time.Time) (*HollowManager, error) {
+	cfg.StorePath = ""
+	cfg.TablesAddress = ""
+	cfg.AdminSocket = ""
+	cfg.StatusAddress = ""
+	node, err := New(cfg, io.Discard)
 	if err != nil {
 		return nil, err
 	}
 	node.decoder.startedAt = epoch
-	// The router's own reading of the clock is never later than the virtual time: its tick only makes times differ.
-	node.router.startedAt = time.Now().Add(hollowFuture)
+	// With a start in the future, the wall clock never overtakes the virtual time: the router's advanceClock then only
+	// adds a nanosecond, so that no two inputs have the same time.
+	node.router.startedAt = time.Now().Add(wallClockOffset)
 	node.router.onProxyEventsOpened = func() {}
 	return &HollowManager{node: node}, nil
 }
 
-// hollowFuture is longer than any run lasts.
-const hollowFuture = 365 * 24 * time.Hour
+// wallClockOffset is how far in the future the router's start lies; it is longer than any run lasts.
+const wallClockOffset = 365 * 24 * time.Hour
 
-// Close ends what the manager started. It must not be used after that.
+// Close releases the manager's resources. The manager must not be used afterwards.
 func (h *HollowManager) Close() {
 	h.node.cancelLifetime()
 	h.node.logWriter.Shutdown(time.Second)
 }
 
-// NextWake is the time at which the manager wants to be stepped without a message; 0: not before one comes.
+// NextWake returns the time at which Step must be called even without a message, or 0 if that is not needed until the
+// next message.
 func (h *HollowManager) NextWake() time.Duration {
 	wake := h.node.router.nextTimer
 	if h.retryAt > 0 && (wake == 0 || h.retryAt < wake) {
@@ -105,11 +109,11 @@
 	return wake
 }
 
-// Traffic is what was counted of a kind so far.
+// Traffic returns the traffic of one kind of message so far.
 func (h *HollowManager) Traffic(kind MessageKind) Traffic { return h.traffic[kind] }
 
-// Step passes messages that come together to the router at a time since the start, lets it decide, and sends its
-// commands. The relay accepts each call at once. An error names the message that could not be decoded.
+// Step passes messages that arrive together to the router, runs its timer if it is due, and sends its commands. The time
+// is counted from epoch. The relay accepts each call at once. An error quotes the message that could not be decoded.
 func (h *HollowManager) Step(at time.Duration, messages ...Message) (StepResult, error) {
 	router := h.node.router
 	router.now = max(router.now+1, at)
@@ -120,21 +124,21 @@
 			return h.result, fmt.Errorf("%.80q: %w", message.Text, err)
 		}
 		if in != nil {
-			h.observed(func() { router.handle(in) })
+			h.callObserved(func() { router.handle(in) })
 		}
 	}
 	if router.nextTimer > 0 && router.now >= router.nextTimer {
 		router.nextTimer = 0
-		h.observed(func() { router.apply(router.manager.HandleTimer(router.now)) })
+		h.callObserved(func() { router.apply(router.manager.HandleTimer(router.now)) })
 	}
 	router.checkHold()
 	router.flush()
 	h.send()
-	h.takeHealthChecks()
+	h.collectHealthChecks()
 	return h.result, nil
 }
 
-func (h *HollowManager) observed(do func()) {
+func (h *HollowManager) callObserved(do func()) {
 	if h.Observe == nil {
 		do()
 		return
@@ -144,17 +148,18 @@
 	h.Observe(false)
 }
 
-// decode counts a message and decodes it as the daemon's readers do; nil where it is no input of the router.
+// decode counts a message and decodes it as the daemon's readers do. It returns nil for a message that is not passed to
+// the router.
 func (h *HollowManager) decode(message Message) (in input, err error) {
 	decoder := h.node.decoder
 	switch message.Kind {
 	case EndpointListMessage:
-		h.count(message.Kind, chunked(len(message.Text)+len("\n")), 0)
+		h.count(message.Kind, chunkedSize(len(message.Text)+len("\n")), 0)
 		list, _, err := decoder.parseList([]byte(message.Text))
 		return list, err
 	case ProxyEventMessage:
 		size := len("event: \ndata: \n\n") + len(message.Event) + len(message.Text)
-		h.count(message.Kind, chunked(size), 0)
+		h.count(message.Kind, chunkedSize(size), 0)
 		event, err := decoder.parseEvent(message.Event, message.Text)
 		return event, err
 	case LoadReportMessage, UsageReportMessage:
@@ -169,16 +174,17 @@
 		address := h.node.router.addresses[message.Server]
 		size := HealthCheckTraffic(address)
 		h.count(message.Kind, int(size.In), int(size.Out))
-		return healthCheckResult{server: message.Server, address: address, outcome: balancer.HealthCheckPassed, latency: time.Millisecond, inFlight: -1}, nil
+		return healthCheckResult{server: message.Server, address: address,
+			outcome: balancer.HealthCheckPassed, latency: time.Millisecond, inFlight: -1}, nil
 	case HeartbeatMessage:
-		h.count(message.Kind, chunked(len(message.Text)), 0)
+		h.count(message.Kind, chunkedSize(len(message.Text)), 0)
 		return nil, nil
 	case ProxyEventsOpened:
 		return proxyEventsOpened{}, nil
 	case ProxySnapshotComplete:
 		return proxySnapshotComplete{}, nil
 	}
-	return nil, fmt.Errorf("kind %d is none that comes in", message.Kind)
+	return nil, fmt.Errorf("messages of kind %d are not inputs of a manager", message.Kind)
 }
 
 func (h *HollowManager) count(kind MessageKind, in, out int) {
@@ -187,25 +193,26 @@
 	h.traffic[kind].Out += int64(out)
 }
 
-// chunked is how many bytes a piece of a stream has on the wire.
-func chunked(size int) int { return len(fmt.Sprintf("%x\r\n", size)) + size + len("\r\n") }
+// chunkedSize returns the number of bytes that a piece of a stream has on the wire as one HTTP chunk.
+func chunkedSize(size int) int { return len(fmt.Sprintf("%x\r\n", size)) + size + len("\r\n") }
 
-// A health check and the answers to health checks and calls as they are on the wire, without the server's address.
+// Samples of HTTP messages, from which their sizes are taken: a health check without the server's address, and the
+// responses to health checks and relay calls.
 const (
-	probeRequest = "GET /metrics/load HTTP/1.1\r\nUser-Agent: fasthttp\r\nHost: \r\nConnection: close\r\n\r\n"
-	answerHeader = "HTTP/1.1 200 OK\r\nDate: Thu, 01 Jan 2026 00:00:00 GMT\r\nContent-Length: 84\r\n" +
+	healthCheckRequest = "GET /metrics/load HTTP/1.1\r\nUser-Agent: fasthttp\r\nHost: \r\nConnection: close\r\n\r\n"
+	responseHeader     = "HTTP/1.1 200 OK\r\nDate: Thu, 01 Jan 2026 00:00:00 GMT\r\nContent-Length: 84\r\n" +
 		"Content-Type: text/plain; charset=utf-8\r\nConnection: close\r\n\r\n"
-	probeAnswer = answerHeader + "TEXT inflight=3, queue=0, util=0.50"
-	callAnswer  = answerHeader + `<?xml version="1.0"?><Response><items><item><taken>100</taken></item></items></Response>`
+	healthCheckResponse = responseHeader + "TEXT inflight=3, queue=0, util=0.50"
+	callResponse        = responseHeader + `<?xml version="1.0"?><Response><items><item><taken>100</taken></item></items></Response>`
 )
 
-// HealthCheckTraffic gives the traffic of one health check of an address and its answer.
+// HealthCheckTraffic returns the traffic of one health check of a server at an address, including the response.
 func HealthCheckTraffic(address string) Traffic {
-	return Traffic{Messages: 1, In: int64(len(probeAnswer)), Out: int64(len(probeRequest) + len(address))}
+	return Traffic{Messages: 1, In: int64(len(healthCheckResponse)), Out: int64(len(healthCheckRequest) + len(address))}
 }
 
-// send does what the relay client does where each call is accepted: it sends what is queued, and asks the balancer which
-// commands may follow those that a call holds.
+// send does what the relay client does when each call is accepted: it sends the queued commands. For commands that did
+// not fit into a call, it asks the balancer which of them may be sent next.
 func (h *HollowManager) send() {
 	if h.retryAt > 0 {
 		if h.node.router.now < h.retryAt {
@@ -219,14 +226,15 @@
 		}
 	}
 	for {
-		next, waits := h.node.router.backlog.next()
-		if !waits || !h.sendAll(next, balancer.Commands{}) {
+		next, queued := h.node.router.backlog.next()
+		if !queued || !h.sendAll(next, balancer.Commands{}) {
 			return
 		}
 	}
 }
 
-// sendAll sends commands until none of them is missing; false where the rest has to wait.
+// sendAll sends commands in as many calls as needed. It returns false if the balancer's limits defer the rest; those are
+// retried later.
 func (h *HollowManager) sendAll(allowed, deferred balancer.Commands) bool {
 	for {
 		sent := h.call(allowed)
@@ -237,7 +245,7 @@
 		if sent == 0 {
 			h.deferred = missing
 			h.deferredBarrier = allowed.Barrier
-			h.retryAt = h.node.router.now + relayRetry
+			h.retryAt = h.node.router.now + relayRetryDelay
 			return false
 		}
 		next := h.resend(missing, allowed.Barrier, true)
@@ -253,14 +261,15 @@
 	return <-reply
 }
 
-// call sends as many commands as a call holds and gives how many those are. The router is notified that they were accepted.
+// call sends as many commands as fit into one call and returns their number. If these are all the commands up to a
+// barrier, the router is notified that they were accepted.
 func (h *HollowManager) call(all balancer.Commands) (sent int) {
 	if commands.IsEmpty(all) {
 		return 0
 	}
-	text := encodeCommands(all, h.node.config.ClassNames, h.node.config.Limits.MaxCallBytes)
-	h.count(RelayCallMessage, len(callAnswer), callSize(h.node.config.Relay, strings.Join(text, ";")))
-	sent = len(text)
+	encoded := encodeCommands(all, h.node.config.ClassNames, h.node.config.Limits.MaxCallBytes)
+	h.count(RelayCallMessage, len(callResponse), callSize(h.node.config.Relay, strings.Join(encoded, ";")))
+	sent = len(encoded)
 	if all.Barrier > 0 {
 		sent--
 	}
@@ -271,7 +280,7 @@
 	return sent
 }
 
-// callSize is how many bytes a call has on the wire.
+// callSize returns the number of bytes that a call has on the wire.
 func callSize(address, text string) int {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -279,12 +288,12 @@
 	size := byteCounter(0)
 	out := bufio.NewWriter(&size)
 	if request.Write(out) != nil || out.Flush() != nil {
-		panic("a request can't be written to memory")
+		panic("writing a relay call to a byte counter failed")
 	}
 	return int(size)
 }
 
-// byteCounter counts what is written to it.
+// byteCounter counts the bytes that are written to it.
 type byteCounter int
 
 func (c *byteCounter) Write(text []byte) (int, error) {
@@ -292,12 +301,12 @@
 	return len(text), nil
 }
 
-func (h *HollowManager) takeHealthChecks() {
+func (h *HollowManager) collectHealthChecks() {
 	for {
 		select {
 		case target := <-h.node.router.healthChecks:
 			h.result.HealthChecks = append(h.result.HealthChecks, target.server)
-		case <-h.node.router.listRequested: // the list comes without a request
+		case <-h.node.router.listRequested: // ignored: the caller passes lists without a request
 		default:
 			return
 		}
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -12,14 +12,15 @@
 	"tamarindshore/internal/config"
 )
 
-// testHollow is a hollow manager that knows so many servers and has so many proxies; its clock stands at 3 s.
-func testHollow(t *testing.T, servers, proxies int, l config.Limits) (*HollowManager, []balancer.Commands) {
+// newTestHollowManager creates a hollow manager, passes it some servers and proxies, and advances its clock to just before
+// 3 s. It also returns the relay calls made so far.
+func newTestHollowManager(t *testing.T, servers, proxies int, limits config.Limits) (*HollowManager, []balancer.Commands) {
 	t.Helper()
-	ofMany := testSettings
-	ofMany.Proxies = proxies + 1
-	ofMany.QueueCapacity = 1e6
-	ofMany.CommandsPerSecond = 1e6
-	h, err := NewHollowManager(config.Config{Relay: "127.0.0.1:1", Limits: l, Balancer: ofMany, ClassNames: []string{"g"},
+	settings := testSettings
+	settings.Proxies = proxies + 1
+	settings.QueueCapacity = 1e6
+	settings.CommandsPerSecond = 1e6
+	h, err := NewHollowManager(config.Config{Relay: "127.0.0.1:1", Limits: limits, Balancer: settings, ClassNames: []string{"g"},
 		CachedEndpointList: json.RawMessage(`{"generation":0,"reset":true,"instances":[]}`)}, time.Unix(1000, 0))
 	if err != nil {
 		t.Fatal(err)
@@ -33,43 +34,43 @@
 		}
 		calls = append(calls, result.RelayCalls...)
 	}
-	step(time.Millisecond, Message{Kind: EndpointListMessage, Text: testList(1, true, servers, "up")})
-	opening := []Message{{Kind: ProxyEventsOpened}}
+	step(time.Millisecond, Message{Kind: EndpointListMessage, Text: testEndpointList(1, true, servers, "up")})
+	proxySnapshot := []Message{{Kind: ProxyEventsOpened}}
 	for p := range proxies {
-		opening = append(opening, Message{Kind: ProxyEventMessage, Event: "joined", Text: fmt.Sprintf("id=%d&site=a&rps=5", p+1)})
+		proxySnapshot = append(proxySnapshot, Message{Kind: ProxyEventMessage, Event: "joined", Text: fmt.Sprintf("id=%d&site=a&rps=5", p+1)})
 	}
-	step(2*time.Millisecond, append(opening, Message{Kind: ProxySnapshotComplete})...)
+	step(2*time.Millisecond, append(proxySnapshot, Message{Kind: ProxySnapshotComplete})...)
 	for next := h.NextWake(); next > 0 && next < 3*time.Second; next = h.NextWake() {
 		step(next)
 	}
 	return h, calls
 }
 
-func testList(generation int, whole bool, servers int, lifecycle string) string {
+func testEndpointList(generation int, snapshot bool, servers int, lifecycle string) string {
 	var entries []string
 	for s := range servers {
 		entries = append(entries, fmt.Sprintf(`{"instanceId":"s-%03d","hostPort":"127.0.0.1:%d","zone":"%s","lifecycle":"%s"}`,
 			s, 1000+s, []string{"a", "b"}[s%2], lifecycle))
 	}
-	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, whole, strings.Join(entries, ","))
+	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, snapshot, strings.Join(entries, ","))
 }
 
 func TestAHollowManagerAssignsAndWithdraws(t *testing.T) {
-	h, calls := testHollow(t, 4, 2, hollowLimits())
+	h, calls := newTestHollowManager(t, 4, 2, hollowLimits())
 	var proxies []balancer.ProxyID
 	for _, call := range calls {
 		proxies = append(proxies, assignedProxies(call)...)
 	}
 	if !slices.Equal(proxies, []balancer.ProxyID{1, 2}) {
-		t.Errorf("assigned %v", proxies)
+		t.Errorf("assigned proxies %v, want [1 2]", proxies)
 	}
-	result, err := h.Step(3*time.Second, Message{Kind: EndpointListMessage, Text: testList(2, false, 1, "draining")})
+	result, err := h.Step(3*time.Second, Message{Kind: EndpointListMessage, Text: testEndpointList(2, false, 1, "draining")})
 	if err != nil || len(result.RelayCalls) != 1 || !slices.Equal(result.RelayCalls[0].Withdraw, []balancer.ServerID{"s-000"}) {
-		t.Errorf("%+v, %v", result, err)
+		t.Errorf("after a drain of s-000: %+v, %v", result, err)
 	}
 }
 
-// hollowLimits are those of the tests with room for a whole opening.
+// hollowLimits returns testLimits with room for the health checks of all servers of a first list.
 func hollowLimits() config.Limits {
 	l := testLimits
 	l.LogInterval = time.Second
@@ -77,55 +78,56 @@
 	return l
 }
 
-// Guards against a rest that is lost where a call is full.
-func TestAHollowManagerSendsInPiecesWhatOneCallCannotHold(t *testing.T) {
-	count := func(callBytes int) (calls int, lines map[balancer.EndpointWeight]bool) {
-		l := hollowLimits()
-		l.MaxCallBytes = callBytes
-		_, all := testHollow(t, 60, 2, l)
-		lines = map[balancer.EndpointWeight]bool{}
+// Commands that do not fit into a full call must be sent in further calls.
+func TestAHollowManagerSplitsCommandsOverSeveralCalls(t *testing.T) {
+	run := func(maxCallBytes int) (calls int, weights map[balancer.EndpointWeight]bool) {
+		limits := hollowLimits()
+		limits.MaxCallBytes = maxCallBytes
+		_, all := newTestHollowManager(t, 60, 2, limits)
+		weights = map[balancer.EndpointWeight]bool{}
 		for _, call := range all {
-			for _, line := range call.Weights {
-				lines[line] = true
+			for _, weight := range call.Weights {
+				weights[weight] = true
 			}
 		}
-		return len(all), lines
+		return len(all), weights
 	}
-	whole, all := count(60000)
-	pieces, same := count(600)
-	if pieces <= whole || len(all) == 0 || len(all) != len(same) {
-		t.Errorf("%d calls with %d lines, %d calls of pieces with %d", whole, len(all), pieces, len(same))
+	largeCalls, weightsInLarge := run(60000)
+	smallCalls, weightsInSmall := run(600)
+	if smallCalls <= largeCalls || len(weightsInLarge) == 0 || len(weightsInLarge) != len(weightsInSmall) {
+		t.Errorf("%d large calls with %d weights, %d small calls with %d weights",
+			largeCalls, len(weightsInLarge), smallCalls, len(weightsInSmall))
 	}
 }
 
 func TestAHollowManagerCountsBytesByKind(t *testing.T) {
-	h, _ := testHollow(t, 4, 2, hollowLimits())
+	h, _ := newTestHollowManager(t, 4, 2, hollowLimits())
 	line := "heard site=a target=s-001 count=3 fail=0 mean=100.0 over=1000.0"
-	for _, one := range []struct {
+	for _, test := range []struct {
 		message Message
 		in      int
 	}{
 		{Message{Kind: LoadReportMessage, Text: line}, len(line) + 2},
 		{Message{Kind: ProxyEventMessage, Event: "left", Text: "id=2"}, len("19\r\n") + len("event: left\ndata: id=2\n\n") + 2},
 		{Message{Kind: HeartbeatMessage, Text: ":\n\n"}, len("3\r\n:\n\n\r\n")},
-		{Message{Kind: HealthCheckMessage, Server: "s-001"}, len(probeAnswer)},
+		{Message{Kind: HealthCheckMessage, Server: "s-001"}, len(healthCheckResponse)},
 	} {
-		before := h.Traffic(one.message.Kind)
-		if _, err := h.Step(3*time.Second, one.message); err != nil {
+		before := h.Traffic(test.message.Kind)
+		if _, err := h.Step(3*time.Second, test.message); err != nil {
 			t.Fatal(err)
 		}
-		after := h.Traffic(one.message.Kind)
-		if got := int(after.In - before.In); got != one.in || after.Messages != before.Messages+1 {
-			t.Errorf("kind %d: %d bytes, %d are due", one.message.Kind, got, one.in)
+		after := h.Traffic(test.message.Kind)
+		if got := int(after.In - before.In); got != test.in || after.Messages != before.Messages+1 {
+			t.Errorf("kind %d: %d messages with %d bytes, want 1 with %d", test.message.Kind, after.Messages-before.Messages, got, test.in)
 		}
 	}
 	if calls := h.Traffic(RelayCallMessage); calls.Messages == 0 || calls.Out < calls.Messages*100 {
-		t.Errorf("calls: %+v", calls)
+		t.Errorf("traffic of relay calls: %+v, want at least 100 bytes sent per call", calls)
 	}
 }
 
-func TestAHollowManagerNamesWhatItCannotRead(t *testing.T) {
-	h, _ := testHollow(t, 4, 2, hollowLimits())
+func TestAHollowManagerReportsMessagesThatItCannotDecode(t *testing.T) {
+	h, _ := newTestHollowManager(t, 4, 2, hollowLimits())
 	for _, message := range []Message{{Kind: EndpointListMessage, Text: "{"}, {Kind: LoadReportMessage, Text: "heard site=nowhere"},
 		{Kind: ProxyEventMessage, Event: "joined", Text: "id=x"}, {Kind: RelayCallMessage, Text: "mark"}} {
 		if _, err := h.Step(3*time.Second, message); err == nil || !strings.Contains(err.Error(), message.Text) {
@@ -134,12 +136,12 @@
 	}
 }
 
-// The clock of a hollow manager is the caller's alone: a run takes the same decisions however long it takes.
-func TestAHollowManagerTakesTheSameDecisionsEachTime(t *testing.T) {
-	_, first := testHollow(t, 60, 2, hollowLimits())
+// A hollow manager uses only its caller's clock: it makes the same decisions however long a run takes.
+func TestAHollowManagerIsDeterministic(t *testing.T) {
+	_, first := newTestHollowManager(t, 60, 2, hollowLimits())
 	time.Sleep(20 * time.Millisecond)
-	_, second := testHollow(t, 60, 2, hollowLimits())
+	_, second := newTestHollowManager(t, 60, 2, hollowLimits())
 	if fmt.Sprint(first) != fmt.Sprint(second) {
-		t.Errorf("%v\n%v", first, second)
+		t.Errorf("calls of the first run:\n%v\nof the second:\n%v", first, second)
 	}
 }
--- a/internal/node/interleaving_relay_test.go
+++ b/internal/node/interleaving_relay_test.go
@@ -1,6 +1,6 @@
 package node
 
-// These tests are of calls; interleaving_test.go says how they stop the code between two lines.
+// These tests cover relay calls; interleaving_test.go describes how they pause the code at a chosen point.
 
 import (
 	"bufio"
@@ -14,41 +14,45 @@
 	"tamarindshore/internal/config"
 )
 
-// startAnsweringRelay is a relay that answers each call and then does with the connection what the test asks; it is notified once
-// that is done. The calls' commands come out of the channel.
-func startAnsweringRelay(t *testing.T, l config.Limits, then func(c net.Conn)) (r *relayClient, calls chan string, do, done chan struct{}) {
+// startAnsweringRelay starts a fake relay that answers each call, and returns a client of it. The commands of each call are
+// sent to the calls channel. After the first answer, the relay waits for a value on proceed, calls afterAnswer with the
+// connection, and sends on done.
+func startAnsweringRelay(
+	t *testing.T, limits config.Limits, afterAnswer func(c net.Conn),
+) (client *relayClient, calls chan string, proceed, done chan struct{}) {
 	calls = make(chan string, 8)
-	do = make(chan struct{})
+	proceed = make(chan struct{})
 	done = make(chan struct{})
 	address := startServer(t, func(c net.Conn) {
-		for in, first := bufio.NewReader(c), true; ; first = false {
-			req, err := http.ReadRequest(in)
+		for reader, first := bufio.NewReader(c), true; ; first = false {
+			req, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
 			req.ParseForm()
-			orders := req.PostForm.Get("orders")
-			calls <- orders
-			body := takenAnswer(strings.Count(orders, ";") + 1)
+			commands := req.PostForm.Get("orders")
+			calls <- commands
+			body := takenAnswer(strings.Count(commands, ";") + 1)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			if first {
 				select {
-				case <-do:
-					then(c)
+				case <-proceed:
+					afterAnswer(c)
 					done <- struct{}{}
 				case <-t.Context().Done():
 				}
 			}
 		}
 	})
-	in := testReceiver(t, l)
-	return newRelayClient(l, address, testClasses, nil, in), calls, do, done
+	receiver := testReceiver(t, limits)
+	return newRelayClient(limits, address, testClasses, nil, receiver), calls, proceed, done
 }
 
-// Guards against a call that leaves in the instant in which the relay closes an idle connection, whose outcome would
-// be unknown, and against a second answer on a connection that passes for that of the next call.
+// What happens on the connection of one call must not affect the next call. If calls reused a connection, a call sent just
+// as the relay closes the idle connection would have an unknown outcome, and a second answer to one call would be taken for
+// the answer to the next.
 func TestACallIsIndependentOfThePreviousConnection(t *testing.T) {
-	for what, then := range map[string]func(c net.Conn){
+	for name, afterAnswer := range map[string]func(c net.Conn){
 		"idle close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 		"reset":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 		"second answer": func(c net.Conn) {
@@ -56,21 +60,21 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		},
 	} {
-		r, calls, do, done := startAnsweringRelay(t, testLimits, then)
-		if n, end := r.send(testWeights(1)); n != 1 || end != "done" {
-			t.Errorf("%s: the call before: %d %s", what, n, end)
+		client, calls, proceed, done := startAnsweringRelay(t, testLimits, afterAnswer)
+		if n, outcome := client.send(testWeights(1)); n != 1 || outcome != "done" {
+			t.Errorf("%s: first call: %d commands accepted, outcome %q; want 1, \"done\"", name, n, outcome)
 		}
 		<-calls
-		do <- struct{}{}
+		proceed <- struct{}{}
 		<-done
-		if n, end := r.send(testWeights(2, 3)); n != 2 || end != "done" {
-			t.Errorf("%s: %d commands, %s", what, n, end)
+		if n, outcome := client.send(testWeights(2, 3)); n != 2 || outcome != "done" {
+			t.Errorf("%s: second call: %d commands accepted, outcome %q; want 2, \"done\"", name, n, outcome)
 		}
 		<-calls
 	}
 }
 
-// Guards against an outcome taken for known where a call is cut, at each byte of its answer.
+// A call whose connection breaks within the answer has an unknown outcome, whichever byte of the answer is the last.
 func TestACallCutAtEachByteOfItsAnswer(t *testing.T) {
 	body := takenAnswer(2)
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
@@ -82,47 +86,48 @@
 			}
 		})
 		r := newRelayClient(testLimits, address, testClasses, nil, testReceiver(t, testLimits))
-		n, end := r.send(testWeights(1, 2))
-		if known := cut == len(whole); known != (end == callDone) || known != (n == 2) {
-			t.Errorf("%d of %d bytes: %d commands, %s", cut, len(whole), n, end)
+		n, outcome := r.send(testWeights(1, 2))
+		if known := cut == len(whole); known != (outcome == callDone) || known != (n == 2) {
+			t.Errorf("%d of %d bytes of the answer: %d commands accepted, outcome %q", cut, len(whole), n, outcome)
 		}
 	}
 }
 
-// Guards against an outcome taken for known where a call is cut before or within its bytes.
-func TestACallCutWithinItself(t *testing.T) {
+// A call whose connection breaks within its request has an unknown outcome. If the relay read none of it, the call may also
+// count as not sent.
+func TestACallCutWithinItsRequest(t *testing.T) {
 	for _, cut := range []int{0, 1, 30, 150} {
 		address := startServer(t, func(c net.Conn) {
 			io.ReadFull(c, make([]byte, cut))
 			c.(*net.TCPConn).SetLinger(0)
 		})
 		r := newRelayClient(testLimits, address, testClasses, nil, testReceiver(t, testLimits))
-		if n, end := r.send(testWeights(1, 2)); n != 0 || end != callOutcomeUnknown && !(cut == 0 && end == callNotSent) {
-			t.Errorf("%d bytes: %d commands, %s", cut, n, end)
+		if n, outcome := r.send(testWeights(1, 2)); n != 0 || outcome != callOutcomeUnknown && !(cut == 0 && outcome == callNotSent) {
+			t.Errorf("%d bytes of the request: %d commands accepted, outcome %q", cut, n, outcome)
 		}
 	}
 }
 
-// Guards against commands lost where the relay moves while a call is in flight: its outcome is settled first, and what
-// may be missing goes to the new address.
+// The relay's address may change while a call is in flight. The outcome of that call must be settled first, and the commands
+// that may be missing must be sent to the new address rather than be lost.
 func TestARelayAddressChangedDuringACall(t *testing.T) {
 	inFlight := make(chan struct{}, 8)
 	cut := make(chan struct{})
-	before := startServer(t, func(c net.Conn) {
+	oldAddress := startServer(t, func(c net.Conn) {
 		http.ReadRequest(bufio.NewReader(c))
 		inFlight <- struct{}{}
 		<-cut
 	})
-	r, calls := startTestRelay(t, testLimits)
-	after := r.address
-	r.address = before
+	client, calls := startTestRelay(t, testLimits)
+	newAddress := client.address
+	client.address = oldAddress
 	settled := make(chan bool)
-	go func() { settled <- r.deliver(testWeights(1, 2)) }()
+	go func() { settled <- client.deliver(testWeights(1, 2)) }()
 	<-inFlight
-	r.setAddress(after)
+	client.setAddress(newAddress)
 	close(cut)
 	if !<-settled {
-		t.Error("not settled")
+		t.Error("the outcome of the call was not settled")
 	}
 	expectCalls(t, calls, "share,0,s-1,1;share,0,s-2,2;mark,2,0")
 }
--- a/internal/node/interleaving_stream_test.go
+++ b/internal/node/interleaving_stream_test.go
@@ -1,6 +1,7 @@
 package node
 
-// These tests are of the two streams; interleaving_test.go says how they stop the code between two lines.
+// These tests cover discovery's watch and the relay's event stream; interleaving_test.go describes how they pause the code at
+// a chosen point.
 
 import (
 	"fmt"
@@ -14,32 +15,33 @@
 	"tamarindshore/balancer"
 )
 
-// Guards against a drain that is lost for good: a reload lets the old watch go while a change of its waits for the
-// owner of the balancer, and the new watch's copy of it counts as old.
+// A reload may cancel the old watch while one of its lists waits for the router. The version of that list must not count as
+// held: the new watch's copy would then be dropped as old, and a drain in it would be lost for good.
 func TestAChangeThatWasNotDeliveredIsNotCountedAsHeld(t *testing.T) {
 	address, _ := startStreamServer(t, watchLine(42, false, "s-1")+"...", watchLine(42, false, "s-1")+"...")
-	in, inputs := testReceiverWithInputs(t, testLimits, 0)
+	receiver, inputs := testReceiverWithInputs(t, testLimits, 0)
 	held := &watchState{version: 41, lowestReset: -1}
-	w := testUpstream(t, address)
-	over := make(chan struct{})
+	up := testUpstream(t, address)
+	watchDone := make(chan struct{})
 	go func() {
-		defer close(over)
-		in.readWatch(w, held)
+		defer close(watchDone)
+		receiver.readWatch(up, held)
 	}()
-	eventually(t, "a list waits to be handed on", func() bool { return in.metrics.counts[endpointLists].Load() == 1 })
-	w.cancel()
-	<-over
+	eventually(t, "a list waits for the router", func() bool { return receiver.metrics.counts[endpointLists].Load() == 1 })
+	up.cancel()
+	<-watchDone
 	if got := held.heldVersion(); got != 41 {
-		t.Fatalf("version %d is held, and was not delivered", got)
+		t.Fatalf("version %d is held, want 41: the later list was not delivered", got)
 	}
-	go in.readWatch(testUpstream(t, address), held)
+	go receiver.readWatch(testUpstream(t, address), held)
 	if got := (<-inputs).(endpointList); got.generation != 42 {
-		t.Errorf("%+v", got)
+		t.Errorf("list %+v, want version 42", got)
 	}
 }
 
-// blackHole is an address at which connections neither come up nor are refused.
-func blackHole(t *testing.T) string {
+// fullBacklogAddress returns the address of a listener whose backlog is full: connections to it are neither established nor
+// refused.
+func fullBacklogAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -57,7 +59,7 @@
 		t.Fatal(err)
 	}
 	address := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	for { // until nothing more comes up
+	for { // until no further connection is established
 		c, err := net.DialTimeout("tcp", address, 100*time.Millisecond)
 		if err != nil {
 			return address
@@ -66,146 +68,151 @@
 	}
 }
 
-// Guards against a new stream that is not read because the old one is inside a dial.
+// A successor that opens must interrupt a dial of the old upstream; otherwise its stream is not read until the dial times out.
 func TestASuccessorInterruptsADial(t *testing.T) {
-	l := testLimits
-	l.ConnectTimeout = time.Hour
-	in, inputs := testReceiverWithInputs(t, l, 64)
-	old := testUpstream(t, blackHole(t))
-	go in.runProxyEvents(old)
+	limits := testLimits
+	limits.ConnectTimeout = time.Hour
+	receiver, inputs := testReceiverWithInputs(t, limits, 64)
+	old := testUpstream(t, fullBacklogAddress(t))
+	go receiver.runProxyEvents(old)
 	address, _ := startStreamServer(t, "event: joined\ndata: id=17&site=a&rps=21.5&new=1\n\n...")
 	next := old.successor(t.Context(), address)
-	go in.runProxyEvents(next)
+	go receiver.runProxyEvents(next)
 	defer next.cancel()
 	if got := fmt.Sprint(<-inputs, <-inputs); got != fmt.Sprint(proxyEventsOpened{}, proxyConnected{17, "a", 21.5}) {
-		t.Error(got)
+		t.Errorf("inputs from the successor: %s", got)
 	}
 	<-old.done
 }
 
-// Guards against giving up the old upstream for one that opens and then brings nothing.
-func TestAnUpstreamWithoutMessagesReplacesNothing(t *testing.T) {
-	before, _ := startStreamServer(t, "...")
-	after, asked := startStreamServer(t, "", "")
-	in, inputs := testReceiverWithInputs(t, testLimits, 64)
-	old := testUpstream(t, before)
-	go in.runProxyEvents(old)
+// The old upstream must not be given up for a successor that opens and then sends nothing.
+func TestAnUpstreamThatSendsNothingDoesNotReplaceTheOldOne(t *testing.T) {
+	oldAddress, _ := startStreamServer(t, "...")
+	newAddress, requests := startStreamServer(t, "", "")
+	receiver, inputs := testReceiverWithInputs(t, testLimits, 64)
+	old := testUpstream(t, oldAddress)
+	go receiver.runProxyEvents(old)
 	defer old.cancel()
-	<-inputs // newsOpened
-	next := old.successor(t.Context(), after)
-	if opened, err := in.readProxyEvents(next); !opened || err == nil {
-		t.Errorf("%v %v", opened, err)
+	<-inputs // proxyEventsOpened of the old upstream
+	next := old.successor(t.Context(), newAddress)
+	if opened, err := receiver.readProxyEvents(next); !opened || err == nil {
+		t.Errorf("event stream: opened %v, error %v", opened, err)
 	}
-	<-asked
+	<-requests
 	held := &watchState{version: 41, lowestReset: -1}
-	if opened, err := in.readWatch(next, held); !opened || err == nil {
-		t.Errorf("%v %v", opened, err)
+	if opened, err := receiver.readWatch(next, held); !opened || err == nil {
+		t.Errorf("watch: opened %v, error %v", opened, err)
 	}
 	if old.ctx.Err() != nil || len(inputs) > 0 {
-		t.Errorf("the old upstream is given up, or %d inputs came", len(inputs))
+		t.Errorf("old upstream: %v, want no error; %d inputs, want none", old.ctx.Err(), len(inputs))
 	}
 }
 
-// Guards against one malformed list at each opening that blocks all later ones for ever, and against a version held
-// that passes over what is missing.
-func TestAMalformedListAtEachOpeningBlocksNothingElse(t *testing.T) {
-	malformedOne := strings.Replace(watchLine(42, false, "s-1"), `"up"`, `"?"`, 1)
-	address, asked := startStreamServer(t, malformedOne+watchLine(43, false, "s-2"), malformedOne+watchLine(43, false, "s-2")+watchLine(44, false, "s-3"),
-		malformedOne+watchLine(45, false, "s-4"), watchLine(45, true, "s-5")+watchLine(46, false, "s-6"))
-	in, inputs := testReceiverWithInputs(t, testLimits, 64)
+// Discovery may send the same malformed list each time the watch is opened. It must not block all later lists for ever, and
+// the version held must not advance past it, because its changes are still missing.
+func TestAMalformedFirstListDoesNotBlockLaterLists(t *testing.T) {
+	malformed := strings.Replace(watchLine(42, false, "s-1"), `"up"`, `"?"`, 1)
+	address, requests := startStreamServer(t, malformed+watchLine(43, false, "s-2"),
+		malformed+watchLine(43, false, "s-2")+watchLine(44, false, "s-3"),
+		malformed+watchLine(45, false, "s-4"), watchLine(45, true, "s-5")+watchLine(46, false, "s-6"))
+	receiver, inputs := testReceiverWithInputs(t, testLimits, 64)
 	held := &watchState{version: 41, lowestReset: -1}
-	w := testUpstream(t, address)
+	up := testUpstream(t, address)
 	want := []string{"[]", "[s-2 s-3]", "[s-4]", "[s-5 s-6]"}
-	for i, at := range []int64{41, 41, 41, 46} {
-		in.readWatch(w, held)
+	for i, version := range []int64{41, 41, 41, 46} {
+		receiver.readWatch(up, held)
 		var got []balancer.ServerID
-		for _, one := range receivedInputs(inputs) {
-			got = append(got, one.(endpointList).entries[0].Server)
+		for _, in := range receivedInputs(inputs) {
+			got = append(got, in.(endpointList).entries[0].Server)
 		}
-		if fmt.Sprint(got) != want[i] || held.heldVersion() != at || !strings.Contains(<-asked, "after=41") {
-			t.Errorf("watch %d: %v, version %d held", i+1, got, held.heldVersion())
+		if fmt.Sprint(got) != want[i] || held.heldVersion() != version || !strings.Contains(<-requests, "after=41") {
+			t.Errorf("watch %d: servers %v, want %s; version %d held, want %d; or not requested after version 41",
+				i+1, got, want[i], held.heldVersion(), version)
 		}
 	}
-	if n := in.metrics.counts[malformedMessages].Load(); n != 3 {
-		t.Errorf("%d malformed", n)
+	if n := receiver.metrics.counts[malformedMessages].Load(); n != 3 {
+		t.Errorf("%d malformed messages counted, want 3", n)
 	}
 }
 
-// What was malformed is asked for again after a while, not only when the stream ends.
+// What is missing because it was malformed is requested again after MaxWatchGap, not only when the stream ends.
 func TestAGapIsRequestedAgain(t *testing.T) {
-	l := testLimits
-	l.MaxWatchGap = 0
-	w := testUpstream(t, "")
-	w.noteDecodeError()
+	limits := testLimits
+	limits.MaxWatchGap = 0
+	up := testUpstream(t, "")
+	up.noteDecodeError()
 	address, _ := startStreamServer(t, "{]\n"+watchLine(43, false, "s-2")+"...")
-	w.address = address
-	if _, err := testReceiver(t, l).readWatch(w, &watchState{version: 41, lowestReset: -1}); err != errResync {
-		t.Error(err)
+	up.address = address
+	if _, err := testReceiver(t, limits).readWatch(up, &watchState{version: 41, lowestReset: -1}); err != errResync {
+		t.Errorf("error %v, want %v", err, errResync)
 	}
 }
 
-// Guards against snapshots of a discovery that restarted and moves on, which are each rejected as the first.
+// A discovery that restarted may count versions from the beginning. Its first older snapshot is rejected; the next one must be
+// accepted even if its version has advanced since, and not be rejected like the first.
 func TestOlderSnapshotsThatAdvanceAreAccepted(t *testing.T) {
 	held := &watchState{version: 41, lowestReset: -1}
 	readWatchText(t, testLimits, held, watchLine(3, true, "s-1"))
-	if ids, _ := readWatchText(t, testLimits, held, watchLine(5, true, "s-2")+watchLine(6, false, "s-3")); fmt.Sprint(ids) != "[s-2 s-3]" || held.version != 6 {
-		t.Errorf("%v %d", ids, held.version)
+	if ids, _ := readWatchText(t, testLimits, held, watchLine(5, true, "s-2")+watchLine(6, false, "s-3")); fmt.Sprint(ids) != "[s-2 s-3]" ||
+		held.version != 6 {
+		t.Errorf("servers %v, want [s-2 s-3]; version %d held, want 6", ids, held.version)
 	}
 }
 
-// Guards against a malformed join that comes at each opening and blocks all events behind it, and against taking for
-// left the proxies told in what could not be read.
-func TestAMalformedJoinAtEachOpeningBlocksNothingElse(t *testing.T) {
+// The relay may send the same malformed event each time the stream is opened. It must not block all events behind it, and a
+// proxy that it may have announced must not count as disconnected.
+func TestAMalformedFirstEventDoesNotBlockLaterEvents(t *testing.T) {
 	text := "event: joined\ndata: id=x&site=a&rps=1&new=1\n\nevent: joined\ndata: id=18&site=a&rps=21.5&new=1\n\n:\nevent: left\ndata: id=18\n\n"
 	address, _ := startStreamServer(t, text, text)
-	in, inputs := testReceiverWithInputs(t, testLimits, 64)
-	w := testUpstream(t, address)
+	receiver, inputs := testReceiverWithInputs(t, testLimits, 64)
+	up := testUpstream(t, address)
 	for _, want := range [][]input{{proxyEventsOpened{}}, {proxyEventsOpened{}, proxyConnected{18, "a", 21.5}, proxyDisconnected{18}}} {
-		in.readProxyEvents(w)
+		receiver.readProxyEvents(up)
 		if got := receivedInputs(inputs); !slices.Equal(got, want) {
-			t.Errorf("%v, not %v", got, want)
+			t.Errorf("inputs %v, want %v", got, want)
 		}
 	}
 }
 
-// Guards against a generation that was never true, as in a malformed line that can be read, past which all that follows
-// counts as old for as long as the stream lasts.
-func TestAGenerationThatWasNeverTrue(t *testing.T) {
-	l := testLimits
-	l.MaxWatchGap = 0
+// A corrupted line that can still be decoded may state a version that is far too high. All lists that follow then count as
+// old; this must end after MaxWatchGap rather than last as long as the stream.
+func TestATooHighVersionDoesNotBlockLaterLists(t *testing.T) {
+	limits := testLimits
+	limits.MaxWatchGap = 0
 	held := &watchState{version: 41, lowestReset: -1}
-	all := ""
+	accepted := ""
 	for _, text := range []string{watchLine(93, false, "s-1") + watchLine(44, false, "s-2") + watchLine(45, false, "s-3") + "...",
 		watchLine(45, true, "s-4") + "...", watchLine(45, true, "s-5") + watchLine(46, false, "s-6")} {
-		ids, _ := readWatchText(t, l, held, text)
-		all += fmt.Sprint(ids)
+		ids, _ := readWatchText(t, limits, held, text)
+		accepted += fmt.Sprint(ids)
 	}
-	if all != "[s-1][][s-5 s-6]" || held.version != 46 {
-		t.Errorf("%s, %d held", all, held.version)
+	if accepted != "[s-1][][s-5 s-6]" || held.version != 46 {
+		t.Errorf("servers %s, want [s-1][][s-5 s-6]; version %d held, want 46", accepted, held.version)
 	}
 }
 
-// Guards against a discovery that takes a generation that was never true for one to come: asked from it, it tells only
-// changes below it, for ever.
-func TestADiscoveryThatStaysBehindIsPolledFromTheBeginning(t *testing.T) {
-	l := testLimits
-	l.MaxWatchGap = 0
-	behind := `{"generation":45,"reset":false,"instances":[]}` + "\n" + watchLine(46, false, "s-2") + "..."
-	address, asked := startStreamServer(t, behind, behind, watchLine(46, true, "s-3")+"...", watchLine(46, true, "s-4")+watchLine(47, false, "s-5"), "")
-	in, inputs := testReceiverWithInputs(t, l, 64)
+// If the version held is far too high, discovery takes it for a future one: a watch requested after it sends only changes
+// with lower versions, for ever. The manager must then request the list from the beginning.
+func TestAListThatStaysBehindIsRequestedFromTheBeginning(t *testing.T) {
+	limits := testLimits
+	limits.MaxWatchGap = 0
+	olderList := `{"generation":45,"reset":false,"instances":[]}` + "\n" + watchLine(46, false, "s-2") + "..."
+	address, requests := startStreamServer(t, olderList, olderList, watchLine(46, true, "s-3")+"...",
+		watchLine(46, true, "s-4")+watchLine(47, false, "s-5"), "")
+	receiver, inputs := testReceiverWithInputs(t, limits, 64)
 	held := &watchState{version: 93, lowestReset: -1}
-	w := testUpstream(t, address)
+	up := testUpstream(t, address)
 	for _, from := range []string{"=93 ", "=93 ", "=0 ", "=0 ", "=47 "} {
-		in.readWatch(w, held)
-		if got := <-asked; !strings.Contains(got, "after"+from) {
-			t.Errorf("%s, not after%s", got, from)
+		receiver.readWatch(up, held)
+		if got := <-requests; !strings.Contains(got, "after"+from) {
+			t.Errorf("request %q, want one with %q", got, "after"+from)
 		}
 	}
 	var ids []balancer.ServerID
-	for _, one := range receivedInputs(inputs) {
-		ids = append(ids, one.(endpointList).entries[0].Server)
+	for _, in := range receivedInputs(inputs) {
+		ids = append(ids, in.(endpointList).entries[0].Server)
 	}
 	if fmt.Sprint(ids) != "[s-4 s-5]" {
-		t.Errorf("%v", ids)
+		t.Errorf("servers %v, want [s-4 s-5]", ids)
 	}
 }
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -1,7 +1,7 @@
 package node
 
-// Each test here stops the code between two lines, by a channel or a fake that stops at a named byte, and lets a
-// message, an answer, a signal or a close come just there.
+// The tests in the interleaving files pause the code at a chosen point, by means of a channel or a fake that stops at a
+// chosen byte, and deliver a message, a response, a signal or a close exactly at that point.
 
 import (
 	"bufio"
@@ -26,102 +26,106 @@
 	"tamarindshore/internal/fakes"
 )
 
-// Guards against a SIGHUP that comes while the file is half written, with none after it.
-func TestAnInvalidFileIsReadAgain(t *testing.T) {
-	s := testConfig(t)
-	s.Limits.ReloadRetries = 2
-	s.Limits.ReloadRetryInterval = time.Millisecond
-	n, err := New(s, io.Discard)
+// A SIGHUP may arrive while the configuration file is half written, and no other may follow. Reading the file must be
+// retried; after the last retry, the next SIGHUP must work as before.
+func TestReloadRetriesAnInvalidFile(t *testing.T) {
+	cfg := testConfig(t)
+	cfg.Limits.ReloadRetries = 2
+	cfg.Limits.ReloadRetryInterval = time.Millisecond
+	n, err := New(cfg, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	read := make(chan error)
-	d := startInProcess(n, func() (config.Config, error) { return s, <-read })
-	defer d.Stop(false)
-	half := errors.New("unexpected end of JSON input")
-	d.reload <- syscall.SIGHUP
-	read <- half
-	read <- nil
+	readResults := make(chan error)
+	manager := startInProcess(n, func() (config.Config, error) { return cfg, <-readResults })
+	defer manager.Stop(false)
+	truncated := errors.New("unexpected end of JSON input")
+	manager.reload <- syscall.SIGHUP
+	readResults <- truncated
+	readResults <- nil
 	eventually(t, "reloaded", func() bool { return n.metrics.counts[reloads].Load() == 1 })
-	d.reload <- syscall.SIGHUP
+	manager.reload <- syscall.SIGHUP
 	for range 3 {
-		read <- half
+		readResults <- truncated
 	}
-	d.reload <- syscall.SIGHUP // it has given up, and takes the next
-	read <- nil
+	manager.reload <- syscall.SIGHUP // the retries of the previous SIGHUP are used up
+	readResults <- nil
 	eventually(t, "reloaded again", func() bool { return n.metrics.counts[reloads].Load() == 2 })
-	if n := n.metrics.counts[reloadsFailed].Load(); n != 4 {
-		t.Errorf("%d faulty", n)
+	if failed := n.metrics.counts[reloadsFailed].Load(); failed != 4 {
+		t.Errorf("%d failed reloads, want 4", failed)
 	}
 }
 
-// Guards against an end that fails, or waits, because it is asked for before the start is done.
+// A shutdown that is requested before startup completes must neither fail nor wait for the startup.
 func TestShutdownBeforeStartupCompletes(t *testing.T) {
-	s := testConfig(t)
-	s.Limits.ListenTimeout = time.Hour
-	occupyAddress(t, s.Listen)
-	n, err := New(s, io.Discard)
+	cfg := testConfig(t)
+	cfg.Limits.ListenTimeout = time.Hour
+	occupyAddress(t, cfg.Listen)
+	n, err := New(cfg, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(t.Context())
-	end()
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	if err := n.Run(ctx, Signals{}, nil); err != nil {
 		t.Error(err)
 	}
 }
 
 func openDescriptors(t *testing.T) int {
-	all, err := os.ReadDir("/proc/self/fd")
+	descriptors, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return len(all)
+	return len(descriptors)
 }
 
-// Guards against goroutines and descriptors that outlive a manager that ended amid streams, calls, health checks and collectors.
+// A manager that stops while streams, calls, health checks and collector connections are open must leave no goroutine and no
+// file descriptor behind.
 func TestShutdownLeaksNoGoroutineOrDescriptor(t *testing.T) {
-	before := 0
-	open := 0
+	goroutinesBefore := 0
+	descriptorsBefore := 0
 	for round := range 4 {
-		if round == 1 { // libraries start a few goroutines once in a process
+		if round == 1 { // in round 0 libraries start goroutines that live as long as the process
 			http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-			before = runtime.NumGoroutine()
-			open = openDescriptors(t)
+			goroutinesBefore = runtime.NumGoroutine()
+			descriptorsBefore = openDescriptors(t)
 		}
-		v := startDeployment(t, fakes.DefaultSite(6, 20))
-		v.Relay.ConnectProxies(0, 1, 2, 3)
-		eventually(t, "assigned", func() bool { return v.Relay.Counts().AssignedProxies == 4 })
+		deployment := startDeployment(t, fakes.DefaultSite(6, 20))
+		deployment.Relay.ConnectProxies(0, 1, 2, 3)
+		eventually(t, "proxies assigned", func() bool { return deployment.Relay.Counts().AssignedProxies == 4 })
 		var collectors []net.Conn
-		for _, text := range []string{"", "ping\r\n", "collector site=" + v.Site.Zone(0) + "\r\n", "usage id=1"} {
-			c, err := net.Dial("tcp", v.ManagerAddress)
+		for _, text := range []string{"", "ping\r\n", "collector site=" + deployment.Site.Zone(0) + "\r\n", "usage id=1"} {
+			c, err := net.Dial("tcp", deployment.ManagerAddress)
 			if err != nil {
 				t.Fatal(err)
 			}
 			io.WriteString(c, text)
 			collectors = append(collectors, c)
 		}
-		v.Deployment.Manager.Stop(false)
+		deployment.Deployment.Manager.Stop(false)
 		for _, c := range collectors {
 			if got := readToEnd(c); got == "still open" {
-				t.Errorf("%q", got)
+				t.Errorf("collector connection after the shutdown: %q", got)
 			}
 			c.Close()
 		}
-		v.Deployment.Close()
+		deployment.Deployment.Close()
 	}
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
-	// the HTTP library lets a server's cleaner sleep for 10 s more
+	// A cleanup goroutine of the HTTP library's server sleeps for up to 10 s after the server has stopped.
 	eventuallyWithin(t, 20*time.Second, "no goroutine and no descriptor is left", func() bool {
-		return runtime.NumGoroutine() <= before && openDescriptors(t) <= open
+		return runtime.NumGoroutine() <= goroutinesBefore && openDescriptors(t) <= descriptorsBefore
 	})
 	if t.Failed() {
-		t.Logf("%d goroutines, %d before; %d descriptors, %d before", runtime.NumGoroutine(), before, openDescriptors(t), open)
+		t.Logf("%d goroutines, %d before; %d descriptors, %d before",
+			runtime.NumGoroutine(), goroutinesBefore, openDescriptors(t), descriptorsBefore)
 		pprof.Lookup("goroutine").WriteTo(os.Stderr, 1)
 	}
 }
 
-// Guards against one customer's words, limits or figures that show in another's manager in the same process.
+// Two managers with different settings in one process must not share the names of traffic classes and zones, limits or
+// counters.
 func TestTwoManagersWithDifferentSettingsShareNothing(t *testing.T) {
 	line := "usage id=1 lane=book count=1 fail=0 over=1000.0"
 	other := newDecoder(balancer.Settings{Zones: []balancer.ZoneID{"hall"}, Proxies: 1,
@@ -129,23 +133,23 @@
 	ours := testDecoder()
 	for range 3 {
 		if in, err := ours.parseLine(line); err != nil || in.(usageReport).Requests != 1 {
-			t.Errorf("ours: %+v %v", in, err)
+			t.Errorf("the decoder with the traffic class: %+v, %v", in, err)
 		}
 		if _, err := other.parseLine(line); err == nil {
-			t.Error("the other takes a traffic group that it does not have")
+			t.Error("the other decoder accepts a traffic class that its settings lack")
 		}
 		if _, err := other.parseLine("collector site=a"); !errors.Is(err, errUnknownName) {
-			t.Errorf("the other takes a zone that it does not have: %v", err)
+			t.Errorf("the other decoder accepts a zone that its settings lack: %v", err)
 		}
 	}
 	a := newMetrics(time.Hour, zerolog.Nop())
 	b := newMetrics(time.Hour, zerolog.Nop())
 	if a.add(pings, 3); b.counts[pings].Load() != 0 {
-		t.Error("counters are shared")
+		t.Error("the managers share counters")
 	}
 }
 
-// Guards against an end that waits for a file that does not come.
+// A shutdown must not wait for the read of a configuration file that never completes.
 func TestShutdownWhileTheFileIsRead(t *testing.T) {
 	n, err := New(testConfig(t), io.Discard)
 	if err != nil {
@@ -154,23 +158,24 @@
 	reading := make(chan struct{})
 	never := make(chan struct{})
 	defer close(never)
-	d := startInProcess(n, func() (config.Config, error) {
+	manager := startInProcess(n, func() (config.Config, error) {
 		close(reading)
 		<-never
 		return config.Config{}, nil
 	})
-	d.reload <- syscall.SIGHUP
+	manager.reload <- syscall.SIGHUP
 	<-reading
-	d.cancel()
+	manager.cancel()
 	select {
-	case <-d.done:
+	case <-manager.done:
 	case <-time.After(5 * time.Second):
-		t.Error("no end within 5 s")
+		t.Error("the manager did not stop within 5 s")
 	}
 }
 
-// Guards against an answer lost because the manager closes with bytes unread, which resets the connection.
-func TestAPongIsSentBeforeAClose(t *testing.T) {
+// Closing a connection with unread bytes resets it, and a reset discards a response that the peer has not read yet. The pong
+// must arrive although the manager closes the connection before it has read everything.
+func TestAPongIsReceivedBeforeAClose(t *testing.T) {
 	_, address, _ := startReceiver(t, testLimits, true)
 	for range 20 {
 		c := dialManager(t, address, "ping\r\n"+strings.Repeat("x", 1<<18)+"\r\n")
@@ -181,95 +186,97 @@
 	}
 }
 
-// Guards against a collector that sends as fast as it can and keeps others, the list and the end from being heard.
-func TestAFloodFromOneCollectorBlocksNobody(t *testing.T) {
+// A collector that sends as fast as it can must not keep the manager from handling other collectors, the endpoint list or a
+// shutdown.
+func TestAFloodFromOneCollectorBlocksNoOtherInput(t *testing.T) {
 	site := fakes.DefaultSite(6, 20)
-	v := startDeployment(t, site)
-	v.Relay.ConnectProxies(0, 1, 2, 3)
-	eventually(t, "assigned", func() bool { return v.Relay.Counts().AssignedProxies == 4 })
-	flood, err := net.Dial("tcp", v.ManagerAddress)
+	deployment := startDeployment(t, site)
+	deployment.Relay.ConnectProxies(0, 1, 2, 3)
+	eventually(t, "proxies assigned", func() bool { return deployment.Relay.Counts().AssignedProxies == 4 })
+	flood, err := net.Dial("tcp", deployment.ManagerAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer flood.Close()
-	over := make(chan struct{})
+	floodDone := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(floodDone)
 		fmt.Fprintf(flood, "collector site=%s\r\n", site.Zone(0))
-		all := []byte(strings.Repeat("usage id=1 lane=quote count=4 fail=0 over=1000\r\n", 1000))
+		reports := []byte(strings.Repeat("usage id=1 lane=quote count=4 fail=0 over=1000\r\n", 1000))
 		for {
-			if _, err := flood.Write(all); err != nil {
+			if _, err := flood.Write(reports); err != nil {
 				return
 			}
 		}
 	}()
-	eventually(t, "flooded", func() bool { return v.manager.metrics.counts[usagesIn].Load() > 50_000 })
-	c := dialManager(t, v.ManagerAddress, "ping\r\n")
+	eventually(t, "more than 50,000 reports received", func() bool { return deployment.manager.metrics.counts[usagesIn].Load() > 50_000 })
+	c := dialManager(t, deployment.ManagerAddress, "ping\r\n")
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if line, err := bufio.NewReader(c).ReadString('\n'); line != "pong\r\n" {
 		t.Errorf("%q %v", line, err)
 	}
-	s := v.Servers[0]
-	v.Discovery.Publish(s.Entry("draining"))
-	eventually(t, "withdrawn", func() bool { return v.Relay.RequestRate(s.ID) == 0 })
-	v.manager.Stop(false)
+	server := deployment.Servers[0]
+	deployment.Discovery.Publish(server.Entry("draining"))
+	eventually(t, "draining server gets no requests", func() bool { return deployment.Relay.RequestRate(server.ID) == 0 })
+	deployment.manager.Stop(false)
 	flood.Close()
-	<-over
-	assertNoViolations(t, v.Deployment)
+	<-floodDone
+	assertNoViolations(t, deployment.Deployment)
 }
 
-// Guards against a command of staff that an end reaches while it is at work: who asked reads nothing that is still
-// written. The command and the end go on side by side, which the race detector sees.
+// A shutdown may arrive while the router executes an admin command. The caller must get either the complete result or an
+// error, and must not read a result that is still being written. The command and the shutdown run concurrently, so that the
+// race detector can find such a read.
 func TestShutdownDuringAnAdminCommand(t *testing.T) {
 	for range 20 {
 		n, err := New(testConfig(t), io.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d := startInProcess(n, nil)
-		working := make(chan struct{})
-		goOn := make(chan struct{})
-		answered := make(chan string, 1)
+		manager := startInProcess(n, nil)
+		started := make(chan struct{})
+		proceed := make(chan struct{})
+		result := make(chan string, 1)
 		go func() {
 			lines, err := n.callRouter(func(*router) ([]string, error) {
-				close(working)
-				<-goOn
+				close(started)
+				<-proceed
 				return []string{"done"}, nil
 			})
-			answered <- fmt.Sprint(lines, err)
+			result <- fmt.Sprint(lines, err)
 		}()
-		<-working
-		d.cancel()
-		close(goOn)
-		if got := <-answered; got != "[done] <nil>" && got != fmt.Sprint([]string(nil), errStopped) {
-			t.Error(got)
+		<-started
+		manager.cancel()
+		close(proceed)
+		if got := <-result; got != "[done] <nil>" && got != fmt.Sprint([]string(nil), errStopped) {
+			t.Errorf("result and error of the command: %s", got)
 		}
-		<-d.done
+		<-manager.done
 	}
 }
 
-// Guards against a message that ends the process: whatever a reader fails over, its connection ends alone.
-func TestAReaderPanicEndsItsConnectionAlone(t *testing.T) {
-	in, address, _ := startReceiver(t, testLimits, true)
-	in.decoder = nil // so that each decoder fails
+// A panic in a reader must end only that reader's connection, and never the process.
+func TestAReaderPanicEndsOnlyItsConnection(t *testing.T) {
+	receiver, address, _ := startReceiver(t, testLimits, true)
+	receiver.decoder = nil // so that each reader panics
 	for range 2 {
 		if got := readToEnd(dialManager(t, address, usageLine)); got != "" {
-			t.Errorf("%q", got)
+			t.Errorf("received %q, want nothing", got)
 		}
 	}
 	stream, _ := startStreamServer(t, "event: left\ndata: id=17\n\n")
-	w := testUpstream(t, stream)
-	in.runStream(w, "proxy_stream", proxyStreamBreaks, func() (bool, error) {
-		defer w.cancel()
-		return in.readProxyEvents(w)
+	up := testUpstream(t, stream)
+	receiver.runStream(up, "proxy_stream", proxyStreamBreaks, func() (bool, error) {
+		defer up.cancel()
+		return receiver.readProxyEvents(up)
 	})
-	if n := in.metrics.counts[readerPanics].Load(); n != 3 {
-		t.Errorf("%d failed readers", n)
+	if n := receiver.metrics.counts[readerPanics].Load(); n != 3 {
+		t.Errorf("%d reader panics counted, want 3", n)
 	}
-	r := newRelayClient(testLimits, stream, testClasses, nil, in)
-	r.nextAddress.Store(nil)
-	r.address = "\x00"
-	if n, end := r.send(testWeights(1)); n != 0 || end == callDone {
-		t.Errorf("%d %s", n, end)
+	client := newRelayClient(testLimits, stream, testClasses, nil, receiver)
+	client.nextAddress.Store(nil)
+	client.address = "\x00"
+	if n, outcome := client.send(testWeights(1)); n != 0 || outcome == callDone {
+		t.Errorf("call to an invalid address: %d commands accepted, outcome %q", n, outcome)
 	}
 }
--- a/internal/node/moves_test.go
+++ b/internal/node/moves_test.go
@@ -15,53 +15,53 @@
 	"tamarindshore/internal/sharding"
 )
 
-// inProcessManager is a manager in this process whose connections a test can move between shards.
+// inProcessManager is a manager that runs in the test's process, so that a test can move its connections between shards.
 type inProcessManager struct {
 	*Node
 	reload chan os.Signal
 	cancel context.CancelFunc
 	done   chan struct{}
-	err    error // of Run; read once done is closed
+	err    error // result of Run; may be read once done is closed
 }
 
-// startInProcess runs a manager in this process.
+// startInProcess runs a manager in the test's process. With each reload it calls reread for the configuration.
 func startInProcess(n *Node, reread func() (config.Config, error)) *inProcessManager {
-	ctx, end := context.WithCancel(context.Background())
-	d := &inProcessManager{Node: n, reload: make(chan os.Signal, 8), cancel: end, done: make(chan struct{})}
+	ctx, cancel := context.WithCancel(context.Background())
+	m := &inProcessManager{Node: n, reload: make(chan os.Signal, 8), cancel: cancel, done: make(chan struct{})}
 	go func() {
-		defer close(d.done)
-		d.err = d.Run(ctx, Signals{Reload: d.reload}, reread)
+		defer close(m.done)
+		m.err = m.Run(ctx, Signals{Reload: m.reload}, reread)
 	}()
-	return d
+	return m
 }
 
-// startFromConfig starts a manager with the configuration that read gives, and reads it again for a reload.
-func startFromConfig(read func() (config.Config, error)) (*inProcessManager, error) {
-	start, err := read()
+// startFromConfig starts a manager with the configuration that readConfig returns, and calls it again for a reload.
+func startFromConfig(readConfig func() (config.Config, error)) (*inProcessManager, error) {
+	cfg, err := readConfig()
 	if err != nil {
 		return nil, err
 	}
-	n, err := New(start, io.Discard)
+	n, err := New(cfg, io.Discard)
 	if err != nil {
 		return nil, err
 	}
-	return startInProcess(n, read), nil
+	return startInProcess(n, readConfig), nil
 }
 
-func (d *inProcessManager) Done() <-chan struct{}    { return d.done }
-func (d *inProcessManager) Err() error               { return d.err }
-func (d *inProcessManager) Signal(s os.Signal) error { d.reload <- s; return nil }
-func (d *inProcessManager) Stop(bool) error {
-	d.cancel()
-	<-d.done
+func (m *inProcessManager) Done() <-chan struct{}    { return m.done }
+func (m *inProcessManager) Err() error               { return m.err }
+func (m *inProcessManager) Signal(s os.Signal) error { m.reload <- s; return nil }
+func (m *inProcessManager) Stop(bool) error {
+	m.cancel()
+	<-m.done
 	return nil
 }
 
 // movingShards is the number of shards between which connections move.
 const movingShards = 4
 
-// deployWithMovingShards starts a deployment whose manager's connections move between four shards all the time, until
-// the test ends.
+// deployWithMovingShards starts a deployment whose manager keeps moving its connections between four shards until the
+// test ends.
 func deployWithMovingShards(t *testing.T, site fakes.Site) (*fakes.Deployment, *inProcessManager) {
 	t.Helper()
 	var manager *inProcessManager
@@ -83,21 +83,21 @@
 	return deployment, manager
 }
 
-// readShardedConfig reads a configuration file for a manager that decodes in some shards and rebalances them quickly.
+// readShardedConfig reads a configuration file for a manager with a number of decoder shards that are rebalanced quickly.
 func readShardedConfig(file string, shards int) (config.Config, error) {
-	read, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": file}[key] })
+	cfg, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": file}[key] })
 	if err != nil {
-		return read, err
+		return cfg, err
 	}
 	operator := config.DefaultOperatorSettings()
 	operator.Shards = shards
-	read, err = read.WithOperator(operator)
-	read.Limits.Sharding = quickSettings(shards)
-	return read, err
+	cfg, err = cfg.WithOperator(operator)
+	cfg.Limits.Sharding = quickSettings(shards)
+	return cfg, err
 }
 
-// moveConnections asks a manager all the time to move a connection away from one shard after another, until the
-// function that it returns is called.
+// moveConnections keeps asking a manager to move a connection away from a shard, each shard in turn, until the returned
+// function is called.
 func moveConnections(manager *inProcessManager, shards int) (stop func()) {
 	const interval = 2 * time.Millisecond
 	const movesInARow = 4
@@ -120,7 +120,7 @@
 	}
 }
 
-// startReporters connects collectors that report for all proxies and servers until the test ends. The first also sends
+// startReporters connects collectors that report on all proxies and servers until the test ends. The first one also sends
 // malformed messages.
 func startReporters(t *testing.T, deployment *fakes.Deployment, count int) {
 	t.Helper()
@@ -134,7 +134,7 @@
 	}
 }
 
-// report names a collector's zone, then writes rounds of reports until the connection is closed.
+// report sends a collector's zone, then rounds of reports until the connection is closed.
 func report(connection net.Conn, site fakes.Site, zone string, malformed bool) {
 	const interval = 5 * time.Millisecond
 	round := reportRound(site, zone, malformed)
@@ -151,7 +151,7 @@
 	}
 }
 
-// reportRound is a line for each server and proxy of a site, and some malformed ones.
+// reportRound returns a report line for each server and proxy of a site, plus malformed ones if asked for.
 func reportRound(site fakes.Site, zone string, malformed bool) (lines []string) {
 	for server := range site.Servers {
 		lines = append(lines, fmt.Sprintf("heard site=%s target=%s count=20 fail=0 mean=100 over=1000\r\n", zone, fakes.ServerID(server)))
@@ -167,7 +167,7 @@
 	return lines
 }
 
-// eventually waits until something holds, and fails the test where it does not.
+// eventually waits until a condition holds, and fails the test if it does not hold within 8 s.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	eventuallyWithin(t, 8*time.Second, what, holds)
@@ -180,7 +180,7 @@
 			return
 		}
 	}
-	t.Errorf("%s: not within %v", what, timeout)
+	t.Errorf("condition %q does not hold within %v", what, timeout)
 }
 
 func assertNoViolations(t *testing.T, deployment *fakes.Deployment) {
@@ -195,7 +195,7 @@
 	}
 }
 
-// proxyIDs are the numbers of a site's proxies from one number to before another.
+// proxyIDs returns the proxy IDs from `from` up to, but not including, `to`.
 func proxyIDs(from, to int) (ids []int) {
 	for id := from; id < to; id++ {
 		ids = append(ids, id)
@@ -204,44 +204,46 @@
 }
 
 const (
-	// leastRounds is how many servers are replaced at least while connections move.
-	leastRounds = 6
-	// leastMoves is how many connections have to move while servers are replaced; more are replaced until then.
-	leastMoves = 50
+	// minRounds is the least number of server replacements while connections move.
+	minRounds = 6
+	// minMoves is the least number of connection moves during the replacements; servers are replaced until it is reached.
+	minMoves = 50
 )
 
-// roundsWithin is how long servers may go on being replaced. A move that is not done within the drain timeout is
-// cancelled, and moves are asked for one at a time.
-var roundsWithin = leastMoves * sharding.DefaultSettings(movingShards).DrainTimeout
+// maxRoundsDuration limits the time for which servers are replaced. Moves are requested one at a time, and one that is not
+// done within the drain timeout is cancelled.
+var maxRoundsDuration = minMoves * sharding.DefaultSettings(movingShards).DrainTimeout
 
-// Drains, restarts, lost answers, reloads and event streams that break, all while connections move.
-func TestMovesLoseNoDrainAndRepeatNoEffect(t *testing.T) {
+// Servers drain and restart, relay responses are lost, the configuration is reloaded and event streams break, all while
+// connections move between shards. No drain may be lost and no command may take effect twice.
+func TestConnectionMovesLoseNoDrainAndRepeatNoCommand(t *testing.T) {
 	site := fakes.DefaultSite(12, 60)
 	deployment, manager := deployWithMovingShards(t, site)
 	deployment.Relay.ConnectProxies(proxyIDs(0, site.Proxies)...)
-	eventually(t, "all bound", func() bool { return deployment.Relay.Counts().AssignedProxies == site.Proxies })
+	eventually(t, "all proxies assigned", func() bool { return deployment.Relay.Counts().AssignedProxies == site.Proxies })
 	startReporters(t, deployment, 6)
 	deployment.Relay.Configure(injectFaultsInTurn)
 	moves := func() int64 { return manager.metrics.counts[shardMoves].Load() }
-	began := time.Now()
-	for round := 0; round < leastRounds || moves() < leastMoves && time.Since(began) < roundsWithin; round++ {
+	start := time.Now()
+	for round := 0; round < minRounds || moves() < minMoves && time.Since(start) < maxRoundsDuration; round++ {
 		replaceServer(t, deployment, manager, round)
 	}
-	t.Logf("%d moves within %v", moves(), time.Since(began).Round(time.Millisecond))
-	eventually(t, "all bound again", func() bool { return deployment.Relay.Counts().AssignedProxies == site.Proxies })
+	t.Logf("%d moves within %v", moves(), time.Since(start).Round(time.Millisecond))
+	eventually(t, "all proxies assigned again", func() bool { return deployment.Relay.Counts().AssignedProxies == site.Proxies })
 	assertNoViolations(t, deployment)
-	if n := moves(); n < leastMoves {
-		t.Errorf("%d moves only within %v", n, time.Since(began))
+	if n := moves(); n < minMoves {
+		t.Errorf("%d moves within %v, want at least %d", n, time.Since(start), minMoves)
 	}
 	if n := manager.metrics.counts[callsUnknown].Load(); n == 0 {
-		t.Error("no answer was lost")
+		t.Error("no call had an unknown outcome, although responses were to be lost")
 	}
 	if n := manager.metrics.counts[malformedMessages].Load() + manager.metrics.counts[unknownNames].Load(); n == 0 {
-		t.Error("nothing malformed was counted")
+		t.Error("no malformed message and no unknown name was counted")
 	}
 }
 
-// injectFaultsInTurn has a relay lose, refuse and garble some answers, in a fixed order.
+// injectFaultsInTurn lets a relay break some connections without executing the call, and lose or garble some responses, in
+// a fixed order.
 func injectFaultsInTurn(relay *fakes.Relay) {
 	faults := []fakes.Fault{
 		fakes.NoFault, fakes.AnswerLost, fakes.NoFault, fakes.NotExecuted, fakes.NoFault, fakes.AnswerGarbled, fakes.NoFault,
@@ -253,11 +255,11 @@
 	}
 }
 
-// replaceServer drains a server, removes it and lists it again as a fresh process, while two proxies reconnect. In
-// one round of three the manager reloads its configuration, in another the relay breaks all connections.
+// replaceServer drains a server, removes it and lists it again as a new process, while two proxies reconnect. In one of
+// three rounds the manager reloads its configuration, and in another the relay breaks all connections.
 func replaceServer(t *testing.T, deployment *fakes.Deployment, manager *inProcessManager, round int) {
 	t.Helper()
-	number := round % leastRounds
+	number := round % minRounds
 	server := deployment.Servers[number]
 	deployment.Discovery.Publish(server.Entry("draining"))
 	switch round % 3 {
@@ -268,7 +270,7 @@
 		time.Sleep(30 * time.Millisecond)
 		deployment.Relay.SetUnavailable(false)
 	}
-	eventually(t, "withdrawn", func() bool { return deployment.Relay.RequestRate(server.ID) == 0 })
+	eventually(t, "draining server gets no requests", func() bool { return deployment.Relay.RequestRate(server.ID) == 0 })
 	if err := server.SetBehaviour(fakes.Down); err != nil {
 		t.Fatal(err)
 	}
@@ -281,20 +283,21 @@
 	deployment.Discovery.Publish(server.Entry("up"))
 }
 
-// Guards against a burst that overruns the channel: 10,000 proxies connect within a second while connections move.
-func TestTenThousandJoinsInASecond(t *testing.T) {
+// 10,000 proxies connect within a second while connections move between shards. The burst of commands must not overflow
+// the relay's channel.
+func TestTenThousandProxiesConnectWithinASecond(t *testing.T) {
 	site := fakes.DefaultSite(40, 10_000)
 	deployment, manager := deployWithMovingShards(t, site)
-	began := time.Now()
-	for at := 0; at < site.Proxies; at += 100 {
-		deployment.Relay.ConnectProxies(proxyIDs(at, at+100)...)
-		time.Sleep(max(0, time.Duration(at)*time.Second/time.Duration(site.Proxies)-time.Since(began)))
+	start := time.Now()
+	for id := 0; id < site.Proxies; id += 100 {
+		deployment.Relay.ConnectProxies(proxyIDs(id, id+100)...)
+		time.Sleep(max(0, time.Duration(id)*time.Second/time.Duration(site.Proxies)-time.Since(start)))
 	}
-	took := time.Since(began)
-	eventually(t, "all joins taken", func() bool { return manager.metrics.counts[proxyConnects].Load() >= int64(site.Proxies) })
-	eventually(t, "half of all bound", func() bool { return deployment.Relay.Counts().AssignedProxies >= site.Proxies/2 })
+	took := time.Since(start)
+	eventually(t, "all connects handled", func() bool { return manager.metrics.counts[proxyConnects].Load() >= int64(site.Proxies) })
+	eventually(t, "half of all proxies assigned", func() bool { return deployment.Relay.Counts().AssignedProxies >= site.Proxies/2 })
 	if took > 2*time.Second {
-		t.Logf("the joins took %v on this machine", took)
+		t.Logf("connecting all proxies took %v, which is more than 2 s", took)
 	}
 	for _, rule := range deployment.Relay.Rules.Results() {
 		if rule.Name == "queue and messages short" && !rule.OK() {
@@ -303,7 +306,7 @@
 	}
 }
 
-func TestEndDuringMoves(t *testing.T) {
+func TestShutdownDuringConnectionMoves(t *testing.T) {
 	deployment, manager := deployWithMovingShards(t, fakes.DefaultSite(6, 20))
 	startReporters(t, deployment, 4)
 	time.Sleep(100 * time.Millisecond)
@@ -311,6 +314,6 @@
 	select {
 	case <-manager.done:
 	case <-time.After(5 * time.Second):
-		t.Error("no end within 5 s")
+		t.Error("the manager did not stop within 5 s")
 	}
 }
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -8,22 +8,21 @@
 	"tamarindshore/internal/subset"
 )
 
-// subsetUpdateInterval is the time between two updates by which servers are in service.
+// subsetUpdateInterval is the time between two adjustments of the subset to the servers in service.
 const subsetUpdateInterval = time.Second
 
-// subsetFilter stands between the endpoint list and the balancer where the operator's settings ask for it: the balancer
-// gets the servers that the manager needs. It owns which zone each connected proxy is of; which servers are needed is
-// decided by package subset. It must never hold back what the list says of a server that the balancer knows. It belongs
-// to the router's goroutine.
+// subsetFilter filters the endpoint list if the operator's settings configure a subset: the balancer then receives only
+// the servers that this manager needs. It tracks the zone of each connected proxy; package subset selects the servers.
+// It must never withhold a change to a server that the balancer knows. Only the router's goroutine uses it.
 type subsetFilter struct {
 	subset     *subset.Subset
-	zones      map[balancer.ProxyID]balancer.ZoneID // of the connected proxies
+	zones      map[balancer.ProxyID]balancer.ZoneID // zones of the connected proxies
 	nextUpdate time.Duration
-	restored   map[balancer.ServerID]bool // of the last update
+	restored   map[balancer.ServerID]bool // servers whose withdrawals the last update lifted
 }
 
-func newSubsetFilter(s config.Config) *subsetFilter {
-	settings := subset.Settings{ManagerName: s.Name, Spill: s.Spill, WarmUpDuration: s.Balancer.WarmUpDuration}
+func newSubsetFilter(cfg config.Config) *subsetFilter {
+	settings := subset.Settings{ManagerName: cfg.Name, Spill: cfg.Spill, WarmUpDuration: cfg.Balancer.WarmUpDuration}
 	return &subsetFilter{
 		subset:   subset.New(settings),
 		zones:    map[balancer.ProxyID]balancer.ZoneID{},
@@ -31,22 +30,23 @@
 	}
 }
 
-// update gives what a list changes in the subset.
+// update applies an endpoint list to the subset and returns the resulting changes for the balancer.
 func (s *subsetFilter) update(now time.Duration, in endpointList) subset.Update {
 	servers := make([]subset.Server, len(in.entries))
-	for i, e := range in.entries {
-		servers[i] = subset.Server{Endpoint: e, Address: in.addresses[e.Server]}
+	for i, entry := range in.entries {
+		servers[i] = subset.Server{Endpoint: entry, Address: in.addresses[entry.Server]}
 	}
 	return s.subset.HandleEndpointList(now, in.snapshot, servers)
 }
 
-// addProxyToSubset counts a proxy for its zone. One that connects again, as after a gap of the event stream, counts once.
+// addProxyToSubset counts a connected proxy in its zone. A proxy that connects again without a disconnect in between, as
+// after a gap in the event stream, is counted once.
 func (r *router) addProxyToSubset(in proxyConnected) {
 	if r.subsetFilter == nil {
 		return
 	}
-	if before, known := r.subsetFilter.zones[in.proxy]; known {
-		r.subsetFilter.subset.HandleProxyDisconnected(r.now, before)
+	if previousZone, known := r.subsetFilter.zones[in.proxy]; known {
+		r.subsetFilter.subset.HandleProxyDisconnected(r.now, previousZone)
 	}
 	r.subsetFilter.zones[in.proxy] = in.zone
 	r.applySubsetUpdate(r.subsetFilter.subset.HandleProxyConnected(r.now, in.zone))
@@ -62,7 +62,7 @@
 	}
 }
 
-// updateSubset widens or narrows the subset by what is in service, once a second.
+// updateSubset widens or narrows the subset according to the servers in service, once a second.
 func (r *router) updateSubset() {
 	if r.subsetFilter == nil || r.now < r.subsetFilter.nextUpdate {
 		return
@@ -72,28 +72,28 @@
 	r.forgetAddresses()
 }
 
-// applySubsetUpdate tells the balancer what changed in the subset.
-func (r *router) applySubsetUpdate(u subset.Update) {
-	r.logRecords(u.LogRecords)
-	if u.IsEmpty() {
+// applySubsetUpdate passes the changes of the subset to the balancer.
+func (r *router) applySubsetUpdate(update subset.Update) {
+	r.logRecords(update.LogRecords)
+	if update.IsEmpty() {
 		return
 	}
-	r.liftWithdrawals(u.Restore)
-	entries := make([]balancer.Endpoint, len(u.Servers))
-	for i, server := range u.Servers {
+	r.liftWithdrawals(update.Restore)
+	entries := make([]balancer.Endpoint, len(update.Servers))
+	for i, server := range update.Servers {
 		entries[i] = server.Endpoint
 		if server.Address != "" {
 			r.addresses[server.Server] = server.Address
 		}
 	}
-	if u.Complete || len(entries) > 0 {
-		r.apply(r.manager.HandleEndpointList(r.now, u.Complete, entries))
+	if update.Complete || len(entries) > 0 {
+		r.apply(r.manager.HandleEndpointList(r.now, update.Complete, entries))
 		r.forgetAddresses()
 	}
 }
 
-// liftWithdrawals ends the withdrawals of servers that left the subset and that no table names any more. The balancer has
-// forgotten them, so it would never restore them.
+// liftWithdrawals restores withdrawn servers that have left the subset and are in no table any more. The balancer has
+// forgotten them, so it would never restore them itself.
 func (r *router) liftWithdrawals(servers []balancer.ServerID) {
 	clear(r.subsetFilter.restored)
 	var withdrawn []balancer.ServerID
@@ -108,7 +108,7 @@
 	}
 }
 
-// unknownServerCounter is the counter of reports on a server that the balancer does not know.
+// unknownServerCounter returns the counter for load reports on a server that the balancer does not know.
 func (r *router) unknownServerCounter(id balancer.ServerID) counter {
 	if r.subsetFilter != nil && r.subsetFilter.subset.Tracks(id) {
 		return outsideSubset
--- a/internal/node/subset_outages_test.go
+++ b/internal/node/subset_outages_test.go
@@ -7,8 +7,9 @@
 	"tamarindshore/balancer"
 )
 
-// regionSplit is a split of the zones 0 and 1, which the manager hears of, from the zones 2 and 3, whose servers do not
-// answer. It notes what happened to servers on both sides.
+// regionSplit is a network split between the manager's own region (zones 0 and 1, "near") and another region (zones 2
+// and 3, "far"). During the split the manager receives list changes of the near zones only, and far servers do not
+// respond to it. The fields record what happened to servers of both regions meanwhile.
 type regionSplit struct {
 	*subsetHarness
 	drained   []balancer.ServerID
@@ -16,8 +17,9 @@
 	restarted []balancer.ServerID
 }
 
-// changeBothSides has a server on each side drain, be removed or restart, by turns; the manager hears of the near one.
-func (s *regionSplit) changeBothSides(minute int) {
+// changeBothRegions drains, removes or restarts one server in each region, depending on the minute. The manager receives
+// only the change to the near server.
+func (s *regionSplit) changeBothRegions(minute int) {
 	s.t.Helper()
 	nearZone := minute % 2
 	farZone := 2 + minute%2
@@ -28,9 +30,9 @@
 		s.setState(balancer.Draining, far)
 		s.drained = append(s.drained, near, far)
 		s.advanceSecond()
-		s.mustNotUse("a second after it drained", near)
+		s.mustNotUse("a second after it began to drain", near)
 	case 1:
-		near, far := s.zone(nearZone)[0], s.zone(farZone)[0]
+		near, far := s.serversInZone(nearZone)[0], s.serversInZone(farZone)[0]
 		s.sendChanges(s.setState(balancer.Removed, near))
 		s.setState(balancer.Removed, far)
 		s.removed = append(s.removed, near, far)
@@ -42,7 +44,7 @@
 	}
 }
 
-// mustHaveRecovered fails where the manager is not as it would be without the split.
+// mustHaveRecovered fails the test unless the manager's state is as it would be without the split.
 func (s *regionSplit) mustHaveRecovered() {
 	s.t.Helper()
 	for _, id := range s.restarted {
@@ -50,41 +52,41 @@
 		if !listed || entry.State != balancer.Ready || entry.Zone != testZone(0) {
 			continue
 		}
-		if _, open, warmFraction := s.router.manager.ServerStatus(id); !open || warmFraction < 1 {
-			s.t.Errorf("%s restarted, and is not in service ten minutes after the split", id)
+		if _, available, warmFraction := s.router.manager.ServerStatus(id); !available || warmFraction < 1 {
+			s.t.Errorf("server %s restarted during the split and is not in service ten minutes after its end", id)
 		}
 	}
-	if home := len(s.membersIn(0)); home != s.count(balancer.Ready, 0) {
-		s.t.Errorf("%d members of the home zone, %d are ready", home, s.count(balancer.Ready, 0))
+	if home := len(s.membersIn(0)); home != s.countInState(balancer.Ready, 0) {
+		s.t.Errorf("%d members in the home zone, want the %d ready servers", home, s.countInState(balancer.Ready, 0))
 	}
 	if width := s.router.subsetFilter.subset.Counts().Width; width > 1.2 {
-		s.t.Errorf("the subset is %.1f times as wide ten minutes after the split", width)
+		s.t.Errorf("the width factor is %.1f ten minutes after the split, want at most 1.2", width)
 	}
 }
 
-// Two regions of two zones each are split for an hour: the manager hears of its own region alone, and the other's
-// servers do not answer. On both sides servers drain, are removed and restart; then the split ends.
-func TestASplitOfRegionsForAnHour(t *testing.T) {
+// The network between two regions of two zones each is split for an hour, while servers of both regions drain, are removed
+// and restart. After the split the manager must reject lists and changes from before it, and recover its state.
+func TestANetworkSplitBetweenRegionsForAnHour(t *testing.T) {
 	s := &regionSplit{subsetHarness: newSubsetHarness(t, "n3", 4, 30)}
 	s.addServers(4, 60)
 	s.start(10)
 	versionBefore := s.version
 	listBefore := s.entries()
-	far := slices.Concat(s.zone(2), s.zone(3))
+	far := slices.Concat(s.serversInZone(2), s.serversInZone(3))
 	for _, id := range far {
 		s.failed[id] = true
 	}
-	s.advance(unresponsiveDetection, func() { s.mustServe("at the split") })
+	s.advance(unresponsiveDetection, func() { s.mustServe("at the start of the split") })
 	for minute := range 60 {
-		s.changeBothSides(minute)
+		s.changeBothRegions(minute)
 		s.advance(58, func() {
-			s.mustServe("in the split")
-			s.mustNotUse("in the split", far...)
+			s.mustServe("during the split")
+			s.mustNotUse("during the split", far...)
 		})
 	}
 	clear(s.failed)
 	if s.sendListIfNewer(versionBefore, true, listBefore...) {
-		t.Fatal("a list from before the split is accepted")
+		t.Fatal("a list from before the split was accepted")
 	}
 	s.version += 100
 	s.sendSnapshot()
@@ -94,122 +96,124 @@
 		s.mustNotUse("removed, after the split", s.removed...)
 	})
 	if s.sendListIfNewer(versionBefore+1, false, balancer.Endpoint{Server: s.removed[0], Zone: testZone(0), Weight: 1}) {
-		t.Error("a change from before the split is accepted")
+		t.Error("a change from before the split was accepted")
 	}
 	s.mustHaveRecovered()
 }
 
-// A manager hears nothing of the list for an hour, in which a third of all servers drain, go or are replaced; then the
-// changes come, all at once.
-func TestAManagerAnHourBehind(t *testing.T) {
-	g := newSubsetHarness(t, "n4", 6, 30)
-	g.addServers(6, 40)
-	g.start(10)
+// A manager receives no list updates for an hour. Meanwhile a third of all servers drain or are removed, or a new server is
+// added in their place; then all changes arrive at once. The manager must end with the same subset as one that starts then.
+func TestAnHourWithoutListUpdates(t *testing.T) {
+	h := newSubsetHarness(t, "n4", 6, 30)
+	h.addServers(6, 40)
+	h.start(10)
 	var changes []balancer.Endpoint
 	var drained, removed []balancer.ServerID
 	for z := range 6 {
 		for n := 0; n < 40; n += 3 {
 			id := testServerID(z, n)
-			fresh := testServerID(z, 100+n)
+			added := testServerID(z, 100+n)
 			switch n % 9 {
 			case 0:
-				changes = append(changes, g.setState(balancer.Draining, id)...)
+				changes = append(changes, h.setState(balancer.Draining, id)...)
 				drained = append(drained, id)
 			case 3:
-				changes = append(changes, g.setState(balancer.Removed, id)...)
+				changes = append(changes, h.setState(balancer.Removed, id)...)
 				removed = append(removed, id)
 			case 6:
-				g.list[fresh] = balancer.Endpoint{Server: fresh, Zone: testZone(z), Weight: 1, RecentlyStarted: true, Started: g.router.now}
-				changes = append(changes, g.list[fresh])
+				h.list[added] = balancer.Endpoint{Server: added, Zone: testZone(z), Weight: 1, RecentlyStarted: true, Started: h.router.now}
+				changes = append(changes, h.list[added])
 			}
 		}
 	}
 	for _, id := range removed {
-		g.failed[id] = true
-	}
-	g.advance(3600, func() { g.mustServe("behind") })
-	g.mustNotUse("servers that do not answer, behind", removed...)
-	g.sendChanges(changes)
-	g.advanceSecond()
-	g.mustNotUse("a second after the list is back", drained...)
-	g.advance(300, func() {
-		g.mustServe("after it is back")
-		g.mustNotUse("after it is back", drained...)
-		g.mustNotUse("after it is back", removed...)
+		h.failed[id] = true
+	}
+	h.advance(3600, func() { h.mustServe("without list updates") })
+	h.mustNotUse("unresponsive, without list updates", removed...)
+	h.sendChanges(changes)
+	h.advanceSecond()
+	h.mustNotUse("a second after the list update", drained...)
+	h.advance(300, func() {
+		h.mustServe("after the list update")
+		h.mustNotUse("draining, after the list update", drained...)
+		h.mustNotUse("removed, after the list update", removed...)
 	})
-	fresh := newSubsetHarness(t, "n4", 6, 30)
-	fresh.list = g.list
-	fresh.start(10)
-	if a, b := g.members(), fresh.members(); !slices.Equal(a, b) {
-		t.Errorf("%d members, and %d in a manager that starts now", len(a), len(b))
+	restarted := newSubsetHarness(t, "n4", 6, 30)
+	restarted.list = h.list
+	restarted.start(10)
+	if got, want := h.memberIDs(), restarted.memberIDs(); !slices.Equal(got, want) {
+		t.Errorf("%d members differ from the %d of a manager that starts now", len(got), len(want))
 	}
 }
 
-// A home zone of 273 servers is lost and comes back cold, while servers of its neighbours drain.
-func TestALostZoneIsBackColdWhileItsNeighboursDrain(t *testing.T) {
-	g := newSubsetHarness(t, "n6", 8, 100)
-	g.addServers(8, 273)
-	g.start(20)
-	home := g.zone(0)
+// A home zone of 273 servers is lost and returns with restarted servers that still warm up, while servers of other zones
+// drain.
+func TestALostZoneReturnsColdWhileOtherZonesDrain(t *testing.T) {
+	h := newSubsetHarness(t, "n6", 8, 100)
+	h.addServers(8, 273)
+	h.start(20)
+	home := h.serversInZone(0)
 	for _, id := range home {
-		g.failed[id] = true
+		h.failed[id] = true
 	}
-	g.advance(zoneLossDetection, func() {})
-	g.advance(4, func() { g.mustServe("just lost") })
-	if n := len(g.membersIn(otherZones)); n < 250 {
-		t.Errorf("%d servers of other zones are in the subset 6 s after 273 were lost", n)
+	h.advance(zoneLossDetection, func() {})
+	h.advance(4, func() { h.mustServe("just after the zone loss") })
+	if n := len(h.membersIn(otherZones)); n < 250 {
+		t.Errorf("%d servers of other zones are in the subset 6 s after 273 were lost, want at least 250", n)
 	}
-	g.advance(60, func() { g.mustServe("lost") })
-	g.sendChanges(g.restart(home...))
-	clear(g.failed)
+	h.advance(60, func() { h.mustServe("while the zone is lost") })
+	h.sendChanges(h.restart(home...))
+	clear(h.failed)
 	var drained []balancer.ServerID
 	for i := range 60 {
 		if i%2 == 0 {
-			next := g.membersIn(otherZones)[0]
-			g.sendChanges(g.setState(balancer.Draining, next))
+			next := h.membersIn(otherZones)[0]
+			h.sendChanges(h.setState(balancer.Draining, next))
 			drained = append(drained, next)
 		}
-		g.advanceSecond()
-		g.mustServe("back")
-		g.mustNotUse("drained while the zone is back", drained...)
+		h.advanceSecond()
+		h.mustServe("while the zone warms up")
+		h.mustNotUse("draining, while the zone warms up", drained...)
 	}
-	g.advance(300, func() {
-		g.mustServe("back for long")
-		g.mustNotUse("back for long", drained...)
+	h.advance(300, func() {
+		h.mustServe("after the zone has warmed up")
+		h.mustNotUse("draining, after the zone has warmed up", drained...)
 	})
-	if home, others := len(g.membersIn(0)), len(g.membersIn(otherZones)); home != 273 || others < 70 || others > 130 {
-		t.Errorf("%d members of the home zone and %d others five minutes later", home, others)
+	if home, others := len(h.membersIn(0)), len(h.membersIn(otherZones)); home != 273 || others < 70 || others > 130 {
+		t.Errorf("five minutes later: %d members in the home zone, want 273; %d in other zones, want 70 to 130", home, others)
 	}
 }
 
-// All servers of a subset fail at once, and one zone of all is in service.
+// All servers of a subset fail at once, and only one zone has healthy servers left. All proxies must have a server in
+// service again within 6 s.
 func TestAllServersOfASubsetFail(t *testing.T) {
-	g := newSubsetHarness(t, "n8", 8, 20)
-	g.addServers(8, 60)
-	g.start(10)
+	h := newSubsetHarness(t, "n8", 8, 20)
+	h.addServers(8, 60)
+	h.start(10)
 	for z := range 8 {
-		for _, id := range g.zone(z) {
-			g.failed[id] = z != 5
+		for _, id := range h.serversInZone(z) {
+			h.failed[id] = z != 5
 		}
 	}
-	for _, id := range g.members() {
-		g.failed[id] = true
+	for _, id := range h.memberIDs() {
+		h.failed[id] = true
 	}
 	seconds := 0
 	served := func() bool {
-		for p := range g.router.proxies {
-			if _, inService := g.endpointsOf(p); inService == 0 {
+		for p := range h.router.proxies {
+			if _, inService := h.endpointsOf(p); inService == 0 {
 				return false
 			}
 		}
 		return true
 	}
 	for ; !served() && seconds < 60; seconds++ {
-		g.advanceSecond()
+		h.advanceSecond()
 	}
 	t.Logf("all proxies have a server in service after %d s", seconds)
 	if seconds > 6 {
 		t.Errorf("proxies are without a server in service for %d s", seconds)
 	}
-	g.advance(120, func() { g.mustServe("with one zone") })
+	h.advance(120, func() { h.mustServe("with one healthy zone") })
 }
--- a/internal/node/subset_process_test.go
+++ b/internal/node/subset_process_test.go
@@ -7,35 +7,35 @@
 	"tamarindshore/internal/fakes"
 )
 
-// startSubsetDeployment starts a manager with a subset before fakes of discovery, relay, proxies and servers.
+// startSubsetDeployment starts a manager with a subset, and fakes of discovery, the relay, proxies and servers.
 func startSubsetDeployment(t *testing.T, site fakes.Site) *fakes.Deployment {
 	t.Helper()
-	how := fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 1, OperatorSettings: "(subset (spill 10))"}
-	rig, err := fakes.StartDeployment(site, how, func(start, settings string) (fakes.Manager, error) {
-		read, err := startReader(start, settings)
+	options := fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 1, OperatorSettings: "(subset (spill 10))"}
+	deployment, err := fakes.StartDeployment(site, options, func(configFile, settings string) (fakes.Manager, error) {
+		readConfig, err := startReader(configFile, settings)
 		if err != nil {
 			return nil, err
 		}
-		return startFromConfig(read)
+		return startFromConfig(readConfig)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(rig.Close)
-	return rig
+	t.Cleanup(deployment.Close)
+	return deployment
 }
 
-// A manager with a subset, on sockets: its proxies' zone gets flows, a drain is withdrawn, a restart finds the same
-// servers, and no rule is broken.
+// Runs a manager with a subset against fakes over real sockets: all servers of its proxies' zone get requests, a draining
+// server is withdrawn, a restarted manager uses the same servers, and the relay sees no rule violated.
 func TestAManagerWithASubsetOnSockets(t *testing.T) {
 	site := fakes.DefaultSite(60, 2)
 	site.Zones = []string{"a", "b", "c", "d", "e", "f"}
-	site.Proxies = 1 // of zone a
-	rig := startSubsetDeployment(t, site)
-	rig.Relay.ConnectProxies(0)
-	used := func() (home, others int) {
-		for _, s := range rig.Servers {
-			if rig.Relay.RequestRate(s.ID) > 0 {
+	site.Proxies = 1 // in zone a
+	deployment := startSubsetDeployment(t, site)
+	deployment.Relay.ConnectProxies(0)
+	countUsed := func() (home, others int) {
+		for _, s := range deployment.Servers {
+			if deployment.Relay.RequestRate(s.ID) > 0 {
 				if s.Zone == "a" {
 					home++
 				} else {
@@ -45,25 +45,28 @@
 		}
 		return home, others
 	}
-	eventually(t, "all of the home zone get flows", func() bool { home, _ := used(); return home == 10 })
-	if _, others := used(); others > 13 {
-		t.Errorf("%d servers of other zones get flows", others)
+	eventually(t, "all servers of the home zone get requests", func() bool { home, _ := countUsed(); return home == 10 })
+	if _, others := countUsed(); others > 13 {
+		t.Errorf("%d servers of other zones get requests, want at most 13", others)
 	}
-	drained := rig.Servers[0] // of zone a
-	rig.Discovery.Publish(drained.Entry("draining"))
-	eventually(t, "withdrawn", func() bool { return rig.Relay.Withdrawn(drained.ID) && rig.Relay.RequestRate(drained.ID) == 0 })
-	if err := rig.Manager.Stop(false); err != nil {
+	drained := deployment.Servers[0] // in zone a
+	deployment.Discovery.Publish(drained.Entry("draining"))
+	eventually(t, "draining server withdrawn", func() bool {
+		return deployment.Relay.Withdrawn(drained.ID) && deployment.Relay.RequestRate(drained.ID) == 0
+	})
+	if err := deployment.Manager.Stop(false); err != nil {
 		t.Fatal(err)
 	}
-	if err := rig.StartManager(); err != nil {
+	if err := deployment.StartManager(); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(2 * time.Second)
-	home, others := used()
-	if home != 9 || others > 13 || rig.Relay.RequestRate(drained.ID) > 0 {
-		t.Errorf("after a restart %d servers of the home zone and %d others get flows, %.1f the one that drains", home, others, rig.Relay.RequestRate(drained.ID))
+	home, others := countUsed()
+	if home != 9 || others > 13 || deployment.Relay.RequestRate(drained.ID) > 0 {
+		t.Errorf("after a restart: %d servers in the home zone, want 9; %d in other zones, want at most 13; %.1f requests/s to the draining one",
+			home, others, deployment.Relay.RequestRate(drained.ID))
 	}
-	for _, rule := range rig.Relay.Rules.Results() {
+	for _, rule := range deployment.Relay.Rules.Results() {
 		if !rule.OK() {
 			t.Errorf("%+v", rule)
 		}
