--- a/internal/node/collector_messages.go
+++ b/internal/node/collector_messages.go
@@ -20,7 +20,7 @@
 	collectorMessage
 	input
 	counts() sampleCounts
-	queued() sharding.Sample
+	shardingSample() sharding.Sample
 }
 
 // loadReport is a collector's report on one server.
--- a/internal/node/decode_fuzz_test.go
+++ b/internal/node/decode_fuzz_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-var answerSeeds = []string{takenAnswer(2), takenAnswer(0), takenAnswer(-1), "<Response><taken>1</taken><taken>1</taken></Response>", "<Response><Error><Code>BUSY</Code></Error></Response>",
+var answerSeeds = []string{acceptedAnswer(2), acceptedAnswer(0), acceptedAnswer(-1), "<Response><taken>1</taken><taken>1</taken></Response>", "<Response><Error><Code>BUSY</Code></Error></Response>",
 	"<taken> 2 </taken>", "<taken>2", "<taken><taken>2</taken></taken>", "<taken>+2</taken>", "\x00"}
 
 func checkAnswer(t *testing.T, body string) {
--- a/internal/node/deployment_test.go
+++ b/internal/node/deployment_test.go
@@ -41,9 +41,9 @@
 	manager      *inProcessManager
 }
 
-// startReader reads the operator's settings from a file. Each call of the returned function rereads the configuration file
+// newConfigReadFunc reads the operator's settings from a file. Each call of the returned function rereads the configuration file
 // and combines it with these settings.
-func startReader(configFile, settings string) (read func() (config.Config, error), err error) {
+func newConfigReadFunc(configFile, settings string) (read func() (config.Config, error), err error) {
 	operator, err := config.ReadOperatorSettings(settings)
 	if err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 	}
 	v.settings = fmt.Sprintf("(admin (socket %q)) (store (path %q)) (tables (listen %q) (keys %q))", v.socket, v.store, v.feed, keys)
 	options := fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 1, OperatorSettings: v.settings}
-	deployment, err := fakes.StartDeployment(site, options, v.begin)
+	deployment, err := fakes.StartDeployment(site, options, v.startManagerInProcess)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,10 +92,10 @@
 	t.Cleanup(func() { listener.Close() })
 }
 
-// begin starts the manager in this process.
-func (v *managerDeployment) begin(configFile, settings string) (fakes.Manager, error) {
+// startManagerInProcess starts the manager in this process.
+func (v *managerDeployment) startManagerInProcess(configFile, settings string) (fakes.Manager, error) {
 	v.reservedFeed.Close()
-	read, err := startReader(configFile, settings)
+	read, err := newConfigReadFunc(configFile, settings)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/interleaving_relay_test.go
+++ b/internal/node/interleaving_relay_test.go
@@ -32,7 +32,7 @@
 			req.ParseForm()
 			commands := req.PostForm.Get("orders")
 			calls <- commands
-			body := takenAnswer(strings.Count(commands, ";") + 1)
+			body := acceptedAnswer(strings.Count(commands, ";") + 1)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 			if first {
 				select {
@@ -56,7 +56,7 @@
 		"idle close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
 		"reset":      func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 		"second answer": func(c net.Conn) {
-			body := takenAnswer(0)
+			body := acceptedAnswer(0)
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		},
 	} {
@@ -76,7 +76,7 @@
 
 // A call whose connection breaks within the answer has an unknown outcome, whichever byte of the answer is the last.
 func TestACallCutAtEachByteOfItsAnswer(t *testing.T) {
-	body := takenAnswer(2)
+	body := acceptedAnswer(2)
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	for cut := 0; cut <= len(whole); cut++ {
 		address := startServer(t, func(c net.Conn) {
--- a/internal/node/interleaving_stream_test.go
+++ b/internal/node/interleaving_stream_test.go
@@ -20,7 +20,7 @@
 func TestAChangeThatWasNotDeliveredIsNotCountedAsHeld(t *testing.T) {
 	address, _ := startStreamServer(t, watchLine(42, false, "s-1")+"...", watchLine(42, false, "s-1")+"...")
 	receiver, inputs := testReceiverWithInputs(t, testLimits, 0)
-	held := &watchState{version: 41, lowestReset: -1}
+	held := &watchState{version: 41, unconfirmedVersion: -1}
 	up := testUpstream(t, address)
 	watchDone := make(chan struct{})
 	go func() {
@@ -99,7 +99,7 @@
 		t.Errorf("event stream: opened %v, error %v", opened, err)
 	}
 	<-requests
-	held := &watchState{version: 41, lowestReset: -1}
+	held := &watchState{version: 41, unconfirmedVersion: -1}
 	if opened, err := receiver.readWatch(next, held); !opened || err == nil {
 		t.Errorf("watch: opened %v, error %v", opened, err)
 	}
@@ -116,7 +116,7 @@
 		malformed+watchLine(43, false, "s-2")+watchLine(44, false, "s-3"),
 		malformed+watchLine(45, false, "s-4"), watchLine(45, true, "s-5")+watchLine(46, false, "s-6"))
 	receiver, inputs := testReceiverWithInputs(t, testLimits, 64)
-	held := &watchState{version: 41, lowestReset: -1}
+	held := &watchState{version: 41, unconfirmedVersion: -1}
 	up := testUpstream(t, address)
 	want := []string{"[]", "[s-2 s-3]", "[s-4]", "[s-5 s-6]"}
 	for i, version := range []int64{41, 41, 41, 46} {
@@ -143,7 +143,7 @@
 	up.noteDecodeError()
 	address, _ := startStreamServer(t, "{]\n"+watchLine(43, false, "s-2")+"...")
 	up.address = address
-	if _, err := testReceiver(t, limits).readWatch(up, &watchState{version: 41, lowestReset: -1}); err != errResync {
+	if _, err := testReceiver(t, limits).readWatch(up, &watchState{version: 41, unconfirmedVersion: -1}); err != errResync {
 		t.Errorf("error %v, want %v", err, errResync)
 	}
 }
@@ -151,7 +151,7 @@
 // A discovery that restarted may count versions from the beginning. Its first older snapshot is rejected; the next one must be
 // accepted even if its version has advanced since, and not be rejected like the first.
 func TestOlderSnapshotsThatAdvanceAreAccepted(t *testing.T) {
-	held := &watchState{version: 41, lowestReset: -1}
+	held := &watchState{version: 41, unconfirmedVersion: -1}
 	readWatchText(t, testLimits, held, watchLine(3, true, "s-1"))
 	if ids, _ := readWatchText(t, testLimits, held, watchLine(5, true, "s-2")+watchLine(6, false, "s-3")); fmt.Sprint(ids) != "[s-2 s-3]" ||
 		held.version != 6 {
@@ -179,7 +179,7 @@
 func TestATooHighVersionDoesNotBlockLaterLists(t *testing.T) {
 	limits := testLimits
 	limits.MaxWatchGap = 0
-	held := &watchState{version: 41, lowestReset: -1}
+	held := &watchState{version: 41, unconfirmedVersion: -1}
 	accepted := ""
 	for _, text := range []string{watchLine(93, false, "s-1") + watchLine(44, false, "s-2") + watchLine(45, false, "s-3") + "...",
 		watchLine(45, true, "s-4") + "...", watchLine(45, true, "s-5") + watchLine(46, false, "s-6")} {
@@ -200,7 +200,7 @@
 	address, requests := startStreamServer(t, olderList, olderList, watchLine(46, true, "s-3")+"...",
 		watchLine(46, true, "s-4")+watchLine(47, false, "s-5"), "")
 	receiver, inputs := testReceiverWithInputs(t, limits, 64)
-	held := &watchState{version: 93, lowestReset: -1}
+	held := &watchState{version: 93, unconfirmedVersion: -1}
 	up := testUpstream(t, address)
 	for _, from := range []string{"=93 ", "=93 ", "=0 ", "=0 ", "=47 "} {
 		receiver.readWatch(up, held)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -125,7 +125,7 @@
 // ignored.
 func (n *Node) useStoredList(list store.ServerList) {
 	if versions.StoredListIsNewer(n.initialList.generation, list.Generation, len(list.Entries)) {
-		stored, _, err := n.decoder.checkList(list.Generation, true, instancesOf(list.Entries))
+		stored, _, err := n.decoder.checkList(list.Generation, true, fromStoreEntries(list.Entries))
 		if err == nil {
 			n.initialList = stored
 			n.initialList.stored = true
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -63,7 +63,7 @@
 				calls <- "not a call: " + req.URL.Path
 			}
 			calls <- req.PostForm.Get("orders")
-			body := takenAnswer(strings.Count(req.PostForm.Get("orders"), ";") + 1)
+			body := acceptedAnswer(strings.Count(req.PostForm.Get("orders"), ";") + 1)
 			select {
 			case body = <-next:
 			default:
@@ -86,7 +86,7 @@
 	return newRelayClient(limits, address, testClasses, r.backlog, in), calls
 }
 
-func takenAnswer(n int) string {
+func acceptedAnswer(n int) string {
 	return fmt.Sprintf(`<?xml version="1.0"?><Response><items><item><taken>%d</taken></item></items></Response>`, n)
 }
 
@@ -130,7 +130,7 @@
 // before any others.
 func TestDeliverRetriesAnUnknownOutcome(t *testing.T) {
 	for _, answer := range []string{
-		"", "<Response><items>", "<Response/>", "nonsense", takenAnswer(-1), takenAnswer(3),
+		"", "<Response><items>", "<Response/>", "nonsense", acceptedAnswer(-1), acceptedAnswer(3),
 		"<Response><taken>1</taken><taken>2</taken></Response>",
 	} {
 		r, calls := startTestRelay(t, testLimits, answer)
@@ -158,7 +158,7 @@
 
 // A command that the relay rejects must not block the commands behind it.
 func TestDeliverSkipsTheRejectedCommand(t *testing.T) {
-	r, calls := startTestRelay(t, testLimits, takenAnswer(1))
+	r, calls := startTestRelay(t, testLimits, acceptedAnswer(1))
 	r.deliver(testWeights(1, 2, 3))
 	expectCalls(t, calls, "share,0,s-1,1;share,0,s-2,2;share,0,s-3,3", "share,0,s-3,3;mark,2,0")
 	if n := r.metrics.counts[commandsRejected].Load(); n != 1 {
@@ -169,7 +169,7 @@
 // If the relay accepts only a part of a call, the balancer must learn that the accepted commands were sent even if the
 // relay is busy when the rest is resent.
 func TestDeliverReportsAPartlyAcceptedCall(t *testing.T) {
-	r, _ := startTestRelay(t, testLimits, takenAnswer(1))
+	r, _ := startTestRelay(t, testLimits, acceptedAnswer(1))
 	inputs := make(chan input, 8)
 	r.receiver.inputs = inputs
 	cmds := testWeights(1, 2, 3)
@@ -216,7 +216,7 @@
 	for body, want := range map[string]error{
 		"<Response><Error><Code>BUSY</Code></Error></Response>":   errBusy,
 		"<Response><Error><Code>SYNTAX</Code></Error></Response>": errSyntax,
-		takenAnswer(7): nil,
+		acceptedAnswer(7): nil,
 	} {
 		if n, err := parseAnswer([]byte(body), 7); err != want || want == nil && n != 7 {
 			t.Errorf("answer %s: %d accepted, error %v, want error %v", body, n, err, want)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -113,7 +113,7 @@
 
 // A watch that is reopened at a new address must continue from the version that the manager has.
 func TestAWatchKeepsItsVersionAcrossAReload(t *testing.T) {
-	held := &watchState{version: 41, lowestReset: -1}
+	held := &watchState{version: 41, unconfirmedVersion: -1}
 	ids, _ := readWatchText(t, testLimits, held, watchLine(42, false, "s-1"))
 	address, requests := startStreamServer(t, "")
 	testReceiver(t, testLimits).readWatch(testUpstream(t, address), held)
--- a/internal/node/router_inputs.go
+++ b/internal/node/router_inputs.go
@@ -88,7 +88,7 @@
 		r.storeWriter.saveList(in)
 	}
 	if r.subsetFilter != nil {
-		r.applySubsetUpdate(r.subsetFilter.update(r.now, in))
+		r.applySubsetUpdate(r.subsetFilter.applyEndpointList(r.now, in))
 		return
 	}
 	maps.Copy(r.addresses, in.addresses)
--- a/internal/node/store_writer.go
+++ b/internal/node/store_writer.go
@@ -131,8 +131,8 @@
 	return entries
 }
 
-// instancesOf converts servers from the form of the store to that of discovery.
-func instancesOf(entries []store.ListEntry) (instances []instance) {
+// fromStoreEntries converts servers from the form of the store to that of discovery.
+func fromStoreEntries(entries []store.ListEntry) (instances []instance) {
 	for _, entry := range entries {
 		instances = append(instances, instance{InstanceID: entry.ID, HostPort: entry.HostPort, Zone: entry.Zone, Lifecycle: entry.Lifecycle,
 			Weight: entry.Weight, StartedAtMs: entry.StartedAtMs})
--- a/internal/node/stored_list_test.go
+++ b/internal/node/stored_list_test.go
@@ -28,7 +28,7 @@
 		DiscoveryAddress: v.Discovery.Address, RelayAddress: v.Relay.Address, Endpoints: initial,
 		Options: fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 2, OperatorSettings: v.settings}}
 	var err error
-	if v.Manager, err = v.Site.StartManager(start, v.begin); err != nil {
+	if v.Manager, err = v.Site.StartManager(start, v.startManagerInProcess); err != nil {
 		t.Fatal(err)
 	}
 	if err := fakes.AwaitReady(v.Manager, v.ManagerAddress, 10*time.Second); err != nil {
--- a/internal/node/subset.go
+++ b/internal/node/subset.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// update applies an endpoint list to the subset and returns the resulting changes for the balancer.
-func (s *subsetFilter) update(now time.Duration, in endpointList) subset.Update {
+// applyEndpointList applies an endpoint list to the subset and returns the resulting changes for the balancer.
+func (s *subsetFilter) applyEndpointList(now time.Duration, in endpointList) subset.Update {
 	servers := make([]subset.Server, len(in.entries))
 	for i, entry := range in.entries {
 		servers[i] = subset.Server{Endpoint: entry, Address: in.addresses[entry.Server]}
--- a/internal/node/subset_harness_test.go
+++ b/internal/node/subset_harness_test.go
@@ -63,7 +63,7 @@
 		list:   map[balancer.ServerID]balancer.Endpoint{},
 		failed: map[balancer.ServerID]bool{},
 		tables: map[balancer.ProxyID]balancer.TableID{},
-		watch:  &watchState{lowestReset: noReset},
+		watch:  &watchState{unconfirmedVersion: noUnconfirmedVersion},
 	}
 }
 
--- a/internal/node/subset_process_test.go
+++ b/internal/node/subset_process_test.go
@@ -12,7 +12,7 @@
 	t.Helper()
 	options := fakes.ManagerOptions{Cores: 1, MemoryMB: 512, MaxDescriptors: 4096, Seed: 1, OperatorSettings: "(subset (spill 10))"}
 	deployment, err := fakes.StartDeployment(site, options, func(configFile, settings string) (fakes.Manager, error) {
-		readConfig, err := startReader(configFile, settings)
+		readConfig, err := newConfigReadFunc(configFile, settings)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/node/watch_state.go
+++ b/internal/node/watch_state.go
@@ -8,12 +8,12 @@
 // watchState holds the version of the list that the manager uses, and what is needed to recognize a stale list. It is
 // safe for concurrent use.
 type watchState struct {
-	mu           sync.Mutex // guards the fields below
-	version      int64      // held
-	lowestReset  int64      // of the older snapshot that the last watch started with, until a second watch confirms it; else noReset
-	staleWatches int        // consecutive watches that sent only older lists
-	confirmedAt  time.Time  // when discovery last sent or confirmed the list; until then, when the manager started
-	confirmed    bool       // whether discovery has sent or confirmed the list since the manager started
+	mu                 sync.Mutex // guards the fields below
+	version            int64      // held
+	unconfirmedVersion int64      // of the older snapshot that the last watch started with, until a second watch confirms it; else noUnconfirmedVersion
+	staleWatches       int        // consecutive watches that sent only older lists
+	confirmedAt        time.Time  // when discovery last sent or confirmed the list; until then, when the manager started
+	confirmed          bool       // whether discovery has sent or confirmed the list since the manager started
 }
 
 // heldList describes the list that a manager uses, for the log and the status page.
@@ -24,7 +24,7 @@
 }
 
 func newWatchState(version int64, startedAt time.Time) *watchState {
-	return &watchState{version: version, lowestReset: noReset, confirmedAt: startedAt}
+	return &watchState{version: version, unconfirmedVersion: noUnconfirmedVersion, confirmedAt: startedAt}
 }
 
 func (s *watchState) held(now time.Time) heldList {
@@ -41,8 +41,8 @@
 	s.confirmed = true
 }
 
-// noReset means that no older snapshot awaits confirmation by a second watch.
-const noReset = -1
+// noUnconfirmedVersion means that no older snapshot awaits confirmation by a second watch.
+const noUnconfirmedVersion = -1
 
 // maxStaleWatches is how many consecutive watches may send only older lists before the complete list is requested.
 const maxStaleWatches = 1
@@ -84,10 +84,10 @@
 	if !isFirst || !list.snapshot {
 		return false
 	}
-	if s.lowestReset >= 0 && list.generation >= s.lowestReset {
+	if s.unconfirmedVersion >= 0 && list.generation >= s.unconfirmedVersion {
 		return true
 	}
-	s.lowestReset = list.generation
+	s.unconfirmedVersion = list.generation
 	return false
 }
 
@@ -98,6 +98,6 @@
 	s.confirmedAt = now
 	s.confirmed = true
 	s.version = list.generation
-	s.lowestReset = noReset
+	s.unconfirmedVersion = noUnconfirmedVersion
 	s.staleWatches = 0
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestWatchAcceptsNewLists(t *testing.T) {
-	held := &watchState{version: 41, lowestReset: -1}
+	held := &watchState{version: 41, unconfirmedVersion: -1}
 	ids, err := readWatchText(t, testLimits, held, "\n"+watchLine(42, false, "s-1")+"\r\n"+
 		watchLine(42, false, "old")+watchLine(40, false, "old")+
 		`{"generation":42,"reset":false,"instances":[]}`+"\n"+watchLine(50, true, "s-2")+`{"generation":51`)
@@ -46,7 +46,7 @@
 		"{]\n...":                           "invalid",
 		"{\"generation\":43}x\n...":         "invalid",
 	} {
-		if _, err := readWatchText(t, limits, &watchState{version: 41, lowestReset: -1}, text); err == nil ||
+		if _, err := readWatchText(t, limits, &watchState{version: 41, unconfirmedVersion: -1}, text); err == nil ||
 			!strings.Contains(err.Error(), want) {
 			t.Errorf("%.30q: got error %v, want one with %q", text, err, want)
 		}
@@ -56,7 +56,7 @@
 // An older list must not replace a newer one by accident. But after a restart of discovery, whose versions start again from
 // a lower one, the manager must not keep the list from before the restart.
 func TestAnOlderSnapshotNeedsConfirmationByASecondWatch(t *testing.T) {
-	held := &watchState{version: 41, lowestReset: -1}
+	held := &watchState{version: 41, unconfirmedVersion: -1}
 	if ids, err := readWatchText(t, testLimits, held, watchLine(3, true, "s-1")+"..."); len(ids) > 0 || err == nil {
 		t.Errorf("first watch: accepted lists %v, error %v; want none and an error", ids, err)
 	}
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -268,7 +268,7 @@
 }
 
 func (b *sampleBatch) add(reported sample) {
-	b.samples = append(b.samples, reported.queued())
+	b.samples = append(b.samples, reported.shardingSample())
 	b.counts.add(reported.counts())
 }
 
