--- a/internal/node/collector_messages.go
+++ b/internal/node/collector_messages.go
@@ -37,9 +37,11 @@
 func (in loadReport) handleBy(r *router)  { r.handleLoadReport(in.LoadReport) }
 func (in usageReport) handleBy(r *router) { r.handleUsageReport(in.UsageReport) }
 
-// queued returns the sample in the form that sampleQueue holds, which is used when several cores decode.
-func (in loadReport) queued() sharding.Sample { return sharding.LoadSample{LoadReport: in.LoadReport} }
-func (in usageReport) queued() sharding.Sample {
+// shardingSample returns the sample in the form that sampleQueue holds, which is used when several cores decode.
+func (in loadReport) shardingSample() sharding.Sample {
+	return sharding.LoadSample{LoadReport: in.LoadReport}
+}
+func (in usageReport) shardingSample() sharding.Sample {
 	return sharding.UsageSample{UsageReport: in.UsageReport}
 }
 
