--- a/internal/scale/arrivals.go
+++ b/internal/scale/arrivals.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// How a change reaches managers, as docs/design/scale.md states it: a control machine writes to its readers one after
-// another, then what it wrote crosses the network.
+// Model of how a change reaches the managers (see docs/design/scale.md): a control machine writes to its readers one
+// after another, and each message then crosses the network.
 const (
 	minTransit          = 500 * time.Microsecond // within a zone
 	maxTransit          = 75 * time.Millisecond  // to the farthest region
 	controlMachines     = 7
 	lostControlMachines = 2
-	controlMachineCores = 16 // that write complete lists; assumed, as in deploy/capacity.sexp
+	controlMachineCores = 16 // cores that write complete lists, as in deploy/capacity.sexp
 )
 
-// controlSide is the control machines of a fleet, and the time that they take for what they write.
+// controlSide models the control plane of a fleet: its control machines and the time that they take to write messages.
 type controlSide struct {
 	changeWriteTime time.Duration // processor time to write one change to one reader
 	listWriteTime   time.Duration // processor time to write a complete list to one reader
-	local           bool          // the managers are on the same machine: nothing crosses a network
+	local           bool          // the managers run on the same machine, so messages have no network delay
 	rng             *rand.Rand
 }
 
-// arrival is when something reaches one manager, since the control side got a change.
+// arrival holds the times at which messages reach one manager, measured from when the control plane receives a change.
 type arrival struct {
-	list   time.Duration // a complete list; 0: none comes
-	change time.Duration // the change in a message of its own; 0: the list holds it
+	list   time.Duration // arrival of a complete list; 0: none is sent
+	change time.Duration // arrival of the change as a separate message; 0: the complete list contains it
 }
 
-// transit draws how long a message takes across the network.
+// transit returns a random network delay for one message.
 func (c controlSide) transit() time.Duration {
 	if c.local {
 		return 0
@@ -39,10 +39,10 @@
 	return minTransit + time.Duration(c.rng.Float64()*float64(maxTransit-minTransit))
 }
 
-// listWriteInterval is the time between two complete lists that a machine writes.
+// listWriteInterval returns the time between two complete lists written by one machine.
 func (c controlSide) listWriteInterval() time.Duration { return c.listWriteTime / controlMachineCores }
 
-// quietArrivals are those of a change that one machine writes to all managers.
+// quietArrivals returns the arrivals of a change that one machine writes to all managers.
 func (c controlSide) quietArrivals(managers int) []arrival {
 	arrivals := make([]arrival, managers)
 	for rank, manager := range c.rng.Perm(managers) {
@@ -51,8 +51,8 @@
 	return arrivals
 }
 
-// arrivalsDuringOpenings are those of a change that comes just as all managers have requested the complete list. The
-// machines write the lists first, without a priority for changes: the worst order.
+// arrivalsDuringOpenings returns the arrivals of a change that is made just after all managers have requested the
+// complete list. The machines write all lists before the change, which is the worst order for the change.
 func (c controlSide) arrivalsDuringOpenings(managers int) []arrival {
 	arrivals := make([]arrival, managers)
 	managersPerMachine := (managers + controlMachines - 1) / controlMachines
@@ -68,15 +68,16 @@
 	return arrivals
 }
 
-// reconnectSettings say how managers come back to the control side after their machine was lost.
+// reconnectSettings determine when managers reconnect to the control plane after their control machine was lost.
 type reconnectSettings struct {
-	watchTimeout time.Duration // until a manager takes its watch for broken
-	minBackoff   time.Duration // waits before a new attempt are drawn between these
+	watchTimeout time.Duration // idle time after which a manager considers its watch broken
+	minBackoff   time.Duration // the backoff before a new attempt is random between minBackoff and maxBackoff
 	maxBackoff   time.Duration
 }
 
-// arrivalsDuringControlLoss are those of a change that comes just as two machines are lost. Their managers reconnect to
-// the others, which write each of them the complete list: they don't know the version that it holds.
+// arrivalsDuringControlLoss returns the arrivals of a change that is made just as lostControlMachines machines are lost.
+// Their managers reconnect to the remaining machines, which don't know the version that each manager has and therefore
+// write the complete list.
 func (c controlSide) arrivalsDuringControlLoss(managers int, settings reconnectSettings) []arrival {
 	arrivals := make([]arrival, managers)
 	remaining := controlMachines - lostControlMachines
@@ -97,7 +98,7 @@
 	return arrivals
 }
 
-// backoff draws how long a manager waits before it reconnects.
+// backoff returns a random backoff before a manager reconnects.
 func (c controlSide) backoff(settings reconnectSettings) time.Duration {
 	return settings.minBackoff + time.Duration(c.rng.Float64()*float64(settings.maxBackoff-settings.minBackoff))
 }
@@ -106,10 +107,10 @@
 type listRequest struct {
 	manager int
 	machine int
-	at      time.Duration // at the machine
+	at      time.Duration // when it reaches the machine
 }
 
-// writeLists lets each machine write the lists that were requested of it, in the order of the requests.
+// writeLists sets the list arrivals: each machine writes the lists requested from it in the order of the requests.
 func (c controlSide) writeLists(requests []listRequest, machines int, arrivals []arrival) {
 	slices.SortFunc(requests, func(a, b listRequest) int { return cmp.Compare(a.at, b.at) })
 	freeAt := make([]time.Duration, machines)
--- a/internal/scale/connections.go
+++ b/internal/scale/connections.go
@@ -11,15 +11,15 @@
 	"tamarindshore/internal/fakes"
 )
 
-// maxConnections is how many connections a manager takes that have not reported anything yet.
+// maxConnections is the largest number of connections that a manager accepts while none of them has sent a report.
 const maxConnections = 240
 
-// measureConnections measures the memory that so many connections to a real process take, on a process of its own in
-// each run: one that had them before keeps their memory.
+// measureConnections measures the memory that a real process uses for the given number of connections. Each run starts
+// a new process, because a process keeps the memory of connections that were closed.
 func measureConnections(ctx context.Context, options Options, connections int) ([]sample, error) {
 	var samples []sample
 	for range min(options.Runs, maxFleetRuns) {
-		bytes, err := bytesOfConnections(ctx, options, connections)
+		bytes, err := connectionsMemory(ctx, options, connections)
 		if err != nil {
 			return nil, err
 		}
@@ -28,7 +28,8 @@
 	return samples, nil
 }
 
-func bytesOfConnections(ctx context.Context, options Options, connections int) (float64, error) {
+// connectionsMemory returns the bytes by which the resident memory of a new process grows when connections are opened.
+func connectionsMemory(ctx context.Context, options Options, connections int) (float64, error) {
 	fleet, err := startProcessFleet(ctx, options.Program, propagationScenario(options.Seed), 1)
 	defer fleet.close()
 	if err != nil {
@@ -37,7 +38,7 @@
 	manager := fleet.managers[0]
 	before := fakes.ResidentMemoryMB(manager.process)
 	for range connections {
-		connection, err := openServedConnection(manager.address)
+		connection, err := dialAndPing(manager.address)
 		if err != nil {
 			return 0, err
 		}
@@ -46,8 +47,8 @@
 	return max(0, fakes.ResidentMemoryMB(manager.process)-before) * mib, nil
 }
 
-// openServedConnection opens a connection and waits until it is served.
-func openServedConnection(address string) (net.Conn, error) {
+// dialAndPing opens a connection and waits for the reply to a ping, so that the manager is known to serve it.
+func dialAndPing(address string) (net.Conn, error) {
 	connection, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return nil, err
@@ -58,7 +59,7 @@
 	}
 	if err != nil {
 		connection.Close()
-		return nil, fmt.Errorf("a connection is not served: %w", err)
+		return nil, fmt.Errorf("connection to %s: no reply to ping: %w", address, err)
 	}
 	return connection, nil
 }
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -19,25 +19,25 @@
 	"tamarindshore/internal/fakes"
 )
 
-// ControlFlag is the hidden flag with which a program runs ServeControl for a list of so many servers.
+// ControlFlag is the hidden flag that makes a program run ServeControl. Its value is the number of servers on the list.
 const ControlFlag = "--control-of"
 
-// Requests that a control process takes, a line each. It answers each with a controlUsage.
+// Requests to a control process, one per line. It answers each with a controlUsage.
 const (
-	requestUsage  = "use"    // all of it
-	requestTime   = "time"   // without the heap, which takes a garbage collection to measure
-	requestChange = "change" // a server drains, or comes back
+	requestUsage   = "use"    // processor time and heap
+	requestCPUTime = "time"   // processor time only: measuring the heap takes a garbage collection
+	requestChange  = "change" // publish a list change: a server drains or returns
 )
 
-// controlUsage is what a control process has used so far.
+// controlUsage is the address of a control process and the resources that it has used so far.
 type controlUsage struct {
 	Address   string  `json:"address"`
 	CPU       float64 `json:"cpu"`  // seconds
-	HeapBytes float64 `json:"heap"` // in use after a garbage collection, the goroutines' stacks included
+	HeapBytes float64 `json:"heap"` // in use after a garbage collection, including goroutine stacks
 }
 
-// ServeControl runs a fake discovery with a list of so many servers, and answers requests until they end. It is the
-// control process that measureControl starts.
+// ServeControl runs a fake discovery with a list of the given number of servers, and answers requests until the end of
+// the input. It is the main function of the control process that measureControl starts.
 func ServeControl(servers int, requests io.Reader, answers io.Writer) error {
 	scenario := Reference().With(Servers, float64(servers))
 	site := scenario.site()
@@ -63,15 +63,15 @@
 			discovery.Publish(scenario.endpoint(site, server, lifecycleAfter(changes)))
 			changes++
 		}
-		if err := out.Encode(usageOfControl(discovery.Address, request)); err != nil {
+		if err := out.Encode(measureControlUsage(discovery.Address, request)); err != nil {
 			return err
 		}
 	}
 	return lines.Err()
 }
 
-// usageOfControl measures this process as a request asks for it.
-func usageOfControl(address, request string) controlUsage {
+// measureControlUsage measures the resources of this process that a request asks for.
+func measureControlUsage(address, request string) controlUsage {
 	usage := controlUsage{Address: address}
 	if request == requestUsage {
 		usage.HeapBytes = heapInUse() + stackInUse()
@@ -80,38 +80,38 @@
 	return usage
 }
 
-// controlProcess is a process that runs ServeControl for readers of this one.
+// controlProcess is a child process that runs ServeControl for readers in this process.
 type controlProcess struct {
-	command *exec.Cmd
-	in      io.WriteCloser
-	answers *json.Decoder
-	address string
+	command   *exec.Cmd
+	requests  io.WriteCloser
+	responses *json.Decoder
+	address   string
 }
 
-// controlArguments come before the flag that makes a program the control process.
+// controlArguments precede ControlFlag on the command line of a control process.
 var controlArguments = []string{"scale"}
 
-// startControl starts a control process, which ends with the context, or with this process.
+// startControl starts a control process. It is killed when the context ends or when this process exits.
 func startControl(ctx context.Context, program string, servers int) (*controlProcess, error) {
 	arguments := slices.Concat(controlArguments, []string{ControlFlag, strconv.Itoa(servers)})
 	command := exec.CommandContext(ctx, program, arguments...)
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	in, err := command.StdinPipe()
+	stdin, err := command.StdinPipe()
 	if err != nil {
 		return nil, err
 	}
-	out, err := command.StdoutPipe()
+	stdout, err := command.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
 	if err := command.Start(); err != nil {
 		return nil, err
 	}
-	c := &controlProcess{command: command, in: in, answers: json.NewDecoder(out)}
+	c := &controlProcess{command: command, requests: stdin, responses: json.NewDecoder(stdout)}
 	var first controlUsage
-	if err := c.answers.Decode(&first); err != nil {
+	if err := c.responses.Decode(&first); err != nil {
 		c.stop()
-		return nil, fmt.Errorf("the control process did not begin: %w", err)
+		return nil, fmt.Errorf("control process %s did not report its address: %w", program, err)
 	}
 	c.address = first.Address
 	return c, nil
@@ -120,35 +120,35 @@
 // request sends a request and waits for its answer.
 func (c *controlProcess) request(request string) (controlUsage, error) {
 	var usage controlUsage
-	if _, err := io.WriteString(c.in, request+"\n"); err != nil {
+	if _, err := io.WriteString(c.requests, request+"\n"); err != nil {
 		return usage, err
 	}
-	err := c.answers.Decode(&usage)
+	err := c.responses.Decode(&usage)
 	return usage, err
 }
 
 // stop kills the control process.
 func (c *controlProcess) stop() {
-	c.in.Close()
+	c.requests.Close()
 	c.command.Process.Kill()
 	c.command.Wait()
 }
 
-// listReader is a manager as discovery sees it: a connection that watches the list.
+// listReader stands for a manager at discovery: a connection that watches the endpoint list.
 type listReader struct {
 	connection net.Conn
-	in         *bufio.Reader
+	reader     *bufio.Reader
 	bytes      int // read so far
 }
 
-// openReader asks for the list and its changes.
+// openReader opens a connection and requests the complete list and its changes.
 func openReader(address string) (*listReader, error) {
 	connection, err := net.DialTimeout("tcp", address, controlTimeout)
 	if err != nil {
 		return nil, err
 	}
 	connection.SetDeadline(time.Now().Add(controlTimeout))
-	r := &listReader{connection: connection, in: bufio.NewReader(connection)}
+	r := &listReader{connection: connection, reader: bufio.NewReader(connection)}
 	request := "GET /discovery/hosts?watch=1&after=0 HTTP/1.1\r\nHost: " + address + "\r\n\r\n"
 	if _, err := io.WriteString(connection, request); err != nil {
 		return nil, errors.Join(err, connection.Close())
@@ -156,10 +156,10 @@
 	return r, nil
 }
 
-// readUntil reads to the end of the first line that holds a text.
+// readUntil reads up to and including the first line that contains text.
 func (r *listReader) readUntil(text string) error {
 	for {
-		line, err := r.in.ReadString('\n')
+		line, err := r.reader.ReadString('\n')
 		r.bytes += len(line)
 		if err != nil {
 			return err
@@ -172,14 +172,14 @@
 
 const (
 	controlTimeout   = 60 * time.Second
-	controlChanges   = 20 // that are measured
-	controlServers   = 600
-	controlReaders   = 20              // while the list grows
-	controlQuietSpan = 4 * time.Second // two heartbeats for each reader
+	controlChanges   = 20              // changes that are measured
+	controlServers   = 600             // servers on the list while the number of readers grows
+	controlReaders   = 20              // readers while the list grows
+	controlQuietSpan = 4 * time.Second // long enough for two heartbeats to each reader
 )
 
-// measureControl measures the control side of one list for so many readers, and what it costs while nothing changes for
-// a span; 0: that isn't measured.
+// measureControl measures the control plane of one list with the given number of readers. It also measures its cost
+// during a span without changes, unless quietSpan is 0.
 func measureControl(ctx context.Context, program string, servers, readers int, quietSpan time.Duration) (sample, error) {
 	process, err := startControl(ctx, program, servers)
 	if err != nil {
@@ -200,8 +200,9 @@
 	return measured, err
 }
 
-// measureOpening opens so many readers at once. It returns those that were opened also where it returns an error.
-func measureOpening(process *controlProcess, readers int, into sample) ([]*listReader, error) {
+// measureOpening opens the given number of readers at once and stores the measured costs in costs. It returns the opened
+// readers even if it fails.
+func measureOpening(process *controlProcess, readers int, costs sample) ([]*listReader, error) {
 	before, err := process.request(requestUsage)
 	if err != nil {
 		return nil, err
@@ -220,11 +221,11 @@
 	for _, r := range opened {
 		bytes += r.bytes
 	}
-	into[ControlCPUPerManager] = (after.CPU - before.CPU) / float64(readers)
-	into[ControlHeapPerManager] = max(0, after.HeapBytes-before.HeapBytes) / float64(readers)
-	into[ControlBytesPerManager] = float64(bytes) / float64(readers)
-	into[ControlConnections] = float64(readers)
-	into[OpeningLast] = took.Seconds()
+	costs[ControlCPUPerManager] = (after.CPU - before.CPU) / float64(readers)
+	costs[ControlHeapPerManager] = max(0, after.HeapBytes-before.HeapBytes) / float64(readers)
+	costs[ControlBytesPerManager] = float64(bytes) / float64(readers)
+	costs[ControlConnections] = float64(readers)
+	costs[OpeningLast] = took.Seconds()
 	return opened, nil
 }
 
@@ -235,7 +236,7 @@
 	}
 }
 
-// quietControlCost is the control side's processor time in a second for each reader, while nothing changes.
+// quietControlCost returns the control plane's processor time per second and reader while nothing changes.
 func quietControlCost(ctx context.Context, process *controlProcess, readers int, span time.Duration) (float64, error) {
 	before, err := process.request(requestUsage)
 	if err != nil {
@@ -244,12 +245,12 @@
 	if err := sleep(ctx, span); err != nil {
 		return 0, err
 	}
-	after, err := process.request(requestTime)
+	after, err := process.request(requestCPUTime)
 	return (after.CPU - before.CPU) / span.Seconds() / float64(readers), err
 }
 
-// openReaders opens so many readers at once, and waits until each has the complete list. It returns those that were opened
-// also where it returns an error.
+// openReaders opens the given number of readers at once, and waits until each has the complete list. It returns the opened
+// readers even if it fails.
 func openReaders(address string, count int) ([]*listReader, error) {
 	readers := make([]*listReader, count)
 	errs := make([]error, count)
@@ -267,7 +268,7 @@
 	return opened, errors.Join(errs...)
 }
 
-// controlChangeCost is the control side's processor time for one change and one reader.
+// controlChangeCost returns the control plane's processor time per change and reader.
 func controlChangeCost(process *controlProcess, readers []*listReader) (float64, error) {
 	before, err := process.request(requestUsage)
 	if err != nil {
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// MaxFitError is the largest relative distance of a point from a curve that is still called a fit: what runs on a shared
-// machine differ by.
+// MaxFitError is the largest relative error of a point at which a curve still counts as a fit. Runs on a shared machine
+// differ by about this much.
 const MaxFitError = 0.25
 
-// shapes that are tried, the simplest first.
+// shapes lists the shapes to try, from the simplest to the most complex.
 var shapes = []Shape{Constant, Linear, Linearithmic, Quadratic}
 
-// fitted fills in the curve of a slope from its points: the simplest shape that is within MaxFitError of each point's
-// median, or else the one whose worst point is nearest.
+// fitted returns the slope with the best curve for its points. It uses the simplest shape that is within MaxFitError of the
+// median of every point, or else the shape with the smallest worst error.
 func fitted(s Slope) Slope {
 	best := Slope{WorstError: math.Inf(1)}
 	for _, shape := range shapes {
@@ -31,37 +31,38 @@
 	return best
 }
 
-// fitShape fits a curve of one shape by least squares of the relative distances, since sizes differ by factors. No curve
-// has a base below zero: it then goes through zero.
+// fitShape fits a curve of one shape by least squares of the relative errors, because sizes differ by orders of magnitude.
+// A curve whose base would be negative goes through zero instead.
 func fitShape(s Slope, shape Shape) Slope {
 	s.Shape = shape
 	s.Base, s.PerUnit = leastSquares(s.Points, shape)
 	s.WorstError = 0
-	smallest := minRelativePart * largestMedian(s.Points)
+	smallest := minMedianFraction * largestMedian(s.Points)
 	for _, p := range s.Points {
 		median := p.Median()
-		if distance := math.Abs(s.At(p.Size) - median); distance > 0 {
-			s.WorstError = max(s.WorstError, distance/max(median, smallest))
+		if difference := math.Abs(s.At(p.Size) - median); difference > 0 {
+			s.WorstError = max(s.WorstError, difference/max(median, smallest))
 		}
 	}
 	return s
 }
 
-// minRelativePart is the part of the largest point that a point counts as at least: there is no distance relative to
-// a cost of zero.
-const minRelativePart = 1e-3
+// minMedianFraction is the fraction of the largest median that is the smallest divisor of a relative error. Without it,
+// the relative error at a cost of zero would be undefined.
+const minMedianFraction = 1e-3
 
-// largestMedian is the largest median of a point; no cost is below zero.
-func largestMedian(points []Point) (most float64) {
+// largestMedian returns the largest median of the points. Costs are never negative.
+func largestMedian(points []Point) (largest float64) {
 	for _, p := range points {
-		most = max(most, p.Median())
+		largest = max(largest, p.Median())
 	}
-	return most
+	return largest
 }
 
+// leastSquares returns the base and the slope of the curve with the smallest sum of squared relative errors.
 func leastSquares(points []Point, shape Shape) (base, perUnit float64) {
-	var ones, xs, squares, ys, products float64 // weighted sums
-	smallest := minRelativePart * largestMedian(points)
+	var sumWeights, sumX, sumXX, sumY, sumXY float64 // weighted sums
+	smallest := minMedianFraction * largestMedian(points)
 	for _, p := range points {
 		y := p.Median()
 		scale := max(y, smallest)
@@ -70,42 +71,42 @@
 		}
 		x := shape.Of(p.Size)
 		weight := 1 / (scale * scale)
-		ones += weight
-		xs += weight * x
-		squares += weight * x * x
-		ys += weight * y
-		products += weight * x * y
+		sumWeights += weight
+		sumX += weight * x
+		sumXX += weight * x * x
+		sumY += weight * y
+		sumXY += weight * x * y
 	}
-	determinant := ones*squares - xs*xs
+	determinant := sumWeights*sumXX - sumX*sumX
 	switch {
-	case ones == 0:
+	case sumWeights == 0:
 		return 0, 0
 	case shape == Constant || determinant <= 0:
-		return ys / ones, 0
+		return sumY / sumWeights, 0
 	}
-	base = (ys*squares - xs*products) / determinant
-	perUnit = (ones*products - xs*ys) / determinant
+	base = (sumY*sumXX - sumX*sumXY) / determinant
+	perUnit = (sumWeights*sumXY - sumX*sumY) / determinant
 	switch {
-	case perUnit < 0: // a falling curve would predict costs below zero: the mean takes its place
-		return ys / ones, 0
+	case perUnit < 0: // a falling curve would predict negative costs: use the mean instead
+		return sumY / sumWeights, 0
 	case base < 0:
-		return 0, products / squares
+		return 0, sumXY / sumXX
 	}
 	return base, perUnit
 }
 
-// spread is the largest relative spread of the runs at one size.
+// spread returns the largest relative spread of the runs at one size.
 func spread(points []Point) float64 {
-	widest := 0.0
+	largest := 0.0
 	for _, p := range points {
 		if median := p.Median(); median != 0 {
-			widest = max(widest, (slices.Max(p.Runs)-slices.Min(p.Runs))/math.Abs(median))
+			largest = max(largest, (slices.Max(p.Runs)-slices.Min(p.Runs))/math.Abs(median))
 		}
 	}
-	return widest
+	return largest
 }
 
-// Median of values, in any order; 0 where there are none.
+// Median returns the median of values, which may be in any order; 0 if there are none.
 func Median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	if len(sorted) == 0 {
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -12,25 +12,25 @@
 	"tamarindshore/internal/node"
 )
 
-// managerCoreShare is the part of a core that a manager may use.
+// managerCoreShare is the fraction of a core that a manager may use.
 const managerCoreShare = 0.011
 
-// managersBeforeMemoryCheck is how many managers are opened before it is checked whether all of them fit.
+// managersBeforeMemoryCheck is the number of managers to open before checking whether all of them fit into memory.
 const managersBeforeMemoryCheck = 8
 
-// hollowFleet is many hollow managers that read one list.
+// hollowFleet is a fleet of hollow managers that read one endpoint list.
 type hollowFleet struct {
 	scenario        Scenario
 	site            fakes.Site
 	config          config.Config
-	list            string         // the complete list at the first version
-	opening         []node.Message // what the relay sends a manager that starts
-	coreShare       float64        // part of a core that each manager has
+	completeList    string         // the complete endpoint list at the first version
+	relayMessages   []node.Message // messages from the relay to a manager that starts
+	coreShare       float64        // fraction of a core for each manager
 	managers        []*pacedManager
-	bytesPerManager float64 // of the heap
+	bytesPerManager float64 // of heap
 }
 
-// newHollowFleet returns a fleet without managers, each of which will have a share of a core.
+// newHollowFleet returns a fleet without managers. Managers that are added get coreShare of a core each.
 func newHollowFleet(scenario Scenario, coreShare float64) (*hollowFleet, error) {
 	site := scenario.site()
 	config, err := scenario.managerConfig(site)
@@ -38,17 +38,18 @@
 		return nil, err
 	}
 	return &hollowFleet{
-		scenario:  scenario,
-		site:      site,
-		config:    config,
-		list:      scenario.completeList(site, firstVersion),
-		opening:   openingMessages(scenario, site),
-		coreShare: coreShare,
+		scenario:      scenario,
+		site:          site,
+		config:        config,
+		completeList:  scenario.completeList(site, firstVersion),
+		relayMessages: initialRelayMessages(scenario, site),
+		coreShare:     coreShare,
 	}, nil
 }
 
-// openingMessages are what the relay sends a manager that starts: all proxies, which have no requests.
-func openingMessages(scenario Scenario, site fakes.Site) []node.Message {
+// initialRelayMessages returns the messages from the relay to a manager that starts: all proxies connect, and a usage
+// report says that there are no requests.
+func initialRelayMessages(scenario Scenario, site fakes.Site) []node.Message {
 	source := newMessageSource(scenario, site)
 	messages := []node.Message{{Kind: node.ProxyEventsOpened}}
 	for proxy := range scenario.Proxies {
@@ -65,7 +66,7 @@
 	}
 }
 
-// add starts one more manager, which knows nothing yet.
+// add starts one more manager, which has received nothing yet.
 func (f *hollowFleet) add() (*pacedManager, error) {
 	config := f.config
 	config.Seed = f.scenario.Seed + uint64(len(f.managers))
@@ -78,7 +79,7 @@
 	return added, nil
 }
 
-// checkMemory checks, once the first managers were opened, whether all of them fit.
+// checkMemory estimates from the first managersBeforeMemoryCheck managers whether all managers fit into memory.
 func (f *hollowFleet) checkMemory(memory Memory, emptyHeap float64, managers int) error {
 	if len(f.managers) != managersBeforeMemoryCheck {
 		return nil
@@ -87,7 +88,7 @@
 	return memory.checkFits(fmt.Sprintf("%s %d", Managers, managers), f.bytesPerManager, managers)
 }
 
-// advanceAll lets time pass for all managers.
+// advanceAll advances the clock of all managers.
 func (f *hollowFleet) advanceAll(ctx context.Context, to time.Duration) error {
 	for _, m := range f.managers {
 		if err := ctx.Err(); err != nil {
@@ -100,37 +101,37 @@
 	return nil
 }
 
-// openManager delivers the complete list and the relay's events to a manager that starts. Reading the list takes a given
-// processor time beside the time of the step.
+// openManager delivers the complete list and the relay's events to a manager that starts. Reading the list takes
+// listReadTime of processor time in addition to the measured time of the step.
 func (f *hollowFleet) openManager(m *pacedManager, at, listReadTime time.Duration) error {
 	if _, err := m.advance(at, ""); err != nil {
 		return err
 	}
-	if _, err := m.step(at, node.Message{Kind: node.EndpointListMessage, Text: f.list}); err != nil {
+	if _, err := m.step(at, node.Message{Kind: node.EndpointListMessage, Text: f.completeList}); err != nil {
 		return err
 	}
 	m.busyUntil += m.wallTime(listReadTime)
-	_, err := m.step(at, f.opening...)
+	_, err := m.step(at, f.relayMessages...)
 	return err
 }
 
-// pacedManager is a hollow manager on its share of a core: a step begins once the one before it is done.
+// pacedManager is a hollow manager that runs on a share of a core: a step starts only when the previous one is finished.
 type pacedManager struct {
-	manager   *node.HollowManager
-	coreShare float64
-	proxies   *proxyTables
-	now       time.Duration
-	busyUntil time.Duration
-	acks      []step // that are under way, by time
+	manager     *node.HollowManager
+	coreShare   float64
+	proxies     *proxyTables
+	now         time.Duration
+	busyUntil   time.Duration
+	pendingAcks []step // acknowledgements not yet delivered, by time
 }
 
-// wallTime is how long a processor time takes on the manager's share of a core.
+// wallTime returns how long work of a given processor time takes on the manager's share of a core.
 func (m *pacedManager) wallTime(cpu time.Duration) time.Duration {
 	return time.Duration(float64(cpu) / m.coreShare)
 }
 
-// step delivers messages once the manager is done with earlier ones, and returns the servers that it withdraws. The
-// calling goroutine must be locked to its thread.
+// step delivers messages as soon as the manager has processed the earlier ones, and returns the servers that it
+// withdraws. The calling goroutine must be locked to its thread.
 func (m *pacedManager) step(at time.Duration, messages ...node.Message) ([]balancer.ServerID, error) {
 	m.now = max(m.now, at, m.busyUntil)
 	began := threadCPU()
@@ -143,16 +144,17 @@
 	for _, call := range result.RelayCalls {
 		withdrawn = append(withdrawn, call.Withdraw...)
 		if acks := m.proxies.acknowledge(call); len(acks) > 0 {
-			m.acks = append(m.acks, step{at: m.busyUntil + ackDelay, messages: acks})
+			m.pendingAcks = append(m.pendingAcks, step{at: m.busyUntil + ackDelay, messages: acks})
 		}
 	}
 	return withdrawn, nil
 }
 
-// advance lets time pass for a manager until it withdraws a server, or to a time. It reports whether it withdrew it.
+// advance advances the manager's clock until it withdraws the server, at most to the given time. It reports whether the
+// manager withdrew the server.
 func (m *pacedManager) advance(to time.Duration, server balancer.ServerID) (withdrawn bool, err error) {
 	for {
-		next := m.nextStep(to)
+		next := m.takeNextStep(to)
 		if next.at > to {
 			m.now = max(m.now, to)
 			return false, nil
@@ -167,33 +169,33 @@
 	}
 }
 
-// nextStep is what happens next to a manager: its timer, or acknowledgements, which it takes from those under way. One
-// after the end says that nothing happens until then. Acknowledgements that are due after the end, and before the timer,
-// are lost: all figures so far were measured so.
-func (m *pacedManager) nextStep(end time.Duration) step {
+// takeNextStep returns the manager's next step: its timer, or acknowledgements, which are removed from the pending ones.
+// A step later than end means that nothing happens until end. Acknowledgements that are due after end but before the
+// timer are lost. All published figures were measured this way.
+func (m *pacedManager) takeNextStep(end time.Duration) step {
 	next := step{at: end + 1}
 	if wake := m.manager.NextWake(); wake > 0 {
 		next.at = max(wake, m.now)
 	}
-	if len(m.acks) > 0 && m.acks[0].at <= next.at {
-		next = m.acks[0]
-		m.acks = m.acks[1:]
+	if len(m.pendingAcks) > 0 && m.pendingAcks[0].at <= next.at {
+		next = m.pendingAcks[0]
+		m.pendingAcks = m.pendingAcks[1:]
 	}
 	return next
 }
 
-// NotWithdrawnError says that a manager did not withdraw a server in time.
+// NotWithdrawnError reports that a manager did not withdraw a server in time.
 type NotWithdrawnError struct {
 	Server  balancer.ServerID
-	Timeout time.Duration // since the manager got that the server drains
+	Timeout time.Duration // since the manager received the change that drains the server
 }
 
-// Error names the server and the time.
+// Error returns a message with the server and the timeout.
 func (e *NotWithdrawnError) Error() string {
-	return fmt.Sprintf("%s is not withdrawn %v after its drain was told", e.Server, e.Timeout)
+	return fmt.Sprintf("server %s is not withdrawn %v after the change that drains it", e.Server, e.Timeout)
 }
 
-// withdrawalTime delivers a message, and returns the time at which the manager has withdrawn a server.
+// withdrawalTime delivers a message and returns the time at which the manager has withdrawn the server.
 func (m *pacedManager) withdrawalTime(at time.Duration, message node.Message, server balancer.ServerID) (time.Duration, error) {
 	if withdrawn, err := m.advance(at, server); err != nil || withdrawn {
 		return m.busyUntil, err
--- a/internal/scale/format_test.go
+++ b/internal/scale/format_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// fixtureReport is what testdata/slopes.json holds, which the program wrote before its names were changed.
+// fixtureReport returns the contents of testdata/slopes.json, which the program wrote before its identifiers were renamed.
 func fixtureReport() Report {
 	return Report{
 		Version: 1, Seed: 1<<63 + 5, Cores: 8, GoVersion: "go1.99",
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestSlopesFixtureIsReadAndWrittenToTheByte(t *testing.T) {
+func TestSlopesFixtureIsReadAndWrittenByteForByte(t *testing.T) {
 	const fixture = "testdata/slopes.json"
 	got, err := ReadReport(fixture)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestNamesOfCostsAndAxesInFiles pins the names that slopes files use, old ones of which are read for years.
+// TestNamesOfCostsAndAxesInFiles fixes the names in slopes files: files written by earlier versions must remain readable.
 func TestNamesOfCostsAndAxesInFiles(t *testing.T) {
 	costs := map[Cost]string{
 		CPUPerInput: "cpu-per-input", CPUPerQuietSecond: "cpu-per-quiet-second", CPUPerBusySecond: "cpu-per-busy-second",
@@ -95,7 +95,7 @@
 	}
 	for cost, name := range costs {
 		if string(cost) != name {
-			t.Errorf("%s is written, not %s", cost, name)
+			t.Errorf("cost name in files is %q, want %q", cost, name)
 		}
 	}
 	axes := map[Axis]string{
@@ -105,7 +105,7 @@
 	}
 	for axis, name := range axes {
 		if string(axis) != name {
-			t.Errorf("%s is written, not %s", axis, name)
+			t.Errorf("axis name in files is %q, want %q", axis, name)
 		}
 	}
 }
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -7,10 +7,10 @@
 	"tamarindshore/internal/node"
 )
 
-// sample is what one run at one size measured, by cost.
+// sample holds the values measured in one run at one size, by cost.
 type sample map[Cost]float64
 
-// measure records a scenario once and plays it so many times.
+// measure records a busy and a quiet script of a scenario once, and replays both in each run.
 func measure(ctx context.Context, scenario Scenario, runs int) ([]sample, error) {
 	busy, err := record(ctx, scenario, false)
 	if err != nil {
@@ -30,15 +30,15 @@
 		if err != nil {
 			return nil, fmt.Errorf("%+v: quiet: %w", scenario, err)
 		}
-		measured := processorCosts(busyCosts, quietCosts)
+		measured := cpuAndHeapCosts(busyCosts, quietCosts)
 		addTrafficCosts(busy, measured)
 		samples = append(samples, measured)
 	}
 	return samples, nil
 }
 
-// processorCosts are the costs in processor time and memory, from the phases of a busy and of a quiet script.
-func processorCosts(busy, quiet map[Phase]phaseCost) sample {
+// cpuAndHeapCosts returns the costs in processor time and heap, from the phases of a busy and a quiet script.
+func cpuAndHeapCosts(busy, quiet map[Phase]phaseCost) sample {
 	list := busy[PhaseList]
 	inputs := busy[PhaseInputs]
 	changes := busy[PhaseChanges]
@@ -57,25 +57,25 @@
 	return measured
 }
 
-// addTrafficCosts adds the bytes and counts of a script, which are the same in each run.
-func addTrafficCosts(s *script, into sample) {
+// addTrafficCosts adds the bytes and counts of a script to costs. They are the same in each run.
+func addTrafficCosts(s *script, costs sample) {
 	busy := s.phase(PhaseBusy)
-	into[BytesOfOpening] = perMessage(s.phase(PhaseList).traffic[node.EndpointListMessage])
-	into[BytesOfListChange] = perMessage(s.phase(PhaseChanges).traffic[node.EndpointListMessage])
-	into[BytesOfReport] = perMessage(busy.traffic[node.LoadReportMessage])
-	into[BytesOfUsage] = perMessage(busy.traffic[node.UsageReportMessage])
-	into[BytesOfRelayEvent] = perMessage(s.phase(PhaseJoin).traffic[node.ProxyEventMessage])
-	into[BytesOfCalls] = perSecond(busy.traffic[node.RelayCallMessage])
-	into[BytesOfHeartbeat] = perSecond(busy.traffic[node.HeartbeatMessage])
+	costs[BytesOfOpening] = perMessage(s.phase(PhaseList).traffic[node.EndpointListMessage])
+	costs[BytesOfListChange] = perMessage(s.phase(PhaseChanges).traffic[node.EndpointListMessage])
+	costs[BytesOfReport] = perMessage(busy.traffic[node.LoadReportMessage])
+	costs[BytesOfUsage] = perMessage(busy.traffic[node.UsageReportMessage])
+	costs[BytesOfRelayEvent] = perMessage(s.phase(PhaseJoin).traffic[node.ProxyEventMessage])
+	costs[BytesOfCalls] = perSecond(busy.traffic[node.RelayCallMessage])
+	costs[BytesOfHeartbeat] = perSecond(busy.traffic[node.HeartbeatMessage])
 	check := node.HealthCheckTraffic(s.scenario.endpoint(s.site, 0, "up").HostPort)
-	into[BytesOfHealthCheck] = float64(check.In + check.Out)
-	into[HealthChecksPerSecond] = float64(busy.traffic[node.HealthCheckMessage].Messages) / busySpan.Seconds()
-	into[RelayEventsPerSecond] = float64(busy.traffic[node.ProxyEventMessage].Messages) / busySpan.Seconds()
-	into[ProxiesAssigned] = float64(s.assignedProxies)
-	into[CommandsPerSecond] = float64(busy.commands) / busySpan.Seconds()
+	costs[BytesOfHealthCheck] = float64(check.In + check.Out)
+	costs[HealthChecksPerSecond] = float64(busy.traffic[node.HealthCheckMessage].Messages) / busySpan.Seconds()
+	costs[RelayEventsPerSecond] = float64(busy.traffic[node.ProxyEventMessage].Messages) / busySpan.Seconds()
+	costs[ProxiesAssigned] = float64(s.assignedProxies)
+	costs[CommandsPerSecond] = float64(busy.commands) / busySpan.Seconds()
 }
 
-// perMessage is the bytes of a message; 0 where there was none.
+// perMessage returns the mean bytes per message; 0 if there was no message.
 func perMessage(t node.Traffic) float64 {
 	if t.Messages == 0 {
 		return 0
@@ -83,5 +83,5 @@
 	return float64(t.In+t.Out) / float64(t.Messages)
 }
 
-// perSecond is the bytes a second of a busy phase.
+// perSecond returns the bytes per second of traffic in a busy phase.
 func perSecond(t node.Traffic) float64 { return float64(t.In+t.Out) / busySpan.Seconds() }
--- a/internal/scale/messages.go
+++ b/internal/scale/messages.go
@@ -8,15 +8,15 @@
 	"tamarindshore/internal/node"
 )
 
-// messageSource makes the messages that the fleet of a scenario sends a manager, one after another.
+// messageSource generates the messages that the fleet of a scenario sends to a manager, one after another.
 type messageSource struct {
-	scenario    Scenario
-	site        fakes.Site
-	reportsSent int
-	listVersion int
-	serverOrder []int // in which servers change
-	nextServer  int   // place in serverOrder
-	changesSent int
+	scenario        Scenario
+	site            fakes.Site
+	reportsSent     int
+	listVersion     int
+	serverOrder     []int // order in which servers change
+	nextServerIndex int   // index into serverOrder
+	changesSent     int
 }
 
 func newMessageSource(scenario Scenario, site fakes.Site) messageSource {
@@ -29,7 +29,8 @@
 	return node.Message{Kind: node.ProxyEventMessage, Event: "joined", Text: text}
 }
 
-// heartbeats are those of all streams in a second: on the relay's each second, on discovery's every other.
+// heartbeats returns the heartbeats of all streams in one second: the relay sends one every second, discovery every other
+// second.
 func heartbeats(second time.Duration) []node.Message {
 	messages := []node.Message{{Kind: node.HeartbeatMessage, Text: ":\n\n"}}
 	if second%2 == 0 {
@@ -38,7 +39,8 @@
 	return messages
 }
 
-// nextReport is the next message of a collector: in turn a load report on a server and a usage report on a proxy.
+// nextReport returns the next message of a collector, alternating between a load report on a server and a usage report on
+// a proxy.
 func (s *messageSource) nextReport() node.Message {
 	n := s.reportsSent / 2
 	onServer := s.reportsSent%2 == 0
@@ -52,7 +54,7 @@
 	return usageReport(n%s.scenario.Proxies, class.Name, requestsPerReport, interval)
 }
 
-// loadReport is the n-th load report: on each server in turn, from another zone in each round.
+// loadReport returns the n-th load report. Reports cover each server in turn, from a different zone in each round.
 func (s *messageSource) loadReport(n int) node.Message {
 	server := n % s.scenario.Servers
 	round := n / s.scenario.Servers
@@ -64,6 +66,7 @@
 	return node.Message{Kind: node.LoadReportMessage, Text: text}
 }
 
+// usageReport returns a report on the requests of one traffic class at one proxy during an interval.
 func usageReport(proxy int, class string, requests int, interval time.Duration) node.Message {
 	text := fmt.Sprintf("usage id=%d lane=%s count=%d fail=0 over=%.1f", proxy, class, requests, milliseconds(interval))
 	return node.Message{Kind: node.UsageReportMessage, Text: text}
@@ -71,29 +74,32 @@
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// reportInterval is the time between two reports on one thing, where so many are reported on in turn.
-func (s *messageSource) reportInterval(things int) time.Duration {
-	seconds := float64(things) / (s.scenario.Reports / 2)
+// reportInterval returns the time between two reports on the same subject when the given number of subjects, servers or
+// proxies with their traffic classes, are reported on in turn.
+func (s *messageSource) reportInterval(subjects int) time.Duration {
+	seconds := float64(subjects) / (s.scenario.Reports / 2)
 	return min(maxReportInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// nextListChange is a change of the list at a time: in turn servers drain, and come back as fresh processes.
+// nextListChange returns the next change of the endpoint list, made at the given time. Changes alternate: the given number
+// of servers drains, then the same servers come back as new processes.
 func (s *messageSource) nextListChange(now time.Duration, servers int) node.Message {
 	s.listVersion++
 	list := fakes.EndpointList{Version: s.listVersion}
 	drain := s.changesSent%2 == 0
 	s.changesSent++
 	for i := range servers {
-		server := s.serverOrder[(s.nextServer+i)%len(s.serverOrder)]
-		list.Endpoints = append(list.Endpoints, s.endpointAfter(server, drain, now))
+		server := s.serverOrder[(s.nextServerIndex+i)%len(s.serverOrder)]
+		list.Endpoints = append(list.Endpoints, s.changedEndpoint(server, drain, now))
 	}
 	if !drain {
-		s.nextServer += servers // those that drained have come back
+		s.nextServerIndex += servers // the drained servers have come back
 	}
 	return node.Message{Kind: node.EndpointListMessage, Text: encodeList(list)}
 }
 
-func (s *messageSource) endpointAfter(server int, drain bool, now time.Duration) fakes.Endpoint {
+// changedEndpoint returns a server's entry after a change: draining, or up and started at the given time.
+func (s *messageSource) changedEndpoint(server int, drain bool, now time.Duration) fakes.Endpoint {
 	if drain {
 		return s.scenario.endpoint(s.site, server, "draining")
 	}
--- a/internal/scale/plansize.go
+++ b/internal/scale/plansize.go
@@ -5,23 +5,23 @@
 	"fmt"
 )
 
-// The plan's size for one manager, and the list of one that holds a subset of it.
+// Sizes in the capacity plan: the fleet as one manager sees it, and the list of a manager that holds a subset.
 const (
 	planServers        = 24_000
 	planZones          = 88
 	planProxies        = 480
 	planServersPerZone = 273 // 24,000 over 88
-	subsetServers      = 400 // the home zone's and some of each other zone
-	oneShardServers    = 190 // of a zone that is one shard: a server with less than 0.005 of a table gets no weight in it
+	subsetServers      = 400 // the servers of the home zone and some of each other zone
+	singleShardServers = 190 // in a zone that is one shard; a server whose share of a table would be below 0.005 gets no weight in it
 )
 
-// planCase is a scenario at the plan's size, by name.
+// planCase is a named scenario at the size of the capacity plan.
 type planCase struct {
 	name     string
 	scenario Scenario
 }
 
-// planCases show what the length of a manager's list costs at the plan's size.
+// planCases returns the scenarios that show how the length of a manager's list affects its cost at the plan's size.
 func planCases(seed uint64) []planCase {
 	completeList := Reference()
 	completeList.Seed = seed
@@ -40,7 +40,7 @@
 	subset.Servers = subsetServers
 
 	oneShard := subset
-	oneShard.HomeServers = oneShardServers
+	oneShard.HomeServers = singleShardServers
 
 	oneZone := oneShard
 	oneZone.Servers = planServersPerZone
@@ -57,22 +57,22 @@
 	}
 }
 
-// measurePlanSize measures hollow managers at the plan's size.
+// measurePlanSize measures hollow managers at the size of the capacity plan.
 func measurePlanSize(ctx context.Context, options Options) ([]PlanSizeCase, error) {
 	var cases []PlanSizeCase
 	for _, c := range planCases(options.Seed) {
-		fmt.Fprintf(options.Progress, "plan's size: %s: %d runs\n", c.name, options.Runs)
+		fmt.Fprintf(options.Progress, "capacity plan's size: %s: %d runs\n", c.name, options.Runs)
 		samples, err := measure(ctx, c.scenario, options.Runs)
 		if err != nil {
 			return nil, err
 		}
-		cases = append(cases, c.result(samples))
+		cases = append(cases, c.summarize(samples))
 	}
 	return cases, nil
 }
 
-// result is the median and the spread of each cost.
-func (c planCase) result(samples []sample) PlanSizeCase {
+// summarize returns the median and the spread of each cost.
+func (c planCase) summarize(samples []sample) PlanSizeCase {
 	result := PlanSizeCase{
 		Name:        c.name,
 		Sizes:       c.scenario.sizes(),
--- a/internal/scale/plot.go
+++ b/internal/scale/plot.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// WritePlots draws each slope as an SVG file in a directory: the runs as points, the fitted curve as a line.
+// WritePlots writes one SVG file per slope to a directory, with the runs as points and the curve as a line.
 func WritePlots(dir string, report Report) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -31,6 +31,7 @@
 	curvePoints = 64
 )
 
+// writePlot writes the plot of one slope.
 func writePlot(path string, slope Slope) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %s, worst %.0f%% off", slope.Cost, slope.Shape, 100*slope.WorstError)
@@ -49,6 +50,7 @@
 	return p.Save(plotWidth, plotHeight, path)
 }
 
+// runsOf returns one plot point for each run.
 func runsOf(slope Slope) (points plotter.XYs) {
 	for _, point := range slope.Points {
 		for _, run := range point.Runs {
@@ -58,6 +60,7 @@
 	return points
 }
 
+// curveOf returns points of the slope's curve between the smallest and the largest measured size.
 func curveOf(slope Slope) (points plotter.XYs) {
 	smallest := slope.SmallestSize()
 	largest := slope.LargestSize()
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -13,22 +13,23 @@
 	"tamarindshore/internal/fakes"
 )
 
-// ProcessCase is a real process in one state, and a hollow manager in the same state where that is measured.
+// ProcessCase holds the measurements of a real process in one state, and of a hollow manager in the same state where that
+// is measured too.
 type ProcessCase struct {
 	Name             string    `json:"name"`
-	ReadInterval     float64   `json:"readIntervalSeconds,omitempty"` // 0: each read is made at once
+	ReadInterval     float64   `json:"readIntervalSeconds,omitempty"` // 0: no waiting between reads
 	Servers          int       `json:"servers"`
 	Proxies          int       `json:"proxies"`
 	ReportsPerSecond float64   `json:"reportsPerSecond"`
-	CPU              []float64 `json:"cpuPerSecond"`     // of a core, by run
-	ContextSwitches  []float64 `json:"wakeupsPerSecond"` // of the process, by run
-	HealthChecks     []float64 `json:"probesPerSecond"`  // that the process sent, by run
+	CPU              []float64 `json:"cpuPerSecond"`     // fraction of a core, by run
+	ContextSwitches  []float64 `json:"wakeupsPerSecond"` // by run
+	HealthChecks     []float64 `json:"probesPerSecond"`  // sent by the process, by run
 	HollowCPU        []float64 `json:"hollowCPUPerSecond,omitempty"`
-	MemoryMB         float64   `json:"memoryMB"`               // the process's largest resident set
+	MemoryMB         float64   `json:"memoryMB"`               // largest resident set of the process
 	HollowHeapMB     float64   `json:"hollowHeapMB,omitempty"` // after a garbage collection
 }
 
-// processScenario is a size that a real process and a hollow manager both reach.
+// processScenario returns a scenario that a real process and a hollow manager can both run.
 func processScenario(seed uint64, servers, proxies int) Scenario {
 	scenario := Reference()
 	scenario.Seed = seed
@@ -40,19 +41,20 @@
 	return scenario
 }
 
-// processState is what a real process is measured in.
+// processState is the load under which a real process is measured.
 type processState struct {
 	name             string
-	connected        bool // all proxies are
+	proxiesConnected bool // all proxies are connected
 	reportsPerSecond float64
 	changesPerSecond float64
-	writeInterval    time.Duration // between the writes of reports
-	spacedReads      bool          // it is measured with a read interval too
+	writeInterval    time.Duration // time between writes of reports
+	withReadInterval bool          // also measured with a read interval
 }
 
-// readIntervals are the settings between reads under which real processes are measured.
+// readIntervals lists the read-interval settings with which real processes are measured.
 var readIntervals = []time.Duration{0, 50 * time.Millisecond}
 
+// processStates lists the states in which real processes are measured, in the order of measurement.
 var processStates = []processState{
 	{"no proxies", false, 0, 0, reportWriteInterval, false},
 	{"proxies joined, nothing reported", true, 0, 0, reportWriteInterval, true},
@@ -62,12 +64,12 @@
 	{"2000 reports a second", true, 2000, 0, reportWriteInterval, true},
 }
 
-// processSizes are servers and proxies of the real processes.
+// processSizes lists the numbers of servers and proxies with which real processes are measured.
 var processSizes = []struct{ servers, proxies int }{{60, 600}, {240, 600}}
 
 const (
 	processCores        = 1
-	processMemoryMB     = 512 // limit in the configuration
+	processMemoryMB     = 512 // memory limit in the configuration
 	processSettleTime   = 2 * time.Second
 	processSpan         = 3 * time.Second
 	processRuns         = 3
@@ -75,7 +77,8 @@
 	writeTimeout        = 5 * time.Second
 )
 
-// measureProcesses starts real processes on loopback, one at a time, and measures each beside hollow managers.
+// measureProcesses starts real processes on loopback, one at a time, and measures each along with hollow managers of the
+// same size.
 func measureProcesses(ctx context.Context, options Options) ([]ProcessCase, error) {
 	dir, err := os.MkdirTemp("", "tamarindshore-scale-")
 	if err != nil {
@@ -96,8 +99,10 @@
 	return cases, nil
 }
 
-// measureProcess measures one process in one state after the other.
-func measureProcess(ctx context.Context, options Options, scenario Scenario, readInterval time.Duration, logFile string) ([]ProcessCase, error) {
+// measureProcess starts one process and measures it in one state after another.
+func measureProcess(
+	ctx context.Context, options Options, scenario Scenario, readInterval time.Duration, logFile string,
+) ([]ProcessCase, error) {
 	managerOptions := fakes.ManagerOptions{Cores: processCores, MemoryMB: processMemoryMB, MaxDescriptors: maxSockets, Seed: scenario.Seed}
 	if readInterval > 0 {
 		managerOptions.OperatorSettings = fmt.Sprintf("(read-interval %v)", readInterval)
@@ -109,7 +114,7 @@
 	defer deployment.Close()
 	var cases []ProcessCase
 	for _, state := range processStates {
-		if readInterval > 0 && !state.spacedReads {
+		if readInterval > 0 && !state.withReadInterval {
 			continue
 		}
 		fmt.Fprintf(options.Progress, "real process, %d servers, %d proxies, %v between reads: %s\n",
@@ -124,12 +129,12 @@
 	return cases, nil
 }
 
-// measureState measures a process in a state, and a hollow manager beside it once there are proxies.
+// measureState measures a process in a state, and also a hollow manager if proxies are connected in this state.
 func measureState(ctx context.Context, deployment *fakes.Deployment, scenario Scenario, state processState) (ProcessCase, error) {
 	scenario.Reports = state.reportsPerSecond
 	scenario.ListChanges = state.changesPerSecond
 	measured := ProcessCase{Name: state.name, Servers: scenario.Servers, Proxies: scenario.Proxies, ReportsPerSecond: scenario.Reports}
-	if state.connected && deployment.Relay.Counts().ConnectedProxies == 0 {
+	if state.proxiesConnected && deployment.Relay.Counts().ConnectedProxies == 0 {
 		for proxy := range scenario.Proxies {
 			deployment.Relay.ConnectProxies(proxy)
 		}
@@ -137,15 +142,17 @@
 	if err := measureUnderLoad(ctx, deployment, scenario, state.writeInterval, &measured); err != nil {
 		return measured, err
 	}
-	if !state.connected {
+	if !state.proxiesConnected {
 		return measured, nil
 	}
 	err := measureHollowManager(ctx, scenario, &measured)
 	return measured, err
 }
 
-// measureUnderLoad measures the runs of a process while reports and changes come.
-func measureUnderLoad(ctx context.Context, deployment *fakes.Deployment, scenario Scenario, writeInterval time.Duration, into *ProcessCase) error {
+// measureUnderLoad measures all runs of a process while reports and list changes are sent to it.
+func measureUnderLoad(
+	ctx context.Context, deployment *fakes.Deployment, scenario Scenario, writeInterval time.Duration, result *ProcessCase,
+) error {
 	loadContext, stopLoad := context.WithCancel(ctx)
 	loadEnded := make(chan error, 1)
 	go func() { loadEnded <- reportToProcess(loadContext, deployment, scenario, writeInterval) }()
@@ -154,15 +161,15 @@
 		if err != nil {
 			break
 		}
-		err = measureSpan(ctx, deployment, into)
+		err = measureSpan(ctx, deployment, result)
 	}
 	stopLoad()
-	_, into.MemoryMB = fakes.ResourceUsage(deployment.Manager)
+	_, result.MemoryMB = fakes.ResourceUsage(deployment.Manager)
 	return errors.Join(err, <-loadEnded)
 }
 
-// measureSpan adds one run.
-func measureSpan(ctx context.Context, deployment *fakes.Deployment, into *ProcessCase) error {
+// measureSpan measures one run and appends it to result.
+func measureSpan(ctx context.Context, deployment *fakes.Deployment, result *ProcessCase) error {
 	checksBefore, err := healthChecksSent(deployment)
 	if err != nil {
 		return err
@@ -175,19 +182,19 @@
 	cpuAfter, switchesAfter := childrenUsage()
 	took := time.Since(began).Seconds()
 	checksAfter, err := healthChecksSent(deployment)
-	into.CPU = append(into.CPU, (cpuAfter-cpuBefore)/took)
-	into.ContextSwitches = append(into.ContextSwitches, (switchesAfter-switchesBefore)/took)
-	into.HealthChecks = append(into.HealthChecks, (checksAfter-checksBefore)/took)
+	result.CPU = append(result.CPU, (cpuAfter-cpuBefore)/took)
+	result.ContextSwitches = append(result.ContextSwitches, (switchesAfter-switchesBefore)/took)
+	result.HealthChecks = append(result.HealthChecks, (checksAfter-checksBefore)/took)
 	return err
 }
 
-// healthChecksSent is how many health checks a manager has sent, by its counters.
+// healthChecksSent returns the number of health checks that the manager has sent, from its counters.
 func healthChecksSent(deployment *fakes.Deployment) (float64, error) {
 	counters, err := deployment.Counters()
 	return float64(counters["probes_sent"]), err
 }
 
-// sleep lets time pass. It ends early with the context, and returns its error.
+// sleep waits for a duration. If the context ends earlier, it returns the context's error.
 func sleep(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -197,8 +204,8 @@
 	}
 }
 
-// reportToProcess sends a real manager what a recorder delivers to a hollow one, on a collector's connection and on
-// discovery's watch, until the context ends.
+// reportToProcess sends the same messages to a real manager as a recorder delivers to a hollow one: reports on a
+// collector's connection and list changes on discovery's watch, until the context ends.
 func reportToProcess(ctx context.Context, deployment *fakes.Deployment, scenario Scenario, writeInterval time.Duration) error {
 	if scenario.Reports == 0 {
 		return nil
@@ -235,10 +242,11 @@
 	}
 }
 
-// collectorGreeting is the first message of a collector of the first zone.
+// collectorGreeting returns the first message of a collector in the first zone.
 func collectorGreeting(site fakes.Site) string { return "collector site=" + site.Zones[0] }
 
-// lifecycleAfter is a server's lifecycle on the endpoint list after a change: servers drain and come back in turn.
+// lifecycleAfter returns the lifecycle that a change publishes for its server. Changes alternate between draining a server
+// and bringing it back up.
 func lifecycleAfter(change int) string {
 	if change%2 == 0 {
 		return "draining"
@@ -246,7 +254,7 @@
 	return "up"
 }
 
-// writeMessages writes a collector's messages, if there are any.
+// writeMessages writes a collector's messages in one write; it does nothing if there are none.
 func writeMessages(connection net.Conn, messages []string) error {
 	if len(messages) == 0 {
 		return nil
@@ -256,8 +264,8 @@
 	return err
 }
 
-// measureHollowManager measures a hollow manager in the state of a real process.
-func measureHollowManager(ctx context.Context, scenario Scenario, into *ProcessCase) error {
+// measureHollowManager measures a hollow manager in the same state as a real process and adds its costs to result.
+func measureHollowManager(ctx context.Context, scenario Scenario, result *ProcessCase) error {
 	phase := PhaseBusy
 	span := busySpan
 	quiet := scenario.Reports == 0
@@ -275,8 +283,8 @@
 		if err != nil {
 			return err
 		}
-		into.HollowCPU = append(into.HollowCPU, costs[phase].cpu.Seconds()/span.Seconds())
-		into.HollowHeapMB = costs[phase].heapBytes / mib
+		result.HollowCPU = append(result.HollowCPU, costs[phase].cpu.Seconds()/span.Seconds())
+		result.HollowHeapMB = costs[phase].heapBytes / mib
 	}
 	return nil
 }
--- a/internal/scale/process_fleet.go
+++ b/internal/scale/process_fleet.go
@@ -20,29 +20,30 @@
 // Limits of a fleet of real processes.
 const (
 	maxProcesses     = 300
-	bytesOfProcess   = 48 * mib // resident, the fakes that it needs included
-	maxFleetRuns     = 10       // each run drains two servers for good
-	concurrentStarts = 8        // while the fleet is started first
-	fleetDescriptors = 512      // limit in the configuration
+	bytesOfProcess   = 48 * mib // resident memory, including the fakes that the process needs
+	maxFleetRuns     = 10       // each run drains two servers permanently
+	concurrentStarts = 8        // during the first start of the fleet
+	fleetDescriptors = 512      // descriptor limit in the configuration
 	readyTimeout     = 60 * time.Second
 	assignTimeout    = 30 * time.Second
 	assignPolling    = 10 * time.Millisecond
 	fleetQuietSpan   = 3 * time.Second
 	loopbackAnyPort  = "127.0.0.1:0"
-	usageInterval    = time.Second // of the only usage report to a process
+	usageInterval    = time.Second // interval of the single usage report that each process receives
 	privateDirectory = 0o700
 )
 
-// checkProcessesFit checks that so many processes fit the limits.
-func checkProcessesFit(memory Memory, processes int) error {
+// checkProcessCount returns a LimitError if the number of processes or their memory exceeds the limits.
+func checkProcessCount(memory Memory, processes int) error {
 	what := fmt.Sprintf("%d real processes", processes)
 	if processes > maxProcesses {
-		return countLimitError(what, "processes", processes, maxProcesses)
+		return newCountLimitError(what, "processes", processes, maxProcesses)
 	}
-	return memory.checkFits(what, bytesOfProcess/garbageFactor, processes)
+	return memory.checkFits(what, bytesOfProcess/gcHeapFactor, processes)
 }
 
-// processFleet is many managers as processes of their own, each with a relay and proxies of its own, that read one list.
+// processFleet is a fleet of managers that read one endpoint list. Each manager is a real process with its own relay and
+// proxies.
 type processFleet struct {
 	site        fakes.Site
 	program     string
@@ -50,12 +51,12 @@
 	servers     []*fakes.Server
 	discovery   *fakes.Discovery
 	managers    []*managerProcess
-	starts      uint64 // of the whole fleet
-	drained     int    // servers so far
+	starts      uint64 // how often the whole fleet was started
+	drained     int    // number of servers drained so far
 	withdrawals withdrawals
 }
 
-// managerProcess is one process and its relay.
+// managerProcess is one manager process with its relay and the connection of its collector.
 type managerProcess struct {
 	name          string
 	dir           string
@@ -66,14 +67,14 @@
 	collector     net.Conn
 }
 
-// processCosts are measured on fleets of real processes.
+// processCosts lists the costs that are measured on fleets of real processes.
 var processCosts = []Cost{
 	ProcessPropagationMedian, ProcessPropagationLast, HollowPropagationMedian, HollowPropagationLast, ProcessReadyMedian,
 	ProcessReadyLast, ProcessPropagationDuringOpeningsLast, ProcessCPUPerQuietSecond, ProcessMemory,
 }
 
-// measureProcessFleet starts a fleet of real processes on loopback and measures it, and as many hollow managers beside
-// it.
+// measureProcessFleet starts a fleet of real processes on loopback and measures it, and the same number of hollow managers
+// for comparison.
 func measureProcessFleet(ctx context.Context, options Options, changeWriteTime time.Duration, size int) ([]sample, error) {
 	fleet, err := startProcessFleet(ctx, options.Program, propagationScenario(options.Seed), size)
 	defer fleet.close()
@@ -94,8 +95,8 @@
 	return samples, nil
 }
 
-// startProcessFleet starts the fakes and all processes, and waits until their proxies are assigned. The fleet has to
-// be closed also where it returns an error.
+// startProcessFleet starts the fakes and all processes, and waits until all proxies have tables. The caller must close the
+// fleet even if an error is returned.
 func startProcessFleet(ctx context.Context, program string, scenario Scenario, size int) (*processFleet, error) {
 	f := &processFleet{site: scenario.site(), program: program}
 	endpoints, err := f.startServers()
@@ -111,7 +112,7 @@
 	return f, f.awaitAssigned(ctx)
 }
 
-// startServers starts the servers and discovery, which lists them.
+// startServers starts the servers and a discovery that lists them.
 func (f *processFleet) startServers() (endpoints []fakes.Endpoint, err error) {
 	if f.dir, err = os.MkdirTemp("", "tamarindshore-fleet-"); err != nil {
 		return nil, err
@@ -126,7 +127,7 @@
 	return endpoints, err
 }
 
-// addManagers prepares managers and their relays; the processes aren't started.
+// addManagers prepares managers and their relays without starting the processes.
 func (f *processFleet) addManagers(size int, endpoints []fakes.Endpoint) error {
 	addresses, err := fakes.FreeAddresses(2 * size)
 	if err != nil {
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// newManager prepares one manager with its directory and its relay, to which all proxies connect.
+// newManager prepares one manager with its directory and its relay, and connects all proxies to the relay.
 func (f *processFleet) newManager(number int, endpoints []fakes.Endpoint) (*managerProcess, error) {
 	m := &managerProcess{name: fmt.Sprintf("n%03d", number)}
 	m.dir = filepath.Join(f.dir, m.name)
@@ -166,7 +167,8 @@
 	return m, nil
 }
 
-// startAll starts all processes, so many at once, and returns, sorted, the seconds until each was ready.
+// startAll starts all processes, at most the given number concurrently. It returns the seconds until each was ready, in
+// ascending order.
 func (f *processFleet) startAll(ctx context.Context, concurrent int) ([]float64, error) {
 	f.starts++
 	list := f.discovery.Snapshot()
@@ -191,8 +193,8 @@
 	return times, errors.Join(errs...)
 }
 
-// startOne starts one process, waits until it is ready, and reports to it once that there are no requests. The process
-// ends with the context while it is waited for.
+// startOne starts one process, waits until it is ready, and sends it one usage report without requests. If the context
+// ends during this, the process is killed.
 func (f *processFleet) startOne(ctx context.Context, m *managerProcess, list fakes.EndpointList, seed uint64) error {
 	process, err := f.site.StartManager(f.managerConfig(m, list, seed), fakes.ProcessStarter(f.program, filepath.Join(m.dir, "log")))
 	if err != nil {
@@ -212,7 +214,7 @@
 	return writeMessages(collector, []string{collectorGreeting(f.site), noRequests.Text})
 }
 
-// managerConfig is what a process of the fleet starts with.
+// managerConfig returns the configuration with which a process of the fleet is started.
 func (f *processFleet) managerConfig(m *managerProcess, list fakes.EndpointList, seed uint64) fakes.ManagerConfig {
 	return fakes.ManagerConfig{
 		Dir:              m.dir,
@@ -237,7 +239,7 @@
 	for _, manager := range f.managers {
 		for manager.relay.Counts().AssignedProxies < f.site.Proxies {
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s: its proxies are not bound after %v", manager.name, assignTimeout)
+				return fmt.Errorf("manager %s: not all of its %d proxies have a table after %v", manager.name, f.site.Proxies, assignTimeout)
 			}
 			if err := sleep(ctx, assignPolling); err != nil {
 				return err
@@ -263,7 +265,7 @@
 	workers.Wait()
 }
 
-// close ends all processes and fakes, and removes their files.
+// close stops all processes and fakes, and removes their files.
 func (f *processFleet) close() {
 	f.stopAll()
 	for _, manager := range f.managers {
@@ -278,17 +280,17 @@
 	os.RemoveAll(f.dir)
 }
 
-// measureRun measures a quiet span, a change in quiet, and a change while all processes start at once.
-func (f *processFleet) measureRun(ctx context.Context, into sample) error {
-	if err := f.measureQuietSpan(ctx, into); err != nil {
+// measureRun measures a quiet span, a change while nothing else happens, and a change while all processes start at once.
+func (f *processFleet) measureRun(ctx context.Context, costs sample) error {
+	if err := f.measureQuietSpan(ctx, costs); err != nil {
 		return err
 	}
 	quiet, err := f.drainServer(ctx, func() error { return nil })
 	if err != nil {
 		return err
 	}
-	into[ProcessPropagationMedian] = quantile(quiet, 0.5)
-	into[ProcessPropagationLast] = quiet[len(quiet)-1]
+	costs[ProcessPropagationMedian] = quantile(quiet, 0.5)
+	costs[ProcessPropagationLast] = quiet[len(quiet)-1]
 
 	f.stopAll()
 	var ready []float64
@@ -299,37 +301,37 @@
 	if err != nil {
 		return err
 	}
-	into[ProcessReadyMedian] = quantile(ready, 0.5)
-	into[ProcessReadyLast] = ready[len(ready)-1]
-	into[ProcessPropagationDuringOpeningsLast] = duringOpenings[len(duringOpenings)-1]
+	costs[ProcessReadyMedian] = quantile(ready, 0.5)
+	costs[ProcessReadyLast] = ready[len(ready)-1]
+	costs[ProcessPropagationDuringOpeningsLast] = duringOpenings[len(duringOpenings)-1]
 	return f.awaitAssigned(ctx)
 }
 
-// measureQuietSpan measures what the processes use while nothing happens.
-func (f *processFleet) measureQuietSpan(ctx context.Context, into sample) error {
+// measureQuietSpan measures the processor time and memory of the processes while nothing happens.
+func (f *processFleet) measureQuietSpan(ctx context.Context, costs sample) error {
 	cpuBefore, _ := childrenUsage()
 	began := time.Now()
 	if err := sleep(ctx, fleetQuietSpan); err != nil {
 		return err
 	}
 	cpuAfter, _ := childrenUsage()
-	into[ProcessCPUPerQuietSecond] = (cpuAfter - cpuBefore) / time.Since(began).Seconds() / float64(len(f.managers))
-	into[ProcessMemory] = f.maxResidentBytes()
+	costs[ProcessCPUPerQuietSecond] = (cpuAfter - cpuBefore) / time.Since(began).Seconds() / float64(len(f.managers))
+	costs[ProcessMemory] = f.maxResidentBytes()
 	return nil
 }
 
-// maxResidentBytes is the largest resident set of a process so far.
+// maxResidentBytes returns the largest resident set of any process so far.
 func (f *processFleet) maxResidentBytes() float64 {
-	most := 0.0
+	largest := 0.0
 	for _, manager := range f.managers {
 		_, megabytes := fakes.ResourceUsage(manager.process)
-		most = max(most, megabytes*mib)
+		largest = max(largest, megabytes*mib)
 	}
-	return most
+	return largest
 }
 
-// drainServer publishes that a server drains, does something meanwhile, and returns, sorted, the seconds until
-// the relay of each manager got the withdrawal.
+// drainServer publishes that a server drains while meanwhile runs concurrently. It returns the seconds until the relay of
+// each manager received the withdrawal, in ascending order.
 func (f *processFleet) drainServer(ctx context.Context, meanwhile func() error) ([]float64, error) {
 	server := f.servers[f.drained]
 	f.drained++
@@ -348,13 +350,13 @@
 		return nil, ctx.Err()
 	case <-time.After(propagationTimeout):
 		withdrew := len(f.withdrawals.secondsSince(published))
-		return nil, fmt.Errorf("%d of %d managers withdrew %s within %v", withdrew, len(f.managers), server.ID, propagationTimeout)
+		return nil, fmt.Errorf("%d of %d managers withdrew server %s within %v", withdrew, len(f.managers), server.ID, propagationTimeout)
 	}
 }
 
-// measureHollowFleet measures as many hollow managers, each on a core of its own and without a network between, as the
-// real processes of one machine have it.
-func measureHollowFleet(ctx context.Context, options Options, changeWriteTime time.Duration, run, managers int, into sample) error {
+// measureHollowFleet measures hollow managers, each on its own core and without network delay, like real processes on one
+// machine.
+func measureHollowFleet(ctx context.Context, options Options, changeWriteTime time.Duration, run, managers int, costs sample) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	fleet, err := newHollowFleet(propagationScenario(options.Seed), 1)
@@ -371,7 +373,7 @@
 	if err != nil {
 		return err
 	}
-	into[HollowPropagationMedian] = quantile(times, 0.5)
-	into[HollowPropagationLast] = times[len(times)-1]
+	costs[HollowPropagationMedian] = quantile(times, 0.5)
+	costs[HollowPropagationLast] = times[len(times)-1]
 	return nil
 }
--- a/internal/scale/proxies.go
+++ b/internal/scale/proxies.go
@@ -9,15 +9,15 @@
 	"tamarindshore/internal/node"
 )
 
-// proxyTables models the relay and its proxies as far as a manager notices: which proxies a call reaches. Each of them
-// acknowledges the call's barrier.
+// proxyTables models the part of the relay and its proxies that a manager can observe: which proxies are affected by a
+// call. Each of them acknowledges the call's barrier.
 type proxyTables struct {
 	tableOf    map[balancer.ProxyID]balancer.TableID
-	members    map[balancer.TableID]map[balancer.ProxyID]bool
+	members    map[balancer.TableID]map[balancer.ProxyID]bool // proxies assigned to a table
 	tablesWith map[balancer.ServerID]map[balancer.TableID]bool
 }
 
-// newProxyTables is a relay without proxies and tables.
+// newProxyTables returns a relay model without proxies and tables.
 func newProxyTables() *proxyTables {
 	return &proxyTables{
 		tableOf:    map[balancer.ProxyID]balancer.TableID{},
@@ -26,53 +26,53 @@
 	}
 }
 
-// acknowledge carries out a call, and returns the proxies' acknowledgements.
+// acknowledge executes a call and returns the acknowledgements of the affected proxies.
 func (p *proxyTables) acknowledge(call balancer.Commands) []node.Message {
-	reached := p.apply(call)
+	affected := p.apply(call)
 	if call.Barrier == 0 {
 		return nil
 	}
 	var acks []node.Message
-	for _, proxy := range reached {
+	for _, proxy := range affected {
 		acks = append(acks, barrierAck(proxy, call.Barrier))
 	}
 	return acks
 }
 
-// barrierAck is a proxy's acknowledgement of a barrier.
+// barrierAck returns a proxy's acknowledgement of a barrier.
 func barrierAck(proxy balancer.ProxyID, barrier balancer.BarrierID) node.Message {
 	text := fmt.Sprintf("id=%d&seq=%d&ms=%.1f", proxy, barrier, milliseconds(ackDelay))
 	return node.Message{Kind: node.ProxyEventMessage, Event: "applied", Text: text}
 }
 
-// apply carries out a call's commands, and returns the proxies that they reach, by number.
+// apply executes a call's commands and returns the proxies that they affect, in ascending order.
 func (p *proxyTables) apply(call balancer.Commands) []balancer.ProxyID {
-	touched := map[balancer.TableID]bool{}
+	changedTables := map[balancer.TableID]bool{}
 	for _, server := range call.Withdraw {
-		maps.Copy(touched, p.tablesWith[server])
+		maps.Copy(changedTables, p.tablesWith[server])
 	}
 	for _, weight := range call.Weights {
 		p.setWeight(weight)
-		touched[weight.Table] = true
+		changedTables[weight.Table] = true
 	}
 	for _, level := range call.AdmissionLevels {
-		touched[level.Table] = true
+		changedTables[level.Table] = true
 	}
 	for _, server := range call.Restore {
-		maps.Copy(touched, p.tablesWith[server])
+		maps.Copy(changedTables, p.tablesWith[server])
 	}
-	reached := map[balancer.ProxyID]bool{}
-	for table := range touched {
-		maps.Copy(reached, p.members[table])
+	affected := map[balancer.ProxyID]bool{}
+	for table := range changedTables {
+		maps.Copy(affected, p.members[table])
 	}
 	for _, assignment := range call.Assign {
 		p.assign(assignment)
-		reached[assignment.Proxy] = true
+		affected[assignment.Proxy] = true
 	}
-	return slices.Sorted(maps.Keys(reached))
+	return slices.Sorted(maps.Keys(affected))
 }
 
-// setWeight changes a server's weight in a table; 0 removes it.
+// setWeight records a server's weight in a table. A weight of 0 removes the server from the table.
 func (p *proxyTables) setWeight(w balancer.EndpointWeight) {
 	if w.Weight == 0 {
 		delete(p.tablesWith[w.Server], w.Table)
@@ -84,10 +84,10 @@
 	p.tablesWith[w.Server][w.Table] = true
 }
 
-// assign gives a proxy a table.
+// assign assigns a table to a proxy and releases its previous table.
 func (p *proxyTables) assign(a balancer.TableAssignment) {
-	if before, assigned := p.tableOf[a.Proxy]; assigned {
-		delete(p.members[before], a.Proxy)
+	if previous, assigned := p.tableOf[a.Proxy]; assigned {
+		delete(p.members[previous], a.Proxy)
 	}
 	if p.members[a.Table] == nil {
 		p.members[a.Table] = map[balancer.ProxyID]bool{}
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -11,19 +11,20 @@
 	"tamarindshore/internal/node"
 )
 
-// recorder drives one hollow manager through a scenario and writes down the messages that it is sent.
+// recorder runs one hollow manager through a scenario and records the messages that are sent to it.
 type recorder struct {
 	messageSource
 	ctx     context.Context
 	manager *node.HollowManager
 	proxies *proxyTables
 	now     time.Duration
-	pending []step // answers that are under way, by time
+	pending []step // answers not yet delivered, by time
 	current *phase
 	script  *script
 }
 
-// record writes a scenario's script. A quiet one has no traffic, and so no reports.
+// record runs a scenario and returns its script. In a quiet script there are no requests after the proxies have connected,
+// and therefore no load reports.
 func record(ctx context.Context, scenario Scenario, quiet bool) (*script, error) {
 	site := scenario.site()
 	config, err := scenario.managerConfig(site)
@@ -48,41 +49,41 @@
 	return r.script, err
 }
 
-// part is a phase and what happens in it.
-type part struct {
+// phaseAction is a phase and the function that plays it.
+type phaseAction struct {
 	phase Phase
 	play  func() error
 }
 
-// play plays all parts of a scenario.
+// play plays all phases of a scenario.
 func (r *recorder) play(quiet bool) error {
-	parts := []part{{PhaseList, r.playList}, {PhaseJoin, r.playJoin}}
+	actions := []phaseAction{{PhaseList, r.playList}, {PhaseJoin, r.playJoin}}
 	if quiet {
-		parts = append(parts,
-			part{PhaseWarm, r.stopTraffic},
-			part{PhaseQuiet, func() error { return r.advance(r.now + quietSpan) }})
+		actions = append(actions,
+			phaseAction{PhaseWarm, r.stopTraffic},
+			phaseAction{PhaseQuiet, func() error { return r.advance(r.now + quietSpan) }})
 	} else {
-		parts = append(parts,
-			part{PhaseWarm, func() error { return r.playBusy(warmSpan) }},
-			part{PhaseBusy, func() error { return r.playBusy(busySpan) }},
-			part{PhaseChanges, r.playListChanges},
-			part{PhaseInputs, r.playInputs})
+		actions = append(actions,
+			phaseAction{PhaseWarm, func() error { return r.playBusy(warmSpan) }},
+			phaseAction{PhaseBusy, func() error { return r.playBusy(busySpan) }},
+			phaseAction{PhaseChanges, r.playListChanges},
+			phaseAction{PhaseInputs, r.playInputs})
 	}
-	for _, part := range parts {
-		if err := r.playPhase(part); err != nil {
-			return fmt.Errorf("%s: %w", part.phase, err)
+	for _, action := range actions {
+		if err := r.playPhase(action); err != nil {
+			return fmt.Errorf("phase %s: %w", action.phase, err)
 		}
 	}
 	return nil
 }
 
-// playPhase plays one part, and records its span and traffic.
-func (r *recorder) playPhase(part part) error {
+// playPhase plays one phase, and records its span and traffic.
+func (r *recorder) playPhase(action phaseAction) error {
 	before := r.traffic()
 	began := r.now
-	r.script.phases = append(r.script.phases, phase{name: part.phase})
+	r.script.phases = append(r.script.phases, phase{name: action.phase})
 	r.current = &r.script.phases[len(r.script.phases)-1]
-	if err := part.play(); err != nil {
+	if err := action.play(); err != nil {
 		return err
 	}
 	r.current.span = r.now - began
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// traffic is the manager's traffic so far.
+// traffic returns the manager's traffic so far, by message kind.
 func (r *recorder) traffic() trafficByKind {
 	var traffic trafficByKind
 	for kind := range traffic {
@@ -99,7 +100,7 @@
 	return traffic
 }
 
-// step delivers messages, and schedules the answers to what it does.
+// step delivers messages to the manager and schedules the answers to its calls and health checks.
 func (r *recorder) step(at time.Duration, messages ...node.Message) error {
 	if err := r.ctx.Err(); err != nil {
 		return err
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// schedule keeps answers until their time, as many together as the router takes.
+// schedule queues answers for delivery at a time, in batches of at most as many as the router takes together.
 func (r *recorder) schedule(at time.Duration, messages []node.Message) {
 	for batch := range slices.Chunk(messages, eventBatch) {
 		place := len(r.pending)
@@ -136,7 +137,8 @@
 	}
 }
 
-// advance lets time pass: answers come, and the manager wakes when it asked to. At one time answers come first.
+// advance advances the clock: it delivers answers and wakes the manager at the times it requested. If both are due at the
+// same time, the answers come first.
 func (r *recorder) advance(to time.Duration) error {
 	for {
 		wakeAt := to + 1
@@ -187,7 +189,7 @@
 	return r.advance(began + joinSpan)
 }
 
-// playBusy lets reports, changes of the list and heartbeats come, each at its time.
+// playBusy delivers reports, list changes and heartbeats, each at its time.
 func (r *recorder) playBusy(span time.Duration) error {
 	began := r.now
 	var reports, changes int
@@ -216,16 +218,16 @@
 	return r.advance(began + span)
 }
 
-// stopTraffic reports that no requests come any more, and waits until earlier reports are out of date.
+// stopTraffic reports that there are no more requests, and waits until earlier reports have expired.
 func (r *recorder) stopTraffic() error {
-	none := usageReport(0, r.site.TrafficClasses[0].Name, 0, time.Second)
-	if err := r.step(r.now+time.Millisecond, none); err != nil {
+	noRequests := usageReport(0, r.site.TrafficClasses[0].Name, 0, time.Second)
+	if err := r.step(r.now+time.Millisecond, noRequests); err != nil {
 		return err
 	}
 	return r.advance(r.now + warmSpan)
 }
 
-// playInputs delivers many reports right after one of the manager's timers.
+// playInputs delivers measuredInputs reports right after one of the manager's timers.
 func (r *recorder) playInputs() error {
 	if err := r.advance(max(r.manager.NextWake(), r.now) + ackDelay + time.Millisecond); err != nil {
 		return err
@@ -242,7 +244,7 @@
 	return nil
 }
 
-// playListChanges delivers changes of the list, each alone, with time for the proxies' acknowledgements between them.
+// playListChanges delivers list changes one at a time, with enough time between them for the proxies' acknowledgements.
 func (r *recorder) playListChanges() error {
 	for range measuredChanges {
 		if err := r.advance(r.now + listChangeSpacing); err != nil {
--- a/internal/scale/replay.go
+++ b/internal/scale/replay.go
@@ -9,30 +9,30 @@
 	"tamarindshore/internal/node"
 )
 
-// phaseCost is what one phase cost when a script was replayed.
+// phaseCost is the cost of one phase of a script that was replayed.
 type phaseCost struct {
-	cpu             time.Duration // of the process
-	changeCPU       time.Duration // of the thread, in the steps with changes of the list
+	cpu             time.Duration // of the process, in the whole phase
+	changeCPU       time.Duration // of the thread, in the steps with list changes
 	changes         int
 	reportCPU       time.Duration // of the process, in the steps with reports
 	reports         int
 	longestDecision time.Duration // of the thread, in the longest single call of the router
 	commands        int
-	heapBytes       float64 // in use at the phase's end
+	heapBytes       float64 // heap in use at the end of the phase
 }
 
-// WorkDiffersError says that a replay did not cause the work that was recorded, so that its cost says nothing.
-type WorkDiffersError struct {
-	Commands int // to the relay
-	Recorded int
+// ReplayMismatchError reports that a replay did not cause the same work as the recording, so its cost is meaningless.
+type ReplayMismatchError struct {
+	Commands int // commands to the relay during the replay
+	Recorded int // commands to the relay in the recording
 }
 
-// Error says how many commands there were, and how many were recorded.
-func (e *WorkDiffersError) Error() string {
-	return fmt.Sprintf("%d orders, %d when it was recorded: the work differs from run to run", e.Commands, e.Recorded)
+// Error returns a message with the number of commands in the replay and in the recording.
+func (e *ReplayMismatchError) Error() string {
+	return fmt.Sprintf("the replay sent %d commands to the relay, the recording %d: the work is not reproducible", e.Commands, e.Recorded)
 }
 
-// replay plays a script on a fresh manager and measures each phase. It locks the calling goroutine to its thread.
+// replay replays a script on a new manager and measures each phase. It locks the calling goroutine to its thread.
 func replay(ctx context.Context, s *script) (map[Phase]phaseCost, error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -51,7 +51,7 @@
 		p := &s.phases[i]
 		cost, err := replayPhase(ctx, manager, p)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", p.name, err)
+			return nil, fmt.Errorf("phase %s: %w", p.name, err)
 		}
 		cost.heapBytes = heapInUse() - emptyHeap
 		costs[p.name] = cost
@@ -59,10 +59,11 @@
 	return costs, nil
 }
 
+// replayPhase replays one phase and measures its cost, except for the heap.
 func replayPhase(ctx context.Context, manager *node.HollowManager, p *phase) (phaseCost, error) {
 	var cost phaseCost
 	manager.Observe = cost.observeDecisions()
-	if p.name == PhaseInputs { // single inputs are so short that a look at the clock would be most of them
+	if p.name == PhaseInputs { // a single input is so short that reading the clock would dominate its cost
 		manager.Observe = nil
 	}
 	before := processCPU()
@@ -70,18 +71,19 @@
 		if err := ctx.Err(); err != nil {
 			return cost, err
 		}
-		if err := cost.addStep(manager, step); err != nil {
+		if err := cost.replayStep(manager, step); err != nil {
 			return cost, err
 		}
 	}
 	cost.cpu = processCPU() - before
 	if cost.commands != p.commands {
-		return cost, &WorkDiffersError{Commands: cost.commands, Recorded: p.commands}
+		return cost, &ReplayMismatchError{Commands: cost.commands, Recorded: p.commands}
 	}
 	return cost, nil
 }
 
-// observeDecisions returns an observer of the manager's calls of the router, before and after each.
+// observeDecisions returns a function, to be called before and after each call of the router, that records the longest
+// call.
 func (c *phaseCost) observeDecisions() func(before bool) {
 	var began time.Duration
 	return func(before bool) {
@@ -93,8 +95,8 @@
 	}
 }
 
-// addStep plays a step and adds what it cost.
-func (c *phaseCost) addStep(manager *node.HollowManager, s step) error {
+// replayStep replays a step and adds its cost.
+func (c *phaseCost) replayStep(manager *node.HollowManager, s step) error {
 	threadBegan := threadCPU()
 	processBegan := processCPU()
 	result, err := manager.Step(s.at, s.messages...)
@@ -115,12 +117,12 @@
 	return nil
 }
 
-// changesList reports whether a step holds a change of the endpoint list.
+// changesList reports whether a step contains a change of the endpoint list.
 func (s step) changesList() bool {
 	return len(s.messages) > 0 && s.messages[0].Kind == node.EndpointListMessage
 }
 
-// reports reports whether a step holds load or usage reports.
+// reports reports whether a step contains load or usage reports.
 func (s step) reports() bool {
 	if len(s.messages) == 0 {
 		return false
--- a/internal/scale/session.go
+++ b/internal/scale/session.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// session is one run of the measurement. The reference is measured anew on each axis: on a shared machine only results of
-// about the same time compare.
+// session is one run of the measurement. The reference size is measured again on each axis, because on a shared machine
+// only results from about the same time are comparable.
 type session struct {
 	options         Options
 	reference       Scenario
-	changeWriteTime time.Duration      // of the control side with the most readers, the median of the runs
-	listReadTime    time.Duration      // of the longest list of which a subset was taken; 0: not measured yet
+	changeWriteTime time.Duration      // of the control plane with the most readers; median of the runs
+	listReadTime    time.Duration      // for the longest list of which a subset was taken; 0: not measured yet
 	propagation     *propagationInputs // nil: not measured yet
 }
 
 const (
-	smallList          = 2400                  // entries that managers read in a small run, where they open together
-	minChangeWriteTime = 10 * time.Microsecond // for one change and one reader where the control side wasn't measured
-	minListWriteTime   = time.Millisecond      // for a complete list and one reader where it wasn't
+	smallListSize      = 2400                  // entries on the list that opening managers read in a small run
+	minChangeWriteTime = 10 * time.Microsecond // per change and reader, if the control plane wasn't measured
+	minListWriteTime   = time.Millisecond      // per complete list and reader, if the control plane wasn't measured
 )
 
-// measureManager measures hollow managers at a size.
+// measureManager measures hollow managers at a size along the survey's axis.
 func (r *session) measureManager(ctx context.Context, size float64, s survey) ([]sample, error) {
 	return measure(ctx, r.reference.With(s.axis, size), r.options.Runs)
 }
 
-// scenarioFits checks that a hollow manager of a size fits into memory.
+// scenarioFits returns an error if the scenario of a hollow manager at a size doesn't fit into memory.
 func (r *session) scenarioFits(size float64, s survey) error {
 	return r.options.Memory.checkScenarioFits(s.axis, size, r.reference.With(s.axis, size))
 }
 
-// controlByManagers measures the control side with so many managers as readers.
+// controlByManagers measures the control plane with the given number of managers as readers.
 func (r *session) controlByManagers(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	samples, err := r.measureControl(ctx, controlServers, int(size), controlQuietSpan)
 	if err != nil {
@@ -42,20 +42,20 @@
 	return samples, nil
 }
 
-// readersFit checks that so many readers may connect.
+// readersFit returns an error if the number of readers exceeds MaxReaders.
 func (r *session) readersFit(size float64, s survey) error {
 	return checkConnections(s, size, MaxReaders)
 }
 
-// controlByList measures the control side with a list of so many servers.
+// controlByList measures the control plane with a list of the given number of servers.
 func (r *session) controlByList(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	return r.measureControl(ctx, int(size), controlReaders, 0)
 }
 
-// anyFits is the check of a survey without a limit of its own.
+// anyFits is the check of a survey that has no limit: it accepts every size.
 func (r *session) anyFits(float64, survey) error { return nil }
 
-// measureControl measures the control side, all runs.
+// measureControl measures the control plane in all runs.
 func (r *session) measureControl(ctx context.Context, servers, readers int, quietSpan time.Duration) ([]sample, error) {
 	var samples []sample
 	for range r.options.Runs {
@@ -71,7 +71,7 @@
 	return samples, nil
 }
 
-// measureSubsetRead measures how a subset is read from a list of so many servers.
+// measureSubsetRead measures reading a subset from a list of the given number of servers.
 func (r *session) measureSubsetRead(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	samples, err := measureSubsetRead(ctx, subsetScenario(r.options.Seed, int(size)), r.options.Runs)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return samples, nil
 }
 
-// measurePropagation measures when a change reaches so many hollow managers.
+// measurePropagation measures how long a change takes to propagate to the given number of hollow managers.
 func (r *session) measurePropagation(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	inputs, err := r.propagationInputs(ctx)
 	if err != nil {
@@ -90,19 +90,20 @@
 	return measurePropagation(ctx, r.options, inputs, int(size))
 }
 
-// managersFit checks that so many hollow managers fit into memory.
+// managersFit returns an error if the given number of hollow managers doesn't fit into memory.
 func (r *session) managersFit(size float64, s survey) error {
 	return r.options.Memory.checkFits(fmt.Sprintf("%s %g", s.axis, size), bytesOfHollow, int(size))
 }
 
-// propagationInputs measures, once in a session, what propagation depends on beside the managers.
+// propagationInputs measures, once per session, the processor times that propagation depends on besides the managers'
+// decisions.
 func (r *session) propagationInputs(ctx context.Context) (propagationInputs, error) {
 	if r.propagation != nil {
 		return *r.propagation, nil
 	}
 	servers := planServers
 	if r.options.Small {
-		servers = smallList
+		servers = smallListSize
 	}
 	if r.listReadTime == 0 {
 		if _, err := r.measureSubsetRead(ctx, float64(servers), survey{}); err != nil {
@@ -125,40 +126,40 @@
 	return inputs, nil
 }
 
-// medianTime is the median of a cost that is in seconds.
+// medianTime returns the median of a cost whose unit is seconds.
 func medianTime(samples []sample, cost Cost) time.Duration {
 	return time.Duration(pointOf(0, cost, samples).Median() * float64(time.Second))
 }
 
-// measureProcessFleet measures so many real processes.
+// measureProcessFleet measures a fleet of the given number of real processes.
 func (r *session) measureProcessFleet(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	return measureProcessFleet(ctx, r.options, max(r.changeWriteTime, minChangeWriteTime), int(size))
 }
 
-// processesFit checks that so many real processes fit the limits.
+// processesFit returns an error if the given number of real processes exceeds the limits.
 func (r *session) processesFit(size float64, _ survey) error {
-	return checkProcessesFit(r.options.Memory, int(size))
+	return checkProcessCount(r.options.Memory, int(size))
 }
 
-// measureConnections measures a process with so many connections.
+// measureConnections measures a process with the given number of connections.
 func (r *session) measureConnections(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	return measureConnections(ctx, r.options, int(size))
 }
 
-// connectionsFit checks that so many connections may be opened.
+// connectionsFit returns an error if the number of connections exceeds maxConnections.
 func (r *session) connectionsFit(size float64, s survey) error {
 	return checkConnections(s, size, maxConnections)
 }
 
-// checkConnections checks a size along an axis that is a number of connections.
+// checkConnections returns a LimitError if a size, which is a number of connections, exceeds limit.
 func checkConnections(s survey, size float64, limit int) error {
 	if size <= float64(limit) {
 		return nil
 	}
 	return &LimitError{
-		What:  fmt.Sprintf("%s %g", s.axis, size),
-		Needs: fmt.Sprintf("%g connections", size),
-		Limit: fmt.Sprint(limit),
-		Fits:  fmt.Sprintf("%d fit", limit),
+		Size:     fmt.Sprintf("%s %g", s.axis, size),
+		Required: fmt.Sprintf("%g connections", size),
+		Limit:    fmt.Sprint(limit),
+		Fits:     fmt.Sprintf("%d fit", limit),
 	}
 }
