--- a/internal/scale/costs.go
+++ b/internal/scale/costs.go
@@ -22,9 +22,9 @@
 type Cost string
 
 // Costs of one manager. The values are the names used in files. An opening is the start of a manager: it reads the
-// complete endpoint list, then its proxies connect. Quiet means without input or list changes.
+// complete endpoint list, then its proxies connect. A quiet second has no reports and no list changes.
 const (
-	CPUPerInput       Cost = "cpu-per-input"        // seconds
+	CPUPerInput       Cost = "cpu-per-input"        // seconds per load or usage report
 	CPUPerQuietSecond Cost = "cpu-per-quiet-second" // seconds; no input
 	CPUPerBusySecond  Cost = "cpu-per-busy-second"  // seconds; inputs of the reference scenario
 	CPUPerListChange  Cost = "cpu-per-list-change"  // seconds
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -37,11 +37,11 @@
 	s.Shape = shape
 	s.Base, s.PerUnit = leastSquares(s.Points, shape)
 	s.WorstError = 0
-	smallest := minMedianFraction * largestMedian(s.Points)
+	minDivisor := minMedianFraction * largestMedian(s.Points)
 	for _, p := range s.Points {
 		median := p.Median()
 		if difference := math.Abs(s.At(p.Size) - median); difference > 0 {
-			s.WorstError = max(s.WorstError, difference/max(median, smallest))
+			s.WorstError = max(s.WorstError, difference/max(median, minDivisor))
 		}
 	}
 	return s
@@ -62,15 +62,15 @@
 // leastSquares returns the base and the slope of the curve with the smallest sum of squared relative errors.
 func leastSquares(points []Point, shape Shape) (base, perUnit float64) {
 	var sumWeights, sumX, sumXX, sumY, sumXY float64 // weighted sums
-	smallest := minMedianFraction * largestMedian(points)
+	minDivisor := minMedianFraction * largestMedian(points)
 	for _, p := range points {
 		y := p.Median()
-		scale := max(y, smallest)
-		if scale == 0 {
+		divisor := max(y, minDivisor)
+		if divisor == 0 {
 			continue
 		}
 		x := shape.Of(p.Size)
-		weight := 1 / (scale * scale)
+		weight := 1 / (divisor * divisor)
 		sumWeights += weight
 		sumX += weight * x
 		sumXX += weight * x * x
