--- a/internal/scale/propagation.go
+++ b/internal/scale/propagation.go
@@ -13,7 +13,8 @@
 	"tamarindshore/internal/node"
 )
 
-// Sizes of the managers whose changes are timed: the smallest in which slow start and withdrawals both occur.
+// Sizes of the scenario in which the propagation of changes is timed: the smallest in which both slow start and
+// withdrawals occur.
 const (
 	propagationServers = 60
 	propagationProxies = 20
@@ -21,12 +22,12 @@
 )
 
 const (
-	propagationTimeout    = 30 * time.Second // after which a change that isn't in force counts as lost
-	propagationInterval   = 40 * time.Second // between the changes that are timed
-	managersPerCollection = 256              // that are opened between two collections of garbage
+	propagationTimeout    = 30 * time.Second // a change that isn't carried out by then counts as lost
+	propagationInterval   = 40 * time.Second // between two timed changes
+	managersPerCollection = 256              // managers opened between two garbage collections
 )
 
-// propagationScenario is one manager of a fleet in which changes are timed.
+// propagationScenario returns the scenario of one manager of the fleet in which the propagation of changes is timed.
 func propagationScenario(seed uint64) Scenario {
 	scenario := Reference()
 	scenario.Seed = seed
@@ -36,7 +37,7 @@
 	return scenario
 }
 
-// propagationCosts are measured by measurePropagation.
+// propagationCosts are the costs that measurePropagation measures.
 var propagationCosts = []Cost{
 	PropagationMedian, PropagationTail, PropagationLast,
 	PropagationDuringOpeningsMedian, PropagationDuringOpeningsTail, PropagationDuringOpeningsLast,
@@ -44,26 +45,27 @@
 	HollowBytes,
 }
 
-// propagationInputs are the processor times, measured before, that the propagation of a change depends on.
+// propagationInputs holds the processor times that the propagation of a change depends on. They are measured before it.
 type propagationInputs struct {
-	changeWriteTime time.Duration // of the control side, for one change and one reader
-	listWriteTime   time.Duration // of the control side, for a complete list and one reader
-	listReadTime    time.Duration // of a manager, for a complete list of the plan's size
+	changeWriteTime time.Duration // control side's time to write one change to one reader
+	listWriteTime   time.Duration // control side's time to write a complete list to one reader
+	listReadTime    time.Duration // manager's time to read a complete list of the capacity plan's size
 }
 
-// propagationRun is one run: a fleet that opens, and the changes that are delivered to it.
+// propagationRun is the state of one run: a fleet of hollow managers and the changes delivered to it.
 type propagationRun struct {
 	fleet        *hollowFleet
 	control      controlSide
 	listReadTime time.Duration
-	version      int
-	drained      []int // servers, in the order in which they drained
+	version      int   // of the endpoint list, after the changes so far
+	drained      []int // numbers of the drained servers, in the order in which they drained
 }
 
-// measurePropagation opens a fleet of managers and drains one server after another: in each run during all openings, in
-// quiet, and while control machines are lost.
+// measurePropagation opens a fleet of managers in each run and drains three servers, one at a time: one while all managers
+// open, one while nothing else happens, and one while control machines are lost.
 func measurePropagation(ctx context.Context, options Options, inputs propagationInputs, managers int) ([]sample, error) {
-	// A manager of its own has a small heap; the collection of all that are here would count as its decision.
+	// In production each manager has a small heap of its own. Here all of them share one heap, and the time of its garbage
+	// collections would be counted as decision time of single managers, so automatic collection is off.
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -78,7 +80,7 @@
 	return samples, nil
 }
 
-// measurePropagationRun opens a fleet and measures one change in each state.
+// measurePropagationRun opens a fleet and measures one change in each of the three states.
 func measurePropagationRun(ctx context.Context, options Options, inputs propagationInputs, managers int, run uint64) (sample, error) {
 	fleet, err := newHollowFleet(propagationScenario(options.Seed), managerCoreShare)
 	if err != nil {
@@ -115,14 +117,14 @@
 	return measured, nil
 }
 
-// reconnectSettings are those of the fleet's managers.
+// reconnectSettings returns the reconnect settings of the fleet's managers.
 func (f *hollowFleet) reconnectSettings() reconnectSettings {
 	limits := f.config.Limits
 	return reconnectSettings{watchTimeout: limits.EndpointWatchIdleTimeout, minBackoff: limits.MinBackoff, maxBackoff: limits.MaxBackoff}
 }
 
-// duringOpenings starts all managers at once and delivers a change meanwhile. It returns, sorted, the seconds until each has
-// withdrawn the server.
+// duringOpenings starts all managers at once and delivers a change while they open. It returns the seconds until each
+// manager has withdrawn the server, sorted.
 func (r *propagationRun) duringOpenings(ctx context.Context, memory Memory, managers int) ([]float64, error) {
 	emptyHeap := heapInUse()
 	arrivals := r.control.arrivalsDuringOpenings(managers)
@@ -148,7 +150,7 @@
 	return times, nil
 }
 
-// openAndWithdraw starts a manager, and returns the time at which it has carried out a change.
+// openAndWithdraw starts a manager and returns the time at which it has withdrawn the server that a change drains.
 func (r *propagationRun) openAndWithdraw(arrival arrival, change drainChange) (time.Duration, error) {
 	manager, err := r.fleet.add()
 	if err != nil {
@@ -160,7 +162,7 @@
 	return manager.withdrawalTime(arrival.change, change.message, change.server)
 }
 
-// drain delivers a change to managers that run. It returns, sorted, the seconds until each has withdrawn the server.
+// drain delivers a change to running managers. It returns the seconds until each has withdrawn the server, sorted.
 func (r *propagationRun) drain(ctx context.Context, at time.Duration, arrivals []arrival) ([]float64, error) {
 	if err := r.fleet.advanceAll(ctx, at); err != nil {
 		return nil, err
@@ -182,7 +184,8 @@
 	return times, nil
 }
 
-// withdraw delivers a change, alone or within a complete list, and returns when it has carried it out.
+// withdraw delivers a change to a manager, by itself or within a complete list, and returns the time at which the manager
+// has withdrawn the server.
 func (r *propagationRun) withdraw(manager *pacedManager, at time.Duration, arrival arrival, change drainChange) (time.Duration, error) {
 	if arrival.change > 0 {
 		return manager.withdrawalTime(at+arrival.change, change.message, change.server)
@@ -192,13 +195,13 @@
 	return manager.withdrawalTime(listAt, r.completeList(), change.server)
 }
 
-// drainChange is a change of the list that drains one server.
+// drainChange is a change of the endpoint list that drains one server.
 type drainChange struct {
 	message node.Message
 	server  balancer.ServerID
 }
 
-// nextChange drains the next server.
+// nextChange returns the change that drains the next server.
 func (r *propagationRun) nextChange() drainChange {
 	server := len(r.drained)
 	r.drained = append(r.drained, server)
@@ -213,7 +216,7 @@
 	}
 }
 
-// completeList is the list after the changes so far.
+// completeList returns the complete endpoint list after the changes so far.
 func (r *propagationRun) completeList() node.Message {
 	list := fakes.EndpointList{Version: r.version, Complete: true}
 	for server := range r.fleet.scenario.Servers {
@@ -226,14 +229,14 @@
 	return node.Message{Kind: node.EndpointListMessage, Text: encodeList(list)}
 }
 
-// addTimes adds the median, the 99th percentile and the last of sorted times.
+// addTimes adds the median, the 99th percentile and the maximum of sorted times.
 func (s sample) addTimes(sorted []float64, median, tail, last Cost) {
 	s[median] = quantile(sorted, 0.5)
 	s[tail] = quantile(sorted, 0.99)
 	s[last] = sorted[len(sorted)-1]
 }
 
-// quantile of sorted values.
-func quantile(sorted []float64, part float64) float64 {
-	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))]
+// quantile returns the value at a quantile, given as a fraction, of sorted values.
+func quantile(sorted []float64, fraction float64) float64 {
+	return sorted[min(len(sorted)-1, int(fraction*float64(len(sorted))))]
 }
--- a/internal/scale/propagation_test.go
+++ b/internal/scale/propagation_test.go
@@ -29,53 +29,54 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Two lists of 10 ms are written before the change, and reading one takes 1 ms at a part of a core.
+	// The change is written after two lists of 10 ms each. Reading a list takes a manager 1 ms of processor time, which takes
+	// longer on its share of a core.
 	least := 20*time.Millisecond + time.Millisecond + minTransit
-	expectTimes(t, "beside openings", opening, managers, least)
+	checkTimes(t, "during openings", opening, managers, least)
 	quiet, err := r.drain(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectTimes(t, "quiet", quiet, managers, time.Millisecond+minTransit)
+	checkTimes(t, "quiet", quiet, managers, time.Millisecond+minTransit)
 	reconnect := reconnectSettings{watchTimeout: 2 * time.Second, minBackoff: 50 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
 	lost, err := r.drain(ctx, 4*propagationInterval, r.control.arrivalsDuringControlLoss(managers, reconnect))
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectTimes(t, "machines lost", lost, managers, time.Millisecond+minTransit)
+	checkTimes(t, "machines lost", lost, managers, time.Millisecond+minTransit)
 	late := slices.IndexFunc(lost, func(seconds float64) bool { return seconds > reconnect.watchTimeout.Seconds() })
-	if reopened := managers - late; late < 0 || reopened < 2 || reopened > 4 { // those of two machines in seven
-		t.Errorf("machines lost: %v", lost)
+	if reopened := managers - late; late < 0 || reopened < 2 || reopened > 4 { // the managers of two machines out of seven
+		t.Errorf("machines lost: got times %v, want 2 to 4 of them above %v", lost, reconnect.watchTimeout)
 	}
 }
 
-func expectTimes(t *testing.T, circumstance string, times []float64, managers int, least time.Duration) {
+func checkTimes(t *testing.T, circumstance string, times []float64, managers int, least time.Duration) {
 	t.Helper()
 	if len(times) != managers || !slices.IsSorted(times) || times[0] < least.Seconds() || times[len(times)-1] > propagationTimeout.Seconds() {
-		t.Errorf("%s: %v", circumstance, times)
+		t.Errorf("%s: got times %v, want %d sorted ones from %v to %v", circumstance, times, managers, least, propagationTimeout)
 	}
 }
 
-func TestManagerThatReadsALongListAppliesTheChangeLater(t *testing.T) {
+func TestLongListReadDelaysTheChange(t *testing.T) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	const managers = 3
-	last := func(reading time.Duration) float64 {
+	lastTime := func(listReadTime time.Duration) float64 {
 		f, err := newHollowFleet(propagationScenario(1), managerCoreShare)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer f.close()
-		r := &propagationRun{fleet: f, control: testControl(), listReadTime: reading, version: firstVersion}
+		r := &propagationRun{fleet: f, control: testControl(), listReadTime: listReadTime, version: firstVersion}
 		times, err := r.duringOpenings(context.Background(), Memory{2 << 30}, managers)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return times[managers-1]
 	}
-	const reading = 100 * time.Millisecond
-	if long := last(reading); long < reading.Seconds()/managerCoreShare {
-		t.Errorf("a list that takes %v is read within %.3f s on %g of a core", reading, long, managerCoreShare)
+	const listReadTime = 100 * time.Millisecond
+	if seconds := lastTime(listReadTime); seconds < listReadTime.Seconds()/managerCoreShare {
+		t.Errorf("a list that takes %v of processor time was read within %.3f s on %g of a core", listReadTime, seconds, managerCoreShare)
 	}
 }
 
@@ -85,7 +86,8 @@
 	for manager, arrival := range control.arrivalsDuringOpenings(managers) {
 		written := managers / controlMachines * control.listWriteInterval()
 		if arrival.list < control.listWriteInterval() || arrival.change <= written || arrival.change < arrival.list {
-			t.Errorf("manager %d: %+v", manager, arrival)
+			t.Errorf("manager %d: got %+v, want the list after %v or later and the change after the list and after %v",
+				manager, arrival, control.listWriteInterval(), written)
 		}
 	}
 }
@@ -97,29 +99,29 @@
 	var lists []time.Duration
 	for manager, arrival := range control.arrivalsDuringControlLoss(managers, reconnect) {
 		if (arrival.list == 0) == (arrival.change == 0) {
-			t.Errorf("manager %d gets both or neither: %+v", manager, arrival)
+			t.Errorf("manager %d: got %+v, want either a list or a change", manager, arrival)
 		}
 		if arrival.list > 0 {
 			lists = append(lists, arrival.list)
 		}
 	}
 	if len(lists) != managers*lostControlMachines/controlMachines {
-		t.Errorf("%d managers reopen", len(lists))
+		t.Errorf("got %d managers that reconnect, want %d", len(lists), managers*lostControlMachines/controlMachines)
 	}
 	slices.Sort(lists)
 	if first := reconnect.watchTimeout + reconnect.minBackoff + control.listWriteInterval(); lists[0] < first {
-		t.Errorf("the first list comes after %v, before %v", lists[0], first)
+		t.Errorf("got the first list after %v, want it after %v or later", lists[0], first)
 	}
-	// Each of five machines writes forty lists one after another.
+	// Each of the five remaining machines writes forty lists, one after another.
 	if last, least := lists[len(lists)-1], reconnect.watchTimeout+reconnect.minBackoff+40*control.listWriteInterval(); last < least {
-		t.Errorf("the last list comes after %v, before %v", last, least)
+		t.Errorf("got the last list after %v, want it after %v or later", last, least)
 	}
 }
 
 func TestSubsetIsTakenFromACompleteList(t *testing.T) {
 	samples, err := measureSubsetRead(context.Background(), subsetScenario(1, 2400), 1)
 	if err != nil || len(samples) != 1 || samples[0][CPUPerSubsetRead] <= 0 {
-		t.Errorf("%v, %v", samples, err)
+		t.Errorf("got %v, %v, want one sample with a cost above 0", samples, err)
 	}
 }
 
@@ -128,7 +130,7 @@
 	for second := range 100 {
 		hundred = append(hundred, float64(second))
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name               string
 		sorted             []float64
 		median, tail, last float64
@@ -138,20 +140,20 @@
 		{"a hundred managers", hundred, 50, 99, 99},
 	} {
 		got := sample{}
-		got.addTimes(one.sorted, PropagationMedian, PropagationTail, PropagationLast)
-		want := sample{PropagationMedian: one.median, PropagationTail: one.tail, PropagationLast: one.last}
+		got.addTimes(test.sorted, PropagationMedian, PropagationTail, PropagationLast)
+		want := sample{PropagationMedian: test.median, PropagationTail: test.tail, PropagationLast: test.last}
 		if !maps.Equal(got, want) {
-			t.Errorf("%s: %v, want %v", one.name, got, want)
+			t.Errorf("%s: got %v, want %v", test.name, got, want)
 		}
 	}
 }
 
-func TestUnknownPhaseOfAScriptIsNil(t *testing.T) {
+func TestPhaseReturnsNilForUnrecordedPhase(t *testing.T) {
 	recorded := script{phases: []phase{{name: PhaseList}}}
 	if found := recorded.phase(PhaseList); found == nil || found.name != PhaseList {
-		t.Errorf("%+v is not the phase %s", found, PhaseList)
+		t.Errorf("got phase %+v, want %s", found, PhaseList)
 	}
 	if found := recorded.phase(PhaseBusy); found != nil {
-		t.Errorf("%+v is found for a phase that was not recorded", found)
+		t.Errorf("got phase %+v, want none: %s was not recorded", found, PhaseBusy)
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -10,51 +10,52 @@
 	"time"
 )
 
-// Options say what a run measures.
+// Options selects what a run measures.
 type Options struct {
-	Axes     []Axis    // none: all
-	Sizes    []float64 // in place of the usual ones, on one axis of hollow managers or of real processes
-	Seed     uint64    // settles all that is drawn
-	Runs     int       // at each size
-	Small    bool      // fewer and smaller sizes
-	Memory   Memory    // limit of what may be held
-	Progress io.Writer // gets a line for each size
-	Program  string    // started as a real manager and as the control side; none: neither is measured
+	Axes     []Axis    // empty: all axes
+	Sizes    []float64 // replace the default sizes of hollow managers or of real processes on the one selected axis; empty: default sizes
+	Seed     uint64    // of all random numbers
+	Runs     int       // number of runs at each size
+	Small    bool      // measure at fewer and smaller sizes
+	Memory   Memory    // limit on the memory in use
+	Progress io.Writer // receives a line for each size
+	Program  string    // executable started as a real manager and as the control side; empty: neither is measured
 }
 
-// OptionError says which option is invalid, and why.
+// OptionError reports an invalid option.
 type OptionError struct {
-	Flag    string // of the command that sets it
-	Problem string
+	Flag    string // command-line flag that sets the option
+	Problem string // why the value is invalid
 }
 
-// Error names the flag and what is wrong.
+// Error returns the flag and why its value is invalid.
 func (e *OptionError) Error() string { return e.Flag + ": " + e.Problem }
 
-// Validate returns an OptionError for the first option that is invalid.
+// Validate returns an OptionError for the first invalid option.
 func (o Options) Validate() error {
 	for _, axis := range o.Axes {
 		if !slices.Contains(Axes(), axis) {
-			return &OptionError{"--axis", fmt.Sprintf("%q is none of %v", axis, Axes())}
+			return &OptionError{"--axis", fmt.Sprintf("unknown axis %q, expected one of %v", axis, Axes())}
 		}
 	}
 	switch {
 	case o.Runs < 1 || o.Runs > 100:
-		return &OptionError{"--runs", fmt.Sprintf("%d is not from 1 to 100", o.Runs)}
+		return &OptionError{"--runs", fmt.Sprintf("%d is not between 1 and 100", o.Runs)}
 	case len(o.Sizes) > 0 && len(o.Axes) != 1:
-		return &OptionError{"--sizes", "one --axis is due with it"}
+		return &OptionError{"--sizes", "requires exactly one --axis"}
 	}
 	for _, size := range o.Sizes {
-		if !(size >= 1 && size <= maxSize) {
-			return &OptionError{"--sizes", fmt.Sprintf("%g is not from 1 to %g", size, float64(maxSize))}
+		if !(size >= 1 && size <= maxAxisSize) {
+			return &OptionError{"--sizes", fmt.Sprintf("%g is not between 1 and %g", size, float64(maxAxisSize))}
 		}
 	}
 	return nil
 }
 
-const maxSize = 1e9
+// maxAxisSize is the largest size along an axis that an option may ask for.
+const maxAxisSize = 1e9
 
-// Run measures what the options ask for. A size that doesn't fit the limits is a LimitError before anything is begun.
+// Run measures what the options select. It returns a LimitError before it measures anything if a size exceeds the limits.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if err := options.Validate(); err != nil {
 		return Report{}, err
@@ -69,8 +70,8 @@
 		Reference: reference.sizes(),
 	}
 	run := &session{options: options, reference: reference}
-	wanted := run.wanted()
-	for _, s := range wanted {
+	selected := run.selectSurveys()
+	for _, s := range selected {
 		for _, size := range s.sizes {
 			if err := s.check(run, size, s); err != nil {
 				return report, err
@@ -78,18 +79,18 @@
 		}
 	}
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(int64(options.Memory.Bytes)))
-	for _, s := range wanted {
+	for _, s := range selected {
 		slopes, err := run.measureSurvey(ctx, s)
 		if err != nil {
 			return report, err
 		}
 		report.Slopes = append(report.Slopes, slopes...)
 	}
-	return report, run.measureBeside(ctx, &report)
+	return report, run.measureFullRunCases(ctx, &report)
 }
 
-// wanted are the surveys that the options ask for, each with its sizes.
-func (r *session) wanted() (all []survey) {
+// selectSurveys returns the surveys that the options select, each with its sizes.
+func (r *session) selectSurveys() (selected []survey) {
 	for _, s := range surveys {
 		if len(r.options.Axes) > 0 && !slices.Contains(r.options.Axes, s.axis) || s.realProcesses && r.options.Program == "" {
 			continue
@@ -100,12 +101,12 @@
 		if len(r.options.Sizes) > 0 && (!s.realProcesses || s.axis == Processes || s.axis == Connections) {
 			s.sizes = r.options.Sizes
 		}
-		all = append(all, s)
+		selected = append(selected, s)
 	}
-	return all
+	return selected
 }
 
-// measureSurvey measures all costs along an axis, size by size, and fits a slope to each.
+// measureSurvey measures all costs of a survey, size by size, and fits a slope to each cost.
 func (r *session) measureSurvey(ctx context.Context, s survey) ([]Slope, error) {
 	points := map[Cost][]Point{}
 	for _, size := range s.sizes {
@@ -129,8 +130,9 @@
 	return slopes, nil
 }
 
-// measureBeside measures what is no slope, in a full run: the plan's size, and real processes.
-func (r *session) measureBeside(ctx context.Context, report *Report) (err error) {
+// measureFullRunCases measures single cases, to which no slope is fitted: managers at the capacity plan's size, and real
+// processes. It does nothing unless the run covers all axes at their full sizes.
+func (r *session) measureFullRunCases(ctx context.Context, report *Report) (err error) {
 	if len(r.options.Axes) > 0 || r.options.Small {
 		return nil
 	}
@@ -143,7 +145,7 @@
 	return err
 }
 
-// pointOf is a cost at a size, with all runs.
+// pointOf returns the point of a cost at a size, with the values of all runs.
 func pointOf(size float64, cost Cost, samples []sample) Point {
 	point := Point{Size: size}
 	for _, measured := range samples {
@@ -152,7 +154,7 @@
 	return point
 }
 
-// sizes are a scenario's by axis.
+// sizes returns the scenario's size along each axis.
 func (s Scenario) sizes() map[Axis]float64 {
 	return map[Axis]float64{
 		Servers:         float64(s.Servers),
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -11,21 +11,21 @@
 	"tamarindshore/internal/fakes"
 )
 
-// Scenario is the size of a fleet and of what happens in it, as one manager sees it.
+// Scenario describes a fleet and its activity as one manager sees them.
 type Scenario struct {
 	Servers        int
-	Proxies        int // of this manager
+	Proxies        int // that this manager serves
 	Zones          int
 	TrafficClasses int
-	ListChanges    float64 // a second, of one server each
-	Reports        float64 // a second: half on servers, half on proxies
-	RestartsAtOnce int     // servers in one change of the list
-	Seed           uint64
-	HomeServers    int  // in the first zone, the others spread over the rest; 0: all are spread evenly
-	HomeProxies    bool // all proxies are in the first zone, else they are spread evenly
+	ListChanges    float64 // per second, each of one server
+	Reports        float64 // per second: half are load reports on servers, half usage reports on proxies
+	RestartsAtOnce int     // servers in one change of the endpoint list
+	Seed           uint64  // of all random numbers
+	HomeServers    int     // servers in the first zone, while the others are spread over the other zones; 0: all servers are spread evenly
+	HomeProxies    bool    // all proxies are in the first zone; false: they are spread evenly
 }
 
-// Reference is the scenario whose sizes stay while one axis grows.
+// Reference returns the scenario that is measured while the size along one axis varies and all other sizes stay.
 func Reference() Scenario {
 	return Scenario{
 		Servers:        600,
@@ -40,13 +40,13 @@
 }
 
 const (
-	requestsPerReport = 3    // so few that no server is missed between two reports on it
-	memoryMB          = 4096 // limit in the configuration: far above what a manager needs, so that it has no effect
-	maxSockets        = 4096
-	firstVersion      = 41
+	requestsPerReport = 3    // few enough that no server counts as unresponsive between two reports on it
+	memoryMB          = 4096 // limit in the configuration: far above a manager's needs, so that it has no effect
+	maxSockets        = 4096 // limit on descriptors in the configuration
+	firstVersion      = 41   // of the endpoint list
 )
 
-// With is the scenario with another size along one axis.
+// With returns the scenario with another size along one axis.
 func (s Scenario) With(axis Axis, size float64) Scenario {
 	switch axis {
 	case Servers, OpeningListSize:
@@ -67,10 +67,10 @@
 	return s
 }
 
-// requestRate is how many requests a second come to all proxies: as many as the reports tell of.
+// requestRate returns the requests per second of all proxies: as many as the reports count.
 func (s Scenario) requestRate() float64 { return requestsPerReport * s.Reports / 2 }
 
-// site is the deployment of a scenario.
+// site returns the deployment of the scenario.
 func (s Scenario) site() fakes.Site {
 	site := fakes.DefaultSite(s.Servers, s.Proxies)
 	site.RequestRate = s.requestRate() / float64(s.Proxies)
@@ -92,7 +92,7 @@
 	return site
 }
 
-// endpoint is a server's entry of the list.
+// endpoint returns a server's entry of the endpoint list.
 func (s Scenario) endpoint(site fakes.Site, server int, lifecycle string) fakes.Endpoint {
 	return fakes.Endpoint{
 		ID:        fakes.ServerID(server),
@@ -103,6 +103,7 @@
 	}
 }
 
+// zoneOfServer returns the zone of a server, according to HomeServers.
 func (s Scenario) zoneOfServer(site fakes.Site, server int) string {
 	switch {
 	case s.HomeServers == 0 || len(site.Zones) == 1:
@@ -113,6 +114,7 @@
 	return site.Zones[1+(server-s.HomeServers)%(len(site.Zones)-1)]
 }
 
+// zoneOfProxy returns the zone of a proxy, according to HomeProxies.
 func (s Scenario) zoneOfProxy(site fakes.Site, proxy int) string {
 	if s.HomeProxies {
 		return site.Zones[0]
@@ -120,7 +122,7 @@
 	return site.Zone(proxy)
 }
 
-// completeList is the list that holds all servers.
+// completeList returns the text of the endpoint list with all servers.
 func (s Scenario) completeList(site fakes.Site, version int) string {
 	list := fakes.EndpointList{Version: version, Complete: true}
 	for server := range s.Servers {
@@ -129,15 +131,16 @@
 	return encodeList(list)
 }
 
+// encodeList returns the JSON text of an endpoint list.
 func encodeList(list fakes.EndpointList) string {
 	text, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // no value of a list can fail
+		panic(err) // each value of this type can be encoded
 	}
 	return string(text)
 }
 
-// managerConfig is the configuration of a scenario's manager, without servers: these come with the endpoint list.
+// managerConfig returns the configuration of the scenario's manager. It has no servers: these come with the endpoint list.
 func (s Scenario) managerConfig(site fakes.Site) (config.Config, error) {
 	dir, err := os.MkdirTemp("", "tamarindshore-scale-")
 	if err != nil {
--- a/internal/scale/script.go
+++ b/internal/scale/script.go
@@ -7,21 +7,21 @@
 	"tamarindshore/internal/node"
 )
 
-// Phase names a part of a script that is measured by itself.
+// Phase names a part of a script whose cost is measured separately.
 type Phase string
 
-// Phases of a script, in their order.
+// Phases of a script, in order.
 const (
-	PhaseList    Phase = "list"    // the complete endpoint list is read
+	PhaseList    Phase = "list"    // the manager reads the complete endpoint list
 	PhaseJoin    Phase = "join"    // proxies connect and are assigned tables
-	PhaseWarm    Phase = "warm"    // reports come; not measured
-	PhaseBusy    Phase = "busy"    // reports come
-	PhaseChanges Phase = "changes" // changes of the endpoint list alone
-	PhaseInputs  Phase = "inputs"  // reports alone, between two of the manager's timers
-	PhaseQuiet   Phase = "quiet"   // nothing comes
+	PhaseWarm    Phase = "warm"    // reports and list changes arrive; not measured
+	PhaseBusy    Phase = "busy"    // reports and list changes arrive
+	PhaseChanges Phase = "changes" // only changes of the endpoint list arrive
+	PhaseInputs  Phase = "inputs"  // only reports arrive, between two of the manager's timers
+	PhaseQuiet   Phase = "quiet"   // no messages arrive
 )
 
-// Spans of the phases, by the script's clock.
+// Durations of the phases, by the script's clock.
 const (
 	joinSpan  = 4 * time.Second
 	warmSpan  = 8 * time.Second
@@ -31,33 +31,33 @@
 
 // Sizes of the phases.
 const (
-	eventBatch      = 512 // events that the router takes together
+	eventBatch      = 512 // events that the router processes in one batch
 	measuredInputs  = 20 * eventBatch
 	measuredChanges = 16
 )
 
 const (
-	ackDelay          = 20 * time.Millisecond // until a proxy acknowledges a call's barrier
+	ackDelay          = 20 * time.Millisecond // until a proxy acknowledges the barrier of a call
 	healthCheckDelay  = 2 * time.Millisecond  // until a server answers a health check
-	reportTick        = time.Millisecond
-	listChangeSpacing = 50 * time.Millisecond // enough for the acknowledgements of a change
-	maxReportInterval = time.Minute           // that the manager accepts in a report
+	reportTick        = time.Millisecond      // resolution of the times at which reports arrive
+	listChangeSpacing = 50 * time.Millisecond // leaves time for the proxies' acknowledgements of a change
+	maxReportInterval = time.Minute           // longest interval that the manager accepts in a report
 	heartbeatInterval = time.Second
 )
 
-// scriptEpoch is the wall-clock time at which scripts begin: a fixed one, so that each run does the same work.
+// scriptEpoch is the wall-clock time at which scripts begin. It is fixed, so that each run does the same work.
 var scriptEpoch = time.Unix(1_700_000_000, 0)
 
-// step is all that comes to a manager at one time.
+// step holds the messages that a manager receives at one time.
 type step struct {
 	at       time.Duration
 	messages []node.Message
 }
 
-// trafficByKind is a manager's traffic by node.MessageKind.
+// trafficByKind holds a manager's traffic for each node.MessageKind.
 type trafficByKind [node.HeartbeatMessage + 1]node.Traffic
 
-// minus is the traffic since an earlier count.
+// minus returns the traffic since an earlier count.
 func (t trafficByKind) minus(before trafficByKind) trafficByKind {
 	var difference trafficByKind
 	for kind := range t {
@@ -70,26 +70,26 @@
 	return difference
 }
 
-// phase is a part of a script, and what a manager did in it when the script was recorded.
+// phase is a part of a script, with the traffic and the commands of the manager when the script was recorded.
 type phase struct {
 	name     Phase
 	span     time.Duration
 	steps    []step
-	inputs   int // messages, heartbeats included
+	inputs   int // number of messages, including heartbeats
 	traffic  trafficByKind
-	commands int
+	commands int // number of commands to the relay
 }
 
-// script is the messages that one manager is sent, step by step. Replayed on a fresh manager it causes the same work, so that this
-// can be measured without the cost of the fleet around the manager.
+// script holds the messages that one manager receives, step by step. Replaying it on a fresh manager causes the same work, so
+// the work can be measured without the cost of simulating the fleet around the manager.
 type script struct {
 	scenario        Scenario
 	site            fakes.Site
 	phases          []phase
-	assignedProxies int // at the end
+	assignedProxies int // number at the end
 }
 
-// phase returns the phase of a name; nil where the script has none.
+// phase returns the phase with a name, or nil if the script has none.
 func (s *script) phase(name Phase) *phase {
 	for i := range s.phases {
 		if s.phases[i].name == name {
--- a/internal/scale/scripts_test.go
+++ b/internal/scale/scripts_test.go
@@ -11,10 +11,11 @@
 	"time"
 )
 
-// TestScriptsAndArrivalsAreAsRecorded compares what managers are told in each phase of a script, when changes arrive at
-// them, and what is measured at which sizes, with testdata/scripts.txt. The program wrote it before its names were
-// changed. A decision or a message of the wire that is meant to change changes it.
-func TestScriptsAndArrivalsAreAsRecorded(t *testing.T) {
+// TestScriptsAndArrivalsMatchGoldenFile compares the messages that managers receive in each phase of a script, the times at
+// which changes arrive at them, and the costs and sizes that are measured, with testdata/scripts.txt. The golden file was
+// written before identifiers were renamed, and guards renames against changes of behaviour. Update it only together with an
+// intended change of a decision or of a message of the protocol.
+func TestScriptsAndArrivalsMatchGoldenFile(t *testing.T) {
 	recorded, err := os.ReadFile("testdata/scripts.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +27,7 @@
 	got := strings.Split(out.String(), "\n")
 	want := strings.Split(string(recorded), "\n")
 	if len(got) != len(want) {
-		t.Fatalf("%d lines, %d are recorded", len(got), len(want))
+		t.Fatalf("got %d lines, want %d", len(got), len(want))
 	}
 	for i := range got {
 		if got[i] != want[i] {
@@ -37,7 +38,7 @@
 
 func writeScripts(t *testing.T, out *strings.Builder) {
 	t.Helper()
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name     string
 		scenario Scenario
 	}{
@@ -46,11 +47,11 @@
 			HomeServers: 30, HomeProxies: true}},
 	} {
 		for _, quiet := range []bool{false, true} {
-			script, err := record(context.Background(), one.scenario, quiet)
+			script, err := record(context.Background(), test.scenario, quiet)
 			if err != nil {
 				t.Fatal(err)
 			}
-			fmt.Fprintf(out, "%s quiet=%v assigned=%d\n", one.name, quiet, script.assignedProxies)
+			fmt.Fprintf(out, "%s quiet=%v assigned=%d\n", test.name, quiet, script.assignedProxies)
 			for _, p := range script.phases {
 				writePhase(out, p)
 			}
@@ -66,7 +67,8 @@
 			fmt.Fprintf(sum, " %d %q %q %q\n", m.Kind, m.Event, m.Text, m.Server)
 		}
 	}
-	fmt.Fprintf(out, "  %s span=%v steps=%d inputs=%d commands=%d sha256=%x", p.name, p.span, len(p.steps), p.inputs, p.commands, sum.Sum(nil)[:12])
+	fmt.Fprintf(out, "  %s span=%v steps=%d inputs=%d commands=%d sha256=%x",
+		p.name, p.span, len(p.steps), p.inputs, p.commands, sum.Sum(nil)[:12])
 	for _, traffic := range p.traffic {
 		fmt.Fprintf(out, " %d/%d/%d", traffic.Messages, traffic.In, traffic.Out)
 	}
--- a/internal/scale/subset_read.go
+++ b/internal/scale/subset_read.go
@@ -8,10 +8,11 @@
 	"tamarindshore/internal/node"
 )
 
-// spillOfSubset is how many servers of other zones the manager holds whose reading of a whole list is measured.
-const spillOfSubset = 100
+// subsetSpill is the number of servers of other zones in the manager's subset.
+const subsetSpill = 100
 
-// subsetScenario is a fleet of so many servers in the plan's zones, of which a manager needs one zone and some others.
+// subsetScenario returns a scenario with a number of servers in the zones of the capacity plan. The manager's proxies are in
+// one zone, so it needs only the servers of that zone and some of the others.
 func subsetScenario(seed uint64, servers int) Scenario {
 	scenario := Reference()
 	scenario.Seed = seed
@@ -21,8 +22,8 @@
 	return scenario
 }
 
-// measureSubsetRead measures the processor time in which a manager reads a whole list and takes its subset of it: the
-// list is decoded, the first proxy connects, and the decisions get the servers that it needs.
+// measureSubsetRead measures the processor time that a manager takes to read a whole list and to select its subset from it:
+// the list is decoded, the first proxy connects, and the router receives the servers that this proxy needs.
 func measureSubsetRead(ctx context.Context, scenario Scenario, runs int) ([]sample, error) {
 	var samples []sample
 	runtime.LockOSThread()
@@ -40,13 +41,14 @@
 	return samples, nil
 }
 
+// subsetRead returns the processor time of one read by a new manager.
 func subsetRead(scenario Scenario) (time.Duration, error) {
 	site := scenario.site()
 	config, err := scenario.managerConfig(site)
 	if err != nil {
 		return 0, err
 	}
-	config.Spill = spillOfSubset
+	config.Spill = subsetSpill
 	manager, err := node.NewHollowManager(config, scriptEpoch)
 	if err != nil {
 		return 0, err
--- a/internal/scale/surveys.go
+++ b/internal/scale/surveys.go
@@ -5,38 +5,38 @@
 	"slices"
 )
 
-// survey says what is measured along one axis.
+// survey describes a measurement along one axis.
 type survey struct {
 	axis          Axis
 	sizes         []float64
-	smallSizes    []float64 // sizes of a small run
+	smallSizes    []float64 // used if Options.Small is set
 	costs         []Cost
-	realProcesses bool // the costs are those of real processes, and not of hollow managers
+	realProcesses bool // measures real processes; false: hollow managers
 	measure       func(*session, context.Context, float64, survey) ([]sample, error)
-	check         func(*session, float64, survey) error // whether a size fits the limits
+	check         func(*session, float64, survey) error // returns an error if the size exceeds a limit
 }
 
-// managerCosts are measured where all of a manager's work depends on the axis.
+// managerCosts are measured along axes on which all of a manager's work depends.
 var managerCosts = []Cost{
 	CPUPerInput, CPUPerQuietSecond, CPUPerBusySecond, CPUPerListChange, CPUPerListRead, CPUPerOpening, LongestDecision, HeapBytes,
 	BytesOfOpening, BytesOfListChange, BytesOfReport, BytesOfUsage, BytesOfRelayEvent, BytesOfCalls, BytesOfHealthCheck,
 	BytesOfHeartbeat, HealthChecksPerSecond, RelayEventsPerSecond, CommandsPerSecond, ProxiesAssigned,
 }
 
-// busyCosts are measured where only the work of a busy second depends on the axis.
+// busyCosts are measured along axes on which only the work of a busy second depends.
 var busyCosts = []Cost{
 	CPUPerInput, CPUPerBusySecond, LongestDecision, HeapBytes, BytesOfCalls, HealthChecksPerSecond, RelayEventsPerSecond,
 	CommandsPerSecond,
 }
 
-// openingCosts are the control side's for each manager that opens.
+// openingCosts are the costs of the control side for each manager that opens.
 var openingCosts = []Cost{ControlCPUPerManager, ControlCPUPerChange, ControlHeapPerManager, ControlBytesPerManager}
 
-// controlCosts are the control side's for each manager that it serves.
+// controlCosts are the costs of the control side for each manager that it serves.
 var controlCosts = slices.Concat(openingCosts, []Cost{ControlConnections, OpeningLast, ControlCPUPerQuietSecond})
 
-// surveys are in the order in which they are made: those of the control side come before the propagation of changes,
-// which uses their results.
+// surveys lists all surveys in the order in which they run. Those of the control side and of the subset come before the
+// propagation of changes, which uses their results.
 var surveys = []survey{
 	managerSurvey(Servers, []float64{60, 240, 600, 2400, 6000, 24000}, []float64{60, 240, 600, 2400}, managerCosts),
 	managerSurvey(Proxies, []float64{40, 200, 1000, 4000}, []float64{40, 200, 1000, 2000}, managerCosts),
@@ -79,7 +79,7 @@
 	},
 }
 
-// managerSurvey is a survey of hollow managers.
+// managerSurvey returns a survey of single hollow managers.
 func managerSurvey(axis Axis, sizes, smallSizes []float64, costs []Cost) survey {
 	return survey{
 		axis: axis, sizes: sizes, smallSizes: smallSizes, costs: costs,
@@ -87,7 +87,7 @@
 	}
 }
 
-// Axes are the axes along which a run measures.
+// Axes returns the axes along which a run can measure.
 func Axes() []Axis {
 	var axes []Axis
 	for _, s := range surveys {
@@ -107,7 +107,7 @@
 	unitProxies     = "proxies"
 )
 
-// units are those of the costs that are not in bytes.
+// units holds the unit of each cost that isn't in bytes.
 var units = map[Cost]string{
 	CPUPerInput:                          unitSeconds,
 	CPUPerQuietSecond:                    unitSeconds,
@@ -145,9 +145,9 @@
 	ProxiesAssigned:                      unitProxies,
 }
 
-// unitOf is the unit of a cost.
+// unitOf returns the unit of a cost.
 func unitOf(cost Cost) string {
-	if unit, named := units[cost]; named {
+	if unit, found := units[cost]; found {
 		return unit
 	}
 	return unitBytes
--- a/internal/scale/usage.go
+++ b/internal/scale/usage.go
@@ -11,23 +11,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// processCPU is the processor time that this process has used, garbage collection included. On a shared machine it says
-// what work costs, where a wall clock says how long it had to wait.
+// processCPU returns the processor time that this process has used, including garbage collection. On a shared machine it
+// measures the cost of work, while wall-clock time also includes waiting for a core.
 func processCPU() time.Duration { return readClock(unix.CLOCK_PROCESS_CPUTIME_ID) }
 
-// threadCPU is the processor time of the calling thread; the caller must be locked to it.
+// threadCPU returns the processor time that the calling thread has used. The goroutine must be locked to its thread.
 func threadCPU() time.Duration { return readClock(unix.CLOCK_THREAD_CPUTIME_ID) }
 
-// readClock reads a clock of the system.
+// readClock reads a system clock.
 func readClock(id int32) time.Duration {
-	var at unix.Timespec
-	if err := unix.ClockGettime(id, &at); err != nil {
-		panic(err) // each Linux that runs Go has both clocks
+	var now unix.Timespec
+	if err := unix.ClockGettime(id, &now); err != nil {
+		panic(err) // each Linux version that Go supports has both clocks
 	}
-	return time.Duration(at.Nano())
+	return time.Duration(now.Nano())
 }
 
-// heapInUse is the heap that is in use after a garbage collection, in bytes.
+// heapInUse returns the bytes of the heap that are in use after a garbage collection.
 func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -36,15 +36,14 @@
 	return float64(stats.HeapAlloc)
 }
 
-// stackInUse is the memory of the goroutines' stacks, in bytes.
+// stackInUse returns the bytes of the goroutines' stacks.
 func stackInUse() float64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.StackInuse)
 }
 
-// childrenUsage is the processor time, in seconds, of the processes that this one started, and how often their threads
-// were switched.
+// childrenUsage returns the processor time, in seconds, and the context switches of the running child processes so far.
 func childrenUsage() (cpu, contextSwitches float64) {
 	for _, pid := range childProcesses() {
 		for _, task := range globFiles("/proc/" + pid + "/task/*") {
@@ -55,16 +54,16 @@
 	return cpu, contextSwitches
 }
 
-// globFiles are the files that match a pattern.
+// globFiles returns the files that match a pattern.
 func globFiles(pattern string) []string {
 	files, err := filepath.Glob(pattern)
 	if err != nil {
-		panic(err) // the patterns are constants of this file
+		panic(err) // only a malformed pattern fails, and the patterns are fixed in this file
 	}
 	return files
 }
 
-// childProcesses are the numbers of the processes that this one started.
+// childProcesses returns the process IDs of this process's children.
 func childProcesses() []string {
 	var pids []string
 	for _, file := range globFiles("/proc/self/task/*/children") {
@@ -75,7 +74,7 @@
 	return pids
 }
 
-// threadRunTime is the seconds that a thread has run so far; 0 once it has ended.
+// threadRunTime returns the seconds that a thread has run so far, or 0 if it has ended.
 func threadRunTime(task string) float64 {
 	text, err := os.ReadFile(task + "/schedstat")
 	if err != nil {
@@ -86,7 +85,7 @@
 	return value / 1e9
 }
 
-// threadContextSwitches is how often a thread was switched so far; 0 once it has ended.
+// threadContextSwitches returns the number of context switches of a thread so far, or 0 if it has ended.
 func threadContextSwitches(task string) float64 {
 	text, err := os.ReadFile(task + "/status")
 	if err != nil {
--- a/internal/scale/withdrawals.go
+++ b/internal/scale/withdrawals.go
@@ -8,20 +8,20 @@
 	"tamarindshore/balancer"
 )
 
-// withdrawCommand is the relay's name for the command that withdraws a server.
+// withdrawCommand is the name of the command that withdraws a server, as the relay reports it.
 const withdrawCommand = "withdraw"
 
-// withdrawals notes when each manager withdraws a server that is waited for. It is safe for concurrent use.
+// withdrawals records when each manager withdraws an expected server. It is safe for concurrent use.
 type withdrawals struct {
 	mu          sync.Mutex
-	server      balancer.ServerID
-	managers    int                  // that are to withdraw it
+	server      balancer.ServerID    // expected to be withdrawn
+	managers    int                  // number of managers expected to withdraw it
 	withdrawnAt map[string]time.Time // by manager
 	done        chan struct{}        // closed once all managers have withdrawn it
 }
 
-// expect forgets what was noted, and waits for another server at so many managers. It returns a channel that is closed
-// once all of them have withdrawn it.
+// expect discards earlier records and starts to record the withdrawals of a server by a number of managers. It returns
+// a channel that is closed once all of them have withdrawn it.
 func (w *withdrawals) expect(server balancer.ServerID, managers int) <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -32,7 +32,7 @@
 	return w.done
 }
 
-// onCommand takes a command that a manager's relay got.
+// onCommand records a command that the relay received from a manager. Only the first withdrawal by each manager counts.
 func (w *withdrawals) onCommand(manager string, at time.Time, kind, server string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// secondsSince are the sorted seconds from a moment until each manager has withdrawn the server.
+// secondsSince returns the seconds from a start time until each manager withdrew the server, sorted.
 func (w *withdrawals) secondsSince(start time.Time) []float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/scale/withdrawals_test.go
+++ b/internal/scale/withdrawals_test.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-func TestWithdrawalsEndOnceEachManagerMadeThem(t *testing.T) {
+func TestWithdrawalsAreDoneOnceEachManagerWithdrew(t *testing.T) {
 	var w withdrawals
 	published := time.Unix(1000, 0)
-	all := w.expect("s-1", 2)
+	done := w.expect("s-1", 2)
 	w.onCommand("n1", published.Add(time.Second), "withdraw", "s-1")
-	w.onCommand("n1", published.Add(2*time.Second), "withdraw", "s-1") // again, by the same manager
+	w.onCommand("n1", published.Add(2*time.Second), "withdraw", "s-1") // a repeated command of the same manager does not count
 	w.onCommand("n2", published.Add(time.Second), "restore", "s-1")
 	w.onCommand("n2", published.Add(time.Second), "withdraw", "s-2")
 	select {
-	case <-all:
-		t.Fatal("over before the second manager withdrew the server")
+	case <-done:
+		t.Fatal("the channel is closed before the second manager withdrew the server")
 	default:
 	}
 	w.onCommand("n2", published.Add(3*time.Second), "withdraw", "s-1")
 	select {
-	case <-all:
+	case <-done:
 	default:
-		t.Fatal("not over though both withdrew it")
+		t.Fatal("the channel is not closed after both managers withdrew the server")
 	}
 	if times := w.secondsSince(published); len(times) != 2 || times[0] != 1 || times[1] != 3 {
-		t.Errorf("%v", times)
+		t.Errorf("got times %v, want [1 3]", times)
 	}
 }
--- a/internal/scale/work_test.go
+++ b/internal/scale/work_test.go
@@ -1,7 +1,7 @@
 package scale
 
-// Tests that fail where a cost grows with the wrong axis. They count allocations, bytes and commands, which are the same
-// on each machine and in each run, and no times.
+// Tests that fail if a cost grows along an axis on which it must not depend. They count allocations, bytes and commands
+// instead of time, since these are the same on each machine and in each run.
 
 import (
 	"context"
@@ -15,20 +15,22 @@
 	"tamarindshore/internal/node"
 )
 
-// openedManager is a manager that has read its list and assigned its proxies, between two timers.
-type openedManager struct {
+// testManager is a hollow manager that has read its endpoint list and assigned its proxies, and whose next timer isn't due
+// yet.
+type testManager struct {
 	*recorder
 	t *testing.T
 }
 
-func open(t *testing.T, scenario Scenario) openedManager {
+// openTestManager starts a manager of a scenario and advances it to the state that testManager describes.
+func openTestManager(t *testing.T, scenario Scenario) testManager {
 	t.Helper()
 	site := scenario.site()
-	start, err := scenario.managerConfig(site)
+	config, err := scenario.managerConfig(site)
 	if err != nil {
 		t.Fatal(err)
 	}
-	manager, err := node.NewHollowManager(start, scriptEpoch)
+	manager, err := node.NewHollowManager(config, scriptEpoch)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,82 +40,85 @@
 	for server := range scenario.Servers {
 		r.serverOrder = append(r.serverOrder, server)
 	}
-	for _, do := range []func() error{r.playList, r.playJoin, r.stopTraffic, func() error { return r.playBusy(2 * time.Second) }} {
-		if err := do(); err != nil {
+	for _, play := range []func() error{r.playList, r.playJoin, r.stopTraffic, func() error { return r.playBusy(2 * time.Second) }} {
+		if err := play(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := r.advance(r.manager.NextWake() + 2*ackDelay); err != nil {
 		t.Fatal(err)
 	}
-	if bound := len(r.proxies.tableOf); bound != scenario.Proxies {
-		t.Fatalf("%d of %d proxies are bound", bound, scenario.Proxies)
+	if assigned := len(r.proxies.tableOf); assigned != scenario.Proxies {
+		t.Fatalf("%d of %d proxies are assigned to a table", assigned, scenario.Proxies)
 	}
-	return openedManager{r, t}
+	return testManager{r, t}
 }
 
-// deliver steps the manager at the next instant.
-func (o openedManager) deliver(messages ...node.Message) node.StepResult {
-	o.now += time.Microsecond
-	result, err := o.manager.Step(o.now, messages...)
+// deliver sends messages to the manager one microsecond later.
+func (opened testManager) deliver(messages ...node.Message) node.StepResult {
+	opened.now += time.Microsecond
+	result, err := opened.manager.Step(opened.now, messages...)
 	if err != nil {
-		o.t.Fatal(err)
+		opened.t.Fatal(err)
 	}
 	return result
 }
 
-// work counts what one input takes.
-type work struct {
-	allocations float64
-	bytes       float64
+// allocationWork is the memory allocated for one input.
+type allocationWork struct {
+	allocations float64 // number of allocations
+	bytes       float64 // allocated bytes
 }
 
-const inputsCounted = 400
+// countedReports is the number of reports over which the allocated memory is averaged.
+const countedReports = 400
 
-// inputWork is what a collector's line takes, on the average of many.
-func (o openedManager) inputWork(input func(node.Message)) (w work) {
+// workPerReport returns the mean memory that the manager allocates for one report of a collector.
+func (opened testManager) workPerReport(input func(node.Message)) (w allocationWork) {
 	var messages []node.Message
-	for range 2 * inputsCounted {
-		messages = append(messages, o.nextReport())
+	for range 2 * countedReports {
+		messages = append(messages, opened.nextReport())
 	}
-	for _, message := range messages[:inputsCounted] { // the history of samples has its full length after these
+	for _, message := range messages[:countedReports] { // fills the sample history to its full length
 		input(message)
 	}
-	next := inputsCounted
-	before := allocated()
-	w.allocations = testing.AllocsPerRun(inputsCounted-1, func() {
+	next := countedReports
+	before := totalAllocatedBytes()
+	w.allocations = testing.AllocsPerRun(countedReports-1, func() {
 		input(messages[next])
 		next++
 	})
-	w.bytes = (allocated() - before) / inputsCounted
+	w.bytes = (totalAllocatedBytes() - before) / countedReports
 	return w
 }
 
-func allocated() float64 {
+// totalAllocatedBytes returns the bytes that this process has allocated so far.
+func totalAllocatedBytes() float64 {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.TotalAlloc)
 }
 
-// Bounds on how far the work of an input may differ between two sizes.
+// Largest differences of the memory allocated for one input between two sizes that count as equal.
 const (
-	allocationsDiffer = 1
-	bytesDiffer       = 256
+	maxAllocationDifference = 1
+	maxByteDifference       = 256
 )
 
-// grows says how the work of one input differs between two sizes; empty where it doesn't.
-func grows(small, large work) string {
+// growthBetween describes how the memory allocated for one input differs between two sizes, or returns an empty string if
+// it doesn't.
+func growthBetween(small, large allocationWork) string {
 	switch {
-	case math.Abs(large.allocations-small.allocations) > allocationsDiffer:
-		return fmt.Sprintf("%g allocations, %g at the larger size", small.allocations, large.allocations)
-	case math.Abs(large.bytes-small.bytes) > bytesDiffer:
-		return fmt.Sprintf("%.0f bytes allocated, %.0f at the larger size", small.bytes, large.bytes)
+	case math.Abs(large.allocations-small.allocations) > maxAllocationDifference:
+		return fmt.Sprintf("%g allocations at the smaller size, %g at the larger", small.allocations, large.allocations)
+	case math.Abs(large.bytes-small.bytes) > maxByteDifference:
+		return fmt.Sprintf("%.0f bytes allocated at the smaller size, %.0f at the larger", small.bytes, large.bytes)
 	}
 	return ""
 }
 
-// smaller is a scenario small enough for each CI run.
-func smaller() Scenario {
+// smallScenario returns a scenario that is small enough for each CI run.
+func smallScenario() Scenario {
 	scenario := Reference()
 	scenario.Servers = 240
 	scenario.Proxies = 200
@@ -122,44 +127,45 @@
 }
 
 func TestInputCostIsIndependentOfFleetSize(t *testing.T) {
-	for _, one := range []struct {
+	for _, test := range []struct {
 		axis         Axis
 		small, large float64
 	}{{Servers, 60, 6000}, {Proxies, 40, 2000}, {Zones, 2, 40}} {
-		t.Run(string(one.axis), func(t *testing.T) {
-			few := open(t, smaller().With(one.axis, one.small))
-			many := open(t, smaller().With(one.axis, one.large))
-			least := few.inputWork(func(m node.Message) { few.deliver(m) })
-			most := many.inputWork(func(m node.Message) { many.deliver(m) })
-			if grown := grows(least, most); grown != "" {
-				t.Errorf("an input: %s", grown)
+		t.Run(string(test.axis), func(t *testing.T) {
+			few := openTestManager(t, smallScenario().With(test.axis, test.small))
+			many := openTestManager(t, smallScenario().With(test.axis, test.large))
+			fewWork := few.workPerReport(func(m node.Message) { few.deliver(m) })
+			manyWork := many.workPerReport(func(m node.Message) { many.deliver(m) })
+			if growth := growthBetween(fewWork, manyWork); growth != "" {
+				t.Errorf("work for one input: %s", growth)
 			}
 		})
 	}
 }
 
-// The check above must be able to fail: here each input walks over all servers first, as a rule without an index would.
-func TestAWalkOverAllServersIsFound(t *testing.T) {
-	walking := func(o openedManager) work {
-		return o.inputWork(func(m node.Message) {
-			var known []string
-			for server := range o.scenario.Servers {
-				known = append(known, o.site.Zone(server))
+// The comparison of the test above must be able to fail: here each input first scans all servers, as a rule without an index
+// would.
+func TestWorkComparisonDetectsScanOfAllServers(t *testing.T) {
+	workWithScan := func(opened testManager) allocationWork {
+		return opened.workPerReport(func(m node.Message) {
+			var zones []string
+			for server := range opened.scenario.Servers {
+				zones = append(zones, opened.site.Zone(server))
 			}
-			if len(known) != o.scenario.Servers {
-				t.Fatal("no walk")
+			if len(zones) != opened.scenario.Servers {
+				t.Fatalf("scanned %d servers, want %d", len(zones), opened.scenario.Servers)
 			}
-			o.deliver(m)
+			opened.deliver(m)
 		})
 	}
-	few := open(t, smaller().With(Servers, 60))
-	many := open(t, smaller().With(Servers, 6000))
-	if grows(walking(few), walking(many)) == "" {
-		t.Error("a walk over all servers with each input is not found")
+	few := openTestManager(t, smallScenario().With(Servers, 60))
+	many := openTestManager(t, smallScenario().With(Servers, 6000))
+	if growthBetween(workWithScan(few), workWithScan(many)) == "" {
+		t.Error("a scan of all servers for each input is not detected")
 	}
 }
 
-func TestListChangeHasTheSameBytesInAnyFleet(t *testing.T) {
+func TestListChangeSizeIsIndependentOfFleetSize(t *testing.T) {
 	size := func(servers int) int {
 		scenario := Reference().With(Servers, float64(servers))
 		site := scenario.site()
@@ -188,67 +194,69 @@
 		return r.bytes - before
 	}
 	if few, many := size(60), size(6000); few != many || few > 300 {
-		t.Errorf("%d bytes of a change with 60 servers, %d with 6000", few, many)
+		t.Errorf("a list change takes %d bytes with 60 servers and %d with 6000, want equal sizes up to 300", few, many)
 	}
 }
 
-func TestDrainSendsOneWithdrawalInAnyFleet(t *testing.T) {
-	size := func(servers int) (orders int, bytes int64) {
-		o := open(t, smaller().With(Servers, float64(servers)))
-		before := o.manager.Traffic(node.RelayCallMessage).Out
-		for _, call := range o.deliver(o.nextListChange(o.now, 1)).RelayCalls {
-			orders += call.Count()
+func TestDrainSendsOneWithdrawalForAnyFleetSize(t *testing.T) {
+	size := func(servers int) (commands int, bytes int64) {
+		opened := openTestManager(t, smallScenario().With(Servers, float64(servers)))
+		before := opened.manager.Traffic(node.RelayCallMessage).Out
+		for _, call := range opened.deliver(opened.nextListChange(opened.now, 1)).RelayCalls {
+			commands += call.Count()
 		}
-		return orders, o.manager.Traffic(node.RelayCallMessage).Out - before
+		return commands, opened.manager.Traffic(node.RelayCallMessage).Out - before
 	}
-	fewOrders, fewBytes := size(60)
-	manyOrders, manyBytes := size(6000)
-	if fewOrders != 1 || manyOrders != 1 {
-		t.Errorf("a drain orders %d with 60 servers, %d with 6000", fewOrders, manyOrders)
+	fewCommands, fewBytes := size(60)
+	manyCommands, manyBytes := size(6000)
+	if fewCommands != 1 || manyCommands != 1 {
+		t.Errorf("a drain causes %d commands with 60 servers and %d with 6000, want 1", fewCommands, manyCommands)
 	}
-	const digitsOfMark = 8
-	if math.Abs(float64(manyBytes-fewBytes)) > digitsOfMark {
-		t.Errorf("a drain's call has %d bytes with 60 servers, %d with 6000", fewBytes, manyBytes)
+	const maxBarrierDigits = 8 // calls differ in the digits of their barriers
+	if math.Abs(float64(manyBytes-fewBytes)) > maxBarrierDigits {
+		t.Errorf("the call for a drain has %d bytes with 60 servers and %d with 6000", fewBytes, manyBytes)
 	}
 }
 
 func TestMemoryOfAServerAndAProxyIsBounded(t *testing.T) {
-	held := func(scenario Scenario) float64 {
+	heapOfManager := func(scenario Scenario) float64 {
 		before := heapInUse()
-		o := open(t, scenario)
-		o.script = nil
-		o.current = nil
-		o.pending = nil
-		o.serverOrder = nil
+		opened := openTestManager(t, scenario)
+		opened.script = nil
+		opened.current = nil
+		opened.pending = nil
+		opened.serverOrder = nil
 		bytes := heapInUse() - before
-		runtime.KeepAlive(o.recorder)
+		runtime.KeepAlive(opened.recorder)
 		return bytes
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		axis         Axis
 		small, large float64
-		most         float64 // bytes of one more
+		maxBytes     float64 // for one more server, proxy or zone
 	}{{Servers, 600, 6000, 2000}, {Proxies, 200, 2000, 2000}, {Zones, 4, 40, 40000}} {
-		per := (held(smaller().With(one.axis, one.large)) - held(smaller().With(one.axis, one.small))) / (one.large - one.small)
-		t.Logf("%s: %.0f bytes for one more", one.axis, per)
-		if per > one.most {
-			t.Errorf("%s: %.0f bytes for one more, up to %.0f are allowed", one.axis, per, one.most)
+		perUnit := (heapOfManager(smallScenario().With(test.axis, test.large)) - heapOfManager(smallScenario().With(test.axis, test.small))) /
+			(test.large - test.small)
+		t.Logf("%s: %.0f bytes per unit", test.axis, perUnit)
+		if perUnit > test.maxBytes {
+			t.Errorf("%s: %.0f bytes per unit, want at most %.0f", test.axis, perUnit, test.maxBytes)
 		}
 	}
 }
 
-// A second's decision walks over all servers, once: what it allocates may grow with them, but not with their square.
+// The decision of each second scans all servers once: the memory that it allocates may grow linearly with their number, but
+// not with the square of it.
 func TestPeriodicDecisionGrowsAtMostLinearly(t *testing.T) {
-	second := func(servers float64) float64 {
-		o := open(t, smaller().With(Servers, servers))
-		before := allocated()
-		if err := o.advance(o.now + time.Second); err != nil {
+	bytesPerSecond := func(servers float64) float64 {
+		opened := openTestManager(t, smallScenario().With(Servers, servers))
+		before := totalAllocatedBytes()
+		if err := opened.advance(opened.now + time.Second); err != nil {
 			t.Fatal(err)
 		}
-		return allocated() - before
+		return totalAllocatedBytes() - before
 	}
-	const factor, room = 10, 2
-	if few, many := second(600), second(600*factor); many > factor*room*few {
-		t.Errorf("a second allocates %.0f bytes with 600 servers, %.0f with 6000", few, many)
+	const factor, tolerance = 10, 2
+	if few, many := bytesPerSecond(600), bytesPerSecond(600*factor); many > factor*tolerance*few {
+		t.Errorf("the decision of a second allocates %.0f bytes with 600 servers and %.0f with 6000", few, many)
 	}
 }
