--- a/internal/scale/propagation_test.go
+++ b/internal/scale/propagation_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The change is written after two lists of 10 ms each. Reading a list takes a manager 1 ms of processor time, which takes
+	// The change is written after two lists of 10 ms each. Reading a list costs a manager 1 ms of processor time, which takes
 	// longer on its share of a core.
 	least := 20*time.Millisecond + time.Millisecond + minTransit
 	checkTimes(t, "during openings", opening, managers, least)
@@ -76,7 +76,8 @@
 	}
 	const listReadTime = 100 * time.Millisecond
 	if seconds := lastTime(listReadTime); seconds < listReadTime.Seconds()/managerCoreShare {
-		t.Errorf("a list that takes %v of processor time was read within %.3f s on %g of a core", listReadTime, seconds, managerCoreShare)
+		t.Errorf("the list takes %v of processor time to read, but the change is carried out after %.3f s on %g of a core",
+			listReadTime, seconds, managerCoreShare)
 	}
 }
 
--- a/internal/scale/work_test.go
+++ b/internal/scale/work_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// The comparison of the test above must be able to fail: here each input first scans all servers, as a rule without an index
+// The comparison in the test above must be able to fail. Here each input first scans all servers, as a rule without an index
 // would.
 func TestWorkComparisonDetectsScanOfAllServers(t *testing.T) {
 	workWithScan := func(opened testManager) allocationWork {
@@ -214,7 +214,8 @@
 	}
 	const maxBarrierDigits = 8 // calls differ in the digits of their barriers
 	if math.Abs(float64(manyBytes-fewBytes)) > maxBarrierDigits {
-		t.Errorf("the call for a drain has %d bytes with 60 servers and %d with 6000", fewBytes, manyBytes)
+		t.Errorf("the call for a drain has %d bytes with 60 servers and %d with 6000, want them to differ by at most %d",
+			fewBytes, manyBytes, maxBarrierDigits)
 	}
 }
 
@@ -257,6 +258,7 @@
 	}
 	const factor, tolerance = 10, 2
 	if few, many := bytesPerSecond(600), bytesPerSecond(600*factor); many > factor*tolerance*few {
-		t.Errorf("the decision of a second allocates %.0f bytes with 600 servers and %.0f with 6000", few, many)
+		t.Errorf("the decision of a second allocates %.0f bytes with 600 servers and %.0f with 6000, want at most %d times as many",
+			few, many, factor*tolerance)
 	}
 }
