--- a/cmd/tamarindshore/capacity_test.go
+++ b/cmd/tamarindshore/capacity_test.go
@@ -60,7 +60,7 @@
 		want    string
 	}{
 		"plan":       {capacityCommand{Plan: missing, Slopes: testSlopes}, `^plan\.sexp:[0-9]+: servers: is missing$`},
-		"slopes":     {capacityCommand{Plan: capacityPlan, Slopes: truncated}, `^cut\.json:1: slopes: the file is cut short$`},
+		"slopes":     {capacityCommand{Plan: capacityPlan, Slopes: truncated}, `^cut\.json:1: slopes: unexpected end of file$`},
 		"no plan":    {capacityCommand{Plan: "none.sexp", Slopes: testSlopes}, `none\.sexp`},
 		"no slopes":  {capacityCommand{Plan: capacityPlan, Slopes: "none.json"}, `none\.json`},
 		"no page":    {capacityCommand{Plan: capacityPlan, Slopes: testSlopes, Page: "none.md"}, `none\.md`},
