--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -8,7 +8,7 @@
 // Resource is what a budget bounds.
 type Resource string
 
-// Resources. In the strict reading all counts that is no request; the other leaves out what collectors send.
+// Resources. The strict variants count everything except requests; the others also leave out what collectors send.
 const (
 	CoreStrict             Resource = "core, strict"
 	CoreWithoutCollectors  Resource = "core, without collectors' lines"
@@ -23,19 +23,19 @@
 	Situation string
 	Role      Role
 	Resource  Resource
-	Ratio     map[Scope]Figure // of what is spent to the budget
+	Ratio     map[Scope]Figure // usage divided by the budget
 	Mechanism Mechanism
 }
 
-// Exceeded reports whether a budget is exceeded in a scope, by what was measured of it.
+// Exceeded reports whether the measured part of the usage exceeds the budget in a scope.
 func (c Check) Exceeded(scope Scope) bool { return c.Ratio[scope].Value > 1 }
 
 const bytesPerMB = 1 << 20
 
-// Checks compares all roles that have a budget with it, in the order of the situations.
+// Checks compares the load of every role that has budgets with those budgets, in the order of the situations.
 func (m *Model) Checks() []Check {
 	situations := m.Plan.situations()
-	all := []Check{m.check(Manager, Memory, situations[0])} // it is the same in all
+	all := []Check{m.check(Manager, Memory, situations[0])} // memory is the same in all situations
 	for _, s := range situations {
 		for _, resource := range []Resource{CoreStrict, CoreWithoutCollectors, BytesStrict, BytesWithoutCollectors} {
 			all = append(all, m.check(Manager, resource, s))
@@ -58,6 +58,7 @@
 	return c
 }
 
+// spending returns how much of a resource a load uses.
 func (m *Model) spending(l Load, resource Resource) Figure {
 	switch resource {
 	case CoreStrict:
@@ -72,6 +73,7 @@
 	return l.bytesWithoutCollectors()
 }
 
+// budget returns the budget of a role for a resource.
 func (m *Model) budget(role Role, resource Resource) float64 {
 	if role == ControlMachine {
 		return m.Plan.Control.budget(resource)
@@ -79,7 +81,7 @@
 	return m.Plan.Budgets.budget(resource)
 }
 
-// budget is what one control machine has of a resource.
+// budget returns how much of a resource one control machine has.
 func (c ControlMachines) budget(resource Resource) float64 {
 	switch resource {
 	case CoreStrict:
@@ -90,7 +92,7 @@
 	return c.BytesPerSecond
 }
 
-// budget is what one manager may spend of a resource.
+// budget returns how much of a resource one manager may use.
 func (b Budgets) budget(resource Resource) float64 {
 	switch resource {
 	case CoreStrict, CoreWithoutCollectors:
@@ -101,12 +103,12 @@
 	return b.BytesPerSecond
 }
 
-// Ranking is the checks whose mechanism is missing, the worst first by what is spent with the whole list. The mechanism
-// of the first is built first.
+// Ranking returns the checks whose mechanism is missing or was built because of this ranking, sorted by the ratio with
+// the whole list, largest first. The mechanism of the first check is the one to build next.
 func Ranking(all []Check) []Check {
 	var ranked []Check
 	for _, c := range all {
-		if (c.Mechanism.Status == Missing || c.Mechanism.Chosen) && c.Ratio[WholeList].Value > 0 {
+		if (c.Mechanism.Status == Missing || c.Mechanism.KeptInRanking) && c.Ratio[WholeList].Value > 0 {
 			ranked = append(ranked, c)
 		}
 	}
@@ -114,67 +116,67 @@
 	return ranked
 }
 
-// ExceededThoughBuilt are the checks that exceed their budget with the whole list although their mechanism is built, at
-// least in part; the worst first.
-func ExceededThoughBuilt(all []Check) []Check {
-	var passed []Check
+// ExceededDespiteMechanism returns the checks that exceed their budget with the whole list although their mechanism is
+// at least partly implemented, sorted by ratio, largest first.
+func ExceededDespiteMechanism(all []Check) []Check {
+	var exceeded []Check
 	for _, c := range ExceededBudgets(all, WholeList) {
-		if c.Mechanism.Status != Missing && !c.Mechanism.Chosen {
-			passed = append(passed, c)
+		if c.Mechanism.Status != Missing && !c.Mechanism.KeptInRanking {
+			exceeded = append(exceeded, c)
 		}
 	}
-	sortWorstFirst(passed)
-	return passed
+	sortWorstFirst(exceeded)
+	return exceeded
 }
 
-// sortWorstFirst sorts checks by what is spent with the whole list.
+// sortWorstFirst sorts checks by their ratio with the whole list, largest first.
 func sortWorstFirst(checks []Check) {
 	slices.SortStableFunc(checks, func(a, b Check) int {
 		return cmp.Compare(b.Ratio[WholeList].Value, a.Ratio[WholeList].Value)
 	})
 }
 
-// ExceededBudgets are the checks that exceed their budget in a scope.
+// ExceededBudgets returns the checks that exceed their budget in a scope.
 func ExceededBudgets(all []Check, scope Scope) []Check {
-	var passed []Check
+	var exceeded []Check
 	for _, c := range all {
 		if c.Exceeded(scope) {
-			passed = append(passed, c)
+			exceeded = append(exceeded, c)
 		}
 	}
-	return passed
+	return exceeded
 }
 
-// MechanismRank is how one missing mechanism fares in the ranking.
+// MechanismRank summarizes the rows of one mechanism in the ranking.
 type MechanismRank struct {
 	Mechanism    Mechanism
-	Worst        Check
-	ExceededRows int // rows over budget with the whole list
-	MendedRows   int // of them, rows under budget in the scope that the mechanism makes
+	Worst        Check // the row with the largest ratio
+	ExceededRows int   // rows over budget with the whole list
+	ResolvedRows int   // those of ExceededRows that are within budget in the scope that the mechanism creates
 }
 
-// MechanismRanks are the missing mechanisms, the one with the worst row first.
+// MechanismRanks returns the mechanisms of the ranking, the one with the largest ratio first.
 func MechanismRanks(all []Check) []MechanismRank {
-	var standings []MechanismRank
+	var ranks []MechanismRank
 	for _, c := range Ranking(all) {
-		i := slices.IndexFunc(standings, func(s MechanismRank) bool { return s.Mechanism.Name == c.Mechanism.Name })
+		i := slices.IndexFunc(ranks, func(s MechanismRank) bool { return s.Mechanism.Name == c.Mechanism.Name })
 		if i < 0 {
-			i = len(standings)
-			standings = append(standings, MechanismRank{Mechanism: c.Mechanism, Worst: c})
+			i = len(ranks)
+			ranks = append(ranks, MechanismRank{Mechanism: c.Mechanism, Worst: c})
 		}
 		if !c.Exceeded(WholeList) {
 			continue
 		}
-		standings[i].ExceededRows++
-		if !c.Exceeded(scopeMadeBy(c.Mechanism)) {
-			standings[i].MendedRows++
+		ranks[i].ExceededRows++
+		if !c.Exceeded(scopeWithMechanism(c.Mechanism)) {
+			ranks[i].ResolvedRows++
 		}
 	}
-	return standings
+	return ranks
 }
 
-// scopeMadeBy is the scope that a mechanism makes.
-func scopeMadeBy(m Mechanism) Scope {
+// scopeWithMechanism returns the scope that a mechanism creates.
+func scopeWithMechanism(m Mechanism) Scope {
 	if m.Name == subsetting.Name {
 		return Subset
 	}
--- a/internal/capacity/cases.go
+++ b/internal/capacity/cases.go
@@ -8,19 +8,19 @@
 	"tamarindshore/internal/scale"
 )
 
-// caseCosts are the costs that are shown of each case measured at the plan's size.
+// caseCosts lists the costs shown for each case that was measured at the plan's size.
 var caseCosts = []scale.Cost{
 	scale.CPUPerBusySecond, scale.CPUPerQuietSecond, scale.CPUPerOpening, scale.CPUPerListChange, scale.LongestDecision,
 	scale.HeapBytes, scale.RelayEventsPerSecond, scale.ProxiesAssigned,
 }
 
-// managerAxes are the axes along which those costs are summed.
+// managerAxes lists the axes whose slopes are summed for those costs.
 var managerAxes = []scale.Axis{
 	scale.Servers, scale.Proxies, scale.Zones, scale.TrafficClasses, scale.ListChanges, scale.Reports, scale.RestartsAtOnce,
 }
 
-// writePlanSize compares the sums of slopes with managers that were measured at the plan's size.
-func (m *Model) writePlanSize(w io.Writer) {
+// writePlanSizeCases compares managers that were measured at the plan's size with the sums of the slopes.
+func (m *Model) writePlanSizeCases(w io.Writer) {
 	writeHeading(w, "Managers measured at the plan's size, and what the sum of the slopes says of them")
 	cases := m.Costs.report.PlanSize
 	if len(cases) == 0 {
@@ -52,18 +52,18 @@
 	return append(cells, inUnit(sum.Value.Value), formatNumber(c.Costs[cost]/sum.Value.Value))
 }
 
-// sizesAlong are the sizes of a case along the axes that a cost was measured along.
+// sizesAlong returns the sizes of a case along those axes that have a slope of the cost.
 func (c Costs) sizesAlong(cost scale.Cost, sizes Sizes) Sizes {
-	along := Sizes{}
+	measuredSizes := Sizes{}
 	for axis, size := range sizes {
 		if _, measured := c.report.Find(cost, axis); measured && slices.Contains(managerAxes, axis) {
-			along[axis] = size
+			measuredSizes[axis] = size
 		}
 	}
-	return along
+	return measuredSizes
 }
 
-// writeProcesses compares hollow managers with real processes.
+// writeProcesses compares real processes with hollow managers.
 func (m *Model) writeProcesses(w io.Writer) {
 	r := m.Costs.report
 	writeHeading(w, "Real processes, and hollow managers of the same size")
@@ -77,7 +77,8 @@
 		writeRow(w, processCells(c)...)
 	}
 	fmt.Fprintf(w, "\nCounted to a manager's core beside the slopes: %s in the strict reading (state \"%s\"), %s without collectors' lines (state \"%s\").\n",
-		formatFigure(m.processOverhead(busyState), formatPercent), busyState, formatFigure(m.processOverhead(quietState), formatPercent), quietState)
+		formatFigure(m.processOverhead(busyState), formatPercent), busyState,
+		formatFigure(m.processOverhead(quietState), formatPercent), quietState)
 }
 
 func processCells(c scale.ProcessCase) []string {
@@ -110,9 +111,10 @@
 	return formatPercent(overheadOf(c))
 }
 
-func medianOrNone(runs []float64, how func(float64) string) string {
+// medianOrNone formats the median of the runs, or reports that there are none.
+func medianOrNone(runs []float64, format func(float64) string) string {
 	if len(runs) == 0 {
 		return unmeasured
 	}
-	return how(scale.Median(runs))
+	return format(scale.Median(runs))
 }
--- a/internal/capacity/costs.go
+++ b/internal/capacity/costs.go
@@ -6,8 +6,8 @@
 	"tamarindshore/internal/scale"
 )
 
-// Figure is a value that was worked out from slopes and the plan. It is not known where a part of it was not measured; the
-// value is then the sum of the other parts: a lower bound.
+// Figure is a value calculated from slopes and the plan. If a part of it was not measured, Known is false and Value is
+// the sum of the other parts, which is a lower bound.
 type Figure struct {
 	Value float64
 	Known bool
@@ -15,9 +15,10 @@
 
 func known(x float64) Figure { return Figure{x, true} }
 
-// plus is known where both are.
+// plus returns the sum of two figures, which is known only if both are known.
 func (f Figure) plus(g Figure) Figure { return Figure{f.Value + g.Value, f.Known && g.Known} }
 
+// times returns the figure multiplied by x. Any figure times 0 is known.
 func (f Figure) times(x float64) Figure {
 	if x == 0 {
 		return known(0)
@@ -25,27 +26,27 @@
 	return Figure{f.Value * x, f.Known}
 }
 
-// Sizes are sizes along some axes.
+// Sizes maps axes to the size along each of them.
 type Sizes map[scale.Axis]float64
 
-// Source says where the value of a cost comes from.
+// Source describes where the value of a cost comes from.
 type Source struct {
 	Cost             scale.Cost
 	Sizes            Sizes // along the axes that were measured
 	Value            Figure
-	Slopes           []scale.Slope // the slopes that it was worked out from
-	UnmeasuredAxes   []scale.Axis  // wanted sizes along which no slope was measured: counted at the reference
-	ExtrapolatedAxes []scale.Axis  // along which the wanted size is beyond the largest measured
-	Assumed          bool          // by a figure of the plan
+	Slopes           []scale.Slope // the slopes that the value was calculated from
+	UnmeasuredAxes   []scale.Axis  // requested axes without a slope; the size at the reference is used
+	ExtrapolatedAxes []scale.Axis  // axes along which the requested size exceeds the largest measured size
+	Assumed          bool          // whether the value is an assumption of the plan
 }
 
-// Costs works out costs at a size: the cost at the reference, and for each axis the slope's rise from the reference to the
-// size.
+// Costs calculates costs at given sizes: the cost at the reference, plus the difference between the size and the
+// reference on the slope of each axis.
 type Costs struct {
 	report scale.Report
 }
 
-// At works a cost out. A cost without any slope is unknown.
+// At calculates a cost at the given sizes. A cost without any slope is unknown.
 func (c Costs) At(cost scale.Cost, sizes Sizes) Source {
 	s := Source{Cost: cost, Sizes: Sizes{}}
 	var references []float64
@@ -74,24 +75,24 @@
 	return s
 }
 
-// reference is a cost at the reference, from the slopes along axes that were not asked for.
+// reference returns a cost at the reference, and the slopes that it was calculated from, which may be along any axis.
 func (c Costs) reference(cost scale.Cost) (Figure, []scale.Slope) {
 	var references []float64
-	var along []scale.Slope
+	var slopes []scale.Slope
 	for _, slope := range c.report.Slopes {
 		if slope.Cost == cost {
 			references = append(references, slope.Estimate(c.report.Reference[slope.Axis]))
-			along = append(along, slope)
+			slopes = append(slopes, slope)
 		}
 	}
 	if len(references) == 0 {
 		return Figure{}, nil
 	}
-	return known(max(0, mean(references))), along
+	return known(max(0, mean(references))), slopes
 }
 
-// OrPlan is a cost, or an assumed figure of the plan where it was not measured.
-func (c Costs) OrPlan(cost scale.Cost, sizes Sizes, assumed float64) Source {
+// AtOrAssumed returns a cost at the given sizes, or the assumed value if the cost was not measured.
+func (c Costs) AtOrAssumed(cost scale.Cost, sizes Sizes, assumed float64) Source {
 	s := c.At(cost, sizes)
 	if !s.Value.Known {
 		s.Value = known(assumed)
@@ -105,15 +106,15 @@
 	return slices.ContainsFunc(c.report.Slopes, func(s scale.Slope) bool { return s.Cost == cost })
 }
 
-// listAxis is the axis along which an opening was measured.
-func (c Costs) listAxis(cost scale.Cost) scale.Axis {
+// listSizeAxis returns the axis for the length of the list along which a cost was measured.
+func (c Costs) listSizeAxis(cost scale.Cost) scale.Axis {
 	if _, measured := c.report.Find(cost, scale.OpeningListSize); measured {
 		return scale.OpeningListSize
 	}
 	return scale.Servers
 }
 
-// mean of values, of which there is one at least.
+// mean returns the mean of one or more values.
 func mean(values []float64) float64 {
 	sum := 0.0
 	for _, v := range values {
--- a/internal/capacity/list_change.go
+++ b/internal/capacity/list_change.go
@@ -2,14 +2,14 @@
 
 import "tamarindshore/internal/scale"
 
-// listChanges are changes of the list as they reach one reader, within a situation's window: messages of some entries each.
+// listChanges describes the changes of the list that one manager receives within a situation's window.
 type listChanges struct {
 	messages float64
-	entries  float64 // of each line
+	entries  float64 // per message
 }
 
-// listChanges is what a part of a situation's changes comes to. Entries that change together are in one message, as is
-// all that a reader missed.
+// listChanges returns the messages for a share of the changes in a situation. Entries that change together are sent in
+// one message, and so is everything that a manager missed.
 func (p Plan) listChanges(s Situation, share float64) listChanges {
 	if s.MissedEntries > 0 {
 		return listChanges{1, max(1, s.MissedEntries*share)}
@@ -22,17 +22,17 @@
 	return listChanges{messages, entries / messages}
 }
 
-// listChangeBytes is what changes of the list come to on the wire.
+// listChangeBytes returns the bytes of list changes on the wire.
 func (m *Model) listChangeBytes(c listChanges) Figure {
 	if c.messages == 0 {
 		return known(0)
 	}
-	source := m.Costs.OrPlan(scale.BytesOfListChange, Sizes{scale.RestartsAtOnce: c.entries}, c.entries*m.Plan.Messages.ListEntry)
+	source := m.Costs.AtOrAssumed(scale.BytesOfListChange, Sizes{scale.RestartsAtOnce: c.entries}, c.entries*m.Plan.Messages.ListEntry)
 	return m.recordSource(source).times(c.messages)
 }
 
-// listChangeCore is what one message of changes costs a manager. One of more entries than were measured is counted as no
-// dearer than an opening, which takes all entries that the manager holds.
+// listChangeCore returns the processor time of a manager for one message of list changes. A message with more entries
+// than were measured costs at most as much as an opening, which reads all entries that the manager holds.
 func (m *Model) listChangeCore(counts serverCounts, entries float64) Figure {
 	sizes := m.managerSizes(counts)
 	sizes[scale.RestartsAtOnce] = entries
--- a/internal/capacity/load.go
+++ b/internal/capacity/load.go
@@ -6,7 +6,7 @@
 	"tamarindshore/internal/scale"
 )
 
-// Role is a part of the fleet that has something to carry.
+// Role is a component of the fleet whose load is calculated.
 type Role string
 
 // Roles, in the order of the tables.
@@ -20,39 +20,40 @@
 	Server         Role = "server"
 )
 
-// Roles are all roles in the order of the tables.
+// Roles lists all roles in the order of the tables.
 var Roles = []Role{Manager, Agent, ControlMachine, Relay, Collector, Proxy, Server}
 
-// Load is what one of a role carries: rates are a second's, requests apart.
+// Load is the load of one instance of a role. Message and byte counts and core are per second; requests are not
+// counted.
 type Load struct {
-	State                 string
+	State                 string // size of the state it holds, as shown in the tables
 	MessagesIn            Figure
 	MessagesOut           Figure
 	BytesIn, BytesOut     Figure
-	CollectorBytes        Figure // of BytesIn, those from collectors
-	Core                  Figure // part of a core
+	CollectorBytes        Figure // the part of BytesIn that comes from collectors
+	Core                  Figure // fraction of a core
 	CoreWithoutCollectors Figure
 	Memory                Figure // bytes
 	Connections           Figure
 }
 
-// bytes is all that a role sends and receives.
+// bytes returns the sum of the bytes received and sent.
 func (l Load) bytes() Figure { return l.BytesIn.plus(l.BytesOut) }
 
-// bytesWithoutCollectors leaves out what collectors send.
+// bytesWithoutCollectors returns bytes less what collectors send.
 func (l Load) bytesWithoutCollectors() Figure { return l.bytes().plus(l.CollectorBytes.times(-1)) }
 
-// Model works loads out from a plan and measured costs.
+// Model calculates loads from a plan and measured costs.
 type Model struct {
 	Plan    Plan
 	Costs   Costs
-	sources []Source // that were used, each once
+	sources []Source // all sources used so far, without duplicates
 }
 
-// NewModel joins a plan and the slopes.
+// NewModel returns a model of a plan with the measured slopes of a report.
 func NewModel(p Plan, r scale.Report) *Model { return &Model{Plan: p, Costs: Costs{r}} }
 
-// Load is what one of a role carries in a situation.
+// Load returns the load of one instance of a role in a situation and scope.
 func (m *Model) Load(role Role, s Situation, scope Scope) Load {
 	switch role {
 	case Manager:
@@ -71,23 +72,26 @@
 	return m.server(s, scope)
 }
 
-// cost is a cost at a size; its source is kept for the table of sources.
+// cost returns a cost at the given sizes and records its source for the table of sources.
 func (m *Model) cost(cost scale.Cost, sizes Sizes) Figure {
 	return m.recordSource(m.Costs.At(cost, sizes))
 }
 
-// bytesAt is the bytes of a kind of message where they are measured along axes of the fleet's size.
+// bytesAt returns the bytes of a kind of message at the given sizes of the fleet. Without a measurement it returns the
+// assumed bytes.
 func (m *Model) bytesAt(cost scale.Cost, sizes Sizes, assumed float64) Figure {
-	s := m.Costs.OrPlan(cost, sizes, assumed)
-	s.UnmeasuredAxes = nil // along which nobody expects the message to grow
+	s := m.Costs.AtOrAssumed(cost, sizes, assumed)
+	s.UnmeasuredAxes = nil // the message is not expected to grow along these axes
 	return m.recordSource(s)
 }
 
-// bytesOf is the bytes of a message that are the same at every size.
+// bytesOf returns the bytes of a kind of message that are the same at every size. Without a measurement it returns the
+// assumed bytes.
 func (m *Model) bytesOf(cost scale.Cost, assumed float64) Figure {
-	return m.recordSource(m.Costs.OrPlan(cost, nil, assumed))
+	return m.recordSource(m.Costs.AtOrAssumed(cost, nil, assumed))
 }
 
+// recordSource adds a source to the table of sources unless it is there already, and returns its value.
 func (m *Model) recordSource(s Source) Figure {
 	key := fmt.Sprint(s.Cost, s.Sizes)
 	for _, old := range m.sources {
@@ -99,7 +103,7 @@
 	return s.Value
 }
 
-// listSizes is the size of a list as the opening's costs were measured.
+// listSizes returns the size of a list along the axis that the given cost was measured along.
 func (m *Model) listSizes(cost scale.Cost, entries float64) Sizes {
-	return Sizes{m.Costs.listAxis(cost): entries}
+	return Sizes{m.Costs.listSizeAxis(cost): entries}
 }
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -2,14 +2,14 @@
 
 import "tamarindshore/internal/scale"
 
-// Messages and connections that a manager has whatever the size.
+// Messages and connections of a manager that do not depend on the size of the fleet.
 const (
-	heartbeatsPerSecond = 2 // of the list's watch and the relay's events
-	callsPerSecond      = 1 // a batch a second
-	standingConnections = 3 // watch, events, the call in progress
+	heartbeatsPerSecond  = 2 // one on the list watch and one on the event stream of the relay
+	callsPerSecond       = 1 // commands are sent in one batch per second
+	permanentConnections = 3 // list watch, relay events, and the call in progress
 )
 
-// inputs are the messages that a manager receives in a second, by kind.
+// inputs holds the number of messages that a manager receives per second, by kind.
 type inputs struct {
 	loadReports  float64
 	usageReports float64
@@ -18,17 +18,17 @@
 	healthChecks float64 // answers
 }
 
-// decisions is how many of them the balancer takes, beside the list.
+// decisions returns the number of inputs that the balancer processes, except messages of the list.
 func (in inputs) decisions() float64 {
 	return in.loadReports + in.usageReports + in.relayEvents + in.healthChecks
 }
 
-// managerInputs is what comes to a manager in a second of a situation.
+// managerInputs returns the messages that a manager receives per second in a situation.
 func (m *Model) managerInputs(s Situation, counts serverCounts) inputs {
 	p := m.Plan
-	in := inputs{loadReports: p.loadReports(counts), usageReports: p.usageReports()}
+	in := inputs{loadReports: p.loadReportRate(counts), usageReports: p.usageReportRate()}
 	in.relayEvents = m.relayEvents(counts, in)
-	in.healthChecks = p.healthChecks(s.Unresponsive * counts.share(s.OutsideHome))
+	in.healthChecks = p.healthCheckRate(s.Unresponsive * counts.share(s.OutsideHome))
 	if s.RecoveringServers > 0 {
 		in.healthChecks += s.RecoveringServers * counts.share(s.OutsideHome) / s.Window
 	}
@@ -42,8 +42,8 @@
 	return in
 }
 
-// relayEvents is how many events of the relay come a second: mostly acknowledgements of barriers, more where tables
-// change more.
+// relayEvents returns the relay events per second. Most are acknowledgements of barriers, whose number grows with the
+// changes of tables.
 func (m *Model) relayEvents(counts serverCounts, in inputs) float64 {
 	if !m.Costs.measured(scale.RelayEventsPerSecond) {
 		return callsPerSecond
@@ -51,17 +51,18 @@
 	return max(callsPerSecond, m.cost(scale.RelayEventsPerSecond, m.busySizes(counts, in, 0)).Value)
 }
 
-// manager is the load of one manager.
+// manager returns the load of one manager.
 func (m *Model) manager(s Situation, scope Scope) Load {
 	p := m.Plan
 	counts := p.serverCounts(s, scope)
 	in := m.managerInputs(s, counts)
 	load := Load{
-		State:       stateOf(counts.held, "servers") + ", " + stateOf(float64(p.Managers.Proxies), "proxies"),
+		State:       formatCount(counts.held, "servers") + ", " + formatCount(float64(p.Managers.Proxies), "proxies"),
 		MessagesIn:  known(heartbeatsPerSecond + in.decisions() + in.listMessages),
 		MessagesOut: known(callsPerSecond + in.healthChecks),
 		Memory:      m.cost(scale.HeapBytes, m.managerSizes(counts)),
-		Connections: known(standingConnections + float64(p.Managers.ProxyZones*p.Managers.CollectorsPerZone) + m.openHealthChecks(in.healthChecks)),
+		Connections: known(permanentConnections + float64(p.Managers.ProxyZones*p.Managers.CollectorsPerZone) +
+			m.openHealthChecks(in.healthChecks)),
 	}
 	load.CollectorBytes = m.collectorBytes(in)
 	load.BytesIn = m.listBytes(s, counts).plus(load.CollectorBytes).plus(m.relayEventBytes(in)).plus(m.heartbeatBytes())
@@ -73,7 +74,7 @@
 	return load
 }
 
-// managerSizes is the fleet as one manager sees it.
+// managerSizes returns the sizes of the fleet as one manager sees it.
 func (m *Model) managerSizes(counts serverCounts) Sizes {
 	return Sizes{
 		scale.Servers:        counts.held,
@@ -83,8 +84,8 @@
 	}
 }
 
-// busySizes adds what comes in a second: reports, and changes of the list. A busy second was measured with
-// the reference's changes, which are counted at least.
+// busySizes returns managerSizes with the rates of reports and list changes added. Busy seconds were measured with the
+// list changes of the reference, so at least that many are counted.
 func (m *Model) busySizes(counts serverCounts, in inputs, changes float64) Sizes {
 	sizes := m.managerSizes(counts)
 	sizes[scale.Reports] = in.loadReports + in.usageReports
@@ -92,7 +93,7 @@
 	return sizes
 }
 
-// quietCore is a second without reports, with changes of the list.
+// quietCore returns the processor time of a second with list changes but without reports.
 func (m *Model) quietCore(s Situation, counts serverCounts, changes listChanges) Figure {
 	quiet := m.cost(scale.CPUPerQuietSecond, m.managerSizes(counts))
 	if changes.messages == 0 {
@@ -101,22 +102,23 @@
 	return quiet.plus(m.listChangeCore(counts, changes.entries).times(changes.messages / s.Window))
 }
 
-// busyCore is a second in which reports come too: as measured, or the quiet second and each report's cost. It
-// was measured with changes of one entry each; what further entries of a change cost is added.
+// busyCore returns the processor time of a second with reports and list changes. Without a measurement of busy seconds
+// it is the quiet second plus the cost of each report. Busy seconds were measured with one entry per change; the cost
+// of additional entries is added.
 func (m *Model) busyCore(s Situation, counts serverCounts, in inputs, changes listChanges) Figure {
 	if m.Costs.measured(scale.CPUPerBusySecond) {
 		busy := m.cost(scale.CPUPerBusySecond, m.busySizes(counts, in, changes.messages/s.Window))
 		if changes.entries <= 1 {
 			return busy
 		}
-		further := m.listChangeCore(counts, changes.entries).plus(m.listChangeCore(counts, 1).times(-1))
-		return busy.plus(further.times(changes.messages / s.Window))
+		additional := m.listChangeCore(counts, changes.entries).plus(m.listChangeCore(counts, 1).times(-1))
+		return busy.plus(additional.times(changes.messages / s.Window))
 	}
 	return m.quietCore(s, counts, changes).plus(m.cost(scale.CPUPerInput, m.managerSizes(counts)).times(in.loadReports + in.usageReports))
 }
 
-// eventCore is what comes beside the second's own work, reports and changes of the list: the relay's events, answers to
-// health checks, an opening.
+// eventCore returns the processor time of everything except reports, list changes and the fixed work of a second:
+// relay events, answers to health checks, and an opening.
 func (m *Model) eventCore(s Situation, counts serverCounts, in inputs) Figure {
 	core := m.cost(scale.CPUPerInput, m.managerSizes(counts)).times(in.relayEvents + in.healthChecks)
 	if s.Opening != NoOpening {
@@ -125,8 +127,8 @@
 	return core
 }
 
-// openingCore is the processor time of an opening. What is sent beyond what is held is decoded, and dropped there. A list
-// from the store is counted like one from the wire.
+// openingCore returns the processor time of an opening. It includes decoding the entries that are sent but not held. A
+// list from the store costs as much as one from the wire.
 func (m *Model) openingCore(counts serverCounts) Figure {
 	opening := m.cost(scale.CPUPerOpening, m.openingSizes(counts))
 	if counts.sent <= counts.held {
@@ -136,23 +138,23 @@
 	return opening.plus(m.listReadTime(Subset)).plus(held.times(-1))
 }
 
-// openingSizes is what an opening's processor time was measured along.
+// openingSizes returns the sizes along which the processor time of an opening was measured.
 func (m *Model) openingSizes(counts serverCounts) Sizes {
-	if m.Costs.listAxis(scale.CPUPerOpening) == scale.OpeningListSize {
+	if m.Costs.listSizeAxis(scale.CPUPerOpening) == scale.OpeningListSize {
 		return Sizes{scale.OpeningListSize: counts.held}
 	}
 	return m.managerSizes(counts)
 }
 
-// openingBytes is a complete list on the wire.
+// openingBytes returns the bytes of a complete list on the wire.
 func (m *Model) openingBytes(counts serverCounts) Figure {
 	sizes := m.listSizes(scale.BytesOfOpening, counts.sent)
-	return m.recordSource(m.Costs.OrPlan(scale.BytesOfOpening, sizes, counts.sent*m.Plan.Messages.ListEntry))
+	return m.recordSource(m.Costs.AtOrAssumed(scale.BytesOfOpening, sizes, counts.sent*m.Plan.Messages.ListEntry))
 }
 
-// listBytes is what the list costs a manager on the wire.
+// listBytes returns the bytes of the list that a manager receives per second.
 func (m *Model) listBytes(s Situation, counts serverCounts) Figure {
-	if s.NoList {
+	if s.ListUnavailable {
 		return known(0)
 	}
 	bytes := m.listChangeBytes(m.Plan.listChanges(s, counts.sentShare(s.OutsideHome))).times(1 / s.Window)
@@ -162,29 +164,29 @@
 	return bytes
 }
 
-// collectorBytes is what collectors send a manager in a second.
+// collectorBytes returns the bytes that collectors send to a manager per second.
 func (m *Model) collectorBytes(in inputs) Figure {
 	reports := m.bytesOf(scale.BytesOfReport, m.Plan.Messages.Report).times(in.loadReports)
 	return reports.plus(m.bytesOf(scale.BytesOfUsage, m.Plan.Messages.Usage).times(in.usageReports))
 }
 
-// relayEventBytes is what the relay's events come to in a second.
+// relayEventBytes returns the bytes of relay events per second.
 func (m *Model) relayEventBytes(in inputs) Figure {
 	return m.bytesOf(scale.BytesOfRelayEvent, m.Plan.Messages.RelayEvent).times(in.relayEvents)
 }
 
-// heartbeatBytes is what the heartbeats of a watch come to in a second.
+// heartbeatBytes returns the bytes of the heartbeats of a watch per second.
 func (m *Model) heartbeatBytes() Figure {
 	return m.bytesOf(scale.BytesOfHeartbeat, m.Plan.Messages.Heartbeat)
 }
 
-// callBytes is what a manager's calls to the relay come to in a second.
+// callBytes returns the bytes of a manager's calls to the relay per second.
 func (m *Model) callBytes(counts serverCounts, in inputs, changes float64) Figure {
 	return m.bytesAt(scale.BytesOfCalls, m.busySizes(counts, in, changes), m.Plan.Messages.Calls)
 }
 
-// healthCheckBytes counts a health check of an unresponsive server as the packet that opens its connection, which nobody
-// answers.
+// healthCheckBytes returns the bytes of health checks per second. The check of an unresponsive server counts as the
+// packet that opens its connection and gets no answer.
 func (m *Model) healthCheckBytes(s Situation, in inputs) Figure {
 	if s.RecoveringServers > 0 {
 		return m.bytesOf(scale.BytesOfHealthCheck, m.Plan.Messages.HealthCheck).times(in.healthChecks)
@@ -192,12 +194,13 @@
 	return known(m.Plan.Messages.UnansweredHealthCheck * in.healthChecks)
 }
 
-// openHealthChecks is how many health checks are in flight at one time.
+// openHealthChecks returns how many health checks are in flight at one time.
 func (m *Model) openHealthChecks(perSecond float64) float64 {
 	return min(float64(m.Plan.Managers.MaxHealthChecks), perSecond*m.Plan.Managers.HealthCheckTimeout.Seconds())
 }
 
-// openingCommands is what a manager that starts sends its proxies: the tables of their zones, and an assignment for each.
+// openingCommands returns the bytes per second of the commands that a starting manager sends to its proxies: the
+// tables of their zones, and one assignment per proxy.
 func (m *Model) openingCommands(s Situation, counts serverCounts) Figure {
 	if s.Opening == NoOpening {
 		return known(0)
--- a/internal/capacity/markdown.go
+++ b/internal/capacity/markdown.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// WriteTables writes all tables of the page as Markdown. It returns the checks that exceed their budget in the scope that
-// the plan judges.
+// WriteTables writes all tables of the page as Markdown. It returns the checks that exceed their budget in the scope
+// that decides the verdict of the plan.
 func (m *Model) WriteTables(w io.Writer) (exceeded []Check) {
 	checks := m.Checks()
-	m.writeAssumptions(w)
-	m.writeTail(w)
+	m.writeDerivedFigures(w)
+	m.writeLateTableRequests(w)
 	for _, role := range Roles {
 		m.writeRole(w, role)
 	}
-	m.writeProxies(w)
+	m.writeProxyCounts(w)
 	m.writeReadIntervals(w)
 	writeChecks(w, checks)
 	m.writeLimits(w)
 	writeRanking(w, checks)
-	writePartly(w, checks)
+	writeExceededDespiteMechanism(w, checks)
 	m.writeSources(w)
-	m.writePlanSize(w)
+	m.writePlanSizeCases(w)
 	m.writeProcesses(w)
 	m.writePropagation(w)
 	m.writeFleets(w)
-	exceeded = ExceededBudgets(checks, m.Plan.Judged)
+	exceeded = ExceededBudgets(checks, m.Plan.VerdictScope)
 	m.writeVerdict(w, exceeded)
 	return exceeded
 }
@@ -43,16 +43,16 @@
 
 // derivedFigure is a figure that follows from the plan alone.
 type derivedFigure struct {
-	what  string
-	value float64
-	from  string
+	name   string
+	value  float64
+	source string
 }
 
-func (m *Model) writeAssumptions(w io.Writer) {
+func (m *Model) writeDerivedFigures(w io.Writer) {
 	writeHeading(w, "What follows from the plan")
 	writeHeader(w, "what", "figure", "from")
 	for _, f := range append(m.Plan.fleetFigures(), m.Plan.managerFigures()...) {
-		writeRow(w, f.what, formatNumber(f.value), f.from)
+		writeRow(w, f.name, formatNumber(f.value), f.source)
 	}
 }
 
@@ -76,28 +76,29 @@
 	complete := p.normalServerCounts(WholeList)
 	subset := p.normalServerCounts(Subset)
 	cutOff := p.serverCounts(p.regionCut(), Subset)
-	const reportsOf = "collectors' lines on servers a second at a manager, "
-	const spreadOverHeld = "plan, requests spread evenly over what it holds"
+	const reportsPrefix = "collectors' lines on servers a second at a manager, "
+	const evenSpread = "plan, requests spread evenly over what it holds"
 	return []derivedFigure{
 		{"servers that a manager holds, whole list", complete.held, "plan"},
 		{"servers that a manager holds, subset", subset.held, "plan, size of the subset"},
 		{"servers that a manager holds, subset, while its region is cut off", cutOff.held, "plan: it doubles while too few can be reached"},
-		{"managers that hold a server, subset", p.holders(subset), "plan, size of the subset"},
-		{reportsOf + string(WholeList), p.loadReports(complete), spreadOverHeld},
-		{reportsOf + string(Subset), p.loadReports(subset), spreadOverHeld},
-		{"collectors' lines on proxies a second at a manager", p.usageReports(), "plan, requests spread evenly"},
+		{"managers that hold a server, subset", p.managersPerServer(subset), "plan, size of the subset"},
+		{reportsPrefix + string(WholeList), p.loadReportRate(complete), evenSpread},
+		{reportsPrefix + string(Subset), p.loadReportRate(subset), evenSpread},
+		{"collectors' lines on proxies a second at a manager", p.usageReportRate(), "plan, requests spread evenly"},
 	}
 }
 
-// tailPart is the part of requests that a tail of 99 in 100 leaves out.
-const tailPart = 0.01
+// tailFraction is the fraction of requests above the 99th percentile.
+const tailFraction = 0.01
 
-// writeTail shows which part of all requests a table can send to a server that is gone, until a change is in force.
-func (m *Model) writeTail(w io.Writer) {
+// writeLateTableRequests shows the fraction of requests that tables may send to failed servers until a change is in
+// force.
+func (m *Model) writeLateTableRequests(w io.Writer) {
 	p := m.Plan
 	writeHeading(w, "Requests that a late table can touch")
 	writeHeader(w, "event", "servers", "requests until a change is in force", "part of all requests meanwhile", "against 1 in 100")
-	for _, e := range []struct {
+	for _, event := range []struct {
 		name    string
 		servers float64
 	}{
@@ -105,9 +106,9 @@
 		{"the busiest second's entries, were all of them failures", p.busiestSecond()},
 		{"a zone is lost", float64(p.Fleet.Servers) / float64(p.Fleet.Zones)},
 	} {
-		part := e.servers / float64(p.Fleet.Servers)
-		requests := part * p.Fleet.RequestsPerSecond * p.Budgets.MaxPropagation.Seconds()
-		writeRow(w, e.name, formatNumber(e.servers), formatNumber(requests), formatPercent(part), formatNumber(part/tailPart))
+		fraction := event.servers / float64(p.Fleet.Servers)
+		requests := fraction * p.Fleet.RequestsPerSecond * p.Budgets.MaxPropagation.Seconds()
+		writeRow(w, event.name, formatNumber(event.servers), formatNumber(requests), formatPercent(fraction), formatNumber(fraction/tailFraction))
 	}
 }
 
@@ -119,14 +120,14 @@
 	}
 }
 
-// loadRow is the cells of one load, and all situations and scopes that share them.
+// loadRow holds the cells of one load with all situations and scopes that share them.
 type loadRow struct {
 	situations []string
 	scopes     []Scope
 	cells      []string
 }
 
-// loadRows joins the scopes of a situation that have the same cells.
+// loadRows returns the rows of all situations. Scopes with the same cells share a row.
 func (m *Model) loadRows(role Role) []loadRow {
 	var rows []loadRow
 	for _, s := range m.Plan.situations() {
@@ -144,12 +145,12 @@
 	return rows
 }
 
-// mergeRows joins the situations that have the same scopes and cells.
+// mergeRows merges the rows of situations that have the same scopes and cells.
 func mergeRows(rows []loadRow) []loadRow {
 	var merged []loadRow
 	for _, r := range rows {
-		i := slices.IndexFunc(merged, func(old loadRow) bool {
-			return slices.Equal(old.scopes, r.scopes) && slices.Equal(old.cells, r.cells)
+		i := slices.IndexFunc(merged, func(row loadRow) bool {
+			return slices.Equal(row.scopes, r.scopes) && slices.Equal(row.cells, r.cells)
 		})
 		if i < 0 {
 			merged = append(merged, r)
@@ -180,12 +181,12 @@
 		formatFigure(l.Core, formatPercent),
 		formatFigure(l.Memory, formatBytes),
 		formatFigure(l.Connections, formatNumber),
-		m.worst(role, l),
+		m.worstRatio(role, l),
 	}
 }
 
-// worst is the largest ratio of a load to a budget of its role, and which.
-func (m *Model) worst(role Role, l Load) string {
+// worstRatio returns the largest ratio of a load to a budget of its role, with the name of the resource.
+func (m *Model) worstRatio(role Role, l Load) string {
 	if role != Manager && role != ControlMachine {
 		return "no budget"
 	}
@@ -201,8 +202,9 @@
 	return fmt.Sprintf("%s (%s)", formatNumber(worst), worstResource)
 }
 
-// writeProxies shows the most influential assumption at a third and at three times its value.
-func (m *Model) writeProxies(w io.Writer) {
+// writeProxyCounts shows the ratios of a quiet second at a third, one and three times the planned number of proxies,
+// which is the most influential assumption.
+func (m *Model) writeProxyCounts(w io.Writer) {
 	writeHeading(w, "A manager in a quiet second, by the proxies that it steers")
 	resources := []Resource{CoreStrict, CoreWithoutCollectors, Memory, BytesStrict, BytesWithoutCollectors}
 	cells := []string{"proxies", "scope"}
@@ -210,15 +212,15 @@
 		cells = append(cells, "ratio: "+string(r))
 	}
 	writeHeader(w, cells...)
-	usual := m.Plan.Managers.Proxies
-	for _, proxies := range []int{usual / 3, usual, 3 * usual} {
-		other := *m
-		other.Plan.Managers.Proxies = max(1, proxies)
-		quiet := other.Plan.situations()[0]
+	planned := m.Plan.Managers.Proxies
+	for _, proxies := range []int{planned / 3, planned, 3 * planned} {
+		variant := *m
+		variant.Plan.Managers.Proxies = max(1, proxies)
+		quiet := variant.Plan.situations()[0]
 		for _, scope := range []Scope{WholeList, Subset} {
 			cells := []string{formatNumber(float64(proxies)), string(scope)}
 			for _, r := range resources {
-				cells = append(cells, other.check(Manager, r, quiet).ratio(scope))
+				cells = append(cells, variant.check(Manager, r, quiet).formatRatio(scope))
 			}
 			writeRow(w, cells...)
 		}
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -1,83 +1,84 @@
 package capacity
 
-// Status says how far the code has a mechanism.
+// Status says how far the code implements a mechanism.
 type Status string
 
 // Statuses of a mechanism.
 const (
-	Stands  Status = "stands"
-	Partly  Status = "partly"
-	Missing Status = "missing"
+	Implemented       Status = "stands"
+	PartlyImplemented Status = "partly"
+	Missing           Status = "missing"
 )
 
-// Mechanism is what makes a load bearable, by its standard name.
+// Mechanism is a technique that keeps a load within its budget, under its standard name.
 type Mechanism struct {
-	Name   string
-	Status Status
-	Where  string // in the code, or what is not there
-	Chosen bool   // it was ranked first and is the one that is built; it stays in the ranking that chose it
+	Name          string
+	Status        Status
+	Where         string // where in the code, or what is not implemented
+	KeptInRanking bool   // ranked first while missing, and built for that reason: it stays in the ranking that selected it
 }
 
-// Mechanisms, with what the code has of each.
+// Mechanisms and how far the code implements each of them.
 var (
 	subsetting = Mechanism{
 		Name:   "subsetting",
-		Status: Stands,
+		Status: Implemented,
 		Where: "`internal/subset`, off unless the operator's settings say `(subset (spill N))`: " +
 			"`balancer` is handed the members alone",
-		Chosen: true,
+		KeptInRanking: true,
 	}
 	watchCache = Mechanism{
 		Name:   "watch cache",
 		Status: Missing,
 		Where:  "nowhere: each manager's watch is served by discovery itself, whole",
 	}
-	aggregate = Mechanism{
+	aggregation = Mechanism{
 		Name:   "aggregation",
-		Status: Partly,
+		Status: PartlyImplemented,
 		Where: "collectors sum an interval for each zone and server, and for each proxy and traffic group; " +
 			"nothing sums over proxies or thins out lines by the bytes that they take",
 	}
-	resume = Mechanism{
+	deltaWithResume = Mechanism{
 		Name:   "delta with resume",
-		Status: Partly,
+		Status: PartlyImplemented,
 		Where: "`watchState` in `internal/node` asks from the generation that it holds, and takes what changed or all; " +
 			"how far back discovery goes is its own matter, and a second control machine's generations are not settled",
 	}
 	snapshot = Mechanism{
 		Name:   "snapshot",
-		Status: Partly,
+		Status: PartlyImplemented,
 		Where: "`known` in the start's file gives the list that a restart begins with, written by the platform; " +
 			"the manager keeps none of its own",
 	}
 	storedList = Mechanism{
 		Name:   "snapshot",
-		Status: Stands,
+		Status: Implemented,
 		Where: "`internal/store` keeps the list as last held, off unless the operator's settings say " +
 			"`(store (path FILE))`: a restart begins with it and asks for what changed since",
 	}
-	jitter = Mechanism{
+	jitteredRestart = Mechanism{
 		Name:   "jittered restart",
-		Status: Partly,
+		Status: PartlyImplemented,
 		Where: "`waitBackoff` in `internal/node` waits 50 to 200 ms by chance between tries, " +
 			"which spreads a few managers and not thousands",
 	}
 	delta = Mechanism{
 		Name:   "delta with resume",
-		Status: Stands,
+		Status: Implemented,
 		Where:  "`watchState` in `internal/node`: after the opening only changes come",
 	}
 )
 
-// mechanismForAllBytes is the mechanism for all bytes of a manager: that for reports where most of them are these.
+// mechanismForAllBytes returns the mechanism that bounds all bytes of a manager. That is aggregation if more than half
+// of the bytes come from collectors.
 func mechanismForAllBytes(l Load, s Situation) Mechanism {
 	if l.CollectorBytes.Value > l.bytes().Value/2 {
-		return aggregate
+		return aggregation
 	}
 	return mechanismFor(Manager, BytesWithoutCollectors, s)
 }
 
-// mechanismFor is the mechanism that bounds a resource of a role in a situation.
+// mechanismFor returns the mechanism that bounds a resource of a role in a situation.
 func mechanismFor(role Role, resource Resource, s Situation) Mechanism {
 	if role == ControlMachine {
 		return mechanismForControl(resource, s)
@@ -88,25 +89,26 @@
 	case s.Opening == OpenFromStore:
 		return storedList
 	case s.MissedEntries > 0:
-		return resume
-	case s.Opening == OpenAgain:
-		return resume
+		return deltaWithResume
+	case s.Opening == ReopenComplete:
+		return deltaWithResume
 	case s.Opening == OpenComplete:
 		return snapshot
-	case s.NoList:
-		return subsetting // health checks of all servers that the manager holds and that do not answer
+	case s.ListUnavailable:
+		return subsetting // health checks go to all held servers that do not respond
 	case s.ListChanges > 0:
 		return watchCache
 	}
 	return delta
 }
 
+// mechanismForControl returns the mechanism that bounds a resource of a control machine in a situation.
 func mechanismForControl(resource Resource, s Situation) Mechanism {
 	switch {
 	case resource == Memory:
 		return watchCache
 	case resource == CoreStrict && s.OpeningManagers > 0:
-		return jitter
+		return jitteredRestart
 	}
 	return watchCache
 }
--- a/internal/capacity/numbers.go
+++ b/internal/capacity/numbers.go
@@ -6,44 +6,47 @@
 	"strings"
 )
 
-// unmeasured takes the place of a figure without a slope.
+// unmeasured is shown in place of a figure that has no slope.
 const unmeasured = "not measured"
 
-// tooSmall takes the place of a number that three places don't show.
-const tooSmall = "under 0.001"
+// belowPrecision is shown in place of a number too small for three decimal places.
+const belowPrecision = "under 0.001"
 
-func formatFigure(f Figure, how func(float64) string) string {
+// formatFigure formats a figure. A figure with unmeasured parts is shown as a lower bound.
+func formatFigure(f Figure, format func(float64) string) string {
 	switch {
 	case f.Known:
-		return how(f.Value)
+		return format(f.Value)
 	case f.Value <= 0:
 		return unmeasured
 	}
-	least := how(f.Value)
-	if strings.HasPrefix(least, tooSmall) {
+	lowerBound := format(f.Value)
+	if strings.HasPrefix(lowerBound, belowPrecision) {
 		return "over 0"
 	}
-	return "at least " + least
+	return "at least " + lowerBound
 }
 
-func stateOf(n float64, what string) string { return formatNumber(n) + " " + what }
+func formatCount(n float64, unit string) string { return formatNumber(n) + " " + unit }
 
-// formatNumber is a number to three places, with thousands apart.
+// formatNumber formats a number with three significant digits below 100, and otherwise as an integer with thousands
+// separators.
 func formatNumber(x float64) string {
 	switch size := math.Abs(x); {
 	case size == 0:
 		return "0"
 	case size < 0.001:
-		return tooSmall
+		return belowPrecision
 	case size < 10:
 		return strconv.FormatFloat(x, 'g', 3, 64)
 	case size < 100:
 		return strconv.FormatFloat(math.Round(x*10)/10, 'f', -1, 64)
 	}
-	return thousands(int64(math.Round(x)))
+	return groupThousands(int64(math.Round(x)))
 }
 
-func thousands(n int64) string {
+// groupThousands formats an integer with thousands separators.
+func groupThousands(n int64) string {
 	digits := strconv.FormatInt(n, 10)
 	var parts []string
 	for len(digits) > 3 {
--- a/internal/capacity/other_roles.go
+++ b/internal/capacity/other_roles.go
@@ -2,18 +2,18 @@
 
 import "tamarindshore/internal/scale"
 
-// The roles of this file belong to others than this project: what they receive and send is calculated from the
-// managers' side, and their own processor time and memory are not measured.
+// The roles in this file are not part of this project. What they receive and send is calculated from the managers' side;
+// their own processor time and memory are not measured.
 
-// relay carries the calls of the managers of its zone to their proxies.
+// relay returns the load of a relay, which forwards the calls of the managers in its zone to their proxies.
 func (m *Model) relay(s Situation, scope Scope) Load {
 	p := m.Plan
-	managers := p.perRelay()
+	managers := p.managersPerRelay()
 	counts := p.serverCounts(s, scope)
 	in := m.managerInputs(s, counts)
 	calls := m.callBytes(counts, in, p.listChanges(s, counts.share(s.OutsideHome)).messages/s.Window).plus(m.openingCommands(s, counts))
 	return Load{
-		State:       stateOf(managers*float64(p.Managers.Proxies), "proxies") + ", " + stateOf(managers, "managers"),
+		State:       formatCount(managers*float64(p.Managers.Proxies), "proxies") + ", " + formatCount(managers, "managers"),
 		MessagesIn:  known(managers * callsPerSecond),
 		MessagesOut: known(managers * in.relayEvents),
 		BytesIn:     calls.times(managers),
@@ -22,20 +22,20 @@
 	}
 }
 
-// perRelay is how many managers one relay serves.
-func (p Plan) perRelay() float64 {
+// managersPerRelay returns how many managers one relay serves.
+func (p Plan) managersPerRelay() float64 {
 	return float64(p.Fleet.Managers) / float64(p.Fleet.Zones*p.Managers.RelaysPerZone)
 }
 
-// collector reports to the managers of its zone what their proxies met.
+// collector returns the load of a collector, which reports the requests of its zone's proxies to their managers.
 func (m *Model) collector(s Situation, scope Scope) Load {
 	p := m.Plan
 	managers := float64(p.Fleet.Managers*p.Managers.ProxyZones) / float64(p.Fleet.Zones)
-	part := 1 / float64(p.Managers.ProxyZones*p.Managers.CollectorsPerZone)
-	sent := inputs{loadReports: p.loadReports(p.serverCounts(s, scope)) * part, usageReports: p.usageReports() * part}
+	share := 1 / float64(p.Managers.ProxyZones*p.Managers.CollectorsPerZone)
+	sent := inputs{loadReports: p.loadReportRate(p.serverCounts(s, scope)) * share, usageReports: p.usageReportRate() * share}
 	requests := p.Fleet.RequestsPerSecond / float64(p.Fleet.Zones*p.Managers.CollectorsPerZone)
 	return Load{
-		State:       stateOf(requests, "requests a second"),
+		State:       formatCount(requests, "requests a second"),
 		MessagesIn:  Figure{},
 		MessagesOut: known(managers * sent.decisions()),
 		BytesIn:     Figure{},
@@ -44,7 +44,7 @@
 	}
 }
 
-// proxy holds the table of its zone.
+// proxy returns the load of a proxy, which holds the table of its zone.
 func (m *Model) proxy(s Situation, scope Scope) Load {
 	p := m.Plan
 	counts := p.serverCounts(s, scope)
@@ -54,7 +54,7 @@
 		commands = known((m.tableWeights(counts) + 1) * p.Messages.Command / s.Window)
 	}
 	return Load{
-		State:       stateOf(m.tableWeights(counts), "lines at most") + ", " + stateOf(requests, "requests a second"),
+		State:       formatCount(m.tableWeights(counts), "lines at most") + ", " + formatCount(requests, "requests a second"),
 		MessagesIn:  known(callsPerSecond),
 		MessagesOut: known(callsPerSecond),
 		BytesIn:     commands,
@@ -63,20 +63,21 @@
 	}
 }
 
-// server answers requests, and the health checks of all managers that hold it and find it unresponsive, or back.
+// server returns the load of a server, which answers requests, and health checks of all managers that hold it while it
+// is unresponsive or recovering.
 func (m *Model) server(s Situation, scope Scope) Load {
 	p := m.Plan
-	holders := p.holders(p.normalServerCounts(scope))
-	probes := 0.0
+	managers := p.managersPerServer(p.normalServerCounts(scope))
+	healthChecks := 0.0
 	if s.Unresponsive > 0 || s.RecoveringServers > 0 {
-		probes = holders / p.Managers.HealthCheckInterval.Seconds()
+		healthChecks = managers / p.Managers.HealthCheckInterval.Seconds()
 	}
 	requests := p.Fleet.RequestsPerSecond / float64(p.Fleet.Servers)
 	return Load{
-		State:       stateOf(requests, "requests a second") + ", held by " + stateOf(holders, "managers"),
-		MessagesIn:  known(probes),
-		MessagesOut: known(probes),
-		BytesIn:     m.bytesOf(scale.BytesOfHealthCheck, p.Messages.HealthCheck).times(probes),
+		State:       formatCount(requests, "requests a second") + ", held by " + formatCount(managers, "managers"),
+		MessagesIn:  known(healthChecks),
+		MessagesOut: known(healthChecks),
+		BytesIn:     m.bytesOf(scale.BytesOfHealthCheck, p.Messages.HealthCheck).times(healthChecks),
 		BytesOut:    Figure{},
 		Connections: Figure{},
 	}
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -5,31 +5,32 @@
 	"strings"
 )
 
-// Marks of the tables within a page.
+// Markers around the tables in a page.
 const (
-	BeginMark = "<!-- begin: tamarindshore capacity -->\n"
-	EndMark   = "<!-- end: tamarindshore capacity -->\n"
+	BeginMarker = "<!-- begin: tamarindshore capacity -->\n"
+	EndMarker   = "<!-- end: tamarindshore capacity -->\n"
 )
 
-// ErrNoMarks says that a page has no marks for its tables.
-var ErrNoMarks = errors.New("the page has no marks around its tables")
+// ErrNoMarkers means that a page lacks the markers around its tables, or has them in the wrong order.
+var ErrNoMarkers = errors.New("the page has no begin and end markers for its tables")
 
-// ExtractTables returns the tables of a page. It returns ErrNoMarks where the page has no place for them.
+// ExtractTables returns the tables of a page, or ErrNoMarkers if the page has no markers for them.
 func ExtractTables(page string) (string, error) {
-	_, rest, began := strings.Cut(page, BeginMark)
-	tables, _, ended := strings.Cut(rest, EndMark)
-	if !began || !ended {
-		return "", ErrNoMarks
+	_, rest, hasBegin := strings.Cut(page, BeginMarker)
+	tables, _, hasEnd := strings.Cut(rest, EndMarker)
+	if !hasBegin || !hasEnd {
+		return "", ErrNoMarkers
 	}
 	return tables, nil
 }
 
-// ReplaceTables returns a page with other tables between its marks. It returns ErrNoMarks where the page has none.
+// ReplaceTables returns the page with the tables between its markers replaced, or ErrNoMarkers if the page has no
+// markers for them.
 func ReplaceTables(page, tables string) (string, error) {
-	before, rest, began := strings.Cut(page, BeginMark)
-	_, after, ended := strings.Cut(rest, EndMark)
-	if !began || !ended {
-		return "", ErrNoMarks
+	before, rest, hasBegin := strings.Cut(page, BeginMarker)
+	_, after, hasEnd := strings.Cut(rest, EndMarker)
+	if !hasBegin || !hasEnd {
+		return "", ErrNoMarkers
 	}
-	return before + BeginMark + tables + EndMark + after, nil
+	return before + BeginMarker + tables + EndMarker + after, nil
 }
--- a/internal/capacity/plan_file.go
+++ b/internal/capacity/plan_file.go
@@ -8,7 +8,7 @@
 	"tamarindshore/internal/sexp"
 )
 
-// Bounds of the plan's values.
+// Bounds of the values in a plan file, and the name of its form.
 const (
 	maxCount    = 10_000_000
 	maxRate     = 1e12
@@ -19,8 +19,7 @@
 	planForm    = "capacity"
 )
 
-// ReadPlan reads and checks the file of a plan. What is wrong with its content is a sexp.Error, which names the file, the
-// line and the key.
+// ReadPlan reads and checks a plan file. Invalid content is reported as a sexp.Error with the file, line and key.
 func ReadPlan(path string) (Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -29,8 +28,8 @@
 	return ParsePlan(filepath.Base(path), text)
 }
 
-// ParsePlan reads a plan of the form (capacity (fleet (managers 5600) ...) ...). All keys are required; errors call the
-// file by name.
+// ParsePlan parses a plan of the form (capacity (fleet (managers 5600) ...) ...). All keys are required. Errors refer
+// to the file by the given name.
 func ParsePlan(name string, text []byte) (Plan, error) {
 	var p Plan
 	form, err := sexp.ReadForm(name, text, planForm, p.sections()...)
@@ -40,7 +39,7 @@
 	return p, p.checkConsistent(form)
 }
 
-// sections are the sections of a plan, with their keys and the bounds of each.
+// sections returns the sections of a plan with their keys and bounds.
 func (p *Plan) sections() []sexp.Key {
 	return sexp.Required(
 		sectionKey("fleet", p.Fleet.keys()...),
@@ -51,10 +50,10 @@
 		sectionKey("managers", p.Managers.keys()...),
 		sectionKey("subset",
 			sexp.IntKey("home-zones", &p.Subset.HomeZones, 1, maxCount),
-			sexp.IntKey("others", &p.Subset.Others, 0, maxCount),
+			sexp.IntKey("others", &p.Subset.OtherServers, 0, maxCount),
 			sexp.FloatKey("widen-below", &p.Subset.WidenBelow, 0, 1)),
 		sectionKey("message-bytes", p.Messages.keys()...),
-		sexp.Key{Name: "judged", Read: p.readJudged})
+		sexp.Key{Name: "judged", Read: p.readVerdictScope})
 }
 
 func (f *Fleet) keys() []sexp.Key {
@@ -95,7 +94,7 @@
 
 func (c *ControlMachines) keys() []sexp.Key {
 	return []sexp.Key{
-		sexp.IntKey("count", &c.Count, 3, 1000), // two of them are lost in one of the situations
+		sexp.IntKey("count", &c.Count, 3, 1000), // one of the situations loses two of them
 		sexp.IntKey("cores", &c.Cores, 1, maxCores),
 		sexp.FloatKey("memory-mb", &c.MemoryMB, 1, maxBytes),
 		sexp.FloatKey("bytes-per-second", &c.BytesPerSecond, 1, maxRate),
@@ -134,17 +133,17 @@
 	}
 }
 
-// readJudged reads the scope in which the budgets are judged.
-func (p *Plan) readJudged(n *sexp.Node) error {
-	var word string
-	if err := n.OneOf(&word, string(WholeList), string(Subset), string(CachedSubset)); err != nil {
+// readVerdictScope reads the scope whose exceeded budgets decide the verdict.
+func (p *Plan) readVerdictScope(n *sexp.Node) error {
+	var scope string
+	if err := n.OneOf(&scope, string(WholeList), string(Subset), string(CachedSubset)); err != nil {
 		return err
 	}
-	p.Judged = Scope(word)
+	p.VerdictScope = Scope(scope)
 	return nil
 }
 
-// checkConsistent checks keys against one another; the error is at the key that is too large.
+// checkConsistent compares values of different keys. The error points to the key whose value is too large.
 func (p *Plan) checkConsistent(root *sexp.Node) error {
 	f := p.Fleet
 	for _, c := range []struct {
@@ -152,34 +151,34 @@
 		key     string
 		value   int
 		limit   int
-		of      string // what the limit counts
+		unit    string // what the limit counts
 	}{
 		{"fleet", "services", f.Services, f.Servers, "servers"},
 		{"fleet", "zones", f.Zones, f.Servers, "servers"},
 		{"fleet", "regions", f.Regions, f.Zones, "zones"},
 		{"managers", "proxy-zones", p.Managers.ProxyZones, f.Zones, "zones"},
 		{"subset", "home-zones", p.Subset.HomeZones, f.Zones, "zones"},
-		{"subset", "others", p.Subset.Others, f.Servers, "servers"},
+		{"subset", "others", p.Subset.OtherServers, f.Servers, "servers"},
 	} {
 		if c.value > c.limit {
 			node := root.Child(c.section).Child(c.key)
-			return node.Errorf("%s: %d is more than the %d %s", c.key, c.value, c.limit, c.of)
+			return node.Errorf("%s: %d is more than the %d %s", c.key, c.value, c.limit, c.unit)
 		}
 	}
 	return nil
 }
 
-// sectionKey is a section that must be there with all of its keys.
+// sectionKey returns a required section in which every key is required.
 func sectionKey(name string, keys ...sexp.Key) sexp.Key {
 	return sexp.Section(name, sexp.Required(keys...)...)
 }
 
-// durationKey is a duration of the plan.
+// durationKey returns a key for a positive duration.
 func durationKey(name string, to *time.Duration) sexp.Key {
 	return sexp.DurationKey(name, to, minDuration, maxDuration)
 }
 
-// durationOrZeroKey is a duration of the plan that may be 0s.
+// durationOrZeroKey returns a key for a duration that may be 0s.
 func durationOrZeroKey(name string, to *time.Duration) sexp.Key {
 	return sexp.DurationKey(name, to, 0, maxDuration)
 }
--- a/internal/capacity/process.go
+++ b/internal/capacity/process.go
@@ -7,14 +7,15 @@
 	"tamarindshore/internal/scale"
 )
 
-// States of real processes, as scale names them, that represent a second without reports and a busy one.
+// Names, as in package scale, of the process states that represent a second without reports and a busy second.
 const (
 	quietState = "proxies joined, nothing reported"
 	busyState  = "200 reports and one list change a second"
 )
 
-// processOverhead is what a real process takes beyond a hollow manager in a state, as part of a core: sockets, the
-// runtime, waking up. It is the mean over the sizes that both were measured at with the plan's interval between reads.
+// processOverhead returns the fraction of a core that a real process uses beyond a hollow manager in a state, for
+// sockets, the Go runtime and wake-ups. It is the mean over the sizes at which both were measured with the plan's read
+// interval.
 func (m *Model) processOverhead(state string) Figure {
 	interval := m.Plan.Managers.ReadInterval.Seconds()
 	var differences []float64
@@ -29,10 +30,10 @@
 	return known(mean(differences))
 }
 
-// readIntervals are the intervals between reads that real processes were measured with, the shortest first.
+// readIntervals returns the read intervals with which real processes were measured, in ascending order.
 func (c Costs) readIntervals() (intervals []time.Duration) {
-	for _, one := range c.report.Processes {
-		interval := time.Duration(one.ReadInterval * float64(time.Second))
+	for _, process := range c.report.Processes {
+		interval := time.Duration(process.ReadInterval * float64(time.Second))
 		if !slices.Contains(intervals, interval) {
 			intervals = append(intervals, interval)
 		}
@@ -41,6 +42,7 @@
 	return intervals
 }
 
+// overheadOf returns the median CPU use of the process less that of the hollow manager, at least 0.
 func overheadOf(c scale.ProcessCase) float64 {
 	return max(0, scale.Median(c.CPU)-scale.Median(c.HollowCPU))
 }
--- a/internal/capacity/propagation_page.go
+++ b/internal/capacity/propagation_page.go
@@ -6,7 +6,7 @@
 	"tamarindshore/internal/scale"
 )
 
-// propagationCase is what happens as a change comes, and the costs that were measured of it.
+// propagationCase is the state of the fleet at the time of a change, with the costs that were measured in it.
 type propagationCase struct {
 	name   string
 	median scale.Cost
@@ -16,11 +16,13 @@
 
 var propagationCases = []propagationCase{
 	{"quiet, one control machine tells all", scale.PropagationMedian, scale.PropagationTail, scale.PropagationLast},
-	{"all managers open, seven machines tell them", scale.PropagationDuringOpeningsMedian, scale.PropagationDuringOpeningsTail, scale.PropagationDuringOpeningsLast},
-	{"two of seven machines are lost", scale.PropagationDuringControlLossMedian, scale.PropagationDuringControlLossTail, scale.PropagationDuringControlLossLast},
+	{"all managers open, seven machines tell them", scale.PropagationDuringOpeningsMedian, scale.PropagationDuringOpeningsTail,
+		scale.PropagationDuringOpeningsLast},
+	{"two of seven machines are lost", scale.PropagationDuringControlLossMedian, scale.PropagationDuringControlLossTail,
+		scale.PropagationDuringControlLossLast},
 }
 
-// writePropagation shows the times until a change is in force, as measured.
+// writePropagation shows the measured times until a change is in force.
 func (m *Model) writePropagation(w io.Writer) {
 	writeHeading(w, "A change in force at hollow managers, as measured")
 	writeHeader(w, "as the change is told", "managers", "half of them", "99 in 100", "the last", "spread of runs of the last")
@@ -38,7 +40,7 @@
 	}
 }
 
-// processFleetCosts are shown of fleets of real processes, with the heading of each.
+// processFleetCosts lists the costs shown for fleets of real processes, with their column headings.
 var processFleetCosts = []struct {
 	cost    scale.Cost
 	heading string
@@ -54,7 +56,7 @@
 	{scale.ProcessMemory, "largest resident set"},
 }
 
-// writeFleets shows fleets of real processes beside as many hollow managers.
+// writeFleets shows fleets of real processes beside the same number of hollow managers.
 func (m *Model) writeFleets(w io.Writer) {
 	writeHeading(w, "Fleets of real processes on one machine, and as many hollow managers")
 	slope, measured := m.Costs.report.Find(scale.ProcessPropagationLast, scale.Processes)
@@ -63,20 +65,20 @@
 		return
 	}
 	headings := []string{"processes"}
-	for _, one := range processFleetCosts {
-		headings = append(headings, one.heading)
+	for _, column := range processFleetCosts {
+		headings = append(headings, column.heading)
 	}
 	writeHeader(w, headings...)
 	for _, point := range slope.Points {
 		cells := []string{formatNumber(point.Size)}
-		for _, one := range processFleetCosts {
-			cells = append(cells, m.measuredAt(one.cost, scale.Processes, point.Size))
+		for _, column := range processFleetCosts {
+			cells = append(cells, m.measuredAt(column.cost, scale.Processes, point.Size))
 		}
 		writeRow(w, cells...)
 	}
 }
 
-// measuredAt is the median of the runs at a size, in the cost's unit.
+// measuredAt returns the median of the runs at a size in the cost's unit.
 func (m *Model) measuredAt(cost scale.Cost, axis scale.Axis, size float64) string {
 	slope, measured := m.Costs.report.Find(cost, axis)
 	if !measured {
@@ -90,18 +92,18 @@
 	return unmeasured
 }
 
-// writeReadIntervals shows what the time between reads does to a manager's core, for each that was measured.
+// writeReadIntervals shows the core use of a manager in a quiet second for each measured read interval.
 func (m *Model) writeReadIntervals(w io.Writer) {
 	writeHeading(w, "A manager's core in a quiet second, by the time between reads")
 	writeHeader(w, "between reads", "scope", "ratio: "+string(CoreStrict), "ratio: "+string(CoreWithoutCollectors))
 	for _, interval := range m.Costs.readIntervals() {
-		other := *m
-		other.Plan.Managers.ReadInterval = interval
-		quiet := other.Plan.situations()[0]
+		variant := *m
+		variant.Plan.Managers.ReadInterval = interval
+		quiet := variant.Plan.situations()[0]
 		for _, scope := range []Scope{WholeList, Subset} {
-			strict := other.check(Manager, CoreStrict, quiet)
-			withoutCollectors := other.check(Manager, CoreWithoutCollectors, quiet)
-			writeRow(w, intervalCell(interval.Seconds()), string(scope), strict.ratio(scope), withoutCollectors.ratio(scope))
+			strict := variant.check(Manager, CoreStrict, quiet)
+			withoutCollectors := variant.check(Manager, CoreWithoutCollectors, quiet)
+			writeRow(w, intervalCell(interval.Seconds()), string(scope), strict.formatRatio(scope), withoutCollectors.formatRatio(scope))
 		}
 	}
 }
--- a/internal/capacity/repository_test.go
+++ b/internal/capacity/repository_test.go
@@ -8,31 +8,32 @@
 	"tamarindshore/internal/scale"
 )
 
-// The page's tables are what the command prints from the plan and the slopes that stand in the repository:
-// tamarindshore capacity --page docs/CAPACITY.md renews them.
-func TestCapacityPageHoldsTheTablesOfTheCommand(t *testing.T) {
+// The tables of the page must be what the command prints for the plan and the slopes of the repository. To update
+// them: tamarindshore capacity --page docs/CAPACITY.md
+func TestCapacityPageMatchesCommandOutput(t *testing.T) {
 	slopes, err := scale.ReadReport(slopesFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := ExtractTables(read(t, pageFile))
+	got, err := ExtractTables(readFile(t, pageFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var want strings.Builder
 	NewModel(repositoryPlan(t), slopes).WriteTables(&want)
 	if got != want.String() {
-		t.Errorf("the tables of %s are not those of the command; first difference: %s", filepath.Base(pageFile), difference(got, want.String()))
+		t.Errorf("the tables of %s differ from the output of the command; first difference: %s",
+			filepath.Base(pageFile), firstDifference(got, want.String()))
 	}
 }
 
-func difference(a, b string) string {
-	was := strings.Split(a, "\n")
-	is := strings.Split(b, "\n")
-	for i := range min(len(was), len(is)) {
-		if was[i] != is[i] {
-			return "\npage:    " + was[i] + "\ncommand: " + is[i]
+func firstDifference(page, command string) string {
+	pageLines := strings.Split(page, "\n")
+	commandLines := strings.Split(command, "\n")
+	for i := range min(len(pageLines), len(commandLines)) {
+		if pageLines[i] != commandLines[i] {
+			return "\npage:    " + pageLines[i] + "\ncommand: " + commandLines[i]
 		}
 	}
-	return "one is longer"
+	return "one of them has more lines"
 }
--- a/internal/capacity/restart_test.go
+++ b/internal/capacity/restart_test.go
@@ -4,28 +4,29 @@
 
 func TestManagerWithStoredListReadsOnlyChanges(t *testing.T) {
 	p := smallPlan(t)
-	whole := situation(t, p, "all managers restart")
+	withoutStore := situation(t, p, "all managers restart")
 	p.Managers.ListStored = true
-	stored := situation(t, p, "all managers restart")
-	missed := p.busyHourEntries() / 3600 * 19 // the window of 19 s
-	checkNear(t, "entries missed", stored.MissedEntries, missed)
+	withStore := situation(t, p, "all managers restart")
+	missed := p.busyHourEntries() / 3600 * 19 // entries in the window of 19 s
+	assertNear(t, "entries missed", withStore.MissedEntries, missed)
 	m := NewModel(p, exampleSlopes(t))
-	h := p.normalServerCounts(WholeList)
-	resumed := m.listChangeBytes(listChanges{messages: 1, entries: max(1, missed)}).Value
-	checkNear(t, "bytes of the list", m.listBytes(stored, h).Value, resumed/19)
-	checkNear(t, "bytes of a whole list", m.listBytes(whole, h).Value, m.openingBytes(h).Value/19)
-	if resumed >= m.openingBytes(h).Value {
-		t.Errorf("%g bytes of changes, %g of a whole list", resumed, m.openingBytes(h).Value)
+	counts := p.normalServerCounts(WholeList)
+	changeBytes := m.listChangeBytes(listChanges{messages: 1, entries: max(1, missed)}).Value
+	assertNear(t, "bytes of the list", m.listBytes(withStore, counts).Value, changeBytes/19)
+	assertNear(t, "bytes of a complete list", m.listBytes(withoutStore, counts).Value, m.openingBytes(counts).Value/19)
+	if changeBytes >= m.openingBytes(counts).Value {
+		t.Errorf("got %g bytes of changes, want less than the %g bytes of a complete list", changeBytes, m.openingBytes(counts).Value)
 	}
-	if c := mechanismFor(Manager, BytesWithoutCollectors, stored); c.Status != Stands || c.Name != "snapshot" {
-		t.Errorf("carried by %+v", c)
+	if m := mechanismFor(Manager, BytesWithoutCollectors, withStore); m.Status != Implemented || m.Name != "snapshot" {
+		t.Errorf("with stored lists: got mechanism %+v, want the implemented snapshot", m)
 	}
-	if c := mechanismFor(Manager, BytesWithoutCollectors, whole); c.Status != Partly || c.Name != "snapshot" {
-		t.Errorf("without a store carried by %+v", c)
+	if m := mechanismFor(Manager, BytesWithoutCollectors, withoutStore); m.Status != PartlyImplemented || m.Name != "snapshot" {
+		t.Errorf("without stored lists: got mechanism %+v, want the partly implemented snapshot", m)
 	}
-	control := m.Load(ControlMachine, stored, WholeList)
-	before := m.Load(ControlMachine, whole, WholeList)
-	if control.BytesOut.Value >= before.BytesOut.Value {
-		t.Errorf("a control machine writes %g bytes a second, %g without stored lists", control.BytesOut.Value, before.BytesOut.Value)
+	controlWithStore := m.Load(ControlMachine, withStore, WholeList)
+	controlWithoutStore := m.Load(ControlMachine, withoutStore, WholeList)
+	if controlWithStore.BytesOut.Value >= controlWithoutStore.BytesOut.Value {
+		t.Errorf("a control machine sends %g bytes per second with stored lists, want less than the %g without",
+			controlWithStore.BytesOut.Value, controlWithoutStore.BytesOut.Value)
 	}
 }
--- a/internal/capacity/sources.go
+++ b/internal/capacity/sources.go
@@ -9,28 +9,31 @@
 	"tamarindshore/internal/scale"
 )
 
+// writeSources writes the tables of the slopes and costs that the loads were calculated from.
 func (m *Model) writeSources(w io.Writer) {
 	writeHeading(w, "Where the figures come from")
 	r := m.Costs.report
 	fmt.Fprintf(w, "Slopes: version %d, seed %d, %d cores, %s.\n\n", r.Version, r.Seed, r.Cores, r.GoVersion)
-	sources := slices.SortedStableFunc(slices.Values(m.sources), func(a, b Source) int { return strings.Compare(string(a.Cost), string(b.Cost)) })
+	sources := slices.SortedStableFunc(slices.Values(m.sources), func(a, b Source) int {
+		return strings.Compare(string(a.Cost), string(b.Cost))
+	})
 	m.writeSlopes(w, sources)
 	fmt.Fprintln(w)
 	writeHeader(w, "cost", "at", "figure", "reckoned")
 	for _, group := range groupSources(sources) {
 		s := group[0]
-		writeRow(w, string(s.Cost), rangesOf(group), formatCost(s), origin(s))
+		writeRow(w, string(s.Cost), sizeRanges(group), formatCost(s), sourceNote(s))
 	}
 }
 
-// groupSources joins the sources that have the same cost, figure and reckoning, and differ in sizes alone.
+// groupSources groups the sources that have the same cost, formatted value and note, and differ only in their sizes.
 func groupSources(sources []Source) [][]Source {
 	var groups [][]Source
-	alike := func(a, b Source) bool {
-		return a.Cost == b.Cost && formatCost(a) == formatCost(b) && origin(a) == origin(b)
+	sameRow := func(a, b Source) bool {
+		return a.Cost == b.Cost && formatCost(a) == formatCost(b) && sourceNote(a) == sourceNote(b)
 	}
 	for _, s := range sources {
-		i := slices.IndexFunc(groups, func(g []Source) bool { return alike(g[0], s) })
+		i := slices.IndexFunc(groups, func(g []Source) bool { return sameRow(g[0], s) })
 		if i < 0 {
 			groups = append(groups, []Source{s})
 			continue
@@ -40,9 +43,9 @@
 	return groups
 }
 
-// rangesOf gives the sizes of a group along each axis.
-func rangesOf(group []Source) string {
-	var at []string
+// sizeRanges returns the range of sizes of a group along each axis.
+func sizeRanges(group []Source) string {
+	var ranges []string
 	for _, axis := range sortedAxes(group[0].Sizes) {
 		smallest := group[0].Sizes[axis]
 		largest := smallest
@@ -54,12 +57,12 @@
 		if largest > smallest {
 			text += " to " + formatNumber(largest)
 		}
-		at = append(at, text)
+		ranges = append(ranges, text)
 	}
-	return orNone(at, "reference")
+	return joinOr(ranges, "reference")
 }
 
-// writeSlopes shows each slope that a cost was worked out from, once.
+// writeSlopes writes one row for each slope that a cost was calculated from.
 func (m *Model) writeSlopes(w io.Writer, sources []Source) {
 	writeHeader(w, "cost", "along", "shape", "worst distance of a size from the curve", "worst spread of runs", "sizes measured", "managers")
 	written := map[string]bool{}
@@ -88,13 +91,15 @@
 	return []string{string(s.Cost), string(s.Axis), shape, formatPercent(s.WorstError), formatPercent(s.Spread), sizes, managers}
 }
 
-func orNone(words []string, none string) string {
-	if len(words) == 0 {
+// joinOr joins items with commas. It returns none if there are no items.
+func joinOr(items []string, none string) string {
+	if len(items) == 0 {
 		return none
 	}
-	return strings.Join(words, ", ")
+	return strings.Join(items, ", ")
 }
 
+// formatCost formats the value of a cost in the unit of its slopes.
 func formatCost(s Source) string {
 	unit := ""
 	if len(s.Slopes) > 0 {
@@ -111,8 +116,9 @@
 	return formatNumber(s.Value.Value)
 }
 
-// origin says how a cost was worked out beyond what was measured.
-func origin(s Source) string {
+// sourceNote describes how a cost was obtained where it is more than a measurement: assumed, interpolated or
+// extrapolated.
+func sourceNote(s Source) string {
 	var notes []string
 	switch {
 	case s.Assumed:
@@ -129,14 +135,14 @@
 	if len(s.ExtrapolatedAxes) > 0 {
 		notes = append(notes, "beyond the largest size measured along "+axisNames(s.ExtrapolatedAxes))
 	}
-	return orNone(notes, "within what was measured")
+	return joinOr(notes, "within what was measured")
 }
 
-// interpolatedAxes are the axes along which a cost comes from measured points.
+// interpolatedAxes returns the axes along which a cost is interpolated between measured points.
 func interpolatedAxes(s Source) []scale.Axis {
 	var axes []scale.Axis
 	for _, slope := range s.Slopes {
-		if size, asked := s.Sizes[slope.Axis]; asked && slope.Interpolates(size) {
+		if size, requested := s.Sizes[slope.Axis]; requested && slope.Interpolates(size) {
 			axes = append(axes, slope.Axis)
 		}
 	}
