--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -104,7 +104,7 @@
 }
 
 // Ranking returns the checks whose mechanism is missing or was built because of this ranking, sorted by the ratio with
-// the whole list, largest first. The mechanism of the first check is the one to build next.
+// the whole list, largest first. The mechanism of the first check is the one to build first.
 func Ranking(all []Check) []Check {
 	var ranked []Check
 	for _, c := range all {
