--- a/cmd/tamarindshore/capacity_test.go
+++ b/cmd/tamarindshore/capacity_test.go
@@ -64,7 +64,7 @@
 		"no plan":    {capacityCommand{Plan: "none.sexp", Slopes: testSlopes}, `none\.sexp`},
 		"no slopes":  {capacityCommand{Plan: capacityPlan, Slopes: "none.json"}, `none\.json`},
 		"no page":    {capacityCommand{Plan: capacityPlan, Slopes: testSlopes, Page: "none.md"}, `none\.md`},
-		"other page": {capacityCommand{Plan: capacityPlan, Slopes: testSlopes, Page: testSlopes}, `slopes\.json: the page has no marks`},
+		"other page": {capacityCommand{Plan: capacityPlan, Slopes: testSlopes, Page: testSlopes}, `slopes\.json: the page has no begin and end markers`},
 	} {
 		err := test.command.Run()
 		if err == nil || errors.Is(err, errViolation) || !regexp.MustCompile(test.want).MatchString(err.Error()) {
