--- a/internal/loadtest/churn.go
+++ b/internal/loadtest/churn.go
@@ -10,15 +10,14 @@
 
 const (
 	drainInterval     = 100 * time.Millisecond
-	drainsInProgress  = 10 // a server comes back after so many more have begun to drain: a second
-	serverStride      = 7  // between servers that drain one after another
+	drainsInProgress  = 10 // a server returns once this many more have started to drain, so after one second
+	serverStride      = 7  // distance in the server list between consecutive drains
 	reconnectInterval = 20 * time.Millisecond
-	proxyStride       = 13 // between proxies that reconnect one after another
+	proxyStride       = 13 // distance between the IDs of consecutively reconnected proxies
 	checkInterval     = 100 * time.Millisecond
 )
 
-// churn changes a deployment over and over: servers drain and come back, and proxies disconnect and connect. The rules
-// are checked meanwhile.
+// churn runs the background workers of a test. They drain and return servers, reconnect proxies, and check the rules.
 type churn struct {
 	deployment *fakes.Deployment
 	observer   *observer
@@ -26,7 +25,7 @@
 	workers    sync.WaitGroup
 }
 
-// startChurn changes a deployment until stop.
+// startChurn drains servers, reconnects proxies and checks the rules until stop is called.
 func startChurn(d *fakes.Deployment, o *observer) *churn {
 	c, ctx := newChurn(d, o)
 	c.repeat(ctx, drainInterval, c.drainNext)
@@ -35,27 +34,27 @@
 	return c
 }
 
-// startChecks checks the rules of a deployment until stop, and changes nothing.
-func startChecks(d *fakes.Deployment) *churn {
+// startRuleChecks checks the rules of a deployment until stop is called, without changing the deployment.
+func startRuleChecks(d *fakes.Deployment) *churn {
 	c, ctx := newChurn(d, nil)
 	c.repeat(ctx, checkInterval, c.checkRules)
 	return c
 }
 
-// newChurn is a churn that does nothing yet, and the context of its workers.
+// newChurn returns a churn without workers, and the context for its workers.
 func newChurn(d *fakes.Deployment, o *observer) (*churn, context.Context) {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &churn{deployment: d, observer: o, cancel: cancel}, ctx
 }
 
-// stop ends the workers and waits for them.
+// stop stops the workers and waits for them.
 func (c *churn) stop() {
 	c.cancel()
 	c.workers.Wait()
 }
 
-// repeat calls a function at an interval, with how often it was called before, until the context ends.
-func (c *churn) repeat(ctx context.Context, interval time.Duration, do func(n int)) {
+// repeat starts a worker that calls a function at an interval until the context ends. n is the number of earlier calls.
+func (c *churn) repeat(ctx context.Context, interval time.Duration, action func(n int)) {
 	c.workers.Go(func() {
 		tick := time.NewTicker(interval)
 		defer tick.Stop()
@@ -64,13 +63,13 @@
 			case <-ctx.Done():
 				return
 			case <-tick.C:
-				do(n)
+				action(n)
 			}
 		}
 	})
 }
 
-// drainNext lets the next server drain, and one that has drained come back.
+// drainNext publishes a drain of the next server and the return of the one that was drained drainsInProgress calls ago.
 func (c *churn) drainNext(n int) {
 	servers := c.deployment.Servers
 	draining := servers[n*serverStride%len(servers)]
@@ -85,7 +84,7 @@
 	c.deployment.Discovery.Publish(endpoints...)
 }
 
-// reconnectNext lets the next proxy disconnect and connect.
+// reconnectNext disconnects the next proxy and connects it again.
 func (c *churn) reconnectNext(n int) {
 	proxy := n * proxyStride % c.deployment.Site.Proxies
 	c.deployment.Relay.DisconnectProxies(proxy)
@@ -93,7 +92,7 @@
 	c.deployment.Relay.ConnectProxies(proxy)
 }
 
-// checkRules checks the relay's state, and that no drained server still gets requests.
+// checkRules checks the relay's state and that drained servers get no requests after the grace period.
 func (c *churn) checkRules(int) {
 	relay := c.deployment.Relay
 	relay.CheckState()
--- a/internal/loadtest/format_test.go
+++ b/internal/loadtest/format_test.go
@@ -11,8 +11,8 @@
 	"tamarindshore/internal/fakes"
 )
 
-// fixtureResults are what testdata/results.json and results.txt show, which the program wrote before its names were
-// changed.
+// fixtureResults returns the results in testdata/results.json and testdata/results.txt. Both files were written before
+// identifiers in the program were renamed.
 func fixtureResults() []Result {
 	latencies := func(n int64) LatencySummary {
 		d := time.Duration(n) * 1100 * time.Microsecond
@@ -38,8 +38,9 @@
 	}
 }
 
-func TestResultsAreWrittenToTheByte(t *testing.T) {
-	for _, one := range []struct {
+// The JSON and the table that operators read must stay the same, byte for byte, when names in the code change.
+func TestResultsMatchGoldenFiles(t *testing.T) {
+	for _, test := range []struct {
 		file  string
 		write func(*bytes.Buffer) error
 	}{
@@ -49,48 +50,48 @@
 			return nil
 		}},
 	} {
-		t.Run(one.file, func(t *testing.T) {
-			want, err := os.ReadFile(filepath.Join("testdata", one.file))
+		t.Run(test.file, func(t *testing.T) {
+			want, err := os.ReadFile(filepath.Join("testdata", test.file))
 			if err != nil {
 				t.Fatal(err)
 			}
 			var got bytes.Buffer
-			if err := one.write(&got); err != nil {
+			if err := test.write(&got); err != nil {
 				t.Fatal(err)
 			}
 			if got.String() != string(want) {
-				t.Errorf("written:\n%s\nwant:\n%s", &got, want)
+				t.Errorf("got:\n%s\nwant:\n%s", &got, want)
 			}
 		})
 	}
 }
 
-func TestResultIsOKOnlyWhereRulesAreKeptAndNothingIsLost(t *testing.T) {
-	for _, one := range []struct {
+func TestResultOK(t *testing.T) {
+	for _, test := range []struct {
 		name   string
 		result Result
 		want   bool
 	}{
-		{"all kept", Result{Sent: 2, Accepted: 2, Rules: []fakes.RuleResult{{Checks: 1}}}, true},
-		{"a rule broken", Result{Rules: []fakes.RuleResult{{Checks: 1}, {Violations: 1}}}, false},
+		{"no violation", Result{Sent: 2, Accepted: 2, Rules: []fakes.RuleResult{{Checks: 1}}}, true},
+		{"a rule violated", Result{Rules: []fakes.RuleResult{{Checks: 1}, {Violations: 1}}}, false},
 		{"a connection broken", Result{BrokenConnections: 1}, false},
 		{"a message lost", Result{Sent: 2, Accepted: 1}, false},
 	} {
-		if got := one.result.OK(); got != one.want {
-			t.Errorf("%s: %v", one.name, got)
+		if got := test.result.OK(); got != test.want {
+			t.Errorf("%s: OK() = %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-func TestProxiesThatAreNotAssignedAreCounted(t *testing.T) {
+func TestAssignTimeoutErrorCountsAssignedProxies(t *testing.T) {
 	relay, err := fakes.NewRelay("127.0.0.1:0", fakes.DefaultSite(1, 3))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer relay.Close()
-	connectAll(relay, 3) // there is no manager that assigns them
+	connectAll(relay, 3) // no manager runs, so none is assigned
 	var timeout *AssignTimeoutError
 	if err := awaitAssigned(relay, 3, 20*time.Millisecond); !errors.As(err, &timeout) || timeout.Assigned != 0 || timeout.Proxies != 3 {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want AssignTimeoutError with 0 of 3 proxies assigned", err)
 	}
 }
--- a/internal/loadtest/generator.go
+++ b/internal/loadtest/generator.go
@@ -15,18 +15,18 @@
 const (
 	sendInterval    = 2 * time.Millisecond
 	pingInterval    = 20 * time.Millisecond
-	maxPingsPending = 4096 // of one connection
+	maxPendingPings = 4096 // unanswered pings per connection
 	writeTimeout    = 10 * time.Second
 	reconnectDelay  = 50 * time.Millisecond
 )
 
-// loadGenerator sends messages to one manager, on one connection for each collector, from newLoadGenerator until stop.
-// Its rate can change meanwhile. Its methods are safe for concurrent use.
+// loadGenerator sends messages to one manager on one connection per collector until stop is called. Its rate can be
+// changed at any time. Its methods are safe for concurrent use.
 type loadGenerator struct {
 	address           string
 	loops             []*messageLoop
-	rate              atomic.Int64 // messages a second, of all collectors
-	sent              atomic.Int64 // messages
+	rate              atomic.Int64 // messages per second, of all collectors together
+	sent              atomic.Int64 // number of messages
 	brokenConnections atomic.Int64
 	sendDelay         atomic.Pointer[latencyRecorder]
 	acceptLatency     atomic.Pointer[latencyRecorder]
@@ -34,7 +34,7 @@
 	workers           sync.WaitGroup
 }
 
-// newLoadGenerator connects the collectors of a site. They send nothing until there is a rate.
+// newLoadGenerator connects the collectors of a site. They send only pings until a rate is set.
 func newLoadGenerator(address string, site fakes.Site, collectorsPerZone int) *loadGenerator {
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &loadGenerator{address: address, loops: newMessageLoops(site, collectorsPerZone), cancel: cancel}
@@ -45,19 +45,19 @@
 	return g
 }
 
-// resetRecorders begins new measurements.
+// resetRecorders discards the latencies recorded so far.
 func (g *loadGenerator) resetRecorders() {
 	g.sendDelay.Store(newLatencyRecorder())
 	g.acceptLatency.Store(newLatencyRecorder())
 }
 
-// stop ends all connections.
+// stop closes all connections and waits for the collectors to end.
 func (g *loadGenerator) stop() {
 	g.cancel()
 	g.workers.Wait()
 }
 
-// runCollector keeps one collector connected.
+// runCollector keeps one collector connected until the context ends. It reconnects after a broken connection.
 func (g *loadGenerator) runCollector(ctx context.Context, loop *messageLoop, index int) {
 	for {
 		if err := g.connect(ctx, loop, index); err == nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-// connect opens a collector's connection and sends on it. It returns nil once the context ends, or why the connection
-// broke.
+// connect opens a collector's connection and sends on it. It returns nil if the context ended, otherwise the error that
+// broke the connection.
 func (g *loadGenerator) connect(ctx context.Context, loop *messageLoop, index int) error {
 	connection, err := net.Dial("tcp", g.address)
 	if err != nil {
@@ -86,31 +86,32 @@
 		return err
 	}
 	c := &collector{
-		generator:  g,
-		connection: connection,
-		loop:       loop,
-		rate:       -1,
-		started:    time.Now(),
-		pinged:     time.Duration(index) * time.Millisecond,
-		pings:      make(chan time.Time, maxPingsPending),
+		generator:     g,
+		connection:    connection,
+		loop:          loop,
+		rate:          -1,
+		scheduleStart: time.Now(),
+		lastPing:      time.Duration(index) * time.Millisecond,
+		pendingPings:  make(chan time.Time, maxPendingPings),
 	}
 	reader.Go(c.readAnswers)
 	return c.send(ctx)
 }
 
-// collector is one collector's open connection.
+// collector is the open connection of one collector.
 type collector struct {
-	generator  *loadGenerator
-	connection net.Conn
-	loop       *messageLoop
-	schedule   Schedule
-	rate       int64          // that the schedule was made for; -1: none was
-	started    time.Time      // of the schedule
-	pinged     time.Duration  // since then
-	pings      chan time.Time // when those were due that have no answer yet
+	generator     *loadGenerator
+	connection    net.Conn
+	loop          *messageLoop
+	schedule      Schedule
+	rate          int64          // generator rate that the schedule is based on; -1 before there is a schedule
+	scheduleStart time.Time      // start of the schedule
+	lastPing      time.Duration  // time of the last ping, relative to scheduleStart
+	pendingPings  chan time.Time // due times of the unanswered pings
 }
 
-// readAnswers measures the answers to pings until the connection ends. A ping is answered once all before it is accepted.
+// readAnswers records the latency of each answer to a ping until the connection ends. The manager answers a ping once it
+// has accepted all earlier messages on the connection.
 func (c *collector) readAnswers() {
 	answers := bufio.NewReader(c.connection)
 	for {
@@ -118,14 +119,14 @@
 			return
 		}
 		select {
-		case due := <-c.pings:
+		case due := <-c.pendingPings:
 			c.generator.acceptLatency.Load().record(time.Since(due), 1)
 		default:
 		}
 	}
 }
 
-// send sends what is due until the context ends.
+// send sends the messages and pings that are due until the context ends or a write fails.
 func (c *collector) send(ctx context.Context) error {
 	tick := time.NewTicker(sendInterval)
 	defer tick.Stop()
@@ -136,8 +137,8 @@
 		case <-tick.C:
 		}
 		c.updateRate()
-		sinceStart := time.Since(c.started)
-		count, lastDue := c.schedule.Due(sinceStart)
+		sinceStart := time.Since(c.scheduleStart)
+		count, lastDue := c.schedule.TakeDue(sinceStart)
 		if err := c.sendMessages(count, lastDue); err != nil {
 			return err
 		}
@@ -147,42 +148,42 @@
 	}
 }
 
-// updateRate begins a new schedule where the generator's rate has changed.
+// updateRate starts a new schedule if the generator's rate has changed.
 func (c *collector) updateRate() {
 	rate := c.generator.rate.Load()
 	if rate == c.rate {
 		return
 	}
 	c.rate = rate
-	c.started = time.Now()
+	c.scheduleStart = time.Now()
 	c.schedule = Schedule{Rate: float64(rate) / float64(len(c.generator.loops))}
-	c.pinged = 0
+	c.lastPing = 0
 }
 
-// sendMessages writes so many messages, the last of which was due at a time since the start of the schedule.
+// sendMessages writes count messages. lastDue is when the last of them was due, relative to the start of the schedule.
 func (c *collector) sendMessages(count int, lastDue time.Duration) error {
 	for count > 0 {
-		text, taken := c.loop.take(count)
+		data, messages := c.loop.nextMessages(count)
 		c.connection.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := c.connection.Write(text); err != nil {
+		if _, err := c.connection.Write(data); err != nil {
 			return err
 		}
-		count -= taken
-		c.generator.sent.Add(int64(taken))
-		c.generator.sendDelay.Load().record(time.Since(c.started)-lastDue, taken)
+		count -= messages
+		c.generator.sent.Add(int64(messages))
+		c.generator.sendDelay.Load().record(time.Since(c.scheduleStart)-lastDue, messages)
 	}
 	return nil
 }
 
-// ping sends a ping where one is due, unless as many are pending as can be remembered.
+// ping sends a ping if one is due, unless maxPendingPings are unanswered.
 func (c *collector) ping(sinceStart time.Duration) error {
-	if sinceStart-c.pinged < pingInterval {
+	if sinceStart-c.lastPing < pingInterval {
 		return nil
 	}
-	due := c.started.Add(c.pinged + pingInterval)
-	c.pinged = sinceStart
+	due := c.scheduleStart.Add(c.lastPing + pingInterval)
+	c.lastPing = sinceStart
 	select {
-	case c.pings <- due:
+	case c.pendingPings <- due:
 		_, err := c.connection.Write([]byte("ping\r\n"))
 		return err
 	default:
--- a/internal/loadtest/observer.go
+++ b/internal/loadtest/observer.go
@@ -8,26 +8,27 @@
 	"tamarindshore/internal/fakes"
 )
 
-// Kinds of commands that an observer measures, as the relay names them.
+// Names in the relay protocol of the commands that an observer measures.
 const (
 	assignCommand   = "bind"
 	withdrawCommand = "withdraw"
 )
 
-// observer measures how long the manager takes to command what has become due. It is safe for concurrent use.
+// observer measures the time from the connection of a proxy to its assignment and from the drain of a server to its
+// withdrawal. It is safe for concurrent use.
 type observer struct {
 	assignLatency   *latencyRecorder
 	withdrawLatency *latencyRecorder
 
-	isWithdrawn func(server string) bool // the relay's; it takes the relay's lock
+	isWithdrawn func(server string) bool // asks the relay, which takes its lock
 
-	// mu is taken within the relay's lock: none of the relay's methods may be called under it.
+	// mu is taken while the relay's lock is held, so none of the relay's methods may be called with mu held.
 	mu          sync.Mutex
-	connectedAt map[string]time.Time // of proxies that are to be assigned, by number
-	drainedAt   map[string]time.Time // of servers that are to be withdrawn
+	connectedAt map[string]time.Time // when unassigned proxies connected, by proxy ID
+	drainedAt   map[string]time.Time // when servers that are not yet withdrawn started to drain, by server ID
 }
 
-// newObserver observes the commands that a relay gets.
+// newObserver returns an observer of the commands that a relay receives.
 func newObserver(relay *fakes.Relay) *observer {
 	o := &observer{
 		assignLatency:   newLatencyRecorder(),
@@ -40,7 +41,7 @@
 	return o
 }
 
-// onCommand takes a command that the relay got. The relay calls it under its lock.
+// onCommand records the latency of a command. The relay calls it with its lock held.
 func (o *observer) onCommand(at time.Time, kind, subject string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -52,15 +53,15 @@
 	}
 }
 
-// recordSince records the time since something became due, if it did.
-func recordSince(due map[string]time.Time, subject string, at time.Time, recorder *latencyRecorder) {
-	if since, isDue := due[subject]; isDue {
+// recordSince records the time since a subject was added to pending, and removes it. It ignores other subjects.
+func recordSince(pending map[string]time.Time, subject string, at time.Time, recorder *latencyRecorder) {
+	if since, isPending := pending[subject]; isPending {
 		recorder.record(at.Sub(since), 1)
-		delete(due, subject)
+		delete(pending, subject)
 	}
 }
 
-// expectWithdrawal notes that a server is about to drain, unless it is withdrawn already.
+// expectWithdrawal records that a server starts to drain, unless it is already withdrawn.
 func (o *observer) expectWithdrawal(server string) {
 	if o.isWithdrawn(server) {
 		return
@@ -70,7 +71,7 @@
 	o.drainedAt[server] = time.Now()
 }
 
-// expectAssignment notes that a proxy is about to connect.
+// expectAssignment records that a proxy connects.
 func (o *observer) expectAssignment(proxy int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/loadtest/plan.go
+++ b/internal/loadtest/plan.go
@@ -1,29 +1,29 @@
-// Package loadtest puts a manager under load on loopback, between fakes of the systems around it, and measures it.
-// The load is an open loop: each message has a time at which it is due, so that a stall of the manager shows in the
-// latencies. schedule.go decides rates and what is due, free of I/O; generator.go sends for the collectors; observer.go
-// measures what the relay is commanded; run.go joins them; report.go shows results. The package must never be imported
-// by the daemon, nor change what the manager decides.
+// Package loadtest runs load tests of a manager on loopback, against fakes of the systems that it communicates with.
+// The load is open-loop: each message is due at a fixed time, so that a stall of the manager shows in the latencies.
+// schedule.go computes rates and due messages without I/O; generator.go sends the messages of the collectors; observer.go
+// measures the commands to the relay; run.go runs the test; report.go writes the results. The daemon must never import
+// the package, and the package must not affect the manager's decisions.
 package loadtest
 
 import "time"
 
-// Plan says what a run does, and bounds it.
+// Plan holds the parameters and limits of a load test.
 type Plan struct {
-	Cores             []int // one manager after another, with so many cores each
+	Cores             []int // number of cores of each manager; the managers are tested one after another
 	Servers           int
 	Proxies           int
-	CollectorsPerZone int           // connections that report
-	Rate              float64       // messages a second; 0: the highest is searched for, and 80% of it is held
-	HoldDuration      time.Duration // for which a rate is held
-	StepDuration      time.Duration // of the search
-	InitialRate       float64       // messages a second at which the search begins
-	Seed              uint64        // of the random numbers
-	MemoryMB          float64       // in the manager's configuration
-	MaxSockets        int           // in the manager's configuration
-	FaultFraction     float64       // of the calls to the relay that fail
+	CollectorsPerZone int           // collector connections per zone
+	Rate              float64       // messages per second; 0 searches for the maximum rate and holds 80% of it
+	HoldDuration      time.Duration // how long the rate is held
+	StepDuration      time.Duration // duration of each step of the search
+	InitialRate       float64       // messages per second in the first step of the search
+	Seed              uint64        // seed of the random number generators
+	MemoryMB          float64       // memory limit in the manager's configuration
+	MaxSockets        int           // socket limit in the manager's configuration
+	FaultFraction     float64       // fraction of the calls to the relay that fail
 }
 
-// DefaultPlan is a plan that ends within about half a minute for each number of cores.
+// DefaultPlan returns a plan that ends within about half a minute per manager.
 func DefaultPlan() Plan {
 	return Plan{
 		Cores:             []int{1},
--- a/internal/loadtest/report.go
+++ b/internal/loadtest/report.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes results for people: a table of figures, and the rules of each manager below it.
+// WriteTable writes results as text: a table with one row per manager, followed by the rules of each manager.
 func WriteTable(out io.Writer, results []Result) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "cores\ttop/s\tx one\theld/s\ttaken\ttake in 50/99/99.9%\tjoin to bind 50/99/99.9%\tdrain to withdrawal 50/99/99.9%\tCPU\tMB\trules")
@@ -20,7 +20,7 @@
 	}
 }
 
-// writeRow writes a manager's figures, its highest rate also as a multiple of the first manager's.
+// writeRow writes the table row of a manager. Its maximum rate is also shown as a multiple of the first manager's.
 func writeRow(out io.Writer, r Result, firstMaxRate float64) {
 	cores := fmt.Sprint(r.Cores)
 	if r.Cores > r.MachineCores {
@@ -34,36 +34,37 @@
 	}
 	acceptedPercent := 100 * float64(r.Accepted) / float64(max(1, r.Sent))
 	fmt.Fprintf(out, "%s\t%s\t%s\t%.0f\t%.2f%%\t%s\t%s\t%s\t%.2f\t%.0f\t%s\n", cores, maxRate, multiple, r.HeldRate, acceptedPercent,
-		r.AcceptLatency, r.AssignLatency, r.WithdrawLatency, r.CPU, r.MemoryMB, verdict(r))
+		r.AcceptLatency, r.AssignLatency, r.WithdrawLatency, r.CPU, r.MemoryMB, rulesSummary(r))
 }
 
-// verdict names the last rule that was broken.
-func verdict(r Result) string {
-	verdict := "kept"
+// rulesSummary returns the entry of the column "rules": "kept", or the last rule that was violated.
+func rulesSummary(r Result) string {
+	summary := "kept"
 	for _, rule := range r.Rules {
 		if !rule.OK() {
-			verdict = "BROKEN: " + rule.Name
+			summary = "BROKEN: " + rule.Name
 		}
 	}
-	return verdict
+	return summary
 }
 
+// writeRules writes the totals of a manager and the result of each rule.
 func writeRules(out io.Writer, r Result) {
 	relay := r.Relay
 	fmt.Fprintf(out, "\n%d cores: all bound in %.2fs, %d calls, %d orders, %d refused, %d effects, faults %v, %.1f%% of samples folded, %d connections broken\n",
 		r.Cores, r.AllAssignedAfter.Seconds(), relay.Calls, relay.CommandsAccepted, relay.CommandsRejected, relay.StateChanges,
 		relay.Faults, 100*r.MergedFraction, r.BrokenConnections)
 	for _, rule := range r.Rules {
-		verdict := "kept"
+		status := "kept"
 		if !rule.OK() {
-			verdict = fmt.Sprintf("BROKEN %d times", rule.Violations)
+			status = fmt.Sprintf("BROKEN %d times", rule.Violations)
 		}
 		fmt.Fprintf(out, "  %-28s %-10s worst %.3f %s of %.3f, %d looked at %s\n",
-			rule.Name, verdict, rule.Worst, rule.Unit, rule.Bound, rule.Checks, rule.Subject)
+			rule.Name, status, rule.Worst, rule.Unit, rule.Bound, rule.Checks, rule.Subject)
 	}
 }
 
-// WriteJSON writes results for machines.
+// WriteJSON writes results as indented JSON.
 func WriteJSON(out io.Writer, results []Result) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -10,18 +10,18 @@
 	"tamarindshore/internal/fakes"
 )
 
-// Result is what one manager came to.
+// Result holds the results of the load test of one manager.
 type Result struct {
 	Cores             int                `json:"cores"`
-	MachineCores      int                `json:"real_cores"` // which the load test shares
+	MachineCores      int                `json:"real_cores"` // cores of the machine, which the manager shares with the load test
 	MaxRate           float64            `json:"top_per_s,omitempty"`
 	HeldRate          float64            `json:"rate_per_s"`
-	Sent              int64              `json:"sent"`    // messages
-	Accepted          int64              `json:"taken"`   // of them, by the manager's counters
-	AcceptLatency     LatencySummary     `json:"take_in"` // from when a message is due until all before it are accepted
-	SendDelay         LatencySummary     `json:"late"`    // from when a message is due until it is written
-	AssignLatency     LatencySummary     `json:"bind"`    // from a proxy's connection to the command that assigns it
-	WithdrawLatency   LatencySummary     `json:"drain"`   // from a drain on the endpoint list to the command that withdraws
+	Sent              int64              `json:"sent"`    // messages sent while the rate was held and the manager caught up
+	Accepted          int64              `json:"taken"`   // messages accepted in that time, according to the manager's counters
+	AcceptLatency     LatencySummary     `json:"take_in"` // from the due time of a ping until all messages before it are accepted
+	SendDelay         LatencySummary     `json:"late"`    // from the due time of a message until it is written
+	AssignLatency     LatencySummary     `json:"bind"`    // from the connection of a proxy to the command that assigns it
+	WithdrawLatency   LatencySummary     `json:"drain"`   // from the drain of a server on the endpoint list to its withdrawal command
 	AllAssignedAfter  time.Duration      `json:"all_bound_ns"`
 	CPU               float64            `json:"cpu_s_per_s"`
 	MemoryMB          float64            `json:"memory_mb"`
@@ -30,17 +30,17 @@
 	BrokenConnections int64              `json:"connections_broken"`
 	Counters          map[string]int64   `json:"counters"`
 	Steps             []StepResult       `json:"steps,omitempty"`
-	MergedFraction    float64            `json:"folded_part"` // of the samples that the manager took
+	MergedFraction    float64            `json:"folded_part"` // samples merged by the manager, as a fraction of the accepted messages
 }
 
-// StepResult is one step of the search for the highest rate.
+// StepResult is the result of one step of the search for the maximum rate.
 type StepResult struct {
-	AcceptedFraction float64       `json:"accepted"` // of the messages that were due
+	AcceptedFraction float64       `json:"accepted"` // accepted messages as a fraction of those that were due
 	AcceptLatency    time.Duration `json:"p99_ns"`   // 99th percentile
-	Rate             float64       `json:"rate"`     // messages a second
+	Rate             float64       `json:"rate"`     // messages per second
 }
 
-// OK reports whether each rule was kept and each message was accepted.
+// OK reports whether no rule was violated, no connection broke and each message was accepted.
 func (r Result) OK() bool {
 	for _, rule := range r.Rules {
 		if !rule.OK() {
@@ -50,7 +50,7 @@
 	return r.BrokenConnections == 0 && r.Accepted >= r.Sent
 }
 
-// LatencySummary sums up what a latencyRecorder saw. All are zero where it saw nothing.
+// LatencySummary summarizes recorded latencies. All fields are zero if none were recorded.
 type LatencySummary struct {
 	Count int64         `json:"n"`
 	P50   time.Duration `json:"p50_ns"`
@@ -59,7 +59,7 @@
 	Max   time.Duration `json:"most_ns"`
 }
 
-// String gives the 50th, 99th and 99.9th percentile in milliseconds.
+// String returns the 50th, 99th and 99.9th percentile in milliseconds, or "-" if there are no latencies.
 func (s LatencySummary) String() string {
 	if s.Count == 0 {
 		return "-"
@@ -70,8 +70,8 @@
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 const (
-	maxRecordedLatency = time.Minute // longer ones count as this
-	histogramDigits    = 3           // significant figures that are kept
+	maxRecordedLatency = time.Minute // longer latencies are recorded as one minute
+	histogramDigits    = 3           // number of significant decimal digits
 )
 
 // latencyRecorder is a histogram of latencies. It is safe for concurrent use.
@@ -84,7 +84,7 @@
 	return &latencyRecorder{histogram: hdrhistogram.New(1, maxRecordedLatency.Microseconds(), histogramDigits)}
 }
 
-// record adds a latency that so many messages had.
+// record adds a latency for a number of messages.
 func (r *latencyRecorder) record(latency time.Duration, messages int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -12,26 +12,26 @@
 	"tamarindshore/internal/fakes"
 )
 
-// Errors of a run.
+// Errors that end a load test.
 var (
-	ErrNoRateSustained = errors.New("no rate was taken in")
-	ErrManagerEnded    = errors.New("the manager ended under load; its log says why")
+	ErrNoRateSustained = errors.New("the manager sustained none of the tested rates")
+	ErrManagerEnded    = errors.New("the manager exited under load; see its log")
 )
 
 const (
-	assignTimeout     = 60 * time.Second
-	heldPart          = 0.8 // of the highest rate
-	faultStream       = 3   // of the seed's random numbers
-	firstFaultyCall   = 3   // calls before it go well, so that the proxies are assigned
-	idleRate          = 1   // messages a second while the manager catches up
-	maxCatchUpChecks  = 100
-	catchUpInterval   = 50 * time.Millisecond
-	assignPolling     = 5 * time.Millisecond
-	commandsInTransit = 200 * time.Millisecond // until all commands under way have reached the relay
+	assignTimeout      = 60 * time.Second
+	heldFraction       = 0.8 // fraction of the maximum rate that is held
+	faultStream        = 3   // random number stream of the fault injector
+	firstFaultyCall    = 3   // earlier calls succeed, so that the proxies are assigned
+	idleRate           = 1   // messages per second while the manager catches up
+	maxCatchUpChecks   = 100
+	catchUpInterval    = 50 * time.Millisecond
+	assignPollInterval = 5 * time.Millisecond
+	commandTransitTime = 200 * time.Millisecond // how long until the relay has received all commands in transit
 )
 
-// Run loads one manager after another, and writes to progress how it goes on. An error names the number of cores; the
-// results before it are returned.
+// Run tests one manager after another and writes progress messages. After an error, which states the manager's number of
+// cores, it also returns the results of the managers before it.
 func Run(p Plan, start fakes.StartFunc, progress io.Writer) ([]Result, error) {
 	var results []Result
 	for _, cores := range p.Cores {
@@ -44,10 +44,10 @@
 	return results, nil
 }
 
-// ExecutablePath is that of this program, which is started once more as the manager.
+// ExecutablePath returns the path of this program, which is also started as the manager.
 func ExecutablePath() (string, error) { return os.Executable() }
 
-// managerRun is the run of one manager.
+// managerRun is the load test of one manager.
 type managerRun struct {
 	plan       Plan
 	deployment *fakes.Deployment
@@ -57,10 +57,10 @@
 	result     Result
 }
 
-// runManager loads one manager in a deployment of its own.
+// runManager tests one manager in a new deployment.
 func runManager(p Plan, cores int, start fakes.StartFunc, progress io.Writer) (Result, error) {
 	r := &managerRun{plan: p, progress: progress, result: Result{Cores: cores, MachineCores: runtime.NumCPU()}}
-	r.report("%d servers, %d proxies, a manager", p.Servers, p.Proxies)
+	r.reportProgress("starting a manager with %d servers and %d proxies", p.Servers, p.Proxies)
 	site := fakes.DefaultSite(p.Servers, p.Proxies)
 	options := fakes.ManagerOptions{Cores: cores, MemoryMB: p.MemoryMB, MaxDescriptors: p.MaxSockets, Seed: p.Seed}
 	deployment, err := fakes.StartDeployment(site, options, start)
@@ -81,30 +81,31 @@
 		if err := r.searchMaxRate(); err != nil {
 			return r.result, err
 		}
-		r.result.HeldRate = heldPart * r.result.MaxRate
+		r.result.HeldRate = heldFraction * r.result.MaxRate
 	}
-	r.report("%.0f messages/s for %v, with drains and joins", r.result.HeldRate, p.HoldDuration)
+	r.reportProgress("holding %.0f messages/s for %v while servers drain and proxies reconnect", r.result.HeldRate, p.HoldDuration)
 	err = r.hold()
 	return r.result, err
 }
 
-// report writes a line of progress.
-func (r *managerRun) report(format string, values ...any) {
+// reportProgress writes a line of progress, which starts with the number of cores.
+func (r *managerRun) reportProgress(format string, values ...any) {
 	fmt.Fprintf(r.progress, "%d cores: %s\n", r.result.Cores, fmt.Sprintf(format, values...))
 }
 
-// assignAll connects all proxies and waits until the manager has assigned each a table.
+// assignAll connects all proxies and waits until each is assigned to a table.
 func (r *managerRun) assignAll() error {
-	began := time.Now()
+	startTime := time.Now()
 	connectAll(r.deployment.Relay, r.plan.Proxies)
 	if err := awaitAssigned(r.deployment.Relay, r.plan.Proxies, assignTimeout); err != nil {
 		return err
 	}
-	r.result.AllAssignedAfter = time.Since(began)
-	r.report("all bound after %.2fs", r.result.AllAssignedAfter.Seconds())
+	r.result.AllAssignedAfter = time.Since(startTime)
+	r.reportProgress("all proxies assigned after %.2fs", r.result.AllAssignedAfter.Seconds())
 	return nil
 }
 
+// connectAll connects the proxies with the IDs from 0 to proxies-1.
 func connectAll(relay *fakes.Relay, proxies int) {
 	ids := make([]int, proxies)
 	for i := range ids {
@@ -113,21 +114,21 @@
 	relay.ConnectProxies(ids...)
 }
 
-// AssignTimeoutError says that not all proxies were assigned in time.
+// AssignTimeoutError is returned if not all proxies were assigned in time.
 type AssignTimeoutError struct {
 	Assigned int
 	Proxies  int
 	Timeout  time.Duration
 }
 
-// Error says how many were assigned, and of how many.
+// Error states how many of the proxies were assigned in time.
 func (e *AssignTimeoutError) Error() string {
-	return fmt.Sprintf("%d of %d proxies bound within %v", e.Assigned, e.Proxies, e.Timeout)
+	return fmt.Sprintf("%d of %d proxies assigned within %v", e.Assigned, e.Proxies, e.Timeout)
 }
 
-// awaitAssigned waits until so many proxies are assigned.
+// awaitAssigned waits until a number of proxies are assigned, or returns an AssignTimeoutError.
 func awaitAssigned(relay *fakes.Relay, proxies int, timeout time.Duration) error {
-	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(assignPolling) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(assignPollInterval) {
 		if relay.Counts().AssignedProxies >= proxies {
 			return nil
 		}
@@ -135,7 +136,7 @@
 	return &AssignTimeoutError{Assigned: relay.Counts().AssignedProxies, Proxies: proxies, Timeout: timeout}
 }
 
-// newFaultInjector draws from a seed what goes wrong with a part of the relay's calls.
+// newFaultInjector returns a function that chooses the fault of a call to the relay. A fraction of the calls fail.
 func newFaultInjector(fraction float64, seed uint64) func(call int) fakes.Fault {
 	faults := []fakes.Fault{fakes.AnswerLost, fakes.NotExecuted, fakes.NoAnswer, fakes.AnswerGarbled, fakes.AnswerBusy}
 	rng := rand.New(rand.NewPCG(seed, faultStream))
@@ -147,7 +148,7 @@
 	}
 }
 
-// searchMaxRate searches for the highest rate that the manager sustains.
+// searchMaxRate searches for the maximum rate that the manager sustains.
 func (r *managerRun) searchMaxRate() error {
 	ramp := NewRamp(r.plan.InitialRate)
 	for more := true; more; {
@@ -155,8 +156,9 @@
 		if err != nil {
 			return err
 		}
-		more = ramp.Step(step.AcceptedFraction, step.AcceptLatency)
-		r.report("%8.0f messages/s: %5.1f%% taken in, 99%% within %v", step.Rate, 100*step.AcceptedFraction, step.AcceptLatency)
+		more = ramp.RecordStep(step.AcceptedFraction, step.AcceptLatency)
+		r.reportProgress("%8.0f messages/s: %5.1f%% accepted, 99th percentile of latency %v",
+			step.Rate, 100*step.AcceptedFraction, step.AcceptLatency)
 		r.result.Steps = append(r.result.Steps, step)
 		if more && step.AcceptedFraction < minAcceptedFraction {
 			r.catchUp()
@@ -170,21 +172,21 @@
 	return nil
 }
 
-// measureStep holds a rate for one step, and measures which part of what was due is accepted.
+// measureStep holds a rate for one step and measures the accepted fraction of the due messages and their latency.
 func (r *managerRun) measureStep(rate float64) (StepResult, error) {
-	before, err := r.accepted()
+	before, err := r.countAccepted()
 	if err != nil {
 		return StepResult{}, err
 	}
 	r.generator.resetRecorders()
 	r.generator.rate.Store(int64(rate))
-	began := time.Now()
+	startTime := time.Now()
 	time.Sleep(r.plan.StepDuration)
-	after, err := r.accepted()
+	after, err := r.countAccepted()
 	if err != nil {
 		return StepResult{}, err
 	}
-	due := rate * time.Since(began).Seconds()
+	due := rate * time.Since(startTime).Seconds()
 	return StepResult{
 		AcceptedFraction: float64(after-before) / due,
 		AcceptLatency:    r.generator.acceptLatency.Load().summary().P99,
@@ -192,22 +194,23 @@
 	}, nil
 }
 
-// accepted is how many messages the manager has accepted so far.
-func (r *managerRun) accepted() (int64, error) {
+// countAccepted returns the number of messages that the manager has accepted so far.
+func (r *managerRun) countAccepted() (int64, error) {
 	counters, err := r.deployment.Counters()
 	return acceptedMessages(counters), err
 }
 
-// acceptedMessages is how many messages a manager accepted, by its counters.
+// acceptedMessages returns the number of accepted messages according to a manager's counters.
 func acceptedMessages(counters map[string]int64) int64 {
 	return counters["reports_in"] + counters["usages_in"]
 }
 
-// catchUp sends hardly anything until all that was sent is accepted, for a while at most.
+// catchUp lowers the rate to idleRate and waits until all sent messages are accepted. It gives up after
+// maxCatchUpChecks checks or an error.
 func (r *managerRun) catchUp() {
 	r.generator.rate.Store(idleRate)
 	for range maxCatchUpChecks {
-		accepted, err := r.accepted()
+		accepted, err := r.countAccepted()
 		if err != nil || accepted >= r.generator.sent.Load() {
 			return
 		}
@@ -215,9 +218,9 @@
 	}
 }
 
-// hold holds a rate while servers drain and come back, and proxies disconnect and connect.
+// hold holds the rate while servers drain and return and proxies reconnect, and stores the result.
 func (r *managerRun) hold() error {
-	acceptedBefore, err := r.accepted()
+	acceptedBefore, err := r.countAccepted()
 	if err != nil {
 		return err
 	}
@@ -226,24 +229,24 @@
 	r.generator.resetRecorders()
 	r.generator.rate.Store(int64(r.result.HeldRate))
 	churn := startChurn(r.deployment, r.observer)
-	began := time.Now()
+	startTime := time.Now()
 	err = r.awaitHold()
-	took := time.Since(began).Seconds()
+	elapsed := time.Since(startTime).Seconds()
 	churn.stop()
 	if err != nil {
 		return err
 	}
 	cpu, memory := fakes.ResourceUsage(r.deployment.Manager)
-	r.result.CPU = (cpu - cpuBefore) / took
+	r.result.CPU = (cpu - cpuBefore) / elapsed
 	r.result.MemoryMB = memory
 	r.result.AcceptLatency = r.generator.acceptLatency.Load().summary()
 	r.result.SendDelay = r.generator.sendDelay.Load().summary()
 	r.catchUp()
-	time.Sleep(commandsInTransit)
+	time.Sleep(commandTransitTime)
 	return r.collectResult(sentBefore, acceptedBefore)
 }
 
-// awaitHold waits for the plan's duration, or until the manager ends.
+// awaitHold waits for the plan's HoldDuration. It returns ErrManagerEnded if the manager ends earlier.
 func (r *managerRun) awaitHold() error {
 	select {
 	case <-time.After(r.plan.HoldDuration):
@@ -253,7 +256,7 @@
 	}
 }
 
-// collectResult reads counters and verdicts after a rate was held.
+// collectResult stores the counters, latencies and rule results after the rate was held.
 func (r *managerRun) collectResult(sentBefore, acceptedBefore int64) error {
 	relay := r.deployment.Relay
 	relay.CheckState()
--- a/internal/loadtest/run_test.go
+++ b/internal/loadtest/run_test.go
@@ -15,12 +15,12 @@
 	"tamarindshore/internal/node"
 )
 
-// inProcessManager is a manager in this process, so that the race detector sees it.
+// inProcessManager is a manager that runs in the test process, so that the race detector covers it.
 type inProcessManager struct {
 	reload chan os.Signal
 	cancel context.CancelFunc
 	done   chan struct{}
-	err    error // once done is closed
+	err    error // result of Node.Run; valid once done is closed
 }
 
 func (m *inProcessManager) Done() <-chan struct{} { return m.done }
@@ -36,25 +36,25 @@
 	return m.err
 }
 
-// startInProcess starts managers that write their logs to a writer.
+// startInProcess returns a StartFunc for managers in this process that write their logs to a writer.
 func startInProcess(log io.Writer) fakes.StartFunc {
-	return func(start, settings string) (fakes.Manager, error) {
-		o, err := config.ReadOperatorSettings(settings)
+	return func(configFile, settingsFile string) (fakes.Manager, error) {
+		operator, err := config.ReadOperatorSettings(settingsFile)
 		if err != nil {
 			return nil, err
 		}
 		read := func() (config.Config, error) {
-			s, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": start}[key] })
+			c, err := config.Read(func(key string) string { return map[string]string{"PROXY_CONFIG": configFile}[key] })
 			if err != nil {
-				return s, err
+				return c, err
 			}
-			return s.WithOperator(o)
+			return c.WithOperator(operator)
 		}
-		s, err := read()
+		c, err := read()
 		if err != nil {
 			return nil, err
 		}
-		n, err := node.New(s, log)
+		n, err := node.New(c, log)
 		if err != nil {
 			return nil, err
 		}
@@ -68,6 +68,7 @@
 	}
 }
 
+// smallPlan returns a plan for one manager that holds 5000 messages per second for two seconds.
 func smallPlan(cores int) Plan {
 	p := DefaultPlan()
 	p.Cores = []int{cores}
@@ -79,22 +80,25 @@
 	return p
 }
 
+// checkResult fails the test if a rule was violated, a message was not accepted, a connection broke, or too few drains
+// and assignments were measured.
 func checkResult(t *testing.T, r Result) {
 	t.Helper()
 	for _, rule := range r.Rules {
 		if !rule.OK() {
-			t.Errorf("%+v", rule)
+			t.Errorf("rule violated: %+v", rule)
 		}
 	}
 	if r.Accepted != r.Sent || r.BrokenConnections != 0 {
-		t.Errorf("%d of %d messages taken in, %d connections broken", r.Accepted, r.Sent, r.BrokenConnections)
+		t.Errorf("%d of %d messages accepted, %d connections broken; want all accepted, none broken", r.Accepted, r.Sent, r.BrokenConnections)
 	}
 	if r.WithdrawLatency.Count == 0 || r.AssignLatency.Count < 20 || r.Relay.AssignedProxies < r.Relay.ConnectedProxies-2 {
-		t.Errorf("%d drains, %d binds, %+v", r.WithdrawLatency.Count, r.AssignLatency.Count, r.Relay)
+		t.Errorf("%d withdrawals and %d assignments measured, relay counts %+v; want at least 1, 20, and all but 2 proxies assigned",
+			r.WithdrawLatency.Count, r.AssignLatency.Count, r.Relay)
 	}
 }
 
-func TestLoadIsAcceptedWithTheRulesKept(t *testing.T) {
+func TestAllMessagesAcceptedWithoutRuleViolations(t *testing.T) {
 	for _, cores := range []int{1, 4} {
 		results, err := Run(smallPlan(cores), startInProcess(io.Discard), io.Discard)
 		if err != nil {
@@ -104,8 +108,9 @@
 	}
 }
 
-// The relay's answers are lost, come late or can't be read while servers drain, proxies join and connections move.
-func TestLostResponsesRepeatNoEffectOnSeveralCores(t *testing.T) {
+// A manager of several cores repeats commands whose answers were lost or unreadable, while servers drain, proxies
+// reconnect and connections move between shards. A command must not take effect twice.
+func TestRepeatedCommandsAfterLostAnswersHaveNoEffect(t *testing.T) {
 	p := smallPlan(4)
 	p.FaultFraction = 0.3
 	results, err := Run(p, startInProcess(io.Discard), io.Discard)
@@ -114,12 +119,12 @@
 	}
 	r := results[0]
 	checkResult(t, r)
-	if twice := r.Rules[1]; twice.Checks == 0 || len(r.Relay.Faults) < 3 {
-		t.Errorf("nothing was repeated: %+v, faults %v", twice, r.Relay.Faults)
+	if repeats := r.Rules[1]; repeats.Checks == 0 || len(r.Relay.Faults) < 3 {
+		t.Errorf("no command was repeated after a fault, or fewer than 3 kinds of faults occurred: %+v, faults %v", repeats, r.Relay.Faults)
 	}
 }
 
-// startDeployment starts a deployment with a manager of several cores, and waits until all proxies are assigned.
+// startDeployment starts a deployment with a manager of three cores and waits until all proxies are assigned.
 func startDeployment(t *testing.T, site fakes.Site, log io.Writer) *fakes.Deployment {
 	t.Helper()
 	d, err := fakes.StartDeployment(site, fakes.ManagerOptions{Cores: 3, MemoryMB: 512, MaxDescriptors: 1024, Seed: 1}, startInProcess(log))
@@ -134,7 +139,7 @@
 	return d
 }
 
-// startLoad puts a deployment under load until the test ends.
+// startLoad sends a number of messages per second to the manager of a deployment until the test ends.
 func startLoad(t *testing.T, d *fakes.Deployment, collectorsPerZone int, rate int64) *loadGenerator {
 	t.Helper()
 	g := newLoadGenerator(d.ManagerAddress, d.Site, collectorsPerZone)
@@ -143,7 +148,8 @@
 	return g
 }
 
-// The relay calls the observer under its lock, so the observer must not ask the relay under its own.
+// The relay calls the observer with the relay's lock held. If the observer called the relay with its own lock held, the
+// two could deadlock.
 func TestObserverDoesNotCallTheRelayUnderItsLock(t *testing.T) {
 	relay, err := fakes.NewRelay("127.0.0.1:0", fakes.DefaultSite(1, 1))
 	if err != nil {
@@ -151,34 +157,34 @@
 	}
 	defer relay.Close()
 	o := newObserver(relay)
-	asked := false
+	called := false
 	o.isWithdrawn = func(string) bool {
-		asked = true
+		called = true
 		if !o.mu.TryLock() {
-			t.Error("asked under the lock")
+			t.Error("isWithdrawn was called with the observer's lock held")
 			return false
 		}
 		o.mu.Unlock()
 		return false
 	}
 	o.expectWithdrawal("s-1")
-	if _, due := o.drainedAt["s-1"]; !asked || !due {
-		t.Errorf("asked: %v, noted: %v", asked, due)
+	if _, due := o.drainedAt["s-1"]; !called || !due {
+		t.Errorf("isWithdrawn called: %v, drain recorded: %v; want both", called, due)
 	}
 }
 
-// await waits until a condition holds, and fails the test after a timeout.
-func await(t *testing.T, timeout time.Duration, what string, holds func() bool) {
+// await waits until a condition holds, and marks the test as failed after a timeout.
+func await(t *testing.T, timeout time.Duration, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
-	t.Errorf("%s: not within %v", what, timeout)
+	t.Errorf("%s: condition did not hold within %v", description, timeout)
 }
 
-// awaitAccepted waits until the manager has accepted so many messages.
+// awaitAccepted waits until the manager has accepted a number of messages.
 func awaitAccepted(t *testing.T, d *fakes.Deployment, messages int64) {
 	t.Helper()
 	await(t, 10*time.Second, "messages accepted", func() bool {
@@ -187,16 +193,18 @@
 	})
 }
 
+// checkRules fails the test for each rule that was violated.
 func checkRules(t *testing.T, d *fakes.Deployment) {
 	t.Helper()
 	d.Relay.CheckState()
 	for _, rule := range d.Relay.Rules.Results() {
 		if !rule.OK() {
-			t.Errorf("%+v", rule)
+			t.Errorf("rule violated: %+v", rule)
 		}
 	}
 }
 
+// totalRequestRate returns the requests per second that proxies send to a set of servers.
 func totalRequestRate(relay *fakes.Relay, servers []*fakes.Server) float64 {
 	total := 0.0
 	for _, s := range servers {
@@ -205,24 +213,25 @@
 	return total
 }
 
-func TestReplacingAllServersLeavesNoProxyWithoutServer(t *testing.T) {
+// If all servers are removed at once and replaced by new ones, proxies must not be left without a usable server.
+func TestReplaceAllServers(t *testing.T) {
 	const oldServers, rate = 12, 3000
 	site := fakes.DefaultSite(oldServers, 40)
 	d := startDeployment(t, site, io.Discard)
 	startLoad(t, d, 2, rate)
-	awaitAccepted(t, d, rate) // of one second
-	larger := site
-	larger.Servers = 2 * oldServers
-	fresh, err := fakes.NewServers(larger)
+	awaitAccepted(t, d, rate) // the messages of one second
+	doubledSite := site
+	doubledSite.Servers = 2 * oldServers
+	newServers, err := fakes.NewServers(doubledSite)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range fresh {
+	for _, s := range newServers {
 		t.Cleanup(s.Close)
 	}
-	fresh = fresh[oldServers:]
+	newServers = newServers[oldServers:]
 	var endpoints []fakes.Endpoint
-	for _, s := range fresh {
+	for _, s := range newServers {
 		endpoints = append(endpoints, s.Entry("up"))
 	}
 	d.Relay.RegisterServers(endpoints...)
@@ -231,12 +240,13 @@
 	}
 	d.Discovery.Publish(endpoints...)
 	offered := site.RequestRate * float64(site.Proxies)
-	await(t, 5*time.Second, "all old servers withdrawn, new ones in the tables", func() bool {
-		return totalRequestRate(d.Relay, d.Servers) == 0 && totalRequestRate(d.Relay, fresh) > 0.9*offered
+	await(t, 5*time.Second, "old servers get no requests, new servers get over 90% of them", func() bool {
+		return totalRequestRate(d.Relay, d.Servers) == 0 && totalRequestRate(d.Relay, newServers) > 0.9*offered
 	})
 	checkRules(t, d)
 }
 
+// All proxies disconnect and reconnect at once, five times in a row. All must be assigned again, without rule violations.
 func TestAllProxiesReconnectAtOnce(t *testing.T) {
 	site := fakes.DefaultSite(12, 300)
 	d := startDeployment(t, site, io.Discard)
@@ -254,12 +264,14 @@
 	checkRules(t, d)
 }
 
+// Servers restart under load while connections move between shards. No rule may be violated, and the restarted servers
+// must get requests again, within their capacity.
 func TestServerRestartsWhileConnectionsMove(t *testing.T) {
 	const restartDuration = 100 * time.Millisecond
 	site := fakes.DefaultSite(12, 60)
 	d := startDeployment(t, site, io.Discard)
 	startLoad(t, d, 3, 20_000)
-	checks := startChecks(d)
+	checks := startRuleChecks(d)
 	restarted := d.Servers[:3]
 	for _, s := range restarted {
 		d.Discovery.Publish(s.Entry("draining"))
@@ -272,7 +284,7 @@
 		}
 		d.Discovery.Publish(s.Entry("up"))
 	}
-	await(t, 8*time.Second, "fresh servers get a small part", func() bool {
+	await(t, 8*time.Second, "restarted servers get requests, within their capacity", func() bool {
 		for _, s := range restarted {
 			if rate := d.Relay.RequestRate(s.ID); rate <= 0 || rate > site.ServerCapacity {
 				return false
@@ -284,13 +296,15 @@
 	checkRules(t, d)
 }
 
+// Each of several reloads in quick succession must be carried out under load, and the manager must then stop without an
+// error.
 func TestReloadAndShutdownUnderLoad(t *testing.T) {
 	site := fakes.DefaultSite(12, 60)
 	var log reloadCounter
 	d := startDeployment(t, site, &log)
 	g := startLoad(t, d, 3, 20_000)
 	const reloads = 5
-	pace := time.NewTicker(100 * time.Millisecond) // part of the load: a signal does not wait for the reload before it
+	pace := time.NewTicker(100 * time.Millisecond) // the load includes signals during a reload, so do not wait for one to finish
 	defer pace.Stop()
 	for range reloads {
 		if err := d.Manager.Signal(syscall.SIGHUP); err != nil {
@@ -304,11 +318,11 @@
 	g.stop()
 	checkRules(t, d)
 	if n := log.reloads.Load(); n != reloads {
-		t.Errorf("%d reloads in the log, not %d", n, reloads)
+		t.Errorf("%d reloads in the log, want %d", n, reloads)
 	}
 }
 
-// reloadCounter is a log that counts reloads.
+// reloadCounter is a log writer that counts the reload events.
 type reloadCounter struct{ reloads atomic.Int64 }
 
 func (c *reloadCounter) Write(text []byte) (int, error) {
@@ -316,8 +330,8 @@
 	return len(text), nil
 }
 
-// With four servers the index of the one that returns was negative once, in the first rounds.
-func TestServersDrainInTurnInSmallFleets(t *testing.T) {
+// Regression test: with four servers, the index of the returning server was negative during the first calls.
+func TestDrainNextWithFewServers(t *testing.T) {
 	for _, servers := range []int{1, 4} {
 		d := startDeployment(t, fakes.DefaultSite(servers, 4), io.Discard)
 		c, _ := newChurn(d, newObserver(d.Relay))
--- a/internal/loadtest/schedule.go
+++ b/internal/loadtest/schedule.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Schedule says how many messages of an even rate are due. Messages that were late stay due.
+// Schedule computes how many messages are due at a constant rate. Messages that are late remain due.
 type Schedule struct {
-	Rate float64 // messages a second
-	sent int
+	Rate float64 // messages per second
+	sent int     // number of messages that TakeDue has returned
 }
 
-// Due takes the messages that are due at a time since the start: how many they are, and when the last of them was due.
-func (s *Schedule) Due(sinceStart time.Duration) (count int, last time.Duration) {
+// TakeDue returns the number of messages that have become due since the previous call, and when the last of them was due.
+// Both times are relative to the start of the schedule.
+func (s *Schedule) TakeDue(sinceStart time.Duration) (count int, last time.Duration) {
 	count = int(s.Rate*sinceStart.Seconds()) - s.sent
 	if count <= 0 {
 		return 0, 0
@@ -19,34 +20,34 @@
 }
 
 const (
-	rampGrowth          = 1.6                    // of the rate from step to step, until one is not sustained
-	maxHalvings         = 3                      // of the gap between the highest sustained rate and the lowest that was not
-	minSustainedRate    = 1                      // messages a second: a ramp doesn't look for less
-	maxAcceptLatency    = 200 * time.Millisecond // 99th percentile of a step that is sustained
-	minAcceptedFraction = 0.97                   // of what was due in a step that is sustained
+	rampGrowth          = 1.6                    // factor between the rates of consecutive steps, until one is not sustained
+	maxHalvings         = 3                      // bisections of the interval between sustained and unsustained rates
+	minSustainedRate    = 1                      // messages per second; the search ends if a lower rate is not sustained
+	maxAcceptLatency    = 200 * time.Millisecond // maximum 99th percentile of the latency in a sustained step
+	minAcceptedFraction = 0.97                   // minimum accepted fraction of the due messages in a sustained step
 )
 
-// Ramp searches for the highest rate that a manager sustains: it grows until a step is not sustained, then halves the
-// gap.
+// Ramp searches for the maximum rate that a manager sustains. It raises the rate until a step is not sustained and then
+// bisects the interval between the highest sustained and the lowest unsustained rate.
 type Ramp struct {
 	rate        float64
-	sustained   float64 // the highest; 0: none yet
-	unsustained float64 // the lowest; 0: none yet
+	sustained   float64 // highest sustained rate; 0 if none yet
+	unsustained float64 // lowest unsustained rate; 0 if none yet
 	halvings    int
 }
 
-// NewRamp begins with a rate in messages a second.
+// NewRamp returns a ramp whose first step has the given rate in messages per second.
 func NewRamp(rate float64) *Ramp { return &Ramp{rate: rate} }
 
-// Rate is that of the next step.
+// Rate returns the rate of the next step.
 func (r *Ramp) Rate() float64 { return r.rate }
 
-// MaxRate is the highest rate that was sustained; 0 where none was.
+// MaxRate returns the highest sustained rate, or 0 if none was sustained.
 func (r *Ramp) MaxRate() float64 { return r.sustained }
 
-// Step takes the result of a step: the part of what was due that was accepted, and the 99th percentile of how late. It
-// reports whether another step is due.
-func (r *Ramp) Step(acceptedFraction float64, latency time.Duration) bool {
+// RecordStep records the result of a step: the accepted fraction of the due messages and the 99th percentile of their
+// latency. It reports whether the search continues with another step.
+func (r *Ramp) RecordStep(acceptedFraction float64, latency time.Duration) bool {
 	if acceptedFraction >= minAcceptedFraction && latency <= maxAcceptLatency {
 		r.sustained = max(r.sustained, r.rate)
 	} else if r.unsustained == 0 || r.rate < r.unsustained {
