--- a/internal/faultsim/bad_input_test.go
+++ b/internal/faultsim/bad_input_test.go
@@ -11,7 +11,7 @@
 	"tamarindshore/internal/sexp"
 )
 
-func TestBadScenariosNameFileLineAndKey(t *testing.T) {
+func TestScenarioErrorsNameFileLineAndKey(t *testing.T) {
 	for _, one := range []struct{ name, text, want string }{
 		{"empty", "", "f:1: one form (scenario ...) is due"},
 		{"another form", "(replay (seed 1))", "f:1: one form (scenario ...) is due"},
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestBadScriptsNameFileLineAndKey(t *testing.T) {
+func TestScriptErrorsNameFileLineAndKey(t *testing.T) {
 	for _, one := range []struct{ name, text, want string }{
 		{"empty", "", "f:1: one form (replay ...) is due"},
 		{"another form", "(scenario)", "f:1: one form (replay ...) is due"},
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestErrorsOfFilesAreTyped(t *testing.T) {
+func TestFileErrorsAreTyped(t *testing.T) {
 	for _, one := range []struct {
 		text string
 		line int
@@ -79,12 +79,13 @@
 		}
 	}
 	if _, err := ReadScenario(filepath.Join(t.TempDir(), "none.sexp")); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("missing file: got %v, want fs.ErrNotExist", err)
 	}
 }
 
-// Several servers are over the limit at once there: the verdict must not depend on the order of a map.
-func TestTheSameSeedGivesTheSameVerdict(t *testing.T) {
+// In this scenario several servers exceed a limit at the same time. The reported violation must not depend on the
+// iteration order of a map.
+func TestSameSeedGivesSameVerdict(t *testing.T) {
 	s := DefaultScenario()
 	s.DrainGracePeriod = 100 * time.Millisecond
 	s.MaxTimeWithoutServer = 200 * time.Millisecond
@@ -94,13 +95,13 @@
 	for range 20 {
 		violation, _ := Run(s, GenerateScript(s, 6), nil)
 		if violation == nil || violation.Rule != RuleDrainsKept {
-			t.Fatalf("no drain is late: %v", violation)
+			t.Fatalf("got violation %v, want one of rule %q", violation, RuleDrainsKept)
 		}
 		if want == "" {
 			want = violation.String()
 		}
 		if got := violation.String(); got != want {
-			t.Fatalf("%s, and before %s", got, want)
+			t.Fatalf("got %s, want the verdict of the first run: %s", got, want)
 		}
 	}
 }
--- a/internal/faultsim/clock.go
+++ b/internal/faultsim/clock.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// event is an action that is due at a time of the virtual clock.
+// event is an action scheduled for a time of the virtual clock.
 type event struct {
 	at       time.Duration
-	sequence int // events of one time run in the order in which they were scheduled
+	sequence int // orders events of the same time by when they were scheduled
 	action   func()
 }
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -38,24 +38,24 @@
 	return next
 }
 
-// clock is the virtual time of a run and all that is due later. Its zero value is at the start of a run.
+// clock holds the virtual time of a run and its pending events. The zero value is a clock at the start of a run.
 type clock struct {
 	now      time.Duration
 	queue    eventQueue
 	sequence int
 }
 
-// schedule lets an action run at a time, or as soon as possible where that has passed.
+// schedule runs an action at the given time, or at the current time if the given time has passed.
 func (c *clock) schedule(at time.Duration, action func()) {
 	c.sequence++
 	heap.Push(&c.queue, event{max(at, c.now), c.sequence, action})
 }
 
-// scheduleAfter lets an action run after a delay.
+// scheduleAfter runs an action after a delay.
 func (c *clock) scheduleAfter(delay time.Duration, action func()) { c.schedule(c.now+delay, action) }
 
-// runNext advances the clock to the next event and runs it, unless that is due after the end. It reports whether it ran
-// one.
+// runNext advances the clock to the next event and runs it, unless the event is due after end. It reports whether an
+// event was run.
 func (c *clock) runNext(end time.Duration) bool {
 	if len(c.queue) == 0 {
 		return false
@@ -69,7 +69,7 @@
 	return true
 }
 
-// DurationRange bounds durations that are drawn evenly from Min to Max.
+// DurationRange is a range from which durations are drawn with a uniform distribution.
 type DurationRange struct {
 	Min, Max time.Duration
 }
--- a/internal/faultsim/fleet.go
+++ b/internal/faultsim/fleet.go
@@ -7,35 +7,35 @@
 	"tamarindshore/internal/fleetmodel"
 )
 
-// server is a server of the fleet.
+// server is a simulated server of the fleet.
 type server struct {
 	id            balancer.ServerID
 	zone          int
 	running       bool
 	unresponsive  bool
 	slowdown      float64 // factor on its service time
-	errorFraction float64 // of its requests
+	errorFraction float64 // fraction of its requests that fail
 	startedAt     time.Duration
-	rateByZone    []float64 // requests a second, by the zone of the proxies
+	rateByZone    []float64 // requests per second, by the zone of the proxies
 }
 
-// proxy is a proxy of the fleet. It keeps its table while it is disconnected.
+// proxy is a simulated proxy of the fleet. It keeps its table while it is disconnected.
 type proxy struct {
 	id          balancer.ProxyID
 	zone        int
-	session     int // counts its streams; 0 before the first
+	session     int // number of streams opened so far
 	connected   bool
 	connectedAt time.Duration
-	assigned    bool // to a table, in this session
+	assigned    bool // whether it was assigned a table in this session
 	table       balancer.TableID
 	weights     map[balancer.ServerID]float64
 	withdrawn   map[balancer.ServerID]bool
-	receivedAt  time.Duration   // when the last message arrives
-	sentAt      time.Duration   // when the last message was sent
-	recentSends []time.Duration // those within messageWindow
+	lastArrival time.Duration   // arrival time of the last message, which may be in the future
+	lastSent    time.Duration   // when the last message was queued
+	recentSends []time.Duration // times of the messages sent within messageWindow
 }
 
-// hasServer reports whether a proxy has a server to send requests to.
+// hasServer reports whether the proxy's table has a server that is not withdrawn.
 func (p *proxy) hasServer() bool {
 	for server := range p.weights {
 		if !p.withdrawn[server] {
@@ -45,7 +45,7 @@
 	return false
 }
 
-// connect opens a proxy's stream. The proxy keeps its table until it receives another.
+// connect opens a proxy's stream. The proxy keeps its old table until it receives a new one.
 func (s *Simulation) connect(p *proxy) {
 	if p.connected {
 		return
@@ -54,7 +54,7 @@
 	p.connectedAt = s.now
 	p.assigned = false
 	p.session++
-	p.receivedAt = s.now
+	p.lastArrival = s.now
 	p.recentSends = nil
 	if p.weights == nil {
 		p.weights = map[balancer.ServerID]float64{}
@@ -65,7 +65,7 @@
 	})
 }
 
-// disconnect ends a proxy's stream, and notifies the manager or not.
+// disconnect ends a proxy's stream. The manager is informed only if notifyManager is set.
 func (s *Simulation) disconnect(p *proxy, notifyManager bool) {
 	if !p.connected {
 		return
@@ -79,14 +79,14 @@
 	}
 }
 
-// stopServer ends a server's process.
+// stopServer ends a server's process and announces the server as removed.
 func (s *Simulation) stopServer(server *server) {
 	server.running = false
 	server.unresponsive = false
 	s.announce(server, balancer.Removed)
 }
 
-// startServer starts a fresh process of a server, unless one runs.
+// startServer starts a new process for a server that is not running, and announces it as ready.
 func (s *Simulation) startServer(server *server) {
 	if server.running {
 		return
@@ -96,7 +96,7 @@
 	s.announce(server, balancer.Ready)
 }
 
-// announce lets the endpoint list show a server in a state, after the list's delay.
+// announce updates a server's state in the endpoint list, after the delay of the list.
 func (s *Simulation) announce(server *server, state balancer.ServerState) {
 	startedAt := longAgo
 	if server.startedAt > 0 {
@@ -105,14 +105,14 @@
 	delay := s.scenario.ListDelay.draw(s.rng) + s.faults.extraListDelay
 	s.scheduleAfter(delay, func() {
 		if startedAt < s.manager.endpoints[server.id].startedAt {
-			return // the list shows a later process already
+			return // the list already shows a newer process
 		}
 		s.record("list %s %d", server.id, state)
 		s.whenNotStalled(func() { s.updateEndpoint(server, state, startedAt) })
 	})
 }
 
-// updateEndpoint delivers a changed entry of the endpoint list.
+// updateEndpoint delivers a changed entry of the endpoint list to the manager.
 func (s *Simulation) updateEndpoint(server *server, state balancer.ServerState, startedAt time.Duration) {
 	before := s.manager.endpoints[server.id]
 	entry := listedServer{state: state, notifiedAt: s.now, startedAt: startedAt}
@@ -126,7 +126,7 @@
 	})
 }
 
-// endpoint is a server's entry of the endpoint list, its start on the manager's clock.
+// endpoint returns a server's entry of the endpoint list, with its start time on the manager's clock.
 func (s *Simulation) endpoint(server *server, listed listedServer) balancer.Endpoint {
 	e := balancer.Endpoint{Server: server.id, Zone: fleetmodel.ZoneID(server.zone), Weight: 1, State: listed.state}
 	if listed.startedAt > 0 {
--- a/internal/faultsim/format_test.go
+++ b/internal/faultsim/format_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// The files under testdata were written by the program before its names were changed: they pin the formats of scenario
-// and replay files, and what a replay comes to. A decision that is meant to change changes lines of runs.txt: the failing
-// test prints the line that takes the place of each.
+// The files under testdata were written by a version of the program that used other identifiers. They pin the formats of
+// scenario and replay files, and the outcome of runs. An intended change of the balancing decisions changes lines of
+// runs.txt; the failing test prints the new version of each of these lines.
 
 func readFixture(t *testing.T, name string) []byte {
 	t.Helper()
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestScriptFixtureIsReadAndWrittenToTheByte(t *testing.T) {
+func TestScriptFixtureRoundTripsByteForByte(t *testing.T) {
 	const ms = time.Millisecond
 	want := Script{Seed: 1<<61 + 7, Faults: []Fault{
 		{Kind: Rollback, At: 18080 * ms, Duration: 4207 * ms, Fraction: 0.11, TargetSeed: 751453801},
@@ -78,7 +78,7 @@
 		t.Errorf("read %+v, want %+v", got, want)
 	}
 	if text := string(readFixture(t, "script.replay")); got.String() != text {
-		t.Errorf("written %s, want %s", got, text)
+		t.Errorf("wrote %s, want %s", got, text)
 	}
 }
 
@@ -100,7 +100,8 @@
 	}
 }
 
-// fixtureScenarios are the scenarios of the runs in testdata/runs.txt, by name. Some are so strict that rules break.
+// fixtureScenarios returns the scenarios of the runs in testdata/runs.txt, by name. Some have limits so strict that rules
+// are violated.
 func fixtureScenarios(t *testing.T) map[string]Scenario {
 	t.Helper()
 	changed := func(change func(*Scenario)) Scenario {
@@ -135,7 +136,7 @@
 	}
 }
 
-// withoutWording drops from a line of the trace the wording of other packages' log records; their number and times stay.
+// withoutWording removes the text of other packages' log records from a trace line, and keeps their kind and time.
 func withoutWording(line string) string {
 	const timeWidth = 10
 	at := line[:timeWidth]
@@ -148,7 +149,8 @@
 	return line
 }
 
-// outcome is one line of testdata/runs.txt: scenario, seed, events played, digest of the trace, verdict.
+// outcome runs a script and returns a line as in testdata/runs.txt: scenario, seed, number of events, digest of the trace,
+// verdict.
 func outcome(name string, scenario Scenario, script Script) string {
 	sum := sha256.New()
 	violation, simulation := Run(scenario, script, func(line string) { fmt.Fprintln(sum, withoutWording(line)) })
@@ -159,7 +161,7 @@
 	return fmt.Sprintf("%s %d %d %x %s", name, script.Seed, simulation.Steps(), sum.Sum(nil)[:16], verdict)
 }
 
-func TestRunsComeToTheRecordedVerdictAndTrace(t *testing.T) {
+func TestRunsMatchRecordedVerdictsAndTraces(t *testing.T) {
 	scenarios := fixtureScenarios(t)
 	const recorded = 100
 	runs := 0
@@ -169,7 +171,7 @@
 		name := fields[0]
 		scenario, known := scenarios[name]
 		if !known {
-			t.Fatalf("scenario %s is not known", name)
+			t.Fatalf("runs.txt names an unknown scenario: %s", name)
 		}
 		seed, err := strconv.ParseUint(fields[1], 10, 64)
 		if err != nil {
@@ -186,6 +188,6 @@
 		}
 	}
 	if runs != recorded {
-		t.Errorf("%d runs were compared, not %d", runs, recorded)
+		t.Errorf("runs.txt has %d runs, want %d", runs, recorded)
 	}
 }
--- a/internal/faultsim/inject.go
+++ b/internal/faultsim/inject.go
@@ -8,7 +8,7 @@
 	"tamarindshore/balancer"
 )
 
-// activeFaults counts the faults that last, so that several of a kind may overlap.
+// activeFaults counts the faults in progress, by kind. They are counters because faults of one kind may overlap.
 type activeFaults struct {
 	reportsLost      int
 	relayUnreachable int
@@ -19,19 +19,19 @@
 }
 
 const (
-	slowServerFactor      = 5.0 // on the service time
-	slowChannelFactor     = 3.0 // by which the channel's speed is divided
+	slowServerFactor      = 5.0 // factor on the service time
+	slowChannelFactor     = 3.0 // divides the channel's speed
 	serverErrorFraction   = 0.7
-	drainDuration         = 5 * time.Second // from the announcement to the end of the process
+	drainDuration         = 5 * time.Second // from the announcement to the end of the server process
 	restartAfterDrain     = time.Second
 	maxStall              = 2 * time.Second
 	extraListDelay        = 4 * time.Second
-	reconnectPerFraction  = 2 // part of the proxies that reconnect, as a multiple of Fault.Fraction
+	reconnectPerFraction  = 2 // the fraction of proxies that reconnect, as a multiple of Fault.Fraction
 	minReconnectMillis    = 200
 	reconnectSpreadMillis = 1500
 )
 
-// injectors let a fault begin, by kind, and schedule its end.
+// injectors holds the function that begins a fault and schedules its end, by kind.
 var injectors = [...]func(*Simulation, Fault){
 	Crash:               (*Simulation).injectCrash,
 	Unresponsive:        (*Simulation).injectUnresponsive,
@@ -53,19 +53,19 @@
 	Rollback:            (*Simulation).injectRollback,
 }
 
-// inject lets a fault begin.
+// inject begins a fault.
 func (s *Simulation) inject(f Fault) {
 	s.record("fault %s for %v part %.2f", f.Kind, f.Duration, f.Fraction)
 	injectors[f.Kind](s, f)
 }
 
-// countDuring counts a fault as active while it lasts.
+// countDuring increments a counter of active faults for the duration of a fault.
 func (s *Simulation) countDuring(f Fault, active *int) {
 	*active++
 	s.scheduleAfter(f.Duration, func() { *active-- })
 }
 
-// forTargets lets a fault begin and end at each of its servers.
+// forTargets calls begin for each target server of a fault now, and end after the fault's duration.
 func (s *Simulation) forTargets(f Fault, begin, end func(*server)) {
 	for _, server := range s.targets(f) {
 		begin(server)
@@ -73,7 +73,7 @@
 	}
 }
 
-// targets are the servers that a fault hits, at least one, drawn from the fault's own seed.
+// targets draws the servers that a fault affects, at least one, from the fault's own seed.
 func (s *Simulation) targets(f Fault) []*server {
 	rng := rand.New(rand.NewPCG(f.TargetSeed, targetStream))
 	order := rng.Perm(len(s.servers))
@@ -85,7 +85,7 @@
 	return targets
 }
 
-// targetZone is the zone that a fault of a whole zone hits.
+// targetZone returns the zone that a zone fault affects.
 func (s *Simulation) targetZone(f Fault) int { return int(f.TargetSeed) % s.scenario.Zones }
 
 func (s *Simulation) injectCrash(f Fault) { s.forTargets(f, s.stopServer, s.startServer) }
@@ -108,7 +108,7 @@
 		func(server *server) { server.errorFraction = 0 })
 }
 
-// injectDrain drains servers as in a rolling restart: announced, stopped, started again.
+// injectDrain drains servers as in a rolling restart: each is announced as draining, stopped, and started again.
 func (s *Simulation) injectDrain(f Fault) {
 	begin := func(server *server) {
 		s.announce(server, balancer.Draining)
@@ -120,7 +120,7 @@
 	s.forTargets(f, begin, end)
 }
 
-// injectZoneOutage stops all servers of a zone, and starts them again at the fault's end.
+// injectZoneOutage stops all servers of a zone, and starts them again at the end of the fault.
 func (s *Simulation) injectZoneOutage(f Fault) {
 	zone := s.targetZone(f)
 	for _, server := range s.servers {
@@ -140,13 +140,13 @@
 	s.scheduleAfter(f.Duration, func() { s.advanceChannel(s.channel.speed * slowChannelFactor) })
 }
 
-// injectManagerStall lets the manager handle nothing for a time, as a stopped process.
+// injectManagerStall suspends the manager for a time, like a stopped process.
 func (s *Simulation) injectManagerStall(f Fault) {
 	end := s.now + min(f.Duration, maxStall)
 	s.manager.stalledUntil = max(s.manager.stalledUntil, end)
 }
 
-// injectProxyReconnect disconnects proxies, each of which connects again after a delay of its own.
+// injectProxyReconnect disconnects proxies; each reconnects after its own random delay.
 func (s *Simulation) injectProxyReconnect(f Fault) {
 	rng := rand.New(rand.NewPCG(f.TargetSeed, reconnectStream))
 	for _, p := range s.proxies {
@@ -159,7 +159,7 @@
 	}
 }
 
-// injectWrongEndpointList lists running servers as removed.
+// injectWrongEndpointList announces running servers as removed, and as ready again at the end of the fault.
 func (s *Simulation) injectWrongEndpointList(f Fault) {
 	s.forTargets(f,
 		func(server *server) { s.announce(server, balancer.Removed) },
@@ -175,7 +175,8 @@
 	s.scheduleAfter(f.Duration, func() { s.faults.extraListDelay -= extraListDelay })
 }
 
-// injectRollback lets the operator roll the tables back to an older version and hold them there for the fault's time.
+// injectRollback rolls the tables back to an older version, as an operator would, and holds them there for a second longer
+// than the fault's duration.
 func (s *Simulation) injectRollback(f Fault) {
 	m := &s.manager
 	kept := m.chain.Versions()
--- a/internal/faultsim/manager.go
+++ b/internal/faultsim/manager.go
@@ -8,12 +8,12 @@
 	"tamarindshore/internal/versions"
 )
 
-// managerEpoch is the wall-clock time at which a run begins, for the identifiers of versions.
+// managerEpoch is the wall-clock time at which a run begins. Version identifiers are derived from it.
 var managerEpoch = time.Unix(1_790_000_000, 0)
 
 const (
-	managerSeedStep    = 7919 // between the seeds of two incarnations
-	mergeBacklogFrom   = 8    // commands that wait are merged once there are more of them
+	managerSeedStep    = 7919 // difference between the seeds of consecutive incarnations
+	maxUnmergedBacklog = 8    // more waiting batches of commands than this are merged into one
 	healthCheckTimeout = 600 * time.Millisecond
 	unknownServerLoad  = -1
 )
@@ -23,29 +23,30 @@
 	reconnectDelay     = DurationRange{50 * time.Millisecond, 1500 * time.Millisecond}
 )
 
-// manager is the running manager and what surrounds it in its process. A restart replaces all but the endpoint list.
+// manager holds the running balancer and the rest of the state of its process. A restart replaces everything but the
+// endpoint list.
 type manager struct {
 	balancer     *balancer.Manager
 	chain        *versions.Chain
 	incarnation  int
 	startedAt    time.Duration
-	clock        time.Duration // of the last input, since the manager's start
+	clock        time.Duration // time of the last input, since the manager's start
 	stalledUntil time.Duration
-	nextTimer    time.Duration // 0: none is set
+	nextTimer    time.Duration // 0: no timer is set
 	endpoints    map[balancer.ServerID]listedServer
-	backlog      []balancer.Commands // that wait for the relay
+	backlog      []balancer.Commands // batches waiting to be sent to the relay
 	calling      bool                // a call to the relay is in progress
 }
 
-// listedServer is a server's last entry of the endpoint list, as the manager got it.
+// listedServer is a server's entry of the endpoint list as the manager last received it.
 type listedServer struct {
 	state      balancer.ServerState
-	notifiedAt time.Duration // when the manager was notified that the server is ready, or that it is not
+	notifiedAt time.Duration // when the manager learned that the server became ready, or stopped being ready
 	startedAt  time.Duration
 }
 
-// startManager starts a manager, in place of one that runs, with the endpoint list as it was last. The proxies reconnect
-// to it one after another.
+// startManager starts a new manager with the last endpoint list, in place of the running one if there is one. Each proxy
+// is disconnected and reconnects after a random delay.
 func (s *Simulation) startManager() {
 	s.resetManager()
 	s.relay.reset()
@@ -64,7 +65,7 @@
 	}
 }
 
-// resetManager replaces the manager by a new incarnation, which knows the endpoint list.
+// resetManager replaces the manager by a new incarnation, and keeps the endpoint list.
 func (s *Simulation) resetManager() {
 	incarnation := s.manager.incarnation + 1
 	settings := versions.DefaultSettings(uint64(incarnation))
@@ -78,8 +79,8 @@
 	}
 }
 
-// unlessRestarted wraps an action so that it does nothing once the manager of now has been replaced.
-func (s *Simulation) unlessRestarted(action func()) func() {
+// skipIfRestarted wraps an action so that it does nothing if the current manager has been replaced by then.
+func (s *Simulation) skipIfRestarted(action func()) func() {
 	incarnation := s.manager.incarnation
 	return func() {
 		if s.manager.incarnation == incarnation {
@@ -88,16 +89,16 @@
 	}
 }
 
-// whenNotStalled runs an action now, or at the end of the manager's stall. A restart meanwhile drops it.
+// whenNotStalled runs an action now, or at the end of the manager's stall. A restart before then drops the action.
 func (s *Simulation) whenNotStalled(action func()) {
 	if s.now >= s.manager.stalledUntil {
 		action()
 		return
 	}
-	s.schedule(s.manager.stalledUntil, s.unlessRestarted(func() { s.whenNotStalled(action) }))
+	s.schedule(s.manager.stalledUntil, s.skipIfRestarted(func() { s.whenNotStalled(action) }))
 }
 
-// deliver gives the manager one input, and carries out what it answers.
+// deliver passes an input to the manager and carries out the resulting commands. Inputs wait while the manager is stalled.
 func (s *Simulation) deliver(input func(now time.Duration) balancer.Commands) {
 	if s.now < s.manager.stalledUntil {
 		s.whenNotStalled(func() { s.deliver(input) })
@@ -107,12 +108,14 @@
 	s.handleCommands(input(s.manager.clock))
 }
 
-// advanceManagerClock moves the manager's clock on to now; it never shows a time twice.
+// advanceManagerClock advances the manager's clock to the current time, and by at least one nanosecond, so that no two
+// inputs have the same time.
 func (s *Simulation) advanceManagerClock() {
 	s.manager.clock = max(s.manager.clock+1, s.now-s.manager.startedAt)
 }
 
-// handleCommands carries out what the manager wants: health checks, its timer, and commands to proxies.
+// handleCommands carries out the result of an input: log records, health checks, the manager's timer, and commands for the
+// relay.
 func (s *Simulation) handleCommands(wanted balancer.Commands) {
 	for _, logRecord := range wanted.LogRecords {
 		s.record("note %v", logRecord)
@@ -128,7 +131,7 @@
 	}
 }
 
-// startHealthCheck checks a server; the manager gets the result after the check's latency, or its timeout.
+// startHealthCheck checks a server's health. The manager receives the result after the latency or the timeout of the check.
 func (s *Simulation) startHealthCheck(id balancer.ServerID) {
 	server := s.serverByID[id]
 	result := balancer.HealthCheckPassed
@@ -140,20 +143,20 @@
 	case !server.running:
 		result = balancer.HealthCheckUnreachable
 	}
-	s.scheduleAfter(took, s.unlessRestarted(func() {
+	s.scheduleAfter(took, s.skipIfRestarted(func() {
 		s.deliver(func(now time.Duration) balancer.Commands {
 			return s.manager.balancer.HandleHealthCheck(now, id, result, took, unknownServerLoad)
 		})
 	}))
 }
 
-// setTimer sets the manager's timer, unless it goes off earlier anyway.
+// setTimer sets the manager's timer, unless an earlier one is already set.
 func (s *Simulation) setTimer(due time.Duration) {
 	if s.manager.nextTimer > s.now && s.manager.nextTimer <= due {
 		return
 	}
 	s.manager.nextTimer = due
-	s.schedule(due, s.unlessRestarted(func() {
+	s.schedule(due, s.skipIfRestarted(func() {
 		if s.manager.nextTimer == due {
 			s.manager.nextTimer = 0
 			s.deliver(s.manager.balancer.HandleTimer)
@@ -161,7 +164,7 @@
 	}))
 }
 
-// propose puts commands through the checks of the versioned tables, and what these let pass into the relay's backlog.
+// propose submits commands to the versioned tables, and adds the commands that they accept to the relay's backlog.
 func (s *Simulation) propose(wanted balancer.Commands) {
 	m := &s.manager
 	result := m.chain.Propose(m.clock, wanted, "", fleetView{m.balancer})
@@ -178,13 +181,13 @@
 		return
 	}
 	m.backlog = append(m.backlog, result.Commands)
-	if len(m.backlog) > mergeBacklogFrom {
+	if len(m.backlog) > maxUnmergedBacklog {
 		m.backlog = []balancer.Commands{commands.Merge(m.backlog...)}
 	}
 	s.callNext()
 }
 
-// applyPin delivers the tables that the operator pinned, or none.
+// applyPin passes the tables pinned by the operator to the balancer. Empty tables end the pin.
 func (s *Simulation) applyPin() {
 	pin, pinned := s.manager.chain.Pinned()
 	if !pinned {
@@ -195,7 +198,7 @@
 	})
 }
 
-// fleetView shows the versioned tables what the manager knows of its fleet.
+// fleetView gives the versioned tables access to the balancer's view of the fleet.
 type fleetView struct{ balancer *balancer.Manager }
 
 // ServerStatus implements versions.FleetView.
--- a/internal/faultsim/outages.go
+++ b/internal/faultsim/outages.go
@@ -7,15 +7,15 @@
 	from, to time.Duration
 }
 
-// outages remembers when the relay, its channel or the manager did not work as the scenario states. Outages do not
-// count towards the time limits of rules.
+// outages records when a fault impaired the relay, its channel or the manager. Outages do not count towards the time
+// limits of rules.
 type outages struct {
 	total     time.Duration
-	intervals []interval // by time
+	intervals []interval // in order of time
 	checkedAt time.Duration
 }
 
-// recordOutage counts the time since the last check as an outage where there is one now.
+// recordOutage counts the time since the last check as an outage if a component is impaired now.
 func (s *Simulation) recordOutage() {
 	o := &s.outages
 	impaired := s.faults.relayUnreachable > 0 || s.faults.responsesLost > 0 || s.channel.speed < 1 || s.now < s.manager.stalledUntil
@@ -26,7 +26,7 @@
 	o.checkedAt = s.now
 }
 
-// since is the length of all outages after a time.
+// since returns the total duration of outages after start.
 func (o *outages) since(start time.Duration) time.Duration {
 	total := time.Duration(0)
 	for i := len(o.intervals) - 1; i >= 0 && o.intervals[i].to > start; i-- {
--- a/internal/faultsim/relay.go
+++ b/internal/faultsim/relay.go
@@ -12,19 +12,19 @@
 const (
 	callLatency          = 3 * time.Millisecond
 	callTimeout          = 60 * time.Millisecond
-	lostResponseFraction = 0.6 // of the calls while responses are lost
-	executedFraction     = 0.5 // of the calls without a response: these were carried out
+	lostResponseFraction = 0.6 // fraction of calls that get no response while responses are lost
+	executedFraction     = 0.5 // fraction of calls without a response that were executed nevertheless
 )
 
-// callBackoff is the pause before a call is repeated, or before the rest of a split call goes out.
+// callBackoff is the pause before a call is retried, or before the rest of a split call is sent.
 var callBackoff = DurationRange{50 * time.Millisecond, 200 * time.Millisecond}
 
-// relay is the state of the relay between the manager and the proxies.
+// relay holds the state of the relay between the manager and the proxies.
 type relay struct {
 	tables    map[balancer.TableID]map[balancer.ServerID]float64
 	withdrawn map[balancer.ServerID]bool
-	// unacknowledged holds the commands of the last call, by description, where it was carried out without a response:
-	// these may come once more, and must then change nothing.
+	// unacknowledged holds descriptions of the commands of the last call if the call was executed without a response.
+	// The manager may send these commands again; the repetition must not change anything.
 	unacknowledged map[string]bool
 }
 
@@ -36,14 +36,14 @@
 	}
 }
 
-// reset forgets all that an earlier manager commanded.
+// reset discards the state that an earlier manager set.
 func (r *relay) reset() {
 	clear(r.tables)
 	clear(r.withdrawn)
 	clear(r.unacknowledged)
 }
 
-// setWeight changes a server's weight in a table; 0 removes it.
+// setWeight sets a server's weight in a table; 0 removes the server.
 func (r *relay) setWeight(w balancer.EndpointWeight) {
 	table := r.tables[w.Table]
 	if table == nil {
@@ -61,7 +61,7 @@
 	weights[server] = weight
 }
 
-// callNext begins the next call to the relay; they go one after another.
+// callNext sends the next batch of the backlog to the relay, unless a call is in progress.
 func (s *Simulation) callNext() {
 	m := &s.manager
 	if m.calling || len(m.backlog) == 0 {
@@ -72,12 +72,12 @@
 	s.call(next, balancer.Commands{})
 }
 
-// call sends commands to the relay. The rest waits for a call of its own, since it did not fit into this one.
+// call sends a batch of commands to the relay. The rest did not fit into the batch and is sent after it.
 func (s *Simulation) call(batch, rest balancer.Commands) {
 	s.manager.calling = true
 	backoff := callBackoff.draw(s.rng)
 	retryAfter := func(delay time.Duration, executed bool) {
-		s.scheduleAfter(delay, s.unlessRestarted(func() { s.resend(batch, rest, executed) }))
+		s.scheduleAfter(delay, s.skipIfRestarted(func() { s.resend(batch, rest, executed) }))
 	}
 	switch {
 	case s.faults.relayUnreachable > 0:
@@ -89,25 +89,25 @@
 		retryAfter(callTimeout, true)
 	default:
 		s.execute(batch, false)
-		s.scheduleAfter(callLatency, s.unlessRestarted(func() { s.finishCall(batch.Barrier, rest, backoff) }))
+		s.scheduleAfter(callLatency, s.skipIfRestarted(func() { s.finishCall(batch.Barrier, rest, backoff) }))
 	}
 }
 
-// finishCall takes the relay's response.
+// finishCall handles the relay's response: it sends the rest of a split call, or the next batch of the backlog.
 func (s *Simulation) finishCall(barrier balancer.BarrierID, rest balancer.Commands, backoff time.Duration) {
 	m := &s.manager
 	m.balancer.HandleCommandsSent(m.clock, barrier)
 	m.chain.HandleBarrierAck(m.clock, barrier)
 	if rest.Count() > 0 {
-		s.scheduleAfter(backoff, s.unlessRestarted(func() { s.resend(balancer.Commands{}, rest, false) }))
+		s.scheduleAfter(backoff, s.skipIfRestarted(func() { s.resend(balancer.Commands{}, rest, false) }))
 		return
 	}
 	m.calling = false
 	s.callNext()
 }
 
-// resend asks the manager which commands may go out now: those of a call that failed, those that did not fit into it,
-// and all that came meanwhile. Executed says that the relay may have carried out the failed call.
+// resend asks the balancer which commands may be sent now. The candidates are the commands of a failed call, those that
+// did not fit into it, and the backlog. executed means that the relay may have executed the failed call.
 func (s *Simulation) resend(failed, rest balancer.Commands, executed bool) {
 	s.whenNotStalled(func() {
 		m := &s.manager
@@ -123,27 +123,27 @@
 	})
 }
 
-// message is what one call sends to one proxy.
+// message holds the changes that one call sends to one proxy.
 type message struct {
 	changes []func(*proxy)
-	size    float64 // in commands, as the channel counts them
+	size    float64 // in commands
 }
 
-// execution is the relay's work on one call.
+// execution is the state of the relay while it executes one call.
 type execution struct {
-	simulation *Simulation
-	previous   map[string]bool // commands of the call before that got no response
-	unanswered bool            // this call gets none either
-	messages   map[*proxy]message
+	simulation     *Simulation
+	unacknowledged map[string]bool // commands of the previous call if it got no response
+	responseLost   bool            // this call gets no response
+	messages       map[*proxy]message
 }
 
-// execute lets the relay carry out a call: it changes its tables and sends each proxy concerned a message.
+// execute makes the relay execute a call: it changes its tables and sends a message to each affected proxy.
 func (s *Simulation) execute(batch balancer.Commands, unanswered bool) {
 	e := &execution{
-		simulation: s,
-		previous:   s.relay.unacknowledged,
-		unanswered: unanswered,
-		messages:   map[*proxy]message{},
+		simulation:     s,
+		unacknowledged: s.relay.unacknowledged,
+		responseLost:   unanswered,
+		messages:       map[*proxy]message{},
 	}
 	s.relay.unacknowledged = map[string]bool{}
 	for _, server := range batch.Withdraw {
@@ -162,22 +162,22 @@
 		e.assign(assignment)
 	}
 	e.send(batch.Barrier)
-	s.rules.checkQueue(s.channel.queued)
+	s.rules.checkQueue(s.channel.queuedCommands)
 }
 
-// begin records a command. One that is repeated after a call without a response must not change anything.
+// begin records a command. A command repeated after a call without a response must not change anything.
 func (e *execution) begin(command string, changes bool) {
 	s := e.simulation
-	if e.previous[command] && changes {
+	if e.unacknowledged[command] && changes {
 		s.rules.fail(RuleNoRepeatedEffect, command, "carried out again after a call without an answer, and it changed something")
 	}
-	if e.unanswered {
+	if e.responseLost {
 		s.relay.unacknowledged[command] = true
 	}
 	s.record("order %s", command)
 }
 
-// addChange adds a change of a size in commands to the message to a proxy.
+// addChange adds a change to the message for a proxy; size is in commands.
 func (e *execution) addChange(p *proxy, size float64, change func(*proxy)) {
 	m := e.messages[p]
 	m.changes = append(m.changes, change)
@@ -185,8 +185,8 @@
 	e.messages[p] = m
 }
 
-// setWithdrawn withdraws a server from all tables, or restores it. All assigned proxies get it; it costs a command for
-// those whose table has the server.
+// setWithdrawn withdraws a server from all tables, or restores it. The change goes to all assigned proxies. Its size is
+// one command for proxies whose table has the server, and 0 for the others.
 func (e *execution) setWithdrawn(server balancer.ServerID, withdrawn bool) {
 	relay := &e.simulation.relay
 	e.begin(fmt.Sprintf("pull %s %t", server, withdrawn), relay.withdrawn[server] != withdrawn)
@@ -210,6 +210,7 @@
 	}
 }
 
+// setWeight sets a server's weight in a table, and sends the change to the proxies of the table.
 func (e *execution) setWeight(w balancer.EndpointWeight) {
 	relay := &e.simulation.relay
 	e.begin(fmt.Sprintf("line %d %s %v", w.Table, w.Server, w.Weight), relay.tables[w.Table][w.Server] != w.Weight)
@@ -217,17 +218,18 @@
 	e.addChangeOfTable(w.Table, func(p *proxy) { setWeight(p.weights, w.Server, w.Weight) })
 }
 
+// setAdmissionLevel sends an admission limit to the proxies of its table, and checks its retry policy.
 func (e *execution) setAdmissionLevel(level balancer.AdmissionLevel) {
-	const nonIdempotentClass = 1 << 1 // the second class of Scenario.Settings, in a mask of classes
+	const nonIdempotentClass = 1 << 1 // bit of the second traffic class of Scenario.Settings
 	description := fmt.Sprintf("{%d %d %v %d}", level.Table, level.Classes, level.Amount, level.Retry)
 	e.begin("level "+description, false)
 	if level.Classes&nonIdempotentClass != 0 && level.Retry > balancer.RetryIfNotExecuted {
 		e.simulation.rules.fail(RuleNoRepeatedEffect, description, "further tries for a group that must not run twice")
 	}
-	e.addChangeOfTable(level.Table, func(*proxy) {}) // requests are not simulated one by one: nothing is shed
+	e.addChangeOfTable(level.Table, func(*proxy) {}) // no effect: single requests are not simulated, so none are shed
 }
 
-// addChangeOfTable adds a change of one command to the messages to all proxies of a table.
+// addChangeOfTable adds a change with the size of one command to the messages for all proxies of a table.
 func (e *execution) addChangeOfTable(table balancer.TableID, change func(*proxy)) {
 	for _, p := range e.simulation.proxies {
 		if p.connected && p.assigned && p.table == table {
@@ -236,7 +238,7 @@
 	}
 }
 
-// assign gives a proxy a table, which the message holds complete.
+// assign assigns a table to a proxy and sends it the complete table.
 func (e *execution) assign(a balancer.TableAssignment) {
 	s := e.simulation
 	p := s.proxies[a.Proxy]
@@ -267,7 +269,7 @@
 	})
 }
 
-// send puts the messages into the channel. Those that cost nothing carry no barrier.
+// send queues the messages in the channel. Messages of size 0 carry no barrier.
 func (e *execution) send(barrier balancer.BarrierID) {
 	for _, p := range e.simulation.proxies {
 		m, concerned := e.messages[p]
--- a/internal/faultsim/rules.go
+++ b/internal/faultsim/rules.go
@@ -77,9 +77,9 @@
 	return r.simulation.now - c.since - (r.simulation.outages.total - c.outagesBefore)
 }
 
-// lastedSince is how long a condition has held for a subject, without outages. Where it was not known before, it begins
+// conditionDuration is how long a condition has held for a subject, without outages. Where it was not known before, it begins
 // now.
-func lastedSince[Subject comparable](r *rules, conditions map[Subject]condition, subject Subject) (lasted time.Duration, known bool) {
+func conditionDuration[Subject comparable](r *rules, conditions map[Subject]condition, subject Subject) (lasted time.Duration, known bool) {
 	since, known := conditions[subject]
 	if !known {
 		conditions[subject] = r.newCondition()
@@ -88,8 +88,8 @@
 	return r.duration(since), true
 }
 
-// workingSince is the time since start without outages.
-func (r *rules) workingSince(start time.Duration) time.Duration {
+// durationWithoutOutages is the time since start without outages.
+func (r *rules) durationWithoutOutages(start time.Duration) time.Duration {
 	return r.simulation.now - start - r.simulation.outages.since(start)
 }
 
@@ -125,7 +125,7 @@
 		delete(r.withoutServer, p.id)
 		return
 	}
-	lasted, known := lastedSince(r, r.withoutServer, p.id)
+	lasted, known := conditionDuration(r, r.withoutServer, p.id)
 	if known && lasted > r.simulation.scenario.MaxTimeWithoutServer {
 		r.fail(RuleServerAvailable, proxyName(p), "none to pick for %.2fs", lasted.Seconds())
 	}
@@ -150,7 +150,7 @@
 			continue
 		}
 		since := max(listed.notifiedAt, p.connectedAt)
-		if s.now-since > grace && r.workingSince(since) > grace && (late == "" || server < late) {
+		if s.now-since > grace && r.durationWithoutOutages(since) > grace && (late == "" || server < late) {
 			late = server
 		}
 	}
@@ -179,7 +179,7 @@
 		delete(r.overloaded, server.id)
 		return
 	}
-	lasted, known := lastedSince(r, r.overloaded, server.id)
+	lasted, known := conditionDuration(r, r.overloaded, server.id)
 	if known && lasted >= s.scenario.MaxOverloadTime {
 		r.fail(RuleNoColdOverload, string(server.id), "gets %.1f of %.1f flows/s for %.1fs", rate, capacity, lasted.Seconds())
 	}
@@ -223,7 +223,7 @@
 		r.fail(RuleProgress, proxyName(p), "joined at %.1fs, and not bound", p.connectedAt.Seconds())
 		return
 	}
-	if s.now-p.sentAt <= maxMessageTime {
+	if s.now-p.lastSent <= maxMessageTime {
 		return
 	}
 	table := s.relay.tables[p.table]
--- a/internal/faultsim/search.go
+++ b/internal/faultsim/search.go
@@ -49,18 +49,18 @@
 
 func (s *seedSearch) work() {
 	for {
-		seed, more := s.take()
+		seed, more := s.takeSeed()
 		if !more {
 			return
 		}
 		script := GenerateScript(s.scenario, seed)
 		violation, _ := Run(s.scenario, script, nil)
-		s.finish(Failure{script, violation})
+		s.recordResult(Failure{script, violation})
 	}
 }
 
-// take gives the next seed; false where none is left.
-func (s *seedSearch) take() (seed uint64, more bool) {
+// takeSeed gives the next seed; false where none is left.
+func (s *seedSearch) takeSeed() (seed uint64, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seed = s.next
@@ -68,9 +68,9 @@
 	return seed, seed <= s.last
 }
 
-// finish takes the result of a seed. After a failure no later seed is begun; lower ones that are being played go on, so
+// recordResult takes the result of a seed. After a failure no later seed is begun; lower ones that are being played go on, so
 // that the lowest failure is found.
-func (s *seedSearch) finish(result Failure) {
+func (s *seedSearch) recordResult(result Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.played++
--- a/internal/faultsim/search_test.go
+++ b/internal/faultsim/search_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestTheSameSeedGivesTheSameRun(t *testing.T) {
+func TestSameSeedGivesSameRun(t *testing.T) {
 	s := DefaultScenario()
 	want := map[uint64]string{}
 	for seed := range uint64(6) {
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestAHundredSeedsKeepAllRules(t *testing.T) {
+func TestHundredSeedsKeepAllRules(t *testing.T) {
 	found, played := SearchSeeds(DefaultScenario(), 1, 100, 4, true, func(int) {})
 	for _, f := range found {
 		t.Errorf("%v\n%v", f.Violation, f.Script)
--- a/internal/faultsim/traffic.go
+++ b/internal/faultsim/traffic.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	reportInterval = time.Second
-	minReportRate  = 0.05            // requests a second of one zone; servers that get fewer are not reported
-	maxLatency     = 3 * time.Second // of a server, however overloaded
-	latencyJitter  = 0.2             // of the latency, half of it to each side
-	minHeadroom    = 0.05            // of a server's capacity: latency stops growing there
-	inFlightHidden = -1
+	reportInterval  = time.Second
+	minReportRate   = 0.05            // requests a second of one zone; servers that get fewer are not reported
+	maxLatency      = 3 * time.Second // of a server, however overloaded
+	latencyJitter   = 0.2             // of the latency, half of it to each side
+	minHeadroom     = 0.05            // of a server's capacity: latency stops growing there
+	unknownInFlight = -1
 )
 
 // updateTraffic works out the requests that each server gets, from the tables that the proxies hold.
@@ -73,7 +73,7 @@
 		}
 		report := s.loadReport(server, zone, rate, utilization)
 		if report.Attempts > 0 {
-			s.deliverLate(func(now time.Duration) balancer.Commands {
+			s.deliverReport(func(now time.Duration) balancer.Commands {
 				return s.manager.balancer.HandleLoadReport(now, report)
 			})
 		}
@@ -87,7 +87,7 @@
 		Zone:     fleetmodel.ZoneID(zone),
 		Attempts: int(rate + s.rng.Float64()),
 		Interval: reportInterval,
-		InFlight: inFlightHidden,
+		InFlight: unknownInFlight,
 	}
 	failureFraction := s.failureFraction(server, zone, utilization)
 	for range report.Attempts {
@@ -128,15 +128,15 @@
 			Requests: int(s.scenario.RequestRate*fraction + s.rng.Float64()),
 			Interval: reportInterval,
 		}
-		s.deliverLate(func(now time.Duration) balancer.Commands {
+		s.deliverReport(func(now time.Duration) balancer.Commands {
 			return s.manager.balancer.HandleUsageReport(now, usage)
 		})
 	}
 }
 
-// deliverLate delivers a report after the scenario's delay, twice while reports are duplicated, and not at all where
+// deliverReport delivers a report after the scenario's delay, twice while reports are duplicated, and not at all where
 // reports are lost by then.
-func (s *Simulation) deliverLate(report func(now time.Duration) balancer.Commands) {
+func (s *Simulation) deliverReport(report func(now time.Duration) balancer.Commands) {
 	copies := 1
 	if s.faults.duplicateReports > 0 {
 		copies = 2
--- a/internal/fleetmodel/commands.go
+++ b/internal/fleetmodel/commands.go
@@ -9,11 +9,11 @@
 const (
 	minAckDelay     = 100 * time.Millisecond // from a command to a proxy's acknowledgement
 	ackDelaySpread  = 200 * time.Millisecond
-	minHealthCheck  = 2 * time.Millisecond
-	healthSpread    = 10 * time.Millisecond
-	maxAcks         = 4 // of one barrier: more of them tell the manager nothing new
+	minHealthCheckLatency  = 2 * time.Millisecond
+	healthCheckLatencySpread    = 10 * time.Millisecond
+	maxAcksPerBarrier         = 4 // of one barrier: more of them tell the manager nothing new
 	unknownLoad     = -1
-	firstClassAlone = 1 // mask of classes
+	firstClassMask = 1 // mask of classes
 )
 
 // deliver gives the manager one input, and carries out its commands.
@@ -83,12 +83,12 @@
 	}
 }
 
-// recipients are some of the proxies that commands went to, up to maxAcks.
+// recipients are some of the proxies that commands went to, up to maxAcksPerBarrier.
 func (f *Fleet) recipients(commands balancer.Commands) []balancer.ProxyID {
 	var recipients []balancer.ProxyID
 	for _, a := range commands.Assign {
 		recipients = append(recipients, a.Proxy)
-		if len(recipients) == maxAcks {
+		if len(recipients) == maxAcksPerBarrier {
 			return recipients
 		}
 	}
@@ -97,10 +97,10 @@
 	}
 	table := commands.Weights[0].Table
 	for i, p := range f.proxies {
-		if len(recipients) == maxAcks {
+		if len(recipients) == maxAcksPerBarrier {
 			break
 		}
-		if p.assigned && !p.away && p.table == table {
+		if p.assigned && !p.disconnected && p.table == table {
 			recipients = append(recipients, balancer.ProxyID(i))
 		}
 	}
@@ -110,7 +110,7 @@
 // checkHealth lets a server answer a health check; one that is removed does not.
 func (f *Fleet) checkHealth(id balancer.ServerID) {
 	result := balancer.HealthCheckPassed
-	took := minHealthCheck + f.drawDuration(healthSpread)
+	took := minHealthCheckLatency + f.drawDuration(healthCheckLatencySpread)
 	if f.serverByID[id].state == balancer.Removed {
 		result = balancer.HealthCheckTimedOut
 	}
--- a/internal/fleetmodel/fleet.go
+++ b/internal/fleetmodel/fleet.go
@@ -63,7 +63,7 @@
 	zone     int
 	table    balancer.TableID
 	assigned bool
-	away     bool
+	disconnected     bool
 }
 
 const (
@@ -144,7 +144,7 @@
 // connect connects a proxy, which is not assigned yet.
 func (f *Fleet) connect(index int) {
 	p := f.proxies[index]
-	p.away = false
+	p.disconnected = false
 	p.assigned = false
 	f.deliver(func(now time.Duration) balancer.Commands {
 		return f.Manager.HandleProxyConnected(now, balancer.ProxyID(index), ZoneID(p.zone), f.Scenario.RequestRate)
@@ -154,7 +154,7 @@
 // disconnect disconnects a proxy.
 func (f *Fleet) disconnect(index int) {
 	p := f.proxies[index]
-	p.away = true
+	p.disconnected = true
 	p.assigned = false
 	f.deliver(func(now time.Duration) balancer.Commands {
 		return f.Manager.HandleProxyDisconnected(now, balancer.ProxyID(index))
--- a/internal/fleetmodel/second.go
+++ b/internal/fleetmodel/second.go
@@ -20,7 +20,7 @@
 	f.updateTraffic(requestRate)
 	start := f.now
 	reports := f.Scenario.Servers*f.Scenario.Zones + f.Scenario.Proxies*len(ClassFractions)
-	spread := &reportSpread{fleet: f, start: start, step: time.Second / time.Duration(reports+1)}
+	spread := &reportSchedule{fleet: f, start: start, step: time.Second / time.Duration(reports+1)}
 	for _, s := range f.servers {
 		f.reportLoad(s, spread)
 	}
@@ -75,7 +75,7 @@
 	}
 	for range int(time.Second / f.Scenario.ChurnInterval) {
 		i := f.rng.IntN(len(f.proxies))
-		if f.proxies[i].away {
+		if f.proxies[i].disconnected {
 			f.connect(i)
 		} else {
 			f.disconnect(i)
--- a/internal/fleetmodel/sharded_test.go
+++ b/internal/fleetmodel/sharded_test.go
@@ -8,14 +8,14 @@
 	"tamarindshore/balancer"
 )
 
-// sharded is a prototype that was weighed for several cores: one decision module for each shard of the proxies, or of
+// shardedBalancer is a prototype that was weighed for several cores: one decision module for each shard of the proxies, or of
 // the zones. The tables of a shard have numbers of their own; a server is restored once no shard withdraws it.
-type sharded struct {
+type shardedBalancer struct {
 	shards      []*balancer.Manager
 	byZone      bool
 	zones       map[balancer.ZoneID]int
 	withdrawnBy map[balancer.ServerID]map[int]bool // shards that withdraw a server
-	slowest     time.Duration                      // sum of what the slowest shard of each input took
+	slowestTotal     time.Duration                      // sum of what the slowest shard of each input took
 }
 
 const (
@@ -23,8 +23,8 @@
 	proxyShardStride = 4 // neighbouring proxies, one of each zone, share a shard
 )
 
-func newSharded(s Scenario, shards int, byZone bool) *sharded {
-	d := &sharded{byZone: byZone, zones: map[balancer.ZoneID]int{}, withdrawnBy: map[balancer.ServerID]map[int]bool{}}
+func newShardedBalancer(s Scenario, shards int, byZone bool) *shardedBalancer {
+	d := &shardedBalancer{byZone: byZone, zones: map[balancer.ZoneID]int{}, withdrawnBy: map[balancer.ServerID]map[int]bool{}}
 	settings := s.Settings()
 	settings.Managers = shards
 	settings.QueueCapacity /= float64(shards)
@@ -39,7 +39,7 @@
 }
 
 // deliver gives an input to the shards that it concerns, and joins their commands.
-func (d *sharded) deliver(concerned func(shard int) bool, input func(m *balancer.Manager) balancer.Commands) balancer.Commands {
+func (d *shardedBalancer) deliver(concerned func(shard int) bool, input func(m *balancer.Manager) balancer.Commands) balancer.Commands {
 	var all balancer.Commands
 	slowest := time.Duration(0)
 	for shard, manager := range d.shards {
@@ -55,12 +55,12 @@
 			all.Barrier = renumbered.Barrier // of several barriers only the last is acknowledged
 		}
 	}
-	d.slowest += slowest
+	d.slowestTotal += slowest
 	return all
 }
 
 // renumbered are a shard's commands with table and barrier numbers that no other shard uses.
-func (d *sharded) renumbered(shard int, commands balancer.Commands) balancer.Commands {
+func (d *shardedBalancer) renumbered(shard int, commands balancer.Commands) balancer.Commands {
 	offset := balancer.TableID(shard * tablesPerShard)
 	result := balancer.Commands{
 		Withdraw:    d.withdraw(shard, commands.Withdraw),
@@ -87,7 +87,7 @@
 }
 
 // withdraw gives the servers that no other shard had withdrawn.
-func (d *sharded) withdraw(shard int, servers []balancer.ServerID) (first []balancer.ServerID) {
+func (d *shardedBalancer) withdraw(shard int, servers []balancer.ServerID) (first []balancer.ServerID) {
 	for _, s := range servers {
 		if d.withdrawnBy[s] == nil {
 			d.withdrawnBy[s] = map[int]bool{}
@@ -101,7 +101,7 @@
 }
 
 // restore gives the servers that no shard withdraws any more.
-func (d *sharded) restore(shard int, servers []balancer.ServerID) (last []balancer.ServerID) {
+func (d *shardedBalancer) restore(shard int, servers []balancer.ServerID) (last []balancer.ServerID) {
 	for _, s := range servers {
 		delete(d.withdrawnBy[s], shard)
 		if len(d.withdrawnBy[s]) == 0 {
@@ -111,66 +111,66 @@
 	return last
 }
 
-func everyShard(int) bool { return true }
+func anyShard(int) bool { return true }
 
-func only(shard int) func(int) bool { return func(i int) bool { return i == shard } }
+func onlyShard(shard int) func(int) bool { return func(i int) bool { return i == shard } }
 
-// owner is the shard of a proxy.
-func (d *sharded) owner(p balancer.ProxyID) func(int) bool {
+// ownsProxy is the shard of a proxy.
+func (d *shardedBalancer) ownsProxy(p balancer.ProxyID) func(int) bool {
 	if d.byZone {
-		return only(int(p) % len(d.zones) % len(d.shards))
+		return onlyShard(int(p) % len(d.zones) % len(d.shards))
 	}
-	return only(int(p) / proxyShardStride % len(d.shards))
+	return onlyShard(int(p) / proxyShardStride % len(d.shards))
 }
 
-func (d *sharded) HandleEndpointList(now time.Duration, whole bool, e []balancer.Endpoint) balancer.Commands {
-	return d.deliver(everyShard, func(m *balancer.Manager) balancer.Commands { return m.HandleEndpointList(now, whole, e) })
+func (d *shardedBalancer) HandleEndpointList(now time.Duration, whole bool, e []balancer.Endpoint) balancer.Commands {
+	return d.deliver(anyShard, func(m *balancer.Manager) balancer.Commands { return m.HandleEndpointList(now, whole, e) })
 }
 
-func (d *sharded) HandleProxyConnected(now time.Duration, id balancer.ProxyID, z balancer.ZoneID, rate float64) balancer.Commands {
-	return d.deliver(d.owner(id), func(m *balancer.Manager) balancer.Commands { return m.HandleProxyConnected(now, id, z, rate) })
+func (d *shardedBalancer) HandleProxyConnected(now time.Duration, id balancer.ProxyID, z balancer.ZoneID, rate float64) balancer.Commands {
+	return d.deliver(d.ownsProxy(id), func(m *balancer.Manager) balancer.Commands { return m.HandleProxyConnected(now, id, z, rate) })
 }
 
-func (d *sharded) HandleProxyDisconnected(now time.Duration, id balancer.ProxyID) balancer.Commands {
-	return d.deliver(d.owner(id), func(m *balancer.Manager) balancer.Commands { return m.HandleProxyDisconnected(now, id) })
+func (d *shardedBalancer) HandleProxyDisconnected(now time.Duration, id balancer.ProxyID) balancer.Commands {
+	return d.deliver(d.ownsProxy(id), func(m *balancer.Manager) balancer.Commands { return m.HandleProxyDisconnected(now, id) })
 }
 
-func (d *sharded) HandleLoadReport(now time.Duration, r balancer.LoadReport) balancer.Commands {
-	concerned := everyShard
+func (d *shardedBalancer) HandleLoadReport(now time.Duration, r balancer.LoadReport) balancer.Commands {
+	concerned := anyShard
 	if d.byZone {
-		concerned = only(d.zones[r.Zone] % len(d.shards))
+		concerned = onlyShard(d.zones[r.Zone] % len(d.shards))
 	}
 	return d.deliver(concerned, func(m *balancer.Manager) balancer.Commands { return m.HandleLoadReport(now, r) })
 }
 
-func (d *sharded) HandleUsageReport(now time.Duration, u balancer.UsageReport) balancer.Commands {
-	return d.deliver(d.owner(u.Proxy), func(m *balancer.Manager) balancer.Commands { return m.HandleUsageReport(now, u) })
+func (d *shardedBalancer) HandleUsageReport(now time.Duration, u balancer.UsageReport) balancer.Commands {
+	return d.deliver(d.ownsProxy(u.Proxy), func(m *balancer.Manager) balancer.Commands { return m.HandleUsageReport(now, u) })
 }
 
-func (d *sharded) HandleHealthCheck(now time.Duration, id balancer.ServerID, a balancer.HealthCheckResult, took time.Duration, load float64) balancer.Commands {
-	return d.deliver(everyShard, func(m *balancer.Manager) balancer.Commands { return m.HandleHealthCheck(now, id, a, took, load) })
+func (d *shardedBalancer) HandleHealthCheck(now time.Duration, id balancer.ServerID, a balancer.HealthCheckResult, took time.Duration, load float64) balancer.Commands {
+	return d.deliver(anyShard, func(m *balancer.Manager) balancer.Commands { return m.HandleHealthCheck(now, id, a, took, load) })
 }
 
-func (d *sharded) HandleBarrierAck(now time.Duration, id balancer.ProxyID, mark balancer.BarrierID) balancer.Commands {
+func (d *shardedBalancer) HandleBarrierAck(now time.Duration, id balancer.ProxyID, mark balancer.BarrierID) balancer.Commands {
 	shards := balancer.BarrierID(len(d.shards))
-	return d.deliver(only(int(mark%shards)), func(m *balancer.Manager) balancer.Commands {
+	return d.deliver(onlyShard(int(mark%shards)), func(m *balancer.Manager) balancer.Commands {
 		return m.HandleBarrierAck(now, id, mark/shards)
 	})
 }
 
-func (d *sharded) HandleCommandsSent(now time.Duration, mark balancer.BarrierID) {
+func (d *shardedBalancer) HandleCommandsSent(now time.Duration, mark balancer.BarrierID) {
 	if shards := balancer.BarrierID(len(d.shards)); mark > 0 {
 		d.shards[mark%shards].HandleCommandsSent(now, mark/shards)
 	}
 }
 
-func (d *sharded) HandleTimer(now time.Duration) balancer.Commands {
-	return d.deliver(everyShard, func(m *balancer.Manager) balancer.Commands { return m.HandleTimer(now) })
+func (d *shardedBalancer) HandleTimer(now time.Duration) balancer.Commands {
+	return d.deliver(anyShard, func(m *balancer.Manager) balancer.Commands { return m.HandleTimer(now) })
 }
 
-// BenchmarkDivided weighs one module for all against one for each shard: the module's time that can't be divided
+// BenchmarkShardedBalancer weighs one module for all against one for each shard: the module's time that can't be divided
 // further (the slowest shard of each input), the time of all shards, and what the decisions are worth.
-func BenchmarkDivided(b *testing.B) {
+func BenchmarkShardedBalancer(b *testing.B) {
 	for _, s := range []Scenario{
 		{Name: "even", Zones: 4, Servers: 400, Proxies: 2000, RequestRate: 2, ServerCapacity: 16},
 		{Name: "uneven", Zones: 4, Servers: 60, Proxies: 120, RequestRate: 4, ServerCapacity: 12, SlowFraction: 0.25, DrainFraction: 0.2},
@@ -179,9 +179,9 @@
 			b.Run(fmt.Sprint(s.Name, "/", how), func(b *testing.B) {
 				for b.Loop() {
 					f := New(s, 1)
-					var d *sharded
+					var d *shardedBalancer
 					if how != "one" {
-						d = newSharded(s, 4, how == "zones")
+						d = newShardedBalancer(s, 4, how == "zones")
 						f.Manager = d
 					}
 					f.Start()
@@ -190,7 +190,7 @@
 					}
 					alone := f.ManagerTime
 					if d != nil {
-						alone = d.slowest
+						alone = d.slowestTotal
 					}
 					t := f.Tally
 					b.ReportMetric(float64(alone)/30e6, "slowest-ms/s")
--- a/internal/fleetmodel/subset_test.go
+++ b/internal/fleetmodel/subset_test.go
@@ -9,22 +9,22 @@
 	"tamarindshore/internal/subset"
 )
 
-// subsetted hands the decision module a subset of the endpoint list, as the real manager does. It overrides some of the
+// subsetBalancer hands the decision module a subset of the endpoint list, as the real manager does. It overrides some of the
 // embedded manager's methods: whoever renames those renames them here.
-type subsetted struct {
+type subsetBalancer struct {
 	*balancer.Manager
 	subset   *subset.Subset
 	zones    map[balancer.ProxyID]balancer.ZoneID
 	nextTick time.Duration
 }
 
-func newSubsetted(s Scenario, seed uint64, spill int) *subsetted {
+func newSubsetBalancer(s Scenario, seed uint64, spill int) *subsetBalancer {
 	settings := s.Settings()
 	subsetSettings := subset.Settings{ManagerName: fmt.Sprint("n", seed), Spill: spill, WarmUpDuration: settings.WarmUpDuration}
-	return &subsetted{Manager: balancer.New(seed, settings), subset: subset.New(subsetSettings), zones: map[balancer.ProxyID]balancer.ZoneID{}}
+	return &subsetBalancer{Manager: balancer.New(seed, settings), subset: subset.New(subsetSettings), zones: map[balancer.ProxyID]balancer.ZoneID{}}
 }
 
-func (d *subsetted) HandleEndpointList(now time.Duration, whole bool, entries []balancer.Endpoint) balancer.Commands {
+func (d *subsetBalancer) HandleEndpointList(now time.Duration, whole bool, entries []balancer.Endpoint) balancer.Commands {
 	var servers []subset.Server
 	for _, e := range entries {
 		servers = append(servers, subset.Server{Endpoint: e})
@@ -32,7 +32,7 @@
 	return d.update(now, d.subset.HandleEndpointList(now, whole, servers))
 }
 
-func (d *subsetted) HandleProxyConnected(now time.Duration, id balancer.ProxyID, zone balancer.ZoneID, rate float64) balancer.Commands {
+func (d *subsetBalancer) HandleProxyConnected(now time.Duration, id balancer.ProxyID, zone balancer.ZoneID, rate float64) balancer.Commands {
 	var first balancer.Commands
 	if _, known := d.zones[id]; !known {
 		d.zones[id] = zone
@@ -41,7 +41,7 @@
 	return joinCommands(first, d.Manager.HandleProxyConnected(now, id, zone, rate))
 }
 
-func (d *subsetted) HandleProxyDisconnected(now time.Duration, id balancer.ProxyID) balancer.Commands {
+func (d *subsetBalancer) HandleProxyDisconnected(now time.Duration, id balancer.ProxyID) balancer.Commands {
 	if zone, known := d.zones[id]; known {
 		delete(d.zones, id)
 		d.subset.HandleProxyDisconnected(now, zone)
@@ -49,7 +49,7 @@
 	return d.Manager.HandleProxyDisconnected(now, id)
 }
 
-func (d *subsetted) HandleTimer(now time.Duration) balancer.Commands {
+func (d *subsetBalancer) HandleTimer(now time.Duration) balancer.Commands {
 	first := d.Manager.HandleTimer(now)
 	if now < d.nextTick {
 		return first
@@ -58,7 +58,7 @@
 	return joinCommands(first, d.update(now, d.subset.HandleTick(now, d.Manager)))
 }
 
-func (d *subsetted) update(now time.Duration, u subset.Update) (o balancer.Commands) {
+func (d *subsetBalancer) update(now time.Duration, u subset.Update) (o balancer.Commands) {
 	if u.IsEmpty() {
 		return o
 	}
@@ -91,49 +91,49 @@
 const (
 	qualitySeconds = 60
 	qualitySeeds   = 20
-	lostAt, backAt = 15, 30 // seconds, of a home zone
+	zoneStopsAt, zoneRestartsAt = 15, 30 // seconds, of a home zone
 )
 
-// day is a scenario, how many zones have proxies, and whether a home zone is lost for a while.
-type day struct {
+// workload is a scenario, how many zones have proxies, and whether a home zone is lost for a while.
+type workload struct {
 	Scenario
-	homes int
-	lost  bool
+	proxyZones int
+	losesZone  bool
 }
 
-var days = []day{
-	{Scenario: Scenario{Name: "calm", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 2, ServerCapacity: 16}, homes: 1},
-	{Scenario: Scenario{Name: "home overloaded", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 6, ServerCapacity: 16}, homes: 1},
-	{Scenario: Scenario{Name: "two homes", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 4, ServerCapacity: 12}, homes: 2},
-	{Scenario: Scenario{Name: "rolling restart", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 2, ServerCapacity: 16, DrainFraction: 0.1}, homes: 1},
-	{Scenario: Scenario{Name: "slow servers", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 3, ServerCapacity: 16, SlowFraction: 0.25}, homes: 1},
-	{Scenario: Scenario{Name: "home lost and back", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 2, ServerCapacity: 16}, homes: 1, lost: true},
+var workloads = []workload{
+	{Scenario: Scenario{Name: "calm", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 2, ServerCapacity: 16}, proxyZones: 1},
+	{Scenario: Scenario{Name: "home overloaded", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 6, ServerCapacity: 16}, proxyZones: 1},
+	{Scenario: Scenario{Name: "two homes", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 4, ServerCapacity: 12}, proxyZones: 2},
+	{Scenario: Scenario{Name: "rolling restart", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 2, ServerCapacity: 16, DrainFraction: 0.1}, proxyZones: 1},
+	{Scenario: Scenario{Name: "slow servers", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 3, ServerCapacity: 16, SlowFraction: 0.25}, proxyZones: 1},
+	{Scenario: Scenario{Name: "home lost and back", Zones: 8, Servers: 320, Proxies: 160, RequestRate: 2, ServerCapacity: 16}, proxyZones: 1, losesZone: true},
 }
 
 // play runs a day; spill 0 uses the whole list.
-func (d day) play(seed uint64, spill int) Tally {
+func (d workload) play(seed uint64, spill int) Tally {
 	f := New(d.Scenario, seed)
 	for i, p := range f.proxies {
-		p.zone = i % d.homes
+		p.zone = i % d.proxyZones
 	}
 	if spill > 0 {
-		f.Manager = newSubsetted(d.Scenario, seed, spill)
+		f.Manager = newSubsetBalancer(d.Scenario, seed, spill)
 	}
 	f.Start()
 	for n := range qualitySeconds {
-		if d.lost && n == lostAt {
-			f.loseZone(0)
+		if d.losesZone && n == zoneStopsAt {
+			f.stopZone(0)
 		}
-		if d.lost && n == backAt {
-			f.returnZone(0)
+		if d.losesZone && n == zoneRestartsAt {
+			f.restartZone(0)
 		}
 		f.PlaySecond(n, qualitySeconds)
 	}
 	return f.Tally
 }
 
-// loseZone stops a zone's servers without a word of the list.
-func (f *Fleet) loseZone(zone int) {
+// stopZone stops a zone's servers without a word of the list.
+func (f *Fleet) stopZone(zone int) {
 	for _, s := range f.servers {
 		if s.zone == zone {
 			s.state = balancer.Removed
@@ -141,8 +141,8 @@
 	}
 }
 
-// returnZone starts them again, with entries of the endpoint list.
-func (f *Fleet) returnZone(zone int) {
+// restartZone starts them again, with entries of the endpoint list.
+func (f *Fleet) restartZone(zone int) {
 	for _, s := range f.servers {
 		if s.zone == zone {
 			f.setState(s, balancer.Ready)
@@ -153,7 +153,7 @@
 // quality is what became of the requests, as parts of those offered; inZone of those admitted.
 type quality struct{ failed, shed, inZone float64 }
 
-func (d day) quality(seeds, spill int) (mean quality) {
+func (d workload) quality(seeds, spill int) (mean quality) {
 	var sum Tally
 	for seed := range seeds {
 		t := d.play(uint64(seed+1), spill)
@@ -168,7 +168,7 @@
 // BenchmarkSubsetQuality weighs the whole list against subsets, over seeds: what is dropped, what is not let in, and
 // what stays in its zone.
 func BenchmarkSubsetQuality(b *testing.B) {
-	for _, d := range days {
+	for _, d := range workloads {
 		for _, spill := range []int{0, 20, 40, 100} {
 			b.Run(fmt.Sprintf("%s/%d", d.Name, spill), func(b *testing.B) {
 				for b.Loop() {
@@ -184,11 +184,11 @@
 
 // A subset drops hardly more than the whole list does, and keeps more in its zone; where a home zone is lost, the
 // servers that are left are few until the subset is widened.
-func TestSubsetLosesLittleQuality(t *testing.T) {
+func TestSubsetQualityIsCloseToCompleteList(t *testing.T) {
 	const seeds, spill = 2, 20
-	for _, d := range days {
+	for _, d := range workloads {
 		more := 0.01
-		if d.lost {
+		if d.losesZone {
 			more = 0.10
 		}
 		whole := d.quality(seeds, 0)
@@ -201,7 +201,7 @@
 
 // The same seed gives the same run, with a subset as without.
 func TestRunWithSubsetIsDeterministic(t *testing.T) {
-	d := days[len(days)-1]
+	d := workloads[len(workloads)-1]
 	if a, b := d.play(3, 20), d.play(3, 20); a != b {
 		t.Errorf("%+v and %+v", a, b)
 	}
--- a/internal/fleetmodel/traffic.go
+++ b/internal/fleetmodel/traffic.go
@@ -22,7 +22,7 @@
 		clear(s.rateByZone)
 	}
 	for _, p := range f.proxies {
-		if p.assigned && !p.away {
+		if p.assigned && !p.disconnected {
 			f.sendRequests(p, requestRate)
 		}
 	}
@@ -57,7 +57,7 @@
 // admittedFraction is the part of the requests that a table's admission limit lets through. Limits that are rates are
 // not applied.
 func (f *Fleet) admittedFraction(table balancer.TableID) float64 {
-	limit := f.admission[table][firstClassAlone]
+	limit := f.admission[table][firstClassMask]
 	if limit > 0 && !f.Scenario.AdmitByRate {
 		return min(1, limit)
 	}
@@ -73,8 +73,8 @@
 	return servers
 }
 
-// serve is what a server does with its requests: how long its answers take, and the part that fails.
-func (f *Fleet) serve(s *server) (latency time.Duration, failedFraction float64) {
+// serverResponse is what a server does with its requests: how long its answers take, and the part that fails.
+func (f *Fleet) serverResponse(s *server) (latency time.Duration, failedFraction float64) {
 	if s.state == balancer.Removed {
 		return 0, 1
 	}
@@ -103,8 +103,8 @@
 	return capacity
 }
 
-// reportSpread spreads the reports of a second evenly over it.
-type reportSpread struct {
+// reportSchedule spreads the reports of a second evenly over it.
+type reportSchedule struct {
 	fleet *Fleet
 	start time.Duration
 	step  time.Duration
@@ -112,14 +112,14 @@
 }
 
 // next plays until the next report is due. A report that is not sent takes its time as well.
-func (r *reportSpread) next() {
+func (r *reportSchedule) next() {
 	r.slot++
 	r.fleet.playUntil(r.start + time.Duration(r.slot)*r.step)
 }
 
 // reportLoad sends the load reports on a server, one from each zone with traffic to it.
-func (f *Fleet) reportLoad(s *server, spread *reportSpread) {
-	latency, failedFraction := f.serve(s)
+func (f *Fleet) reportLoad(s *server, spread *reportSchedule) {
+	latency, failedFraction := f.serverResponse(s)
 	for zone, rate := range s.rateByZone {
 		f.Tally.Failed += rate * failedFraction
 		spread.next()
@@ -151,10 +151,10 @@
 }
 
 // reportUsage sends a proxy's usage reports, one for each traffic class, unless the proxy is away.
-func (f *Fleet) reportUsage(index int, requestRate float64, spread *reportSpread) {
+func (f *Fleet) reportUsage(index int, requestRate float64, spread *reportSchedule) {
 	for class, fraction := range ClassFractions {
 		spread.next()
-		if f.proxies[index].away {
+		if f.proxies[index].disconnected {
 			continue
 		}
 		f.deliver(func(now time.Duration) balancer.Commands {
