--- a/internal/faultsim/channel.go
+++ b/internal/faultsim/channel.go
@@ -75,7 +75,7 @@
 	}
 	receive := s.messageHandler(p, changes, barrier)
 	delay := s.scenario.MessageDelay.draw(s.rng)
-	p.lastSent = s.now
+	p.lastQueued = s.now
 	s.advanceChannel(s.channel.speed)
 	c := &s.channel
 	c.queue = append(c.queue, queuedMessage{remaining: size, onSent: func() {
--- a/internal/faultsim/fleet.go
+++ b/internal/faultsim/fleet.go
@@ -31,7 +31,7 @@
 	weights     map[balancer.ServerID]float64
 	withdrawn   map[balancer.ServerID]bool
 	lastArrival time.Duration   // arrival time of the last message, which may be in the future
-	lastSent    time.Duration   // when the last message was queued
+	lastQueued  time.Duration   // when the last message was put into the channel's queue
 	recentSends []time.Duration // times of the messages sent within messageWindow
 }
 
--- a/internal/faultsim/manager.go
+++ b/internal/faultsim/manager.go
@@ -116,18 +116,18 @@
 
 // handleCommands carries out the result of an input: log records, health checks, the manager's timer, and commands for the
 // relay.
-func (s *Simulation) handleCommands(wanted balancer.Commands) {
-	for _, logRecord := range wanted.LogRecords {
+func (s *Simulation) handleCommands(batch balancer.Commands) {
+	for _, logRecord := range batch.LogRecords {
 		s.record("note %v", logRecord)
 	}
-	for _, id := range wanted.HealthCheck {
+	for _, id := range batch.HealthCheck {
 		s.startHealthCheck(id)
 	}
-	if wanted.NextTimer > 0 {
-		s.setTimer(s.manager.startedAt + wanted.NextTimer)
+	if batch.NextTimer > 0 {
+		s.setTimer(s.manager.startedAt + batch.NextTimer)
 	}
-	if !commands.IsEmpty(wanted) {
-		s.propose(wanted)
+	if !commands.IsEmpty(batch) {
+		s.propose(batch)
 	}
 }
 
@@ -135,17 +135,17 @@
 func (s *Simulation) startHealthCheck(id balancer.ServerID) {
 	server := s.serverByID[id]
 	result := balancer.HealthCheckPassed
-	took := healthCheckLatency.draw(s.rng)
+	latency := healthCheckLatency.draw(s.rng)
 	switch {
 	case server.unresponsive:
 		result = balancer.HealthCheckTimedOut
-		took = healthCheckTimeout
+		latency = healthCheckTimeout
 	case !server.running:
 		result = balancer.HealthCheckUnreachable
 	}
-	s.scheduleAfter(took, s.skipIfRestarted(func() {
+	s.scheduleAfter(latency, s.skipIfRestarted(func() {
 		s.deliver(func(now time.Duration) balancer.Commands {
-			return s.manager.balancer.HandleHealthCheck(now, id, result, took, unknownServerLoad)
+			return s.manager.balancer.HandleHealthCheck(now, id, result, latency, unknownServerLoad)
 		})
 	}))
 }
@@ -165,9 +165,9 @@
 }
 
 // propose submits commands to the versioned tables, and adds the commands that they accept to the relay's backlog.
-func (s *Simulation) propose(wanted balancer.Commands) {
+func (s *Simulation) propose(batch balancer.Commands) {
 	m := &s.manager
-	result := m.chain.Propose(m.clock, wanted, "", fleetView{m.balancer})
+	result := m.chain.Propose(m.clock, batch, "", fleetView{m.balancer})
 	for _, logRecord := range result.LogRecords {
 		s.record("version %v", logRecord)
 	}
@@ -187,7 +187,8 @@
 	s.callNext()
 }
 
-// applyPin passes the tables pinned by the operator to the balancer. Empty tables end the pin.
+// applyPin passes the tables pinned by the operator to the balancer. Without a pin it passes no tables, which ends an
+// earlier pin.
 func (s *Simulation) applyPin() {
 	pin, pinned := s.manager.chain.Pinned()
 	if !pinned {
--- a/internal/faultsim/relay.go
+++ b/internal/faultsim/relay.go
@@ -28,6 +28,7 @@
 	unacknowledged map[string]bool
 }
 
+// newRelay returns a relay without tables.
 func newRelay() relay {
 	return relay{
 		tables:         map[balancer.TableID]map[balancer.ServerID]float64{},
@@ -53,6 +54,7 @@
 	setWeight(table, w.Server, w.Weight)
 }
 
+// setWeight sets a server's weight in the weights of one table; 0 removes the server.
 func setWeight(weights map[balancer.ServerID]float64, server balancer.ServerID, weight float64) {
 	if weight == 0 {
 		delete(weights, server)
@@ -138,11 +140,11 @@
 }
 
 // execute makes the relay execute a call: it changes its tables and sends a message to each affected proxy.
-func (s *Simulation) execute(batch balancer.Commands, unanswered bool) {
+func (s *Simulation) execute(batch balancer.Commands, responseLost bool) {
 	e := &execution{
 		simulation:     s,
 		unacknowledged: s.relay.unacknowledged,
-		responseLost:   unanswered,
+		responseLost:   responseLost,
 		messages:       map[*proxy]message{},
 	}
 	s.relay.unacknowledged = map[string]bool{}
--- a/internal/faultsim/rules.go
+++ b/internal/faultsim/rules.go
@@ -9,10 +9,10 @@
 	"tamarindshore/balancer"
 )
 
-// Rule is the name of a rule that each run must keep.
+// Rule is the name of a rule that every run must keep.
 type Rule string
 
-// Rules, as verdicts and reports name them.
+// Names of the rules. Verdicts and testdata/runs.txt contain them, as well as the texts passed to rules.fail.
 const (
 	RuleServerAvailable  Rule = "no proxy without a server"
 	RuleDrainsKept       Rule = "drains kept"
@@ -23,33 +23,34 @@
 	RuleBounded          Rule = "bounded"
 )
 
-// Violation is the first break of a rule in a run.
+// Violation describes the first violation of a rule in a run.
 type Violation struct {
 	Rule    Rule
 	At      time.Duration // since the start of the run
-	Subject string        // the proxy, server, command or queue that broke it
+	Subject string        // the proxy, server, command or queue that violated the rule
 	Details string
 }
 
-// String is the verdict on a run: which rule was broken, when, by what and how.
+// String returns the verdict on a run: the violated rule, the time, the subject and the details.
 func (v *Violation) String() string {
 	return fmt.Sprintf("%s: broken at %.3fs by %s: %s", v.Rule, v.At.Seconds(), v.Subject, v.Details)
 }
 
-// condition is since when something holds, and how long outages had lasted in all by then.
+// condition is the start of a state that must not last too long, with the total duration of outages before it.
 type condition struct {
 	since         time.Duration
 	outagesBefore time.Duration
 }
 
-// rules judges a run. Outages do not count towards the time limits of rules.
+// rules checks the rules during a run. Outages do not count towards their time limits.
 type rules struct {
 	simulation    *Simulation
-	violation     *Violation // the first
+	violation     *Violation // the first violation of the run; nil: none yet
 	withoutServer map[balancer.ProxyID]condition
 	overloaded    map[balancer.ServerID]condition
 }
 
+// newRules returns the rules of a run at its start.
 func newRules(s *Simulation) *rules {
 	return &rules{
 		simulation:    s,
@@ -58,7 +59,7 @@
 	}
 }
 
-// fail records a violation, unless there was one before.
+// fail records a violation, unless one was recorded before.
 func (r *rules) fail(rule Rule, subject, format string, values ...any) {
 	if r.violation != nil {
 		return
@@ -67,18 +68,18 @@
 	r.simulation.record("BROKEN %v", r.violation)
 }
 
-// newCondition is a condition that begins now.
+// newCondition returns a condition that begins now.
 func (r *rules) newCondition() condition {
 	return condition{since: r.simulation.now, outagesBefore: r.simulation.outages.total}
 }
 
-// duration is how long a condition has held, without outages.
+// duration returns how long a condition has lasted, without outages.
 func (r *rules) duration(c condition) time.Duration {
 	return r.simulation.now - c.since - (r.simulation.outages.total - c.outagesBefore)
 }
 
-// conditionDuration is how long a condition has held for a subject, without outages. Where it was not known before, it begins
-// now.
+// conditionDuration returns how long a condition has lasted for a subject, without outages. If the condition was not known
+// before, it begins now.
 func conditionDuration[Subject comparable](r *rules, conditions map[Subject]condition, subject Subject) (lasted time.Duration, known bool) {
 	since, known := conditions[subject]
 	if !known {
@@ -88,12 +89,12 @@
 	return r.duration(since), true
 }
 
-// durationWithoutOutages is the time since start without outages.
+// durationWithoutOutages returns the time since start, without outages.
 func (r *rules) durationWithoutOutages(start time.Duration) time.Duration {
 	return r.simulation.now - start - r.simulation.outages.since(start)
 }
 
-// check looks at the rules that hold at all times.
+// check checks the rules that must hold at all times.
 func (r *rules) check() {
 	serverReady := r.hasWarmServer()
 	for _, p := range r.simulation.proxies {
@@ -107,7 +108,7 @@
 	}
 }
 
-// hasWarmServer reports whether some server is on the manager's list as ready, and warm.
+// hasWarmServer reports whether the manager's endpoint list has a server that is ready and warm.
 func (r *rules) hasWarmServer() bool {
 	s := r.simulation
 	for _, server := range s.servers {
@@ -119,7 +120,7 @@
 	return false
 }
 
-// checkServerAvailable checks that a connected proxy is not without a server for long while one is ready.
+// checkServerAvailable checks that a connected proxy is not without a server for too long while a warm server is ready.
 func (r *rules) checkServerAvailable(p *proxy, serverReady bool) {
 	if !p.connected || p.hasServer() || !serverReady {
 		delete(r.withoutServer, p.id)
@@ -131,15 +132,15 @@
 	}
 }
 
-// tableReceived is called when a proxy has applied a message.
+// tableReceived updates the conditions of a proxy that has applied a message.
 func (r *rules) tableReceived(p *proxy) {
 	if p.hasServer() {
 		delete(r.withoutServer, p.id)
 	}
 }
 
-// checkDrains checks that a proxy sends nothing to a server for longer than the grace period after the manager
-// learned that the server drains or is gone. Of several such servers the first by name is reported.
+// checkDrains checks that a proxy stops sending requests to a server within the grace period after the manager learned
+// that the server is draining or removed. If several servers violate the rule, the first by identifier is reported.
 func (r *rules) checkDrains(p *proxy) {
 	s := r.simulation
 	grace := s.scenario.DrainGracePeriod
@@ -160,8 +161,9 @@
 	}
 }
 
-// checkColdOverload checks that a server that warms up does not get far more than it can serve. Requests by tables from
-// before its start are nobody's fault.
+// checkColdOverload checks that a warming server does not get far more requests than it can serve. The rule does not apply
+// until the endpoint list shows the server's new process: until then proxies use tables from before its start, and the
+// manager cannot know better.
 func (r *rules) checkColdOverload(server *server) {
 	s := r.simulation
 	warm := s.now-server.startedAt >= s.scenario.WarmUpDuration
@@ -185,24 +187,25 @@
 	}
 }
 
-// checkQueue checks the commands that wait in the channel against its capacity.
+// checkQueue checks the number of queued commands against the channel's queue capacity.
 func (r *rules) checkQueue(queued float64) {
 	if capacity := r.simulation.scenario.QueueCapacity; queued > capacity {
 		r.fail(RuleShortQueue, "channel", "%.0f lines wait, %.0f at most", queued, capacity)
 	}
 }
 
-// checkMessages checks how many messages a proxy was sent lately.
+// checkMessages checks the number of messages sent to a proxy within messageWindow.
 func (r *rules) checkMessages(p *proxy) {
 	if limit := r.simulation.scenario.MaxMessages; limit > 0 && len(p.recentSends) > limit {
 		r.fail(RuleShortQueue, proxyName(p), "%d messages in 10s, %d at most", len(p.recentSends), limit)
 	}
 }
 
-// maxMessageTime is how long a message may take once there are no faults, its wait in the channel included.
+// maxMessageTime limits how long a message may take after the last fault, including its time in the channel's queue.
 const maxMessageTime = 5 * time.Second
 
-// checkProgress judges the end of a run: nothing waits, and all connected proxies hold their tables of the relay.
+// checkProgress checks the end of a run: no command is waiting, and each connected proxy holds its table as the relay
+// does.
 func (r *rules) checkProgress() {
 	s := r.simulation
 	if s.manager.calling || len(s.manager.backlog) > 0 {
@@ -216,14 +219,14 @@
 	r.checkRelayTables()
 }
 
-// checkTable checks that a proxy has a table, and holds it as the relay does.
+// checkTable checks that a proxy is assigned to a table, and that its weights equal those of the relay.
 func (r *rules) checkTable(p *proxy) {
 	s := r.simulation
 	if !p.assigned {
 		r.fail(RuleProgress, proxyName(p), "joined at %.1fs, and not bound", p.connectedAt.Seconds())
 		return
 	}
-	if s.now-p.lastSent <= maxMessageTime {
+	if s.now-p.lastQueued <= maxMessageTime {
 		return
 	}
 	table := s.relay.tables[p.table]
@@ -234,7 +237,7 @@
 	}
 }
 
-// checkRelayTables checks that the relay holds the weights of the versioned tables.
+// checkRelayTables checks that the relay's weights equal those of the versioned tables.
 func (r *rules) checkRelayTables() {
 	state := r.simulation.manager.chain.State()
 	for _, id := range state.TableIDs() {
--- a/internal/faultsim/scenario.go
+++ b/internal/faultsim/scenario.go
@@ -1,8 +1,8 @@
-// Package faultsim plays seeded faults against the load balancing decisions on a virtual clock, and checks the rules
-// that must hold after each step. A Scenario says how large the fleet is and which faults may hit it; a Script holds the
-// faults of one run, drawn from a seed or read from a replay file; Run plays a script and returns the first Violation;
-// SearchSeeds plays many seeds, and Shrink reduces a script that breaks a rule. The same scenario and script give the
-// same run. The package must never be imported by the daemon.
+// Package faultsim tests the load balancing decisions by fault injection in a deterministic simulation with a virtual
+// clock, and checks rules that must hold throughout a run. A Scenario describes the fleet and the faults that may occur.
+// A Script holds the faults of one run, drawn from a seed or read from a replay file. Run plays a script and returns the
+// first Violation. SearchSeeds plays many seeds, and Shrink reduces a script that violates a rule. The same scenario and
+// script give the same run. The daemon must not import this package.
 package faultsim
 
 import (
@@ -12,44 +12,44 @@
 	"tamarindshore/internal/fleetmodel"
 )
 
-// CountRange bounds a number that is drawn evenly from Min to Max.
+// CountRange is a range from which integers are drawn with a uniform distribution, Min and Max included.
 type CountRange struct {
 	Min, Max int
 }
 
-// Scenario is a fleet, the limits that its rules set, and the faults that may hit it.
+// Scenario describes a fleet, the limits of the rules, and the faults that may occur.
 type Scenario struct {
 	Zones   int
 	Servers int
 	Proxies int
 
-	RequestRate    float64       // requests a second of each proxy
-	ServerCapacity float64       // requests a second that a warm server serves
+	RequestRate    float64       // requests per second of each proxy
+	ServerCapacity float64       // requests per second that a warm server can serve
 	ServiceTime    time.Duration // of a request at an idle server
 
 	ReportDelay  DurationRange // of load and usage reports
 	ListDelay    DurationRange // of changes of the endpoint list
 	MessageDelay DurationRange // of a message from the channel to a proxy
 
-	CommandsPerSecond float64 // that the channel sends
+	CommandsPerSecond float64 // rate at which the channel sends
 	QueueCapacity     float64 // in commands
-	MaxMessages       int     // to one proxy within ten seconds; 0: no limit
+	MaxMessages       int     // limit of messages to one proxy within ten seconds; 0: no limit
 
-	ColdCapacity   float64 // of a server that just started, as a part of ServerCapacity
+	ColdCapacity   float64 // of a server that has just started, as a fraction of ServerCapacity
 	WarmUpDuration time.Duration
 
-	DrainGracePeriod     time.Duration // until no proxy may send to a draining server
-	MaxTimeWithoutServer time.Duration // of a proxy while servers are ready
-	OverloadFactor       float64       // of a warming server's capacity, up to which it is not overloaded
+	DrainGracePeriod     time.Duration // time after which no proxy may send requests to a draining server
+	MaxTimeWithoutServer time.Duration // of a proxy, while a warm server is ready
+	OverloadFactor       float64       // a warming server is overloaded above this multiple of its capacity
 	MaxOverloadTime      time.Duration // of a warming server
 
-	FaultPhase   time.Duration // of a run, in which faults begin
-	SettlePhase  time.Duration // after that, until progress is checked
+	FaultPhase   time.Duration // part of a run in which faults begin
+	SettlePhase  time.Duration // from the end of FaultPhase until progress is checked
 	FaultCount   CountRange
 	FaultWeights map[FaultKind]float64 // relative frequency of each kind
 }
 
-// DefaultScenario is the scenario of a run that names none, in which all kinds of faults are as frequent.
+// DefaultScenario returns the scenario of runs that name none. All kinds of faults are equally frequent.
 func DefaultScenario() Scenario {
 	const ms = time.Millisecond
 	s := Scenario{
@@ -81,8 +81,9 @@
 	return s
 }
 
-// LargeFleetScenario is one manager's part of a large fleet, reduced: a channel that sends four commands a second for
-// each proxy, a queue that holds a quarter of a minute's, and faults of the relay, its calls and the streams.
+// LargeFleetScenario returns a scaled-down model of one manager's part of a large fleet. Its channel sends about four
+// commands per second for each proxy, and its queue holds about 15 seconds of commands. Most faults affect the relay, its
+// calls and the proxies' streams.
 func LargeFleetScenario() Scenario {
 	s := DefaultScenario()
 	s.Zones = 2
@@ -112,7 +113,7 @@
 	return s
 }
 
-// Settings are those of the scenario's manager.
+// Settings returns the settings of the scenario's manager.
 func (s Scenario) Settings() balancer.Settings {
 	settings := balancer.Settings{
 		Classes:            fleetmodel.TrafficClasses(),
--- a/internal/faultsim/scenario_file.go
+++ b/internal/faultsim/scenario_file.go
@@ -14,8 +14,8 @@
 	maxScenarioTime = time.Hour
 )
 
-// ReadScenario reads a scenario file of the form (scenario (key value) ...). What the file does not say is as in
-// DefaultScenario. An error names the file, the line and the key.
+// ReadScenario reads a scenario file of the form (scenario (key value) ...). Missing keys have the values of
+// DefaultScenario. Errors name the file, the line and the key.
 func ReadScenario(path string) (Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return ParseScenario(filepath.Base(path), text)
 }
 
-// ParseScenario reads the text of a scenario file; errors call the file by name.
+// ParseScenario parses the text of a scenario file. Errors contain name as the name of the file.
 func ParseScenario(name string, text []byte) (Scenario, error) {
 	s := DefaultScenario()
 	form, err := sexp.ReadForm(name, text, scenarioForm, s.keys()...)
@@ -37,7 +37,7 @@
 	return s, nil
 }
 
-// keys are the keys of a scenario file, with their bounds.
+// keys returns the keys of a scenario file, with the bounds of their values.
 func (s *Scenario) keys() []sexp.Key {
 	return []sexp.Key{
 		sexp.IntKey("zones", &s.Zones, 1, 16),
@@ -65,7 +65,7 @@
 	}
 }
 
-// readFaultWeights reads a weight for each kind of fault that is named.
+// readFaultWeights reads the weights of kinds of faults. Kinds that are not listed keep their weight.
 func (s *Scenario) readFaultWeights(node *sexp.Node) error {
 	var keys []sexp.Key
 	for _, kind := range FaultKinds() {
@@ -79,7 +79,7 @@
 	return sexp.Read(node, node.Args(), keys...)
 }
 
-// durationKey is a key with a duration of a scenario.
+// durationKey returns a key whose value is a duration.
 func durationKey(name string, value *time.Duration) sexp.Key {
 	return sexp.DurationKey(name, value, minScenarioTime, maxScenarioTime)
 }
@@ -90,14 +90,15 @@
 	keyMost  = "most"
 )
 
-// countRangeKey is a key with a range of whole numbers; a range that is upside down is the caller's to refuse.
+// countRangeKey returns a key whose value is a range of integers. It does not check that Min is at most Max: the caller
+// does.
 func countRangeKey(name string, value *CountRange, least, most int) sexp.Key {
 	return sexp.Section(name,
 		sexp.IntKey(keyLeast, &value.Min, least, most),
 		sexp.IntKey(keyMost, &value.Max, least, most))
 }
 
-// durationRangeKey is a key with a range of durations.
+// durationRangeKey returns a key whose value is a range of durations.
 func durationRangeKey(name string, value *DurationRange) sexp.Key {
 	bounds := sexp.Section(name,
 		durationKey(keyLeast, &value.Min),
--- a/internal/faultsim/script.go
+++ b/internal/faultsim/script.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// FaultKind is a kind of fault. Its String is its name in files.
+// FaultKind is a kind of fault. Its String method returns its name in scenario and replay files.
 type FaultKind int
 
-// Kinds of faults. Those that last end after Fault.Duration.
+// Kinds of faults. Faults that last for a time end after Fault.Duration.
 const (
-	Crash               FaultKind = iota // servers die, and come back cold
-	Unresponsive                         // servers answer nothing, and go on as before
-	SlowServers                          // servers run slower
-	ServerErrors                         // servers fail most requests quickly
-	Drain                                // servers drain, end, and come back as fresh processes
-	ZoneOutage                           // all servers of a zone die, and come back cold
+	Crash               FaultKind = iota // servers crash, and restart cold
+	Unresponsive                         // servers respond to nothing, then go on as before
+	SlowServers                          // servers have longer service times
+	ServerErrors                         // servers fail most requests, without delay
+	Drain                                // servers drain, stop, and restart as new processes
+	ZoneOutage                           // all servers of a zone crash, and restart cold
 	ZonePartition                        // requests between a zone and the others fail
-	ReportsLost                          // no reports arrive
-	RelayUnreachable                     // the relay takes no calls
-	ResponsesLost                        // calls are carried out or not, without a response
-	SlowChannel                          // the relay sends slower
+	ReportsLost                          // load and usage reports are lost
+	RelayUnreachable                     // calls to the relay fail without being executed
+	ResponsesLost                        // some calls get no response, whether executed or not
+	SlowChannel                          // the channel sends more slowly
 	ManagerRestart                       // the manager restarts with the last endpoint list
-	ManagerStall                         // the manager does nothing for a while
-	ProxyReconnect                       // proxies lose their streams and connect again
-	WrongEndpointList                    // the endpoint list has running servers removed, then ready again
+	ManagerStall                         // the manager handles no input for a time
+	ProxyReconnect                       // proxies lose their streams and reconnect
+	WrongEndpointList                    // the endpoint list shows running servers as removed, then as ready again
 	DuplicateReports                     // reports arrive twice
-	DelayedEndpointList                  // the endpoint list is late by more seconds
-	Rollback                             // the operator rolls back to an older version, then resumes
+	DelayedEndpointList                  // changes of the endpoint list arrive with an extra delay
+	Rollback                             // the operator rolls the tables back to an older version for a time
 )
 
-// faultNames are the names in scenario and replay files.
+// faultNames holds the names of the kinds in scenario and replay files.
 var faultNames = [...]string{
 	Crash:               "crash",
 	Unresponsive:        "silence",
@@ -53,10 +53,10 @@
 	Rollback:            "rollback",
 }
 
-// String is the name of a kind in files.
+// String returns the name of a kind in scenario and replay files.
 func (k FaultKind) String() string { return faultNames[k] }
 
-// FaultKinds are all kinds, in the order in which scripts draw from them.
+// FaultKinds returns all kinds. Their order affects which kind is drawn from a random number.
 func FaultKinds() []FaultKind {
 	kinds := make([]FaultKind, len(faultNames))
 	for i := range kinds {
@@ -70,17 +70,17 @@
 	Kind       FaultKind
 	At         time.Duration // since the start of the run
 	Duration   time.Duration
-	Fraction   float64 // of the servers or proxies
-	TargetSeed uint64  // draws which servers, proxies or zone
+	Fraction   float64 // fraction of the servers or proxies that are affected
+	TargetSeed uint64  // seed for drawing the affected servers, proxies or zone
 }
 
-// Script is the faults of a run, by time. The seed settles all else that is drawn.
+// Script holds the faults of a run in order of time, and the seed of all other random numbers of the run.
 type Script struct {
 	Seed   uint64
 	Faults []Fault
 }
 
-// Bounds of the faults that a script draws.
+// Bounds of generated faults.
 const (
 	firstFaultAt       = 2 * time.Second
 	minFaultDuration   = time.Second
@@ -88,7 +88,7 @@
 	faultPercentSpread = 36
 )
 
-// GenerateScript draws a script from a seed.
+// GenerateScript draws the script of a seed.
 func GenerateScript(s Scenario, seed uint64) Script {
 	rng := rand.New(rand.NewPCG(seed, scriptStream))
 	script := Script{Seed: seed}
@@ -100,7 +100,7 @@
 	return script
 }
 
-// drawFault draws one fault. The order of the draws is part of what a seed means.
+// drawFault draws one fault. The order of the draws must not change, or a seed no longer gives the same script.
 func (s Scenario) drawFault(rng *rand.Rand) Fault {
 	kind := s.drawKind(rng)
 	at := firstFaultAt + time.Duration(rng.Float64()*float64(s.FaultPhase*2/3))
@@ -115,7 +115,7 @@
 	}
 }
 
-// drawKind draws a kind of fault by the scenario's weights.
+// drawKind draws a kind of fault with probabilities proportional to the scenario's weights.
 func (s Scenario) drawKind(rng *rand.Rand) FaultKind {
 	total := 0.0
 	for _, kind := range FaultKinds() {
--- a/internal/faultsim/script_file.go
+++ b/internal/faultsim/script_file.go
@@ -14,7 +14,7 @@
 	maxFileSeed  = 1 << 62
 )
 
-// String is a script as a replay file holds it.
+// String returns the script in the format of a replay file.
 func (s Script) String() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "(%s\n  (seed %d)", scriptForm, s.Seed)
@@ -25,7 +25,7 @@
 	return out.String()
 }
 
-// ParseScript reads the text of a replay file. An error calls the file by name, and names the line and the key.
+// ParseScript parses the text of a replay file. Errors contain name as the name of the file, the line and the key.
 func ParseScript(name string, text []byte) (Script, error) {
 	var s Script
 	keys := sexp.Required(seedKey("seed", &s.Seed))
@@ -40,7 +40,7 @@
 	return s, err
 }
 
-// readFault reads one fault of a script.
+// readFault reads a fault of a replay file.
 func readFault(node *sexp.Node, kind FaultKind) (Fault, error) {
 	f := Fault{Kind: kind}
 	keys := sexp.Required(
@@ -51,7 +51,7 @@
 	return f, sexp.Read(node, node.Args(), keys...)
 }
 
-// seedKey is a key with the seed of random draws.
+// seedKey returns a key whose value is a seed of random numbers.
 func seedKey(name string, seed *uint64) sexp.Key {
 	return sexp.Key{Name: name, Read: func(node *sexp.Node) error {
 		value := 0
--- a/internal/faultsim/search.go
+++ b/internal/faultsim/search.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// Failure is a script that breaks a rule.
+// Failure is a script that violates a rule.
 type Failure struct {
 	Script    Script
 	Violation *Violation
 }
 
-// SearchSeeds plays the seeds from first to last on some goroutines, and returns the lowest that breaks a rule; none
-// where all rules are kept. With playAll it plays all of them, and returns all failures by seed. The result does not
-// depend on the number of goroutines. Progress is called with how many seeds were played, one call at a time.
+// SearchSeeds plays the seeds from first to last on the given number of goroutines. It returns the failure of the lowest
+// seed that violates a rule, if any. With playAll it plays all seeds and returns all failures in order of their seeds. The
+// failures do not depend on the number of goroutines. progress is called with the number of seeds played so far, by one
+// goroutine at a time.
 func SearchSeeds(s Scenario, first, last uint64, goroutines int, playAll bool, progress func(played int)) (failures []Failure, played int) {
 	search := &seedSearch{scenario: s, next: first, last: last, playAll: playAll, progress: progress}
 	var workers sync.WaitGroup
@@ -40,13 +41,14 @@
 	playAll  bool
 	progress func(played int)
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	next     uint64
 	last     uint64
 	played   int
 	failures []Failure
 }
 
+// work plays seeds until none are left.
 func (s *seedSearch) work() {
 	for {
 		seed, more := s.takeSeed()
@@ -59,7 +61,7 @@
 	}
 }
 
-// takeSeed gives the next seed; false where none is left.
+// takeSeed returns the next seed; more is false if none is left.
 func (s *seedSearch) takeSeed() (seed uint64, more bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,8 +70,8 @@
 	return seed, seed <= s.last
 }
 
-// recordResult takes the result of a seed. After a failure no later seed is begun; lower ones that are being played go on, so
-// that the lowest failure is found.
+// recordResult records the result of a seed. Unless all seeds are played, no higher seed is started after a failure. Lower
+// seeds in progress are finished, so that the lowest failing seed is found.
 func (s *seedSearch) recordResult(result Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,11 +86,12 @@
 	}
 }
 
-// minShrunkDuration is the duration that Shrink does not halve further.
+// minShrunkDuration is the duration up to which Shrink does not halve a fault's duration further.
 const minShrunkDuration = time.Second
 
-// Shrink reduces a script that breaks a rule, as long as the same rule breaks: it drops faults one by one, then halves
-// their durations. It plays at most maxRuns scripts, and returns the smallest failure and how many it played.
+// Shrink reduces a script that violates a rule to a smaller one that still violates the same rule: it drops faults one by
+// one, then halves their durations. It plays at most maxRuns scripts, and returns the smallest failure and the number of
+// scripts played.
 func Shrink(s Scenario, f Failure, maxRuns int) (Failure, int) {
 	shrinker := &shrinker{scenario: s, smallest: f, maxRuns: maxRuns}
 	for shrinker.dropFault() {
@@ -99,6 +102,7 @@
 	return shrinker.smallest, shrinker.played
 }
 
+// shrinker holds the state of a call of Shrink.
 type shrinker struct {
 	scenario Scenario
 	smallest Failure
@@ -106,7 +110,7 @@
 	played   int
 }
 
-// try plays a smaller script and takes it over where it breaks the same rule. It reports whether it does.
+// try plays a smaller script and keeps it if it violates the same rule. It reports whether the script was kept.
 func (s *shrinker) try(script Script) bool {
 	if s.played >= s.maxRuns {
 		return false
@@ -120,7 +124,7 @@
 	return true
 }
 
-// dropFault drops the first fault without which the rule still breaks. It reports whether there is one.
+// dropFault drops the first fault that the violation does not need. It reports whether there was one.
 func (s *shrinker) dropFault() bool {
 	script := s.smallest.Script
 	for i := range script.Faults {
@@ -132,7 +136,7 @@
 	return false
 }
 
-// shortenFault halves a fault's duration while the rule still breaks.
+// shortenFault halves a fault's duration repeatedly while the script still violates the rule.
 func (s *shrinker) shortenFault(i int) {
 	for s.smallest.Script.Faults[i].Duration > minShrunkDuration {
 		script := s.smallest.Script
--- a/internal/faultsim/search_test.go
+++ b/internal/faultsim/search_test.go
@@ -11,20 +11,20 @@
 	s := DefaultScenario()
 	want := map[uint64]string{}
 	for seed := range uint64(6) {
-		_, w := Run(s, GenerateScript(s, seed), nil)
-		want[seed] = w.Digest()
+		_, simulation := Run(s, GenerateScript(s, seed), nil)
+		want[seed] = simulation.Digest()
 	}
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
 	for n := range 6 {
 		runtime.GOMAXPROCS(1 + n%4)
 		for seed := range uint64(6) {
-			if _, w := Run(s, GenerateScript(s, seed), nil); w.Digest() != want[seed] {
-				t.Fatalf("seed %d: another run", seed)
+			if _, simulation := Run(s, GenerateScript(s, seed), nil); simulation.Digest() != want[seed] {
+				t.Fatalf("seed %d: the digest of the trace differs from the first run", seed)
 			}
 		}
 	}
 	if want[1] == want[2] {
-		t.Error("two seeds give one run")
+		t.Error("seeds 1 and 2 give the same run")
 	}
 }
 
@@ -34,18 +34,19 @@
 		t.Errorf("%v\n%v", f.Violation, f.Script)
 	}
 	if played != 100 {
-		t.Errorf("%d played", played)
+		t.Errorf("%d seeds were played, want 100", played)
 	}
 }
 
-// Guards against a queue that is filled because it may be: tables then come half a minute late.
+// The manager must not fill the channel's queue just because the limit allows it: tables then reach the proxies half a
+// minute late.
 func TestLargeFleetKeepsAllRules(t *testing.T) {
 	found, played := SearchSeeds(LargeFleetScenario(), 1, 16, 4, true, func(int) {})
 	for _, f := range found {
 		t.Errorf("%v\n%v", f.Violation, f.Script)
 	}
 	if played != 16 {
-		t.Errorf("%d played", played)
+		t.Errorf("%d seeds were played, want 16", played)
 	}
 }
 
@@ -79,21 +80,22 @@
 
 func TestShrinkKeepsTheViolation(t *testing.T) {
 	s := DefaultScenario()
-	s.QueueCapacity = 40 // far too few to assign all proxies
+	s.QueueCapacity = 40 // too small to assign all proxies
 	s.FaultCount = CountRange{4, 4}
 	for seed := uint64(1); seed < 40; seed++ {
 		script := GenerateScript(s, seed)
-		b, _ := Run(s, script, nil)
-		if b == nil {
+		violation, _ := Run(s, script, nil)
+		if violation == nil {
 			continue
 		}
-		less, played := Shrink(s, Failure{script, b}, 60)
-		if less.Violation.Rule != b.Rule || len(less.Script.Faults) > len(script.Faults) || played > 60 {
-			t.Errorf("%v after %d", less, played)
+		shrunk, played := Shrink(s, Failure{script, violation}, 60)
+		if shrunk.Violation.Rule != violation.Rule || len(shrunk.Script.Faults) > len(script.Faults) || played > 60 {
+			t.Errorf("shrunk to %v after %d runs, want a violation of %q with at most %d faults after at most 60 runs",
+				shrunk, played, violation.Rule, len(script.Faults))
 		}
 		return
 	}
-	t.Fatal("no seed breaks a rule there: nothing was shrunk")
+	t.Fatal("no seed violates a rule in this scenario: nothing to shrink")
 }
 
 func BenchmarkRun(b *testing.B) {
--- a/internal/faultsim/simulation.go
+++ b/internal/faultsim/simulation.go
@@ -12,7 +12,7 @@
 	"tamarindshore/balancer"
 )
 
-// Streams of random numbers that one seed feeds, each for a purpose of its own.
+// Identifiers of the independent random number streams that are derived from one seed.
 const (
 	simulationStream = 0xc4a9ce
 	scriptStream     = 0x5eed
@@ -22,14 +22,14 @@
 
 const (
 	checkInterval = 100 * time.Millisecond
-	maxEvents     = 5_000_000 // of one run: more of them are taken for an endless loop
+	maxEvents     = 5_000_000 // limit per run; a run with more events is taken for an endless loop
 
-	// longAgo is when servers started and were listed that are there from the beginning.
+	// longAgo is the start time of the initial servers, and the time at which they were listed.
 	longAgo = -time.Hour
 )
 
-// Simulation is one run: a fleet with its manager, discovery and relay on a virtual clock. It is not safe for concurrent
-// use.
+// Simulation is the state of one run: a fleet with its manager, discovery and relay on a virtual clock. It is not safe for
+// concurrent use.
 type Simulation struct {
 	clock
 	scenario Scenario
@@ -37,7 +37,7 @@
 	rng      *rand.Rand
 	events   int
 	digest   hash.Hash
-	trace    func(line string) // nil: nobody reads it
+	trace    func(line string) // nil: lines are not passed on
 
 	servers    []*server
 	serverByID map[balancer.ServerID]*server
@@ -51,8 +51,8 @@
 	rules   *rules
 }
 
-// Run plays a script against a new manager and returns the first violation of a rule, nil where all were kept. The
-// trace, unless it is nil, is called with each line of what happens. The same scenario and script give the same run.
+// Run plays a script against a new manager and returns the first violation of a rule, or nil if all rules were kept. It
+// calls trace, unless it is nil, with each line of the run's trace. The same scenario and script give the same run.
 func Run(scenario Scenario, script Script, trace func(line string)) (*Violation, *Simulation) {
 	s := newSimulation(scenario, script.Seed, trace)
 	s.startManager()
@@ -75,7 +75,7 @@
 	return s.rules.violation, s
 }
 
-// newSimulation is a run at its start: all servers are warm and listed, no manager runs.
+// newSimulation returns a run at its start: all servers are warm and listed as ready, and no manager is running.
 func newSimulation(scenario Scenario, seed uint64, trace func(line string)) *Simulation {
 	s := &Simulation{
 		scenario:   scenario,
@@ -99,7 +99,7 @@
 	return s
 }
 
-// addServer adds a warm server that is listed ready.
+// addServer adds a warm server that is listed as ready.
 func (s *Simulation) addServer(index int) {
 	server := &server{
 		id:         balancer.ServerID(fmt.Sprintf("s-%03d", index)),
@@ -114,16 +114,18 @@
 	s.manager.endpoints[server.id] = listedServer{state: balancer.Ready, notifiedAt: longAgo, startedAt: longAgo}
 }
 
-// Digest is that of all lines of the trace so far, in hexadecimal.
+// Digest returns the digest of all trace lines so far, in hexadecimal.
 func (s *Simulation) Digest() string {
 	const digestBytes = 16
 	return hex.EncodeToString(s.digest.Sum(nil)[:digestBytes])
 }
 
-// Steps is how many events were played.
+// Steps returns the number of events played so far.
 func (s *Simulation) Steps() int { return s.events }
 
-// record adds a line to the trace.
+// record adds a line to the trace. The exact text of trace lines must not change: the digests in testdata/runs.txt depend
+// on it. Traces call a command an order, an endpoint weight a line, a withdrawal a pull, an assignment a bind, and a log
+// record of the balancer a note.
 func (s *Simulation) record(format string, values ...any) {
 	line := fmt.Sprintf("%9.3f ", s.now.Seconds()) + fmt.Sprintf(format, values...)
 	s.digest.Write(append([]byte(line), '\n'))
@@ -132,7 +134,7 @@
 	}
 }
 
-// check looks at all rules, ten times a second.
+// check updates outages and traffic and checks the rules, once every checkInterval.
 func (s *Simulation) check() {
 	s.recordOutage()
 	s.updateTraffic()
--- a/internal/faultsim/traffic.go
+++ b/internal/faultsim/traffic.go
@@ -9,14 +9,14 @@
 
 const (
 	reportInterval  = time.Second
-	minReportRate   = 0.05            // requests a second of one zone; servers that get fewer are not reported
-	maxLatency      = 3 * time.Second // of a server, however overloaded
-	latencyJitter   = 0.2             // of the latency, half of it to each side
-	minHeadroom     = 0.05            // of a server's capacity: latency stops growing there
+	minReportRate   = 0.05            // requests per second of a zone to a server; lower rates are not reported
+	maxLatency      = 3 * time.Second // of a server, however overloaded it is
+	latencyJitter   = 0.2             // width of the jitter, as a fraction of the latency
+	minHeadroom     = 0.05            // fraction of free capacity below which latency does not grow further
 	unknownInFlight = -1
 )
 
-// updateTraffic works out the requests that each server gets, from the tables that the proxies hold.
+// updateTraffic computes the request rate of each server from the tables that the proxies hold.
 func (s *Simulation) updateTraffic() {
 	for _, server := range s.servers {
 		clear(server.rateByZone)
@@ -36,7 +36,7 @@
 	}
 }
 
-// capacity is how many requests a second a server serves; it grows from cold to warm.
+// capacity returns how many requests per second a server can serve. It grows linearly while the server warms up.
 func (s *Simulation) capacity(server *server) float64 {
 	sinceStart := (s.now - server.startedAt).Seconds()
 	warmth := min(1, max(0, sinceStart/s.scenario.WarmUpDuration.Seconds()))
@@ -44,7 +44,7 @@
 	return s.scenario.ServerCapacity * (cold + (1-cold)*warmth) / server.slowdown
 }
 
-// sendReports sends the reports of one second, and ends the operator's pin where its time is over.
+// sendReports sends the reports of one second, and ends the operator's pin if its time is over.
 func (s *Simulation) sendReports() {
 	s.scheduleAfter(reportInterval, s.sendReports)
 	_, ended := s.manager.chain.EndExpiredHold(s.manager.clock, fleetView{s.manager.balancer})
@@ -61,7 +61,7 @@
 	}
 }
 
-// reportServer sends a load report on a server from each zone with traffic to it.
+// reportServer sends a load report about a server from each zone that sends requests to it.
 func (s *Simulation) reportServer(server *server) {
 	utilization := 0.0
 	for _, rate := range server.rateByZone {
@@ -80,7 +80,7 @@
 	}
 }
 
-// loadReport draws what the proxies of a zone met at a server within a second.
+// loadReport draws the results of one second of requests from a zone to a server.
 func (s *Simulation) loadReport(server *server, zone int, rate, utilization float64) balancer.LoadReport {
 	report := balancer.LoadReport{
 		Server:   server.id,
@@ -101,7 +101,7 @@
 	return report
 }
 
-// failureFraction is the part of a zone's requests to a server that fail.
+// failureFraction returns the fraction of a zone's requests to a server that fail.
 func (s *Simulation) failureFraction(server *server, zone int, utilization float64) float64 {
 	partitioned := s.faults.partitionedZones
 	crossesPartition := zone != server.zone && partitioned[zone]+partitioned[server.zone] > 0
@@ -112,14 +112,14 @@
 	return max(server.errorFraction, overload)
 }
 
-// latency draws how long a server's answers take.
+// latency draws the response time of a server.
 func (s *Simulation) latency(server *server, utilization float64) time.Duration {
 	service := float64(s.scenario.ServiceTime) * server.slowdown
 	jitter := 1 - latencyJitter/2 + latencyJitter*s.rng.Float64()
 	return min(maxLatency, time.Duration(service/max(minHeadroom, 1-utilization)*jitter))
 }
 
-// reportUsage sends a proxy's usage reports of a second, one for each traffic class.
+// reportUsage sends a proxy's usage reports of one second, one for each traffic class.
 func (s *Simulation) reportUsage(p *proxy) {
 	for class, fraction := range fleetmodel.ClassFractions {
 		usage := balancer.UsageReport{
@@ -134,8 +134,8 @@
 	}
 }
 
-// deliverReport delivers a report after the scenario's delay, twice while reports are duplicated, and not at all where
-// reports are lost by then.
+// deliverReport delivers a report after the scenario's delay. The report is delivered twice if reports are duplicated when
+// it is sent, and is lost if reports are lost when it would arrive.
 func (s *Simulation) deliverReport(report func(now time.Duration) balancer.Commands) {
 	copies := 1
 	if s.faults.duplicateReports > 0 {
--- a/internal/fleetmodel/clock.go
+++ b/internal/fleetmodel/clock.go
@@ -7,22 +7,23 @@
 	"tamarindshore/balancer"
 )
 
-// input is a call of the manager.
+// input is a call of one of the manager's Handle methods.
 type input func(now time.Duration) balancer.Commands
 
+// scheduledInput is an input that is due at a later time.
 type scheduledInput struct {
 	at    time.Duration
 	input input
 }
 
-// clock is the virtual time of a fleet, and the inputs that are due later.
+// clock holds the virtual time of a fleet and its pending inputs.
 type clock struct {
 	now       time.Duration
-	scheduled []scheduledInput // by time; those of one time in the order in which they were scheduled
-	timer     time.Duration    // when the manager's timer goes off; not after now: it is not set
+	scheduled []scheduledInput // by time; inputs of the same time in the order in which they were scheduled
+	timer     time.Duration    // when the manager's timer fires; no timer is set unless this is after now
 }
 
-// scheduleAfter delivers an input after a delay.
+// scheduleAfter schedules an input after a delay.
 func (c *clock) scheduleAfter(delay time.Duration, input input) {
 	next := scheduledInput{c.now + delay, input}
 	i, _ := slices.BinarySearchFunc(c.scheduled, next, func(a, b scheduledInput) int {
@@ -34,14 +35,14 @@
 	c.scheduled = slices.Insert(c.scheduled, i, next)
 }
 
-// setTimer sets the manager's timer, unless it goes off earlier anyway.
+// setTimer sets the manager's timer, unless an earlier one is already set.
 func (c *clock) setTimer(due time.Duration) {
 	if c.timer <= c.now || due < c.timer {
 		c.timer = due
 	}
 }
 
-// playUntil delivers all inputs that are due before a time.
+// playUntil delivers all inputs that are due before end, and advances the clock to it.
 func (f *Fleet) playUntil(end time.Duration) {
 	for {
 		timerDue := f.timer > f.now && f.timer < end
--- a/internal/fleetmodel/commands.go
+++ b/internal/fleetmodel/commands.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	minAckDelay     = 100 * time.Millisecond // from a command to a proxy's acknowledgement
-	ackDelaySpread  = 200 * time.Millisecond
-	minHealthCheckLatency  = 2 * time.Millisecond
-	healthCheckLatencySpread    = 10 * time.Millisecond
-	maxAcksPerBarrier         = 4 // of one barrier: more of them tell the manager nothing new
-	unknownLoad     = -1
-	firstClassMask = 1 // mask of classes
+	minAckDelay              = 100 * time.Millisecond // minimum time from a command to a proxy's acknowledgement
+	ackDelaySpread           = 200 * time.Millisecond
+	minHealthCheckLatency    = 2 * time.Millisecond
+	healthCheckLatencySpread = 10 * time.Millisecond
+	maxAcksPerBarrier        = 4 // more acknowledgements of a barrier tell the manager nothing new
+	unknownLoad              = -1
+	firstClassMask           = 1 // mask that contains only the first traffic class
 )
 
-// deliver gives the manager one input, and carries out its commands.
+// deliver passes an input to the manager and carries out the resulting commands.
 func (f *Fleet) deliver(input input) {
 	began := time.Now()
 	commands := input(f.now)
@@ -35,7 +35,7 @@
 	}
 }
 
-// apply changes the tables and assignments as the relay does.
+// apply changes the tables and assignments as the relay would.
 func (f *Fleet) apply(commands balancer.Commands) {
 	for _, id := range commands.Withdraw {
 		f.serverByID[id].withdrawn = true
@@ -59,7 +59,7 @@
 	}
 }
 
-// setWeight changes a server's weight in a table; 0 removes it.
+// setWeight sets a server's weight in a table; 0 removes the server.
 func (f *Fleet) setWeight(w balancer.EndpointWeight) {
 	table := f.weights[w.Table]
 	if table == nil {
@@ -73,7 +73,7 @@
 	table[w.Server] = w.Weight
 }
 
-// acknowledge lets proxies that a barrier went to acknowledge it.
+// acknowledge schedules acknowledgements of the commands' barrier by some of the proxies that received it.
 func (f *Fleet) acknowledge(commands balancer.Commands) {
 	f.Manager.HandleCommandsSent(f.now, commands.Barrier)
 	for _, id := range f.recipients(commands) {
@@ -83,7 +83,7 @@
 	}
 }
 
-// recipients are some of the proxies that commands went to, up to maxAcksPerBarrier.
+// recipients returns up to maxAcksPerBarrier of the proxies that the commands went to.
 func (f *Fleet) recipients(commands balancer.Commands) []balancer.ProxyID {
 	var recipients []balancer.ProxyID
 	for _, a := range commands.Assign {
@@ -107,19 +107,19 @@
 	return recipients
 }
 
-// checkHealth lets a server answer a health check; one that is removed does not.
+// checkHealth schedules the result of a health check. Checks of removed servers time out.
 func (f *Fleet) checkHealth(id balancer.ServerID) {
 	result := balancer.HealthCheckPassed
-	took := minHealthCheckLatency + f.drawDuration(healthCheckLatencySpread)
+	latency := minHealthCheckLatency + f.drawDuration(healthCheckLatencySpread)
 	if f.serverByID[id].state == balancer.Removed {
 		result = balancer.HealthCheckTimedOut
 	}
-	f.scheduleAfter(took, func(now time.Duration) balancer.Commands {
-		return f.Manager.HandleHealthCheck(now, id, result, took, unknownLoad)
+	f.scheduleAfter(latency, func(now time.Duration) balancer.Commands {
+		return f.Manager.HandleHealthCheck(now, id, result, latency, unknownLoad)
 	})
 }
 
-// drawDuration draws a duration under a limit.
+// drawDuration draws a duration from 0 up to the limit, which is excluded.
 func (f *Fleet) drawDuration(limit time.Duration) time.Duration {
 	return time.Duration(f.rng.Float64() * float64(limit))
 }
--- a/internal/fleetmodel/fleet.go
+++ b/internal/fleetmodel/fleet.go
@@ -8,20 +8,22 @@
 	"tamarindshore/balancer"
 )
 
-// Balancer takes the inputs of a fleet's manager: *balancer.Manager, or what replaces it.
+// Balancer handles the inputs of a fleet's manager. It is implemented by *balancer.Manager and by variants under test.
 type Balancer interface {
-	HandleEndpointList(now time.Duration, whole bool, entries []balancer.Endpoint) balancer.Commands
+	HandleEndpointList(now time.Duration, complete bool, entries []balancer.Endpoint) balancer.Commands
 	HandleProxyConnected(now time.Duration, id balancer.ProxyID, zone balancer.ZoneID, rate float64) balancer.Commands
 	HandleProxyDisconnected(now time.Duration, id balancer.ProxyID) balancer.Commands
-	HandleLoadReport(now time.Duration, r balancer.LoadReport) balancer.Commands
-	HandleUsageReport(now time.Duration, u balancer.UsageReport) balancer.Commands
-	HandleHealthCheck(now time.Duration, id balancer.ServerID, a balancer.HealthCheckResult, took time.Duration, load float64) balancer.Commands
-	HandleBarrierAck(now time.Duration, id balancer.ProxyID, mark balancer.BarrierID) balancer.Commands
-	HandleCommandsSent(now time.Duration, mark balancer.BarrierID)
+	HandleLoadReport(now time.Duration, report balancer.LoadReport) balancer.Commands
+	HandleUsageReport(now time.Duration, report balancer.UsageReport) balancer.Commands
+	HandleHealthCheck(
+		now time.Duration, id balancer.ServerID, result balancer.HealthCheckResult, latency time.Duration, load float64,
+	) balancer.Commands
+	HandleBarrierAck(now time.Duration, id balancer.ProxyID, barrier balancer.BarrierID) balancer.Commands
+	HandleCommandsSent(now time.Duration, barrier balancer.BarrierID)
 	HandleTimer(now time.Duration) balancer.Commands
 }
 
-// Tally sums requests over all seconds played.
+// Tally holds numbers of requests, summed over all seconds played.
 type Tally struct {
 	Offered   float64
 	Shed      float64 // by the proxies' admission limits
@@ -29,14 +31,14 @@
 	CrossZone float64 // sent to a server of another zone
 }
 
-// Fleet is one run. It is not safe for concurrent use.
+// Fleet is a simulated fleet with its manager. It is not safe for concurrent use.
 type Fleet struct {
 	Scenario    Scenario
 	Manager     Balancer
 	Tally       Tally
 	OnCommands  func(now time.Duration, commands balancer.Commands) // called with the result of each input
 	InputCount  int
-	ManagerTime time.Duration // that inputs took, on the wall clock
+	ManagerTime time.Duration // wall-clock time spent in the manager's methods
 
 	clock
 	rng        *rand.Rand
@@ -44,10 +46,10 @@
 	serverByID map[balancer.ServerID]*server
 	proxies    []*proxy
 	weights    map[balancer.TableID]map[balancer.ServerID]float64
-	admission  map[balancer.TableID]map[uint]float64 // limits by mask of classes
+	admission  map[balancer.TableID]map[uint]float64 // admission limits, by mask of traffic classes
 }
 
-// server is a server of the fleet.
+// server is a simulated server of the fleet.
 type server struct {
 	id         balancer.ServerID
 	zone       int
@@ -55,23 +57,23 @@
 	state      balancer.ServerState
 	slow       bool
 	withdrawn  bool
-	rateByZone []float64 // requests a second, by the zone of the proxies
+	rateByZone []float64 // requests per second, by the zone of the proxies
 }
 
-// proxy is a proxy of the fleet.
+// proxy is a simulated proxy of the fleet.
 type proxy struct {
-	zone     int
-	table    balancer.TableID
-	assigned bool
-	disconnected     bool
+	zone         int
+	table        balancer.TableID
+	assigned     bool
+	disconnected bool
 }
 
 const (
-	longAgo     = -time.Hour // when the servers started that are there from the beginning
-	fleetStream = 7          // of the seed's random numbers
+	longAgo     = -time.Hour // start time of the initial servers
+	fleetStream = 7          // identifier of the fleet's random number stream
 )
 
-// New makes a fleet at rest. The seed settles all that is drawn, in the fleet and in its manager.
+// New returns a fleet that has not been started. The seed determines all random numbers of the fleet and its manager.
 func New(s Scenario, seed uint64) *Fleet {
 	f := &Fleet{
 		Scenario:   s,
@@ -93,7 +95,7 @@
 
 // addServer adds a warm server.
 func (f *Fleet) addServer(index int) {
-	const idFactor, idMask = 2654435761, 0xfffff // spread the order of identifiers
+	const idFactor, idMask = 2654435761, 0xfffff // make the order of the identifiers differ from that of the servers
 	added := &server{
 		id:         balancer.ServerID(fmt.Sprintf("s-%05x", (index*idFactor)&idMask)),
 		zone:       index % f.Scenario.Zones,
@@ -104,7 +106,7 @@
 	f.serverByID[added.id] = added
 }
 
-// Start delivers the complete endpoint list, then connects all proxies, one by one.
+// Start delivers the complete endpoint list, then connects all proxies one after another.
 func (f *Fleet) Start() {
 	var endpoints []balancer.Endpoint
 	for _, s := range f.servers {
@@ -118,7 +120,7 @@
 	}
 }
 
-// endpoint is the server's entry of the endpoint list.
+// endpoint returns the server's entry of the endpoint list.
 func (s *server) endpoint() balancer.Endpoint {
 	return balancer.Endpoint{
 		Server:          s.id,
@@ -130,7 +132,7 @@
 	}
 }
 
-// setState changes a server's state, and its entry of the endpoint list.
+// setState changes a server's state, and delivers its new entry of the endpoint list.
 func (f *Fleet) setState(s *server, state balancer.ServerState) {
 	s.state = state
 	if state == balancer.Ready {
@@ -141,7 +143,7 @@
 	})
 }
 
-// connect connects a proxy, which is not assigned yet.
+// connect connects a proxy. It has no table until the manager assigns one.
 func (f *Fleet) connect(index int) {
 	p := f.proxies[index]
 	p.disconnected = false
@@ -151,7 +153,7 @@
 	})
 }
 
-// disconnect disconnects a proxy.
+// disconnect disconnects a proxy, which loses its assignment.
 func (f *Fleet) disconnect(index int) {
 	p := f.proxies[index]
 	p.disconnected = true
--- a/internal/fleetmodel/scenario.go
+++ b/internal/fleetmodel/scenario.go
@@ -1,7 +1,7 @@
-// Package fleetmodel is a small fleet without sockets: servers, proxies and a relay as rates and delays, driven by the
-// commands of the load balancing decisions on a clock of its own. It owns the inputs of a manager, and the effects
-// of its commands. The same scenario, seed and decisions give the same run. It must never decide anything, nor be imported
-// by the daemon.
+// Package fleetmodel models a small fleet in memory for tests of the load balancing decisions. It represents servers,
+// proxies and a relay by rates and delays on a virtual clock, generates the inputs of a manager, and applies the effects
+// of its commands. The same scenario, seed and decisions give the same run. The package must not make balancing decisions
+// of its own, and the daemon must not import it.
 package fleetmodel
 
 import (
@@ -11,39 +11,40 @@
 	"tamarindshore/balancer"
 )
 
-// Scenario says how large a fleet is and what happens to it.
+// Scenario describes the size of a fleet and the events of a run.
 type Scenario struct {
 	Name    string
 	Zones   int
 	Servers int
 	Proxies int
 
-	RequestRate    float64 // requests a second at each proxy, of all classes
-	ServerCapacity float64 // requests a second that a warm server serves
+	RequestRate    float64 // requests per second at each proxy, of all traffic classes
+	ServerCapacity float64 // requests per second that a warm server can serve
 
-	DrainFraction float64       // of the servers, which drain and come back cold, one after another
-	SlowFraction  float64       // of the servers, which run five times slower from a third of the run on
-	SurgeFactor   float64       // on all requests, from a third of the run on; 0: none
-	ChurnInterval time.Duration // between two proxies that leave, or connect again; 0: none
+	DrainFraction float64       // of the servers, a fifth of which enter the next state of a rolling restart each second; 0: none
+	SlowFraction  float64       // of the servers, which become five times slower after a third of the run
+	SurgeFactor   float64       // factor on all request rates after a third of the run; 0: none
+	ChurnInterval time.Duration // between two events of a proxy disconnecting or reconnecting; 0: none
 
-	RemovedMayServe bool // a removed server is not stopped: only draining binds
-	AdmitByRate     bool // admission limits are rates, and not shares
-	MaxMessages     int  // to one proxy within ten seconds; 0: no limit
+	RemovedMayServe bool // a removed server may still be running; only draining means that it must get no requests
+	AdmitByRate     bool // admission limits are rates instead of shares
+	MaxMessages     int  // limit of messages to one proxy within ten seconds; 0: no limit
 }
 
 const (
 	warmUpDuration = 16 * time.Second
-	coldCapacity   = 0.15 // of a server that just started, as a part of its capacity
+	coldCapacity   = 0.15 // of a server that has just started, as a fraction of its warm capacity
 
-	// The channel's capacity grows with the fleet, from that of a small one on.
+	// The channel's capacity is proportional to the number of proxies, with a minimum for small fleets.
 	minChannelCommands      = 8600
 	channelCommandsPerProxy = 8
 )
 
-// ClassFractions are the parts of the requests that the classes of TrafficClasses make up, by ClassID.
+// ClassFractions holds each traffic class's fraction of the requests, by ClassID.
 var ClassFractions = [...]float64{0.8, 0.2}
 
-// TrafficClasses are the classes of a fleet: most requests are idempotent, and some are urgent and not idempotent.
+// TrafficClasses returns the traffic classes of a fleet: a large class of idempotent requests, and a small class of urgent
+// requests that are not idempotent.
 func TrafficClasses() []balancer.TrafficClass {
 	return []balancer.TrafficClass{
 		{LatencyObjective: 2 * time.Second, Deadline: 6 * time.Second, PriorityWeight: 1, Idempotency: balancer.Idempotent},
@@ -51,7 +52,7 @@
 	}
 }
 
-// Settings are those of a manager of this scenario.
+// Settings returns the settings of the scenario's manager.
 func (s Scenario) Settings() balancer.Settings {
 	channelCommands := max(minChannelCommands, channelCommandsPerProxy*float64(s.Proxies))
 	settings := balancer.Settings{
@@ -80,5 +81,5 @@
 	return settings
 }
 
-// ZoneID is the identifier of a zone, by number.
+// ZoneID returns the identifier of the zone with the given index.
 func ZoneID(zone int) balancer.ZoneID { return balancer.ZoneID(fmt.Sprint("z", zone)) }
--- a/internal/fleetmodel/second.go
+++ b/internal/fleetmodel/second.go
@@ -6,8 +6,9 @@
 	"tamarindshore/balancer"
 )
 
-// PlaySecond plays second n of a run of so many seconds: what happens to the fleet, then the reports of each zone on
-// each server and of each proxy, spread over the second.
+// PlaySecond plays second n of a run with the given total number of seconds. First, servers restart or become slow. Then
+// each zone reports on each server and each proxy reports its usage, spread evenly over the second. Finally, proxies
+// disconnect or reconnect.
 func (f *Fleet) PlaySecond(n, seconds int) {
 	requestRate := f.Scenario.RequestRate
 	if f.Scenario.SurgeFactor > 0 && n > seconds/3 {
@@ -31,16 +32,16 @@
 	f.playUntil(start + time.Second)
 }
 
-// slowDownServers makes the scenario's part of the servers slow.
+// slowDownServers makes the scenario's fraction of the servers slow.
 func (f *Fleet) slowDownServers() {
-	const stride = 7 // spreads them over the zones
+	const stride = 7 // spreads the slow servers over the zones
 	for i := range int(f.Scenario.SlowFraction * float64(f.Scenario.Servers)) {
 		f.servers[i*stride%f.Scenario.Servers].slow = true
 	}
 }
 
-// rollingRestart drains one server after another from the third second on; a drained one goes, and comes back as a
-// fresh process.
+// rollingRestart moves some servers to their next state in each second after second 2: ready servers drain, drained ones
+// are removed, and removed ones restart as new processes.
 func (f *Fleet) rollingRestart(n int) {
 	limit := int(f.Scenario.DrainFraction * float64(f.Scenario.Servers))
 	if limit == 0 || n <= 2 {
@@ -57,7 +58,7 @@
 	}
 }
 
-// nextState follows a server's life: ready, draining, removed, and ready again.
+// nextState returns the state that follows in a restart: ready, draining, removed, and ready again.
 func nextState(state balancer.ServerState) balancer.ServerState {
 	switch state {
 	case balancer.Ready:
@@ -68,7 +69,7 @@
 	return balancer.Ready
 }
 
-// churnProxies lets proxies leave, or connect again, by chance.
+// churnProxies disconnects or reconnects randomly chosen proxies.
 func (f *Fleet) churnProxies() {
 	if f.Scenario.ChurnInterval <= 0 {
 		return
--- a/internal/fleetmodel/traffic.go
+++ b/internal/fleetmodel/traffic.go
@@ -10,13 +10,13 @@
 const (
 	reportInterval = time.Second
 	serviceTime    = 120 * time.Millisecond // of a request at an idle server
-	slowFactor     = 5                      // of servers that run slower
+	slowFactor     = 5                      // factor by which a slow server is slower
 	maxLatency     = 3 * time.Second
-	minHeadroom    = 0.05 // of a server's capacity: latency stops growing there
+	minHeadroom    = 0.05 // fraction of free capacity below which latency does not grow further
 )
 
-// updateTraffic works out what each server gets from each zone, by the proxies' tables, where each proxy gets so many
-// requests a second.
+// updateTraffic computes the rate of requests from each zone to each server from the proxies' tables. requestRate is the
+// rate of requests at each proxy.
 func (f *Fleet) updateTraffic(requestRate float64) {
 	for _, s := range f.servers {
 		clear(s.rateByZone)
@@ -28,7 +28,7 @@
 	}
 }
 
-// sendRequests spreads a proxy's requests over the servers of its table.
+// sendRequests distributes a proxy's requests over the servers of its table by weight.
 func (f *Fleet) sendRequests(p *proxy, requestRate float64) {
 	table := f.weights[p.table]
 	servers := sortedServers(table)
@@ -54,8 +54,8 @@
 	f.Tally.Shed += requestRate * (1 - admitted)
 }
 
-// admittedFraction is the part of the requests that a table's admission limit lets through. Limits that are rates are
-// not applied.
+// admittedFraction returns the fraction of requests that a table's admission limit admits. Limits that are rates are not
+// applied.
 func (f *Fleet) admittedFraction(table balancer.TableID) float64 {
 	limit := f.admission[table][firstClassMask]
 	if limit > 0 && !f.Scenario.AdmitByRate {
@@ -64,6 +64,7 @@
 	return 1
 }
 
+// sortedServers returns the servers of a table in order of their identifiers, so that sums of floats are deterministic.
 func sortedServers(weights map[balancer.ServerID]float64) []balancer.ServerID {
 	servers := make([]balancer.ServerID, 0, len(weights))
 	for id := range weights {
@@ -73,7 +74,7 @@
 	return servers
 }
 
-// serverResponse is what a server does with its requests: how long its answers take, and the part that fails.
+// serverResponse returns a server's latency, and the fraction of its requests that fail.
 func (f *Fleet) serverResponse(s *server) (latency time.Duration, failedFraction float64) {
 	if s.state == balancer.Removed {
 		return 0, 1
@@ -91,7 +92,7 @@
 	return latency, max(0, 1-1/max(utilization, 1e-9))
 }
 
-// capacity is how many requests a second a server serves; it grows from cold to warm.
+// capacity returns how many requests per second a server can serve. It grows linearly while the server warms up.
 func (f *Fleet) capacity(s *server) float64 {
 	capacity := f.Scenario.ServerCapacity
 	if sinceStart := f.now - s.startedAt; sinceStart < warmUpDuration {
@@ -111,13 +112,13 @@
 	slot  int
 }
 
-// next plays until the next report is due. A report that is not sent takes its time as well.
+// next plays until the next report is due. A report that is not sent still uses its slot.
 func (r *reportSchedule) next() {
 	r.slot++
 	r.fleet.playUntil(r.start + time.Duration(r.slot)*r.step)
 }
 
-// reportLoad sends the load reports on a server, one from each zone with traffic to it.
+// reportLoad sends the load reports about a server, one from each zone that sends requests to it.
 func (f *Fleet) reportLoad(s *server, spread *reportSchedule) {
 	latency, failedFraction := f.serverResponse(s)
 	for zone, rate := range s.rateByZone {
@@ -131,7 +132,7 @@
 	}
 }
 
-// loadReport draws what the proxies of a zone met at a server within a second.
+// loadReport draws the results of one second of requests from a zone to a server.
 func (f *Fleet) loadReport(s *server, zone int, rate float64, latency time.Duration, failedFraction float64) balancer.LoadReport {
 	attempts := f.drawCount(rate)
 	failed := f.drawCount(float64(attempts) * failedFraction)
@@ -150,7 +151,7 @@
 	return report
 }
 
-// reportUsage sends a proxy's usage reports, one for each traffic class, unless the proxy is away.
+// reportUsage sends a proxy's usage reports, one for each traffic class, unless the proxy is disconnected.
 func (f *Fleet) reportUsage(index int, requestRate float64, spread *reportSchedule) {
 	for class, fraction := range ClassFractions {
 		spread.next()
@@ -169,5 +170,5 @@
 	}
 }
 
-// drawCount draws a whole number with a mean.
+// drawCount draws one of the two integers around the mean, with that mean on average.
 func (f *Fleet) drawCount(mean float64) int { return int(mean + f.rng.Float64()) }
