--- a/internal/scale/arrivals.go
+++ b/internal/scale/arrivals.go
@@ -17,8 +17,8 @@
 	controlMachineCores = 16 // cores that write complete lists, as in deploy/capacity.sexp
 )
 
-// controlSide models the control plane of a fleet: its control machines and the time that they take to write messages.
-type controlSide struct {
+// controlPlane models the control plane of a fleet: its control machines and the time that they take to write messages.
+type controlPlane struct {
 	changeWriteTime time.Duration // processor time to write one change to one reader
 	listWriteTime   time.Duration // processor time to write a complete list to one reader
 	local           bool          // the managers run on the same machine, so messages have no network delay
@@ -32,7 +32,7 @@
 }
 
 // transit returns a random network delay for one message.
-func (c controlSide) transit() time.Duration {
+func (c controlPlane) transit() time.Duration {
 	if c.local {
 		return 0
 	}
@@ -40,10 +40,10 @@
 }
 
 // listWriteInterval returns the time between two complete lists written by one machine.
-func (c controlSide) listWriteInterval() time.Duration { return c.listWriteTime / controlMachineCores }
+func (c controlPlane) listWriteInterval() time.Duration { return c.listWriteTime / controlMachineCores }
 
 // quietArrivals returns the arrivals of a change that one machine writes to all managers.
-func (c controlSide) quietArrivals(managers int) []arrival {
+func (c controlPlane) quietArrivals(managers int) []arrival {
 	arrivals := make([]arrival, managers)
 	for rank, manager := range c.rng.Perm(managers) {
 		arrivals[manager].change = time.Duration(rank+1)*c.changeWriteTime + c.transit()
@@ -53,7 +53,7 @@
 
 // arrivalsDuringOpenings returns the arrivals of a change that is made just after all managers have requested the
 // complete list. The machines write all lists before the change, which is the worst order for the change.
-func (c controlSide) arrivalsDuringOpenings(managers int) []arrival {
+func (c controlPlane) arrivalsDuringOpenings(managers int) []arrival {
 	arrivals := make([]arrival, managers)
 	managersPerMachine := (managers + controlMachines - 1) / controlMachines
 	allListsWritten := time.Duration(managersPerMachine) * c.listWriteInterval()
@@ -78,7 +78,7 @@
 // arrivalsDuringControlLoss returns the arrivals of a change that is made just as lostControlMachines machines are lost.
 // Their managers reconnect to the remaining machines, which don't know the version that each manager has and therefore
 // write the complete list.
-func (c controlSide) arrivalsDuringControlLoss(managers int, settings reconnectSettings) []arrival {
+func (c controlPlane) arrivalsDuringControlLoss(managers int, settings reconnectSettings) []arrival {
 	arrivals := make([]arrival, managers)
 	remaining := controlMachines - lostControlMachines
 	var requests []listRequest
@@ -99,7 +99,7 @@
 }
 
 // backoff returns a random backoff before a manager reconnects.
-func (c controlSide) backoff(settings reconnectSettings) time.Duration {
+func (c controlPlane) backoff(settings reconnectSettings) time.Duration {
 	return settings.minBackoff + time.Duration(c.rng.Float64()*float64(settings.maxBackoff-settings.minBackoff))
 }
 
@@ -111,7 +111,7 @@
 }
 
 // writeLists sets the list arrivals: each machine writes the lists requested from it in the order of the requests.
-func (c controlSide) writeLists(requests []listRequest, machines int, arrivals []arrival) {
+func (c controlPlane) writeLists(requests []listRequest, machines int, arrivals []arrival) {
 	slices.SortFunc(requests, func(a, b listRequest) int { return cmp.Compare(a.at, b.at) })
 	freeAt := make([]time.Duration, machines)
 	for _, request := range requests {
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -12,9 +12,9 @@
 // shapes lists the shapes to try, from the simplest to the most complex.
 var shapes = []Shape{Constant, Linear, Linearithmic, Quadratic}
 
-// fitted returns the slope with the best curve for its points. It uses the simplest shape that is within MaxFitError of the
+// fitSlope returns the slope with the best curve for its points. It uses the simplest shape that is within MaxFitError of the
 // median of every point, or else the shape with the smallest worst error.
-func fitted(s Slope) Slope {
+func fitSlope(s Slope) Slope {
 	best := Slope{WorstError: math.Inf(1)}
 	for _, shape := range shapes {
 		curve := fitShape(s, shape)
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -27,7 +27,7 @@
 		{Shape: Quadratic, Base: 1, PerUnit: 0.001},
 	} {
 		for _, noise := range []float64{0, 0.05} {
-			got := fitted(Slope{Points: pointsOf(want.At, noise)})
+			got := fitSlope(Slope{Points: pointsOf(want.At, noise)})
 			if got.Shape != want.Shape || !got.Fits {
 				t.Errorf("%s with noise %g: got %s, fits %v, worst error %g", want.Shape, noise, got.Shape, got.Fits, got.WorstError)
 			}
@@ -58,20 +58,20 @@
 		}
 		return 100
 	}
-	if got := fitted(Slope{Points: pointsOf(step, 0)}); got.Fits || got.WorstError <= MaxFitError {
+	if got := fitSlope(Slope{Points: pointsOf(step, 0)}); got.Fits || got.WorstError <= MaxFitError {
 		t.Errorf("step function: got %+v, want no fitting shape", got)
 	}
 }
 
 func TestFallingCostIsNeverPredictedNegative(t *testing.T) {
-	got := fitted(Slope{Points: pointsOf(func(size float64) float64 { return 100 / size }, 0)})
+	got := fitSlope(Slope{Points: pointsOf(func(size float64) float64 { return 100 / size }, 0)})
 	if got.PerUnit < 0 || got.At(1e6) < 0 {
 		t.Errorf("falling cost: got %+v, want no negative slope or cost", got)
 	}
 }
 
 func TestCostOfZeroIsConstant(t *testing.T) {
-	got := fitted(Slope{Points: pointsOf(func(float64) float64 { return 0 }, 0)})
+	got := fitSlope(Slope{Points: pointsOf(func(float64) float64 { return 0 }, 0)})
 	if got.Shape != Constant || got.Base != 0 || !got.Fits || got.Spread != 0 {
 		t.Errorf("cost of zero: got %+v, want a constant 0", got)
 	}
--- a/internal/scale/limits.go
+++ b/internal/scale/limits.go
@@ -101,7 +101,7 @@
 
 // estimate returns an upper bound of the bytes in use while a scenario is measured.
 func (s Scenario) estimate() float64 {
-	spans := (warmSpan + busySpan).Seconds()
+	spans := (warmupSpan + busySpan).Seconds()
 	// each change is acknowledged by the proxies whose tables it changes
 	changes := spans * s.ListChanges * (bytesOfChange + float64(s.Proxies)*bytesOfAck)
 	return bytesOfScenario + float64(s.Servers)*bytesOfServer + float64(s.Proxies)*bytesOfProxy + spans*s.Reports*bytesOfReport + changes
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -103,7 +103,7 @@
 func measureProcess(
 	ctx context.Context, options Options, scenario Scenario, readInterval time.Duration, logFile string,
 ) ([]ProcessCase, error) {
-	managerOptions := fakes.ManagerOptions{Cores: processCores, MemoryMB: processMemoryMB, MaxDescriptors: maxSockets, Seed: scenario.Seed}
+	managerOptions := fakes.ManagerOptions{Cores: processCores, MemoryMB: processMemoryMB, MaxDescriptors: maxDescriptors, Seed: scenario.Seed}
 	if readInterval > 0 {
 		managerOptions.OperatorSettings = fmt.Sprintf("(read-interval %v)", readInterval)
 	}
--- a/internal/scale/process_fleet.go
+++ b/internal/scale/process_fleet.go
@@ -53,7 +53,7 @@
 	managers    []*managerProcess
 	starts      uint64 // how often the whole fleet was started
 	drained     int    // number of servers drained so far
-	withdrawals withdrawals
+	withdrawals withdrawalRecorder
 }
 
 // managerProcess is one manager process with its relay and the connection of its collector.
@@ -364,12 +364,12 @@
 		return err
 	}
 	defer fleet.close()
-	control := controlSide{changeWriteTime: changeWriteTime, local: true, rng: rand.New(rand.NewPCG(options.Seed, uint64(run)))}
+	control := controlPlane{changeWriteTime: changeWriteTime, local: true, rng: rand.New(rand.NewPCG(options.Seed, uint64(run)))}
 	r := &propagationRun{fleet: fleet, control: control, version: firstVersion}
-	if _, err := r.duringOpenings(ctx, options.Memory, managers); err != nil {
+	if _, err := r.drainDuringOpenings(ctx, options.Memory, managers); err != nil {
 		return err
 	}
-	times, err := r.drain(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
+	times, err := r.drainRunningFleet(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
 	if err != nil {
 		return err
 	}
--- a/internal/scale/propagation.go
+++ b/internal/scale/propagation.go
@@ -55,7 +55,7 @@
 // propagationRun is the state of one run: a fleet of hollow managers and the changes delivered to it.
 type propagationRun struct {
 	fleet        *hollowFleet
-	control      controlSide
+	control      controlPlane
 	listReadTime time.Duration
 	version      int   // of the endpoint list, after the changes so far
 	drained      []int // numbers of the drained servers, in the order in which they drained
@@ -89,7 +89,7 @@
 	defer fleet.close()
 	r := &propagationRun{
 		fleet: fleet,
-		control: controlSide{
+		control: controlPlane{
 			changeWriteTime: inputs.changeWriteTime,
 			listWriteTime:   inputs.listWriteTime,
 			rng:             rand.New(rand.NewPCG(options.Seed, run)),
@@ -98,17 +98,17 @@
 		version:      firstVersion,
 	}
 	measured := sample{}
-	opening, err := r.duringOpenings(ctx, options.Memory, managers)
+	opening, err := r.drainDuringOpenings(ctx, options.Memory, managers)
 	if err != nil {
 		return nil, err
 	}
 	measured.addTimes(opening, PropagationDuringOpeningsMedian, PropagationDuringOpeningsTail, PropagationDuringOpeningsLast)
-	quiet, err := r.drain(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
+	quiet, err := r.drainRunningFleet(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
 	if err != nil {
 		return nil, err
 	}
 	measured.addTimes(quiet, PropagationMedian, PropagationTail, PropagationLast)
-	lost, err := r.drain(ctx, 4*propagationInterval, r.control.arrivalsDuringControlLoss(managers, fleet.reconnectSettings()))
+	lost, err := r.drainRunningFleet(ctx, 4*propagationInterval, r.control.arrivalsDuringControlLoss(managers, fleet.reconnectSettings()))
 	if err != nil {
 		return nil, err
 	}
@@ -123,9 +123,9 @@
 	return reconnectSettings{watchTimeout: limits.EndpointWatchIdleTimeout, minBackoff: limits.MinBackoff, maxBackoff: limits.MaxBackoff}
 }
 
-// duringOpenings starts all managers at once and delivers a change while they open. It returns the seconds until each
+// drainDuringOpenings starts all managers at once and delivers a change while they open. It returns the seconds until each
 // manager has withdrawn the server, sorted.
-func (r *propagationRun) duringOpenings(ctx context.Context, memory Memory, managers int) ([]float64, error) {
+func (r *propagationRun) drainDuringOpenings(ctx context.Context, memory Memory, managers int) ([]float64, error) {
 	emptyHeap := heapInUse()
 	arrivals := r.control.arrivalsDuringOpenings(managers)
 	change := r.nextChange()
@@ -162,8 +162,8 @@
 	return manager.withdrawalTime(arrival.change, change.message, change.server)
 }
 
-// drain delivers a change to running managers. It returns the seconds until each has withdrawn the server, sorted.
-func (r *propagationRun) drain(ctx context.Context, at time.Duration, arrivals []arrival) ([]float64, error) {
+// drainRunningFleet delivers a change to running managers. It returns the seconds until each has withdrawn the server, sorted.
+func (r *propagationRun) drainRunningFleet(ctx context.Context, at time.Duration, arrivals []arrival) ([]float64, error) {
 	if err := r.fleet.advanceAll(ctx, at); err != nil {
 		return nil, err
 	}
--- a/internal/scale/propagation_test.go
+++ b/internal/scale/propagation_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-func testControl() controlSide {
-	return controlSide{changeWriteTime: time.Millisecond, listWriteTime: 160 * time.Millisecond, rng: rand.New(rand.NewPCG(1, 2))}
+func testControl() controlPlane {
+	return controlPlane{changeWriteTime: time.Millisecond, listWriteTime: 160 * time.Millisecond, rng: rand.New(rand.NewPCG(1, 2))}
 }
 
 func TestChangeReachesEachManager(t *testing.T) {
@@ -25,7 +25,7 @@
 	defer f.close()
 	ctx := context.Background()
 	r := &propagationRun{fleet: f, control: testControl(), listReadTime: time.Millisecond, version: firstVersion}
-	opening, err := r.duringOpenings(ctx, Memory{2 << 30}, managers)
+	opening, err := r.drainDuringOpenings(ctx, Memory{2 << 30}, managers)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,13 +33,13 @@
 	// longer on its share of a core.
 	least := 20*time.Millisecond + time.Millisecond + minTransit
 	checkTimes(t, "during openings", opening, managers, least)
-	quiet, err := r.drain(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
+	quiet, err := r.drainRunningFleet(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkTimes(t, "quiet", quiet, managers, time.Millisecond+minTransit)
 	reconnect := reconnectSettings{watchTimeout: 2 * time.Second, minBackoff: 50 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
-	lost, err := r.drain(ctx, 4*propagationInterval, r.control.arrivalsDuringControlLoss(managers, reconnect))
+	lost, err := r.drainRunningFleet(ctx, 4*propagationInterval, r.control.arrivalsDuringControlLoss(managers, reconnect))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 		}
 		defer f.close()
 		r := &propagationRun{fleet: f, control: testControl(), listReadTime: listReadTime, version: firstVersion}
-		times, err := r.duringOpenings(context.Background(), Memory{2 << 30}, managers)
+		times, err := r.drainDuringOpenings(context.Background(), Memory{2 << 30}, managers)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -60,11 +60,11 @@
 	actions := []phaseAction{{PhaseList, r.playList}, {PhaseJoin, r.playJoin}}
 	if quiet {
 		actions = append(actions,
-			phaseAction{PhaseWarm, r.stopTraffic},
+			phaseAction{PhaseWarmup, r.stopTraffic},
 			phaseAction{PhaseQuiet, func() error { return r.advance(r.now + quietSpan) }})
 	} else {
 		actions = append(actions,
-			phaseAction{PhaseWarm, func() error { return r.playBusy(warmSpan) }},
+			phaseAction{PhaseWarmup, func() error { return r.playBusy(warmupSpan) }},
 			phaseAction{PhaseBusy, func() error { return r.playBusy(busySpan) }},
 			phaseAction{PhaseChanges, r.playListChanges},
 			phaseAction{PhaseInputs, r.playInputs})
@@ -128,7 +128,7 @@
 
 // schedule queues answers for delivery at a time, in batches of at most as many as the router takes together.
 func (r *recorder) schedule(at time.Duration, messages []node.Message) {
-	for batch := range slices.Chunk(messages, eventBatch) {
+	for batch := range slices.Chunk(messages, eventBatchSize) {
 		place := len(r.pending)
 		for place > 0 && r.pending[place-1].at > at {
 			place--
@@ -175,7 +175,7 @@
 	messages := []node.Message{{Kind: node.ProxyEventsOpened}}
 	for proxy := range r.scenario.Proxies {
 		messages = append(messages, r.proxyConnected(proxy))
-		if len(messages) == eventBatch {
+		if len(messages) == eventBatchSize {
 			if err := r.step(r.now+time.Millisecond, messages...); err != nil {
 				return err
 			}
@@ -224,7 +224,7 @@
 	if err := r.step(r.now+time.Millisecond, noRequests); err != nil {
 		return err
 	}
-	return r.advance(r.now + warmSpan)
+	return r.advance(r.now + warmupSpan)
 }
 
 // playInputs delivers measuredInputs reports right after one of the manager's timers.
@@ -232,9 +232,9 @@
 	if err := r.advance(max(r.manager.NextWake(), r.now) + ackDelay + time.Millisecond); err != nil {
 		return err
 	}
-	for range measuredInputs / eventBatch {
+	for range measuredInputs / eventBatchSize {
 		var messages []node.Message
-		for range eventBatch {
+		for range eventBatchSize {
 			messages = append(messages, r.nextReport())
 		}
 		if err := r.step(r.now+time.Microsecond, messages...); err != nil {
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -13,7 +13,7 @@
 
 func validReport() Report {
 	return Report{Version: ReportVersion, Seed: 7, Cores: 8, GoVersion: "go", Reference: map[Axis]float64{Servers: 600},
-		Slopes: []Slope{fitted(Slope{Cost: HeapBytes, Axis: Servers, Unit: unitBytes, Hollow: true,
+		Slopes: []Slope{fitSlope(Slope{Cost: HeapBytes, Axis: Servers, Unit: unitBytes, Hollow: true,
 			Points: []Point{{1, []float64{10, 11}}, {100, []float64{1000, 1100}}}})}}
 }
 
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -125,7 +125,7 @@
 	}
 	var slopes []Slope
 	for _, cost := range s.costs {
-		slopes = append(slopes, fitted(Slope{Cost: cost, Axis: s.axis, Unit: unitOf(cost), Hollow: !s.realProcesses, Points: points[cost]}))
+		slopes = append(slopes, fitSlope(Slope{Cost: cost, Axis: s.axis, Unit: unitOf(cost), Hollow: !s.realProcesses, Points: points[cost]}))
 	}
 	return slopes, nil
 }
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -135,7 +135,7 @@
 	}
 	defer f.close()
 	r := &propagationRun{fleet: f, control: testControl(), version: firstVersion}
-	_, err = r.duringOpenings(context.Background(), o.Memory, 1000)
+	_, err = r.drainDuringOpenings(context.Background(), o.Memory, 1000)
 	var limit *LimitError
 	if !errors.As(err, &limit) || len(f.managers) > managersBeforeMemoryCheck {
 		t.Errorf("got error %v after %d managers, want a LimitError after at most %d", err, len(f.managers), managersBeforeMemoryCheck)
@@ -144,7 +144,7 @@
 
 func TestConnectionsAboveTheLimitAreRefused(t *testing.T) {
 	session := &session{options: testOptions()}
-	if err := session.readersFit(MaxReaders+1, survey{axis: Managers}); err == nil || !strings.Contains(err.Error(), "1200 fit") {
+	if err := session.checkReaders(MaxReaders+1, survey{axis: Managers}); err == nil || !strings.Contains(err.Error(), "1200 fit") {
 		t.Errorf("got error %v, want one with \"1200 fit\"", err)
 	}
 }
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -42,7 +42,7 @@
 const (
 	requestsPerReport = 3    // few enough that no server counts as unresponsive between two reports on it
 	memoryMB          = 4096 // limit in the configuration: far above a manager's needs, so that it has no effect
-	maxSockets        = 4096 // limit on descriptors in the configuration
+	maxDescriptors    = 4096 // limit on descriptors in the configuration
 	firstVersion      = 41   // of the endpoint list
 )
 
@@ -155,7 +155,7 @@
 		DiscoveryAddress: "127.0.0.1:2",
 		RelayAddress:     "127.0.0.1:3",
 		Endpoints:        noEndpoints,
-		Options:          fakes.ManagerOptions{Cores: 1, MemoryMB: memoryMB, MaxDescriptors: maxSockets, Seed: s.Seed},
+		Options:          fakes.ManagerOptions{Cores: 1, MemoryMB: memoryMB, MaxDescriptors: maxDescriptors, Seed: s.Seed},
 	})
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		return config.Config{}, err
--- a/internal/scale/script.go
+++ b/internal/scale/script.go
@@ -14,7 +14,7 @@
 const (
 	PhaseList    Phase = "list"    // the manager reads the complete endpoint list
 	PhaseJoin    Phase = "join"    // proxies connect and are assigned tables
-	PhaseWarm    Phase = "warm"    // reports and list changes arrive; not measured
+	PhaseWarmup  Phase = "warm"    // reports and list changes arrive; not measured
 	PhaseBusy    Phase = "busy"    // reports and list changes arrive
 	PhaseChanges Phase = "changes" // only changes of the endpoint list arrive
 	PhaseInputs  Phase = "inputs"  // only reports arrive, between two of the manager's timers
@@ -23,16 +23,16 @@
 
 // Durations of the phases, by the script's clock.
 const (
-	joinSpan  = 4 * time.Second
-	warmSpan  = 8 * time.Second
-	busySpan  = 4 * time.Second
-	quietSpan = 4 * time.Second
+	joinSpan   = 4 * time.Second
+	warmupSpan = 8 * time.Second
+	busySpan   = 4 * time.Second
+	quietSpan  = 4 * time.Second
 )
 
 // Sizes of the phases.
 const (
-	eventBatch      = 512 // events that the router processes in one batch
-	measuredInputs  = 20 * eventBatch
+	eventBatchSize  = 512 // events that the router processes in one batch
+	measuredInputs  = 20 * eventBatchSize
 	measuredChanges = 16
 )
 
--- a/internal/scale/scripts_test.go
+++ b/internal/scale/scripts_test.go
@@ -76,8 +76,8 @@
 }
 
 func writeArrivals(out *strings.Builder) {
-	control := func() controlSide {
-		return controlSide{changeWriteTime: 30 * time.Microsecond, listWriteTime: 9 * time.Millisecond, rng: rand.New(rand.NewPCG(5, 6))}
+	control := func() controlPlane {
+		return controlPlane{changeWriteTime: 30 * time.Microsecond, listWriteTime: 9 * time.Millisecond, rng: rand.New(rand.NewPCG(5, 6))}
 	}
 	const managers = 9
 	settings := reconnectSettings{watchTimeout: 3 * time.Second, minBackoff: 50 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
--- a/internal/scale/session.go
+++ b/internal/scale/session.go
@@ -27,13 +27,13 @@
 	return measure(ctx, r.reference.With(s.axis, size), r.options.Runs)
 }
 
-// scenarioFits returns an error if the scenario of a hollow manager at a size doesn't fit into memory.
-func (r *session) scenarioFits(size float64, s survey) error {
+// checkScenario returns an error if the scenario of a hollow manager at a size doesn't fit into memory.
+func (r *session) checkScenario(size float64, s survey) error {
 	return r.options.Memory.checkScenarioFits(s.axis, size, r.reference.With(s.axis, size))
 }
 
-// controlByManagers measures the control plane with the given number of managers as readers.
-func (r *session) controlByManagers(ctx context.Context, size float64, _ survey) ([]sample, error) {
+// measureControlByManagers measures the control plane with the given number of managers as readers.
+func (r *session) measureControlByManagers(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	samples, err := r.measureControl(ctx, controlServers, int(size), controlQuietSpan)
 	if err != nil {
 		return nil, err
@@ -42,18 +42,18 @@
 	return samples, nil
 }
 
-// readersFit returns an error if the number of readers exceeds MaxReaders.
-func (r *session) readersFit(size float64, s survey) error {
+// checkReaders returns an error if the number of readers exceeds MaxReaders.
+func (r *session) checkReaders(size float64, s survey) error {
 	return checkConnections(s, size, MaxReaders)
 }
 
-// controlByList measures the control plane with a list of the given number of servers.
-func (r *session) controlByList(ctx context.Context, size float64, _ survey) ([]sample, error) {
+// measureControlByListSize measures the control plane with a list of the given number of servers.
+func (r *session) measureControlByListSize(ctx context.Context, size float64, _ survey) ([]sample, error) {
 	return r.measureControl(ctx, int(size), controlReaders, 0)
 }
 
-// anyFits is the check of a survey that has no limit: it accepts every size.
-func (r *session) anyFits(float64, survey) error { return nil }
+// acceptAnySize is the check of a survey that has no limit: it accepts every size.
+func (r *session) acceptAnySize(float64, survey) error { return nil }
 
 // measureControl measures the control plane in all runs.
 func (r *session) measureControl(ctx context.Context, servers, readers int, quietSpan time.Duration) ([]sample, error) {
@@ -90,8 +90,8 @@
 	return measurePropagation(ctx, r.options, inputs, int(size))
 }
 
-// managersFit returns an error if the given number of hollow managers doesn't fit into memory.
-func (r *session) managersFit(size float64, s survey) error {
+// checkManagers returns an error if the given number of hollow managers doesn't fit into memory.
+func (r *session) checkManagers(size float64, s survey) error {
 	return r.options.Memory.checkFits(fmt.Sprintf("%s %g", s.axis, size), bytesOfHollow, int(size))
 }
 
@@ -136,8 +136,8 @@
 	return measureProcessFleet(ctx, r.options, max(r.changeWriteTime, minChangeWriteTime), int(size))
 }
 
-// processesFit returns an error if the given number of real processes exceeds the limits.
-func (r *session) processesFit(size float64, _ survey) error {
+// checkProcesses returns an error if the given number of real processes exceeds the limits.
+func (r *session) checkProcesses(size float64, _ survey) error {
 	return checkProcessCount(r.options.Memory, int(size))
 }
 
@@ -146,8 +146,8 @@
 	return measureConnections(ctx, r.options, int(size))
 }
 
-// connectionsFit returns an error if the number of connections exceeds maxConnections.
-func (r *session) connectionsFit(size float64, s survey) error {
+// checkConnectionCount returns an error if the number of connections exceeds maxConnections.
+func (r *session) checkConnectionCount(size float64, s survey) error {
 	return checkConnections(s, size, maxConnections)
 }
 
--- a/internal/scale/surveys.go
+++ b/internal/scale/surveys.go
@@ -50,32 +50,32 @@
 	{
 		axis: Managers, sizes: []float64{4, 20, 100, 400, 1200}, smallSizes: []float64{4, 10, 20, 40},
 		costs: controlCosts, realProcesses: true,
-		measure: (*session).controlByManagers, check: (*session).readersFit,
+		measure: (*session).measureControlByManagers, check: (*session).checkReaders,
 	},
 	{
 		axis: OpeningListSize, sizes: []float64{60, 600, 6000, 24000}, smallSizes: []float64{60, 240, 600, 2400},
 		costs: openingCosts, realProcesses: true,
-		measure: (*session).controlByList, check: (*session).anyFits,
+		measure: (*session).measureControlByListSize, check: (*session).acceptAnySize,
 	},
 	{
 		axis: OpeningListSize, sizes: []float64{600, 2400, 6000, 24000}, smallSizes: []float64{60, 240, 600, 2400},
 		costs:   []Cost{CPUPerSubsetRead},
-		measure: (*session).measureSubsetRead, check: (*session).scenarioFits,
+		measure: (*session).measureSubsetRead, check: (*session).checkScenario,
 	},
 	{
 		axis: Managers, sizes: []float64{56, 560, 2800, 5600}, smallSizes: []float64{14, 28, 56, 140},
 		costs:   propagationCosts,
-		measure: (*session).measurePropagation, check: (*session).managersFit,
+		measure: (*session).measurePropagation, check: (*session).checkManagers,
 	},
 	{
 		axis: Processes, sizes: []float64{10, 30, 100, 200}, smallSizes: []float64{2, 4, 6, 8},
 		costs: processCosts, realProcesses: true,
-		measure: (*session).measureProcessFleet, check: (*session).processesFit,
+		measure: (*session).measureProcessFleet, check: (*session).checkProcesses,
 	},
 	{
 		axis: Connections, sizes: []float64{30, 60, 120, 240}, smallSizes: []float64{30, 60, 120, 240},
 		costs: []Cost{ConnectionsMemory}, realProcesses: true,
-		measure: (*session).measureConnections, check: (*session).connectionsFit,
+		measure: (*session).measureConnections, check: (*session).checkConnectionCount,
 	},
 }
 
@@ -83,7 +83,7 @@
 func managerSurvey(axis Axis, sizes, smallSizes []float64, costs []Cost) survey {
 	return survey{
 		axis: axis, sizes: sizes, smallSizes: smallSizes, costs: costs,
-		measure: (*session).measureManager, check: (*session).scenarioFits,
+		measure: (*session).measureManager, check: (*session).checkScenario,
 	}
 }
 
--- a/internal/scale/withdrawals.go
+++ b/internal/scale/withdrawals.go
@@ -11,8 +11,8 @@
 // withdrawCommand is the name of the command that withdraws a server, as the relay reports it.
 const withdrawCommand = "withdraw"
 
-// withdrawals records when each manager withdraws an expected server. It is safe for concurrent use.
-type withdrawals struct {
+// withdrawalRecorder records when each manager withdraws an expected server. It is safe for concurrent use.
+type withdrawalRecorder struct {
 	mu          sync.Mutex
 	server      balancer.ServerID    // expected to be withdrawn
 	managers    int                  // number of managers expected to withdraw it
@@ -22,7 +22,7 @@
 
 // expect discards earlier records and starts to record the withdrawals of a server by a number of managers. It returns
 // a channel that is closed once all of them have withdrawn it.
-func (w *withdrawals) expect(server balancer.ServerID, managers int) <-chan struct{} {
+func (w *withdrawalRecorder) expect(server balancer.ServerID, managers int) <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.server = server
@@ -33,7 +33,7 @@
 }
 
 // onCommand records a command that the relay received from a manager. Only the first withdrawal by each manager counts.
-func (w *withdrawals) onCommand(manager string, at time.Time, kind, server string) {
+func (w *withdrawalRecorder) onCommand(manager string, at time.Time, kind, server string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if kind != withdrawCommand || balancer.ServerID(server) != w.server || !w.withdrawnAt[manager].IsZero() {
@@ -46,7 +46,7 @@
 }
 
 // secondsSince returns the seconds from a start time until each manager withdrew the server, sorted.
-func (w *withdrawals) secondsSince(start time.Time) []float64 {
+func (w *withdrawalRecorder) secondsSince(start time.Time) []float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var times []float64
--- a/internal/scale/withdrawals_test.go
+++ b/internal/scale/withdrawals_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestWithdrawalsAreDoneOnceEachManagerWithdrew(t *testing.T) {
-	var w withdrawals
+	var w withdrawalRecorder
 	published := time.Unix(1000, 0)
 	done := w.expect("s-1", 2)
 	w.onCommand("n1", published.Add(time.Second), "withdraw", "s-1")
