--- a/ci_test.go
+++ b/ci_test.go
@@ -1,4 +1,5 @@
-// Package tamarindshore_test holds the tests of the repository as a whole: what CI decides, doc comments and pages.
+// Package tamarindshore_test holds the tests of the repository as a whole: the CI scripts, doc comments and documentation
+// pages.
 package tamarindshore_test
 
 import (
@@ -16,7 +17,8 @@
 	return test + " | go test -run " + test + " ., seed 3 | 2 of 9 | issue 7\n"
 }
 
-// knownRedCases are texts of KNOWN-RED.txt, with the pattern that .ci/known-red prints for them, or a part of the error.
+// knownRedCases are contents of KNOWN-RED.txt, each with the pattern that .ci/known-red must print or, for invalid
+// contents, a part of its error message.
 var knownRedCases = []struct {
 	name    string
 	text    string
@@ -25,7 +27,7 @@
 }{
 	{name: "empty", text: ""},
 	{name: "one", text: knownRedEntry("TestA"), pattern: "^(TestA)$"},
-	{name: "without a last line break", text: strings.TrimSpace(knownRedEntry("TestA")), pattern: "^(TestA)$"},
+	{name: "no trailing newline", text: strings.TrimSpace(knownRedEntry("TestA")), pattern: "^(TestA)$"},
 	{
 		name:    "three",
 		text:    knownRedEntry("TestA") + knownRedEntry("TestB") + knownRedEntry("TestC"),
@@ -34,31 +36,31 @@
 	{
 		name:  "four",
 		text:  knownRedEntry("TestA") + knownRedEntry("TestB") + knownRedEntry("TestC") + knownRedEntry("TestD"),
-		fault: "three at most",
+		fault: "4 entries; at most three are allowed",
 	},
-	{name: "no such test", text: knownRedEntry("TestE"), fault: "there is no test TestE"},
-	{name: "name alone", text: "TestA\n", fault: "is not"},
-	{name: "no issue", text: "TestA | go test, seed 3 | 2 of 9\n", fault: "is not"},
-	{name: "no command", text: "TestA | 2 of 9 | issue 7\n", fault: "is not"},
-	{name: "nothing seen", text: "TestA | go test, seed 3 | issue 7\n", fault: "is not"},
-	{name: "blank command", text: "TestA | | 2 of 9 | issue 7\n", fault: "is not"},
-	{name: "command of a space", text: "TestA |  | 2 of 9 | issue 7\n", fault: "is not"},
-	{name: "blank seen", text: "TestA | go test, seed 3 | | issue 7\n", fault: "is not"},
-	{name: "seen of a space", text: "TestA | go test, seed 3 |  | issue 7\n", fault: "is not"},
-	{name: "no word issue", text: "TestA | go test, seed 3 | 2 of 9 | 7\n", fault: "is not"},
-	{name: "no number of the issue", text: "TestA | go test | 2 of 9 | issue\n", fault: "is not"},
-	{name: "letter in the number", text: "TestA | go test | 2 of 9 | issue 7b\n", fault: "is not"},
-	{name: "fifth field", text: "TestA | go test | 2 of 9 | issue 7 | 8\n", fault: "is not"},
-	{name: "no spaces", text: "TestA|go test|2 of 9|issue 7\n", fault: "is not"},
-	{name: "blank name", text: " | go test | 2 of 9 | issue 7\n", fault: "is not"},
-	{name: "name of no test", text: "A | go test | 2 of 9 | issue 7\n", fault: "is not"},
-	{name: "pattern as a name", text: "Test.* | go test | all | issue 7", fault: "is not"},
-	{name: "blank line behind", text: knownRedEntry("TestA") + "\n", fault: "is not"},
-	{name: "blank line", text: "\n", fault: "is not"},
+	{name: "test does not exist", text: knownRedEntry("TestE"), fault: "there is no test TestE"},
+	{name: "only a name", text: "TestA\n", fault: "does not have the form"},
+	{name: "no issue", text: "TestA | go test, seed 3 | 2 of 9\n", fault: "does not have the form"},
+	{name: "no command", text: "TestA | 2 of 9 | issue 7\n", fault: "does not have the form"},
+	{name: "no result", text: "TestA | go test, seed 3 | issue 7\n", fault: "does not have the form"},
+	{name: "blank command", text: "TestA | | 2 of 9 | issue 7\n", fault: "does not have the form"},
+	{name: "command is a space", text: "TestA |  | 2 of 9 | issue 7\n", fault: "does not have the form"},
+	{name: "blank result", text: "TestA | go test, seed 3 | | issue 7\n", fault: "does not have the form"},
+	{name: "result is a space", text: "TestA | go test, seed 3 |  | issue 7\n", fault: "does not have the form"},
+	{name: "issue number without the word issue", text: "TestA | go test, seed 3 | 2 of 9 | 7\n", fault: "does not have the form"},
+	{name: "no issue number", text: "TestA | go test | 2 of 9 | issue\n", fault: "does not have the form"},
+	{name: "letter in the issue number", text: "TestA | go test | 2 of 9 | issue 7b\n", fault: "does not have the form"},
+	{name: "fifth field", text: "TestA | go test | 2 of 9 | issue 7 | 8\n", fault: "does not have the form"},
+	{name: "no spaces around the separators", text: "TestA|go test|2 of 9|issue 7\n", fault: "does not have the form"},
+	{name: "blank name", text: " | go test | 2 of 9 | issue 7\n", fault: "does not have the form"},
+	{name: "name without the prefix Test", text: "A | go test | 2 of 9 | issue 7\n", fault: "does not have the form"},
+	{name: "pattern instead of a name", text: "Test.* | go test | all | issue 7", fault: "does not have the form"},
+	{name: "blank line at the end", text: knownRedEntry("TestA") + "\n", fault: "does not have the form"},
+	{name: "only a blank line", text: "\n", fault: "does not have the form"},
 }
 
-// Guards against tests that are passed over without a command, what was seen, an issue or an end to their number, or
-// that do not exist.
+// CI must not skip a test without a complete entry in KNOWN-RED.txt: an existing test, a command, the observed result and
+// an issue. It must not skip more than three tests either.
 func TestKnownRed(t *testing.T) {
 	dir := t.TempDir()
 	tests := "package x\n"
@@ -69,12 +71,12 @@
 		t.Fatal(err)
 	}
 	file := filepath.Join(dir, "KNOWN-RED.txt")
-	for _, one := range knownRedCases {
-		t.Run(one.name, func(t *testing.T) {
-			if err := os.WriteFile(file, []byte(one.text), 0o600); err != nil {
+	for _, test := range knownRedCases {
+		t.Run(test.name, func(t *testing.T) {
+			if err := os.WriteFile(file, []byte(test.text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			checkKnownRed(t, file, one.pattern, one.fault)
+			checkKnownRed(t, file, test.pattern, test.fault)
 		})
 	}
 	t.Run("no file", func(t *testing.T) {
@@ -85,7 +87,8 @@
 	})
 }
 
-// checkKnownRed runs .ci/known-red on a file, in the file's directory. It must print the pattern, or fail over the fault.
+// checkKnownRed runs .ci/known-red on a file, in the file's directory. The script must print the pattern or, if fault is
+// not empty, fail with a message that contains it.
 func checkKnownRed(t *testing.T, file, pattern, fault string) {
 	t.Helper()
 	script, err := filepath.Abs(".ci/known-red")
@@ -98,8 +101,8 @@
 	got := strings.TrimSpace(string(output))
 	switch {
 	case fault == "" && (err != nil || got != pattern):
-		t.Errorf("printed %q, %v; want %q", got, err, pattern)
+		t.Errorf(".ci/known-red printed %q (error: %v), want %q and no error", got, err, pattern)
 	case fault != "" && (err == nil || !strings.Contains(got, fault)):
-		t.Errorf("printed %q, %v; want an error with %q", got, err, fault)
+		t.Errorf(".ci/known-red printed %q (error: %v), want an error that contains %q", got, err, fault)
 	}
 }
--- a/deploy/capacity.sexp
+++ b/deploy/capacity.sexp
@@ -1,9 +1,9 @@
-; The size that is planned for, its budgets, and what is assumed where neither says enough. `tamarindshore capacity`
-; works the tables of docs/CAPACITY.md out from this file and the slopes in docs/scale/slopes.json. Each key has to be
-; there; a value out of range ends the command with file, line and key.
+; The planned size of the fleet, its budgets, and assumptions about everything that these do not specify.
+; `tamarindshore capacity` calculates the tables of docs/CAPACITY.md from this file and the slopes in
+; docs/scale/slopes.json. Every key is required; an error about a value names the file, the line and the key.
 
 (capacity
-  (fleet                               ; given
+  (fleet                               ; from the requirements
     (managers 5600)
     (servers 24000)
     (services 420)
@@ -13,61 +13,61 @@
     (regions 27)
     (zones 88))
 
-  (budgets                             ; given; core, memory and bytes are one manager's
-    (request-tail 5.5ms)               ; added to a request, 99 in 100
-    (change-in-force 19s)              ; until a change is in force everywhere
+  (budgets                             ; from the requirements; core, memory and bytes are per manager
+    (request-tail 5.5ms)               ; 99th percentile of the latency added to a request
+    (change-in-force 19s)              ; until a change has taken effect on every manager
     (core 1.1%)
     (memory-mb 256)
     (bytes-per-second 8000))
 
-  (day                                 ; failures, restarts and changes are given, the rest is assumed
+  (day                                 ; failures, restarts and changes are from the requirements, the rest is assumed
     (failures 34)
-    (restarts 2500)                    ; restarted or replaced
-    (changes 7300)                     ; of configuration
-    (entries-per-failure 2)            ; removed, up again
-    (entries-per-restart 3)            ; draining, removed, up again
+    (restarts 2500)                    ; servers restarted or replaced
+    (changes 7300)                     ; configuration changes
+    (entries-per-failure 2)            ; the server is removed, then added again
+    (entries-per-restart 3)            ; the server drains, is removed, then added again
     (entries-per-change 1)
-    (busy-hour 25%)                    ; of the day's changed entries
-    (batch 20))                        ; changed entries that come together, batches at random
+    (busy-hour 25%)                    ; share of the day's changed entries that fall into the busiest hour
+    (batch 20))                        ; changed entries that arrive together; batches arrive at random times
 
   (events
-    (region-cut 1h))                   ; given; within the busiest hour
+    (region-cut 1h))                   ; from the requirements; falls into the busiest hour
 
-  (control-machines                    ; their number is given, their size is assumed
+  (control-machines                    ; their number is from the requirements, their size is assumed
     (count 7)
     (cores 16)
     (memory-mb 65536)
     (bytes-per-second 1250000000))     ; 10 Gbit/s
 
-  (managers                            ; assumed, from today's settings
-    (proxies 480)                      ; today 2,400 before five managers; shown also at a third and at three times
-    (proxy-zones 1)                    ; 64 managers a zone: each steers proxies of its own
-    (traffic-groups 3)                 ; classes of today's largest deployment
+  (managers                            ; assumed, based on the current settings
+    (proxies 480)                      ; currently 2,400 on five managers; docs/CAPACITY.md also shows a third and three times this
+    (proxy-zones 1)                    ; with 64 managers per zone, each controls its own proxies
+    (traffic-groups 3)                 ; traffic classes of the largest current deployment
     (tries-per-request 1.05)
     (report-interval 1s)               ; `periodUs`
-    (read-interval 50ms)               ; of the operator's settings; 0s: each read is made at once
-    (list-stored yes)                  ; each manager has a store; no: a restart takes the whole list
+    (read-interval 50ms)               ; as in the operator's settings; 0s: data is read as it arrives
+    (list-stored yes)                  ; each manager has a store; no: a restarted manager fetches the complete list
     (collectors-per-zone 1)
     (relays-per-zone 1)
-    (queue-lines 8600)                 ; `queueCap` of today's largest deployment
+    (queue-lines 8600)                 ; `queueCap` of the largest current deployment
     (probe-interval 2s)                ; `unresponsiveAfter` of `balancer/health.go`
     (probe-timeout 600ms)              ; `HealthCheckTimeout` of `internal/config`
     (probes-open 64))                  ; `MaxOpenHealthChecks` of `internal/config`
 
-  (subset                              ; what a manager holds where the list is divided
-    (home-zones 1)                     ; whole
-    (others 100)                       ; of other zones, spread evenly
-    (widen-below 70%))                 ; of the others: with fewer in reach the subset doubles
+  (subset                              ; the part of the server list that a manager holds with subsetting
+    (home-zones 1)                     ; zones of which all servers are held
+    (others 100)                       ; servers from other zones, spread evenly
+    (widen-below 70%))                 ; while fewer of the others than this are reachable, the subset is doubled
 
-  (message-bytes                       ; stand in where the slopes do not tell
+  (message-bytes                       ; used for messages without a measured slope
     (report 100)
     (usage 60)
     (news 80)
     (list-entry 167)
-    (probe 300)                        ; with its answer
+    (probe 300)                        ; including its response
     (unanswered-probe 74)              ; one SYN on Ethernet: 14 + 20 + 40 bytes
-    (heartbeat 20)                     ; a second's
-    (calls 1000)                       ; a second's
+    (heartbeat 20)                     ; per second
+    (calls 1000)                       ; per second
     (order 40))                        ; one line or binding within a call
 
-  (judged subset))                     ; whole-list, subset or subset-at-cache: whose passed budgets end in exit 3
+  (judged subset))                     ; whole-list, subset or subset-at-cache: budgets exceeded in this scope cause exit code 3
--- a/deploy/operator.sexp
+++ b/deploy/operator.sexp
@@ -1,14 +1,14 @@
-; The operator's own settings, beside what the platform tells. Each key may be left out; what stands here are the
-; defaults, under which the manager is as without this file. `tamarindshore check deploy/operator.sexp` checks it.
+; The operator's settings, which complement the platform's configuration. Every key is optional. The values below are the
+; defaults, which also apply without this file. `tamarindshore check deploy/operator.sexp` validates the file.
 
 (tamarindshore
-  (cores 1)                ; that take in, beside the one that decides; 1: one does all
+  (cores 1)                ; cores that read connections, beside the one that runs the balancer; 1: one core does everything
   (log
     (level info)           ; debug, info, warn, error
-    (form text)))          ; text: key=value; json: one object a line
-  ; (admin (socket "/run/tamarindshore/n1.sock"))     ; tables log, rollback, hold ...
-  ; (store (path "/var/lib/tamarindshore/n1.db"))      ; versions survive a crash
-  ; (tables (listen "127.0.0.1:9802") (keys "/etc/tamarindshore/keys"))   ; holders of versioned tables
-  ; (listen (status "127.0.0.1:9801"))   ; GET /status, on loopback only
-  ; (read-interval 50ms)   ; read what collectors and the relay tell together, so often; without: each as it comes
-  ; (subset (spill 100))   ; use all servers of the proxies' zones and about so many of the others; without: all
+    (form text)))          ; text: key=value pairs; json: one object per line
+  ; (admin (socket "/run/tamarindshore/n1.sock"))     ; socket for `tables log`, `tables rollback`, `tables hold` and so on
+  ; (store (path "/var/lib/tamarindshore/n1.db"))      ; stored versions survive a crash
+  ; (tables (listen "127.0.0.1:9802") (keys "/etc/tamarindshore/keys"))   ; address for replicas of versioned tables
+  ; (listen (status "127.0.0.1:9801"))   ; serves GET /status; loopback addresses only
+  ; (read-interval 50ms)   ; reads from collectors and the relay are batched at this interval; without it, data is read as it arrives
+  ; (subset (spill 100))   ; use all servers in the proxies' zones and about this many from other zones; without it, all servers
--- a/doc_comments_test.go
+++ b/doc_comments_test.go
@@ -13,20 +13,20 @@
 	"testing"
 )
 
-// docChecker collects what lacks a doc comment in the files of any number of packages.
-type docChecker struct {
-	files      *token.FileSet
-	documented map[string]bool // by package directory: whether one of its files has a package comment
-	missing    []string
+// docCommentChecker collects the packages and exported identifiers that lack a doc comment.
+type docCommentChecker struct {
+	fileSet    *token.FileSet
+	documented map[string]bool // by package directory: whether any of its files has a package comment
+	missing    []string        // packages as "package DIRECTORY", identifiers as "FILE:LINE: NAME"
 }
 
-func newDocChecker() *docChecker {
-	return &docChecker{files: token.NewFileSet(), documented: map[string]bool{}}
+func newDocCommentChecker() *docCommentChecker {
+	return &docCommentChecker{fileSet: token.NewFileSet(), documented: map[string]bool{}}
 }
 
-// addFile checks a file, read from source, or from the file system where that is nil.
-func (c *docChecker) addFile(path string, source any) error {
-	file, err := parser.ParseFile(c.files, path, source, parser.ParseComments|parser.SkipObjectResolution)
+// addFile checks one file. If source is nil, the file is read from path.
+func (c *docCommentChecker) addFile(path string, source any) error {
+	file, err := parser.ParseFile(c.fileSet, path, source, parser.ParseComments|parser.SkipObjectResolution)
 	if err != nil {
 		return err
 	}
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// finish gives all that lacks a doc comment, packages last.
-func (c *docChecker) finish() []string {
+// undocumented returns everything that lacks a doc comment, packages last.
+func (c *docCommentChecker) undocumented() []string {
 	for _, directory := range slices.Sorted(maps.Keys(c.documented)) {
 		if !c.documented[directory] {
 			c.missing = append(c.missing, "package "+directory)
@@ -54,7 +54,7 @@
 }
 
 // checkFunc checks an exported function, or an exported method of an exported type.
-func (c *docChecker) checkFunc(function *ast.FuncDecl) {
+func (c *docCommentChecker) checkFunc(function *ast.FuncDecl) {
 	name := function.Name.Name
 	if !function.Name.IsExported() || hasText(function.Doc) {
 		return
@@ -69,14 +69,14 @@
 	c.report(function, name)
 }
 
-// checkGroup checks the types, constants and variables of one declaration. A comment on a group of constants or
-// variables stands for all of them; each type needs its own.
-func (c *docChecker) checkGroup(group *ast.GenDecl) {
+// checkGroup checks the types, constants and variables of one declaration. A comment on a group documents all of its
+// constants or variables, but each type in a group needs its own.
+func (c *docCommentChecker) checkGroup(group *ast.GenDecl) {
 	for _, spec := range group.Specs {
 		switch spec := spec.(type) {
 		case *ast.TypeSpec:
-			alone := !group.Lparen.IsValid()
-			if spec.Name.IsExported() && !hasText(spec.Doc) && !(alone && hasText(group.Doc)) {
+			ungrouped := !group.Lparen.IsValid()
+			if spec.Name.IsExported() && !hasText(spec.Doc) && !(ungrouped && hasText(group.Doc)) {
 				c.report(spec, spec.Name.Name)
 			}
 		case *ast.ValueSpec:
@@ -92,17 +92,17 @@
 	}
 }
 
-func (c *docChecker) report(node ast.Node, name string) {
-	position := c.files.Position(node.Pos())
+func (c *docCommentChecker) report(node ast.Node, name string) {
+	position := c.fileSet.Position(node.Pos())
 	c.missing = append(c.missing, fmt.Sprintf("%s:%d: %s", position.Filename, position.Line, name))
 }
 
-// hasText tells whether a comment says anything; directives do not count.
+// hasText reports whether a comment has any text apart from directives.
 func hasText(comment *ast.CommentGroup) bool {
 	return strings.TrimSpace(comment.Text()) != ""
 }
 
-// receiverName is the name of a method's type, without a pointer or type parameters.
+// receiverName returns the name of a method's receiver type, without pointer and type parameters.
 func receiverName(receiver ast.Expr) string {
 	switch receiver := receiver.(type) {
 	case *ast.StarExpr:
@@ -117,8 +117,8 @@
 	return ""
 }
 
-// Guards against a check that passes whatever it reads.
-func TestDocCheckerFindsWhatIsMissing(t *testing.T) {
+// The check of doc comments must not pass for files that lack them.
+func TestDocCommentCheckerFindsMissingComments(t *testing.T) {
 	const documented = `// Package x is documented.
 package x
 
@@ -142,7 +142,7 @@
 
 func unexported() {}
 `
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		source string
 		want   []string
 	}{
@@ -157,20 +157,20 @@
 		"generic":    {documented + "\n// T is documented.\ntype T[K any] struct{}\n\nfunc (t *T[K]) Get() {}\n", []string{"x.go:27: T.Get"}},
 		"types":      {documented + "\n// Types.\ntype (\n\tF int\n\t// G is documented.\n\tG int\n)\n", []string{"x.go:26: F"}},
 	} {
-		checker := newDocChecker()
-		if err := checker.addFile("x.go", one.source); err != nil {
+		checker := newDocCommentChecker()
+		if err := checker.addFile("x.go", test.source); err != nil {
 			t.Fatal(err)
 		}
-		if got := checker.finish(); !slices.Equal(got, one.want) {
-			t.Errorf("%s: %q, want %q", name, got, one.want)
+		if got := checker.undocumented(); !slices.Equal(got, test.want) {
+			t.Errorf("%s: missing doc comments %q, want %q", name, got, test.want)
 		}
 	}
 }
 
-// Guards against packages and exported identifiers without a doc comment.
+// Packages and exported identifiers must have a doc comment.
 func TestEverythingExportedHasADocComment(t *testing.T) {
-	checker := newDocChecker()
-	count := 0
+	checker := newDocCommentChecker()
+	files := 0
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
@@ -180,16 +180,16 @@
 		case entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 			return nil
 		}
-		count++
+		files++
 		return checker.addFile(path, nil)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if count == 0 {
-		t.Fatal("no file was checked")
+	if files == 0 {
+		t.Fatal("no Go file was found")
 	}
-	for _, one := range checker.finish() {
-		t.Errorf("%s lacks a doc comment", one)
+	for _, missing := range checker.undocumented() {
+		t.Errorf("%s lacks a doc comment", missing)
 	}
 }
--- a/docs_names_test.go
+++ b/docs_names_test.go
@@ -13,11 +13,18 @@
 	"testing"
 )
 
-// newDocCheck reads the repository's Go files and the program's help.
+// newDocCheck collects names from the repository's Go files and from the program's help.
 func newDocCheck(t *testing.T) *docCheck {
 	t.Helper()
-	c := &docCheck{commands: map[string][]string{}, functions: map[string]bool{}, literals: map[string]bool{}, suffixes: map[string]bool{}, files: map[string]bool{}, declared: map[string]bool{}}
-	set := token.NewFileSet()
+	c := &docCheck{
+		commands:  map[string][]string{},
+		functions: map[string]bool{},
+		literals:  map[string]bool{},
+		suffixes:  map[string]bool{},
+		files:     map[string]bool{},
+		declared:  map[string]bool{},
+	}
+	fileSet := token.NewFileSet()
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
@@ -31,7 +38,7 @@
 		if !strings.HasSuffix(path, ".go") {
 			return nil
 		}
-		file, err := parser.ParseFile(set, path, nil, parser.SkipObjectResolution)
+		file, err := parser.ParseFile(fileSet, path, nil, parser.SkipObjectResolution)
 		if err == nil {
 			c.addFile(file, strings.HasSuffix(path, "_test.go"))
 		}
@@ -44,7 +51,8 @@
 	return c
 }
 
-// addFile adds the functions, declared names and string literals of a file.
+// addFile records the functions of a file and the names of its tests. Other declared names and string literals are
+// recorded only if the file is not a test file.
 func (c *docCheck) addFile(file *ast.File, isTest bool) {
 	c.declared[file.Name.Name] = true
 	for _, declaration := range file.Decls {
@@ -79,7 +87,7 @@
 		case *ast.FuncDecl:
 			c.declared[node.Name.Name] = true
 		case *ast.BinaryExpr:
-			if right, ok := node.Y.(*ast.BasicLit); ok && node.Op == token.ADD && suffixForm.MatchString(literalText(right)) {
+			if right, ok := node.Y.(*ast.BasicLit); ok && node.Op == token.ADD && suffixPattern.MatchString(literalText(right)) {
 				c.suffixes[literalText(right)] = true
 			}
 		}
@@ -87,13 +95,14 @@
 	})
 }
 
+// declare records declared names.
 func (c *docCheck) declare(names []*ast.Ident) {
 	for _, name := range names {
 		c.declared[name.Name] = true
 	}
 }
 
-// literalText is the text of a string literal, empty for another one.
+// literalText returns the value of a string literal, or "" for any other literal.
 func literalText(literal *ast.BasicLit) string {
 	text, err := strconv.Unquote(literal.Value)
 	if literal.Kind != token.STRING || err != nil {
@@ -102,33 +111,33 @@
 	return text
 }
 
-// addCommands adds the program's commands and flags, as its help prints them.
+// addCommands records the program's commands and flags, as its help lists them.
 func (c *docCheck) addCommands(t *testing.T) {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "tamarindshore")
 	if output, err := exec.Command("go", "build", "-o", program, "./cmd/tamarindshore").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, output)
+		t.Fatalf("go build ./cmd/tamarindshore: %v: %s", err, output)
 	}
-	help := func(words ...string) string {
-		output, err := exec.Command(program, append(words, "--help")...).Output()
+	help := func(commandWords ...string) string {
+		output, err := exec.Command(program, append(commandWords, "--help")...).Output()
 		if err != nil {
-			t.Errorf("tamarindshore %s --help: %v", strings.Join(words, " "), err)
+			t.Errorf("tamarindshore %s --help: %v", strings.Join(commandWords, " "), err)
 		}
 		return string(output)
 	}
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var helpCalls sync.WaitGroup
 	for line := range strings.Lines(help()) {
-		command := helpCommand.FindStringSubmatch(line)
+		command := helpCommandPattern.FindStringSubmatch(line)
 		if command == nil || strings.HasPrefix(line, "  -") {
 			continue
 		}
-		all.Go(func() {
-			flags := flagForm.FindAllString(help(strings.Fields(command[1])...), -1)
+		helpCalls.Go(func() {
+			flags := flagPattern.FindAllString(help(strings.Fields(command[1])...), -1)
 			mu.Lock()
 			defer mu.Unlock()
 			c.commands[command[1]] = flags
 		})
 	}
-	all.Wait()
+	helpCalls.Wait()
 }
--- a/docs_test.go
+++ b/docs_test.go
@@ -10,50 +10,51 @@
 	"testing"
 )
 
-// pagesKept are the pages that name what the program is today. Journal, incident pages, results and old entries of the
-// changelog stay as they were written.
-var pagesKept = []string{"README.md", "CONTRIBUTING.md", "docs/*.md", "docs/design/*.md", "docs/operators/*.md"}
+// checkedPages are patterns of the pages that describe the current program. The journal, incident pages, results and old
+// changelog entries are not checked, because they are kept as they were written.
+var checkedPages = []string{"README.md", "CONTRIBUTING.md", "docs/*.md", "docs/design/*.md", "docs/operators/*.md"}
 
-// pagesLeftOut are not checked: results are history.
-var pagesLeftOut = []string{"docs/results.md"}
+// excludedPages match checkedPages, but are not checked: results describe past versions.
+var excludedPages = []string{"docs/results.md"}
 
-// filesAtTimes are named on pages and need not exist.
-var filesAtTimes = []string{"KNOWN-RED.txt"} // only while tests are known to fail
+// optionalFiles may be named on pages even if they do not exist.
+var optionalFiles = []string{"KNOWN-RED.txt"} // exists only while tests are known to fail
 
 var (
-	codeSpan     = regexp.MustCompile("`([^`]+)`")
-	pathForm     = regexp.MustCompile(`^[A-Za-z0-9_.*-]+(/[A-Za-z0-9_.*-]+)*/?$`)
-	fileForm     = regexp.MustCompile(`\.(go|md|sexp|toml|txt|sh)$`)
-	eventForm    = regexp.MustCompile(`\bevent=([a-z_]+)`)
-	functionForm = regexp.MustCompile(`^([A-Za-z_]+\.)?([A-Za-z_]+)\(\)$`)
-	testForm     = regexp.MustCompile(`^((Test|Benchmark|Fuzz)[A-Za-z0-9_]+)(\.\.\.)?$`)
-	flagForm     = regexp.MustCompile(`--[a-z][a-z-]*`)
-	suffixForm   = regexp.MustCompile(`^(_[a-z]+)+$`)
-	helpCommand  = regexp.MustCompile(`^  ([a-z]+( [a-z]+)?)  `)
+	codeSpanPattern    = regexp.MustCompile("`([^`]+)`")
+	pathPattern        = regexp.MustCompile(`^[A-Za-z0-9_.*-]+(/[A-Za-z0-9_.*-]+)*/?$`)
+	filePattern        = regexp.MustCompile(`\.(go|md|sexp|toml|txt|sh)$`)
+	eventPattern       = regexp.MustCompile(`\bevent=([a-z_]+)`)
+	functionPattern    = regexp.MustCompile(`^([A-Za-z_]+\.)?([A-Za-z_]+)\(\)$`)
+	testPattern        = regexp.MustCompile(`^((Test|Benchmark|Fuzz)[A-Za-z0-9_]+)(\.\.\.)?$`)
+	flagPattern        = regexp.MustCompile(`--[a-z][a-z-]*`)
+	suffixPattern      = regexp.MustCompile(`^(_[a-z]+)+$`)
+	helpCommandPattern = regexp.MustCompile(`^  ([a-z]+( [a-z]+)?)  `)
 )
 
-// docCheck finds what a page names and the repository does not have.
+// docCheck finds names on a page that do not exist in the repository.
 type docCheck struct {
-	commands  map[string][]string // flags by command, as in "tables log"
+	commands  map[string][]string // flags of each command; a subcommand is keyed as "tables log"
 	functions map[string]bool     // "Name", "package.Name" and "Receiver.Name"
-	tests     []string            // names of tests and benchmarks
-	literals  map[string]bool     // string literals of the program
-	suffixes  map[string]bool     // literals that are appended to others, as to the name of a stream
-	files     map[string]bool     // base names
+	tests     []string            // functions declared in test files, with tests and benchmarks
+	literals  map[string]bool     // string literals outside test files
+	suffixes  map[string]bool     // literals such as "_closed" that the code appends to another string
+	files     map[string]bool     // base names of all files
 	declared  map[string]bool     // names of packages, types, fields, constants, variables and functions
 }
 
-// glossaryHeader begins a table whose second column has names of the code.
+// glossaryHeader begins a glossary table, whose second column contains names from the code.
 const glossaryHeader = "| wire | code"
 
-// codeNames gives the parts of the names in the second column of a row of the glossary; paths are checked as such.
-func codeNames(ofGlossary bool, line string) (names []string) {
+// glossaryNames returns the dot-separated parts of the names in the second column of a glossary row. Paths are left out, as
+// pathFault checks them.
+func glossaryNames(inGlossary bool, line string) (names []string) {
 	columns := strings.Split(line, "|")
-	if !ofGlossary || len(columns) < 4 {
+	if !inGlossary || len(columns) < 4 {
 		return nil
 	}
-	for _, span := range codeSpan.FindAllStringSubmatch(columns[2], -1) {
-		if pathForm.MatchString(span[1]) && strings.Contains(span[1], "/") {
+	for _, span := range codeSpanPattern.FindAllStringSubmatch(columns[2], -1) {
+		if pathPattern.MatchString(span[1]) && strings.Contains(span[1], "/") {
 			continue
 		}
 		names = append(names, strings.Split(strings.TrimSuffix(span[1], "()"), ".")...)
@@ -61,22 +62,22 @@
 	return names
 }
 
-// Headings under which a page names counters and log events in a column of a table, without event= before them.
+// Headings of sections whose tables list counters and log events in a column, without the prefix event=.
 const (
 	countersHeading = "## Counters"
 	namesHeading    = "## Old and new names"
 )
 
-// page checks the text of a page and returns one line for each fault.
+// page checks the text of a page and returns one message for each fault.
 func (c *docCheck) page(path, text string) (faults []string) {
 	heading := ""
-	ofGlossary := false // in a table of names on the wire and in the code
+	inGlossary := false // whether the line belongs to a glossary table
 	for number, line := range strings.Split(text, "\n") {
 		if strings.HasPrefix(line, "## ") {
 			heading = line
 		}
-		ofGlossary = strings.HasPrefix(line, glossaryHeader) || ofGlossary && strings.HasPrefix(line, "|")
-		for _, name := range codeNames(ofGlossary, line) {
+		inGlossary = strings.HasPrefix(line, glossaryHeader) || inGlossary && strings.HasPrefix(line, "|")
+		for _, name := range glossaryNames(inGlossary, line) {
 			if !c.declared[name] {
 				faults = append(faults, fmt.Sprintf("%s:%d: no name %s in the code", path, number+1, name))
 			}
@@ -86,8 +87,8 @@
 				faults = append(faults, fmt.Sprintf("%s:%d: no counter or log event %s", path, number+1, name))
 			}
 		}
-		for _, code := range codeOf(line) {
-			for _, fault := range c.code(filepath.Dir(path), code) {
+		for _, code := range codeInLine(line) {
+			for _, fault := range c.checkCode(filepath.Dir(path), code) {
 				faults = append(faults, fmt.Sprintf("%s:%d: %s", path, number+1, fault))
 			}
 		}
@@ -95,7 +96,8 @@
 	return faults
 }
 
-// isLogName tells whether the program has the name of a counter or log event, in one literal or as the sum of two.
+// isLogName reports whether the program contains the name of a counter or log event, as one literal or as a literal with
+// an appended suffix.
 func (c *docCheck) isLogName(name string) bool {
 	if c.literals[name] {
 		return true
@@ -108,7 +110,8 @@
 	return false
 }
 
-// logNames gives the counters of a row in the table of counters, and the new name of a row in a table of names.
+// logNames returns the counters in a row of the counters table, or the new name in a row of the table of renamed log
+// events and fields.
 func logNames(heading, line string) (names []string) {
 	columns := strings.Split(line, "|")
 	if len(columns) < 4 {
@@ -116,13 +119,13 @@
 	}
 	switch heading {
 	case countersHeading:
-		for _, span := range codeSpan.FindAllStringSubmatch(columns[1], -1) {
+		for _, span := range codeSpanPattern.FindAllStringSubmatch(columns[1], -1) {
 			names = append(names, span[1])
 		}
 	case namesHeading:
-		for _, span := range codeSpan.FindAllStringSubmatch(columns[2], -1) {
+		for _, span := range codeSpanPattern.FindAllStringSubmatch(columns[2], -1) {
 			first, _, _ := strings.Cut(strings.TrimPrefix(span[1], "event="), " ")
-			if !strings.Contains(first, "=") { // a field of the event before
+			if !strings.Contains(first, "=") { // otherwise it is a field of the preceding event
 				names = append(names, first)
 			}
 		}
@@ -130,25 +133,25 @@
 	return names
 }
 
-// codeOf gives a line's code: all of an indented block, or the spans in it.
-func codeOf(line string) (code []string) {
+// codeInLine returns the code in a line: the whole line in an indented block, otherwise its code spans.
+func codeInLine(line string) (code []string) {
 	if strings.HasPrefix(line, "    ") {
 		return []string{strings.TrimSpace(line)}
 	}
-	for _, span := range codeSpan.FindAllStringSubmatch(line, -1) {
+	for _, span := range codeSpanPattern.FindAllStringSubmatch(line, -1) {
 		code = append(code, span[1])
 	}
 	return code
 }
 
-// code checks one piece of code of a page in a directory.
-func (c *docCheck) code(dir, code string) (faults []string) {
-	for _, event := range eventForm.FindAllStringSubmatch(code, -1) {
+// checkCode checks one piece of code on a page in the directory dir.
+func (c *docCheck) checkCode(dir, code string) (faults []string) {
+	for _, event := range eventPattern.FindAllStringSubmatch(code, -1) {
 		if !c.isLogName(event[1]) {
 			faults = append(faults, "no log event "+event[1])
 		}
 	}
-	if function := functionForm.FindStringSubmatch(code); function != nil && !c.functions[function[1]+function[2]] {
+	if function := functionPattern.FindStringSubmatch(code); function != nil && !c.functions[function[1]+function[2]] {
 		faults = append(faults, "no function "+code)
 	}
 	code, _, _ = strings.Cut(code, " #")
@@ -157,9 +160,9 @@
 	case len(words) == 0:
 	case strings.HasPrefix(code, "--"):
 		faults = append(faults, c.flagFaults(code)...)
-	case testForm.MatchString(code):
-		faults = append(faults, c.testFault(testForm.FindStringSubmatch(code))...)
-	case len(words) == 1 && pathForm.MatchString(code):
+	case testPattern.MatchString(code):
+		faults = append(faults, c.testFault(testPattern.FindStringSubmatch(code))...)
+	case len(words) == 1 && pathPattern.MatchString(code):
 		faults = append(faults, c.pathFault(dir, code)...)
 	case words[0] == "tamarindshore" || words[0] == "bin/tamarindshore":
 		faults = append(faults, c.commandFaults(words[1:])...)
@@ -171,14 +174,15 @@
 	return faults
 }
 
-// pathFault checks a path from the root or the page's directory, and a file's name alone anywhere.
+// pathFault checks a path, which may be relative to the root or to the page's directory. A file name without a directory
+// may be that of any file in the repository.
 func (c *docCheck) pathFault(dir, path string) []string {
 	first, rest, nested := strings.Cut(strings.TrimSuffix(path, "/"), "/")
-	isFile := fileForm.MatchString(path)
+	isFile := filePattern.MatchString(path)
 	switch {
-	case slices.Contains(filesAtTimes, path):
+	case slices.Contains(optionalFiles, path):
 		return nil
-	case first == "bin" && nested: // built from cmd
+	case first == "bin" && nested: // programs in bin are built from cmd
 		return c.pathFault(dir, "cmd/"+rest)
 	case !nested && !isFile:
 		return nil
@@ -192,7 +196,7 @@
 	return []string{"no file " + path}
 }
 
-// testFault checks the name of a test, or its beginning where dots follow.
+// testFault checks the name of a test, or a prefix of test names if it ends in "...".
 func (c *docCheck) testFault(parts []string) []string {
 	name, isPrefix := parts[1], parts[3] != ""
 	for _, test := range c.tests {
@@ -203,11 +207,13 @@
 	return []string{"no test " + name}
 }
 
+// exists reports whether a file or directory matches the pattern.
 func exists(pattern string) bool {
 	found, err := filepath.Glob(pattern)
 	return err == nil && len(found) > 0
 }
 
+// isCommand reports whether a word is a command or the first word of a subcommand.
 func (c *docCheck) isCommand(word string) bool {
 	for command := range c.commands {
 		if command == word || strings.HasPrefix(command, word+" ") {
@@ -217,7 +223,8 @@
 	return false
 }
 
-// commandFaults checks a command line of the program: its command or list of commands, and its flags.
+// commandFaults checks a command line of the program: its command, or a list of commands separated by "," or "|", and
+// its flags.
 func (c *docCheck) commandFaults(words []string) (faults []string) {
 	var names []string
 	for _, word := range words {
@@ -241,7 +248,7 @@
 		}
 		flags = append(flags, known...)
 	}
-	for _, flag := range flagForm.FindAllString(strings.Join(words, " "), -1) {
+	for _, flag := range flagPattern.FindAllString(strings.Join(words, " "), -1) {
 		if len(names) > 0 && !slices.Contains(flags, flag) {
 			faults = append(faults, fmt.Sprintf("%s has no flag %s", strings.Join(names, " "), flag))
 		}
@@ -249,9 +256,9 @@
 	return faults
 }
 
-// flagFaults checks flags that stand without their command.
+// flagFaults checks flags that are named without a command.
 func (c *docCheck) flagFaults(code string) (faults []string) {
-	for _, flag := range flagForm.FindAllString(code, -1) {
+	for _, flag := range flagPattern.FindAllString(code, -1) {
 		found := false
 		for _, flags := range c.commands {
 			found = found || slices.Contains(flags, flag)
@@ -263,7 +270,7 @@
 	return faults
 }
 
-// goTestFaults checks the packages and the names of tests and benchmarks in the arguments of go test.
+// goTestFaults checks the packages and the patterns of tests and benchmarks in the arguments of go test.
 func (c *docCheck) goTestFaults(words []string) (faults []string) {
 	for i, word := range words {
 		switch {
@@ -271,8 +278,8 @@
 			faults = append(faults, "no package "+word)
 		case (word == "-run" || word == "-bench") && i+1 < len(words):
 			pattern, err := regexp.Compile(words[i+1])
-			isNone := words[i+1] == "xx" // no test, benchmarks alone
-			if err != nil || !isNone && !slices.ContainsFunc(c.tests, pattern.MatchString) {
+			matchesNothing := words[i+1] == "xx" // the usual pattern to run benchmarks without tests
+			if err != nil || !matchesNothing && !slices.ContainsFunc(c.tests, pattern.MatchString) {
 				faults = append(faults, "no test or benchmark "+words[i+1])
 			}
 		}
@@ -280,23 +287,24 @@
 	return faults
 }
 
-// Guards against pages that name a path, command, flag, log event, function or test that does not exist, and against a
-// check that passes whatever it reads.
+// Pages must not name a path, command, flag, log event, function or test that does not exist. The check itself must report
+// such names.
 func TestPagesNameWhatExists(t *testing.T) {
 	check := newDocCheck(t)
 	t.Run("pages", func(t *testing.T) { checkPages(t, check) })
 	t.Run("faults are found", func(t *testing.T) { checkFaultsAreFound(t, check) })
 }
 
+// checkPages reports each fault on the checked pages.
 func checkPages(t *testing.T, check *docCheck) {
 	pages := 0
-	for _, pattern := range pagesKept {
+	for _, pattern := range checkedPages {
 		paths, err := filepath.Glob(pattern)
 		if err != nil || len(paths) == 0 {
-			t.Errorf("%s: no page, %v", pattern, err)
+			t.Errorf("no page matches %s (error: %v)", pattern, err)
 		}
 		for _, path := range paths {
-			if slices.Contains(pagesLeftOut, path) {
+			if slices.Contains(excludedPages, path) {
 				continue
 			}
 			text, err := os.ReadFile(path)
@@ -312,6 +320,7 @@
 	t.Logf("%d pages checked", pages)
 }
 
+// checkFaultsAreFound checks that each kind of fault is found in example texts, and that valid names are accepted.
 func checkFaultsAreFound(t *testing.T, check *docCheck) {
 	for text, want := range map[string]string{
 		"see `docs/architecture.md`, `ci_test.go` and `internal/node`": "",
@@ -355,7 +364,7 @@
 			want = fmt.Sprintf("docs/x.md:%d: %s", strings.Count(text, "\n")+1, want)
 		}
 		if strings.Join(got, "; ") != want {
-			t.Errorf("%s: %q, want %q", text, got, want)
+			t.Errorf("page with the text %q: faults %q, want %q", text, got, want)
 		}
 	}
 }
