--- a/cmd/tamarindshore/check.go
+++ b/cmd/tamarindshore/check.go
@@ -26,7 +26,7 @@
 		fmt.Printf("%s: %s\n", path, summary)
 	}
 	if invalid > 0 {
-		return fmt.Errorf("%d of %d files are faulty", invalid, len(c.Files))
+		return fmt.Errorf("%d of %d files are invalid", invalid, len(c.Files))
 	}
 	return nil
 }
@@ -58,7 +58,7 @@
 	if err != nil {
 		return "", fmt.Errorf("%s: %w", path, err)
 	}
-	return fmt.Sprintf("a start: %d zones, %d traffic groups, up to %d proxies",
+	return fmt.Sprintf("platform configuration: %d zones, %d traffic classes, up to %d proxies",
 		len(platform.Balancer.Zones), len(platform.ClassNames), platform.Balancer.Proxies), nil
 }
 
--- a/cmd/tamarindshore/commands_test.go
+++ b/cmd/tamarindshore/commands_test.go
@@ -97,20 +97,22 @@
 		{"check", exitUsage, `tamarindshore: expected "<files> ..."; see tamarindshore --help`},
 		{"tables rollback --id a", exitUsage, "tamarindshore: missing flags: --to=STRING; see tamarindshore --help"},
 		{"load --servers many", exitUsage, `tamarindshore: --servers: expected a valid 64 bit int but got "many"; see tamarindshore --help`},
-		{"load --servers 0", exitFailed, "tamarindshore: --servers: 0 is not from 1 to 5000"},
-		{"load --faults 0.6", exitFailed, "tamarindshore: --faults: 0.6 is not from 0 to 0.5"},
-		{"load --cores 1,65", exitFailed, "tamarindshore: --cores: 65 is not from 1 to 64"},
-		{"search --seeds 7", exitFailed, `tamarindshore: --seeds: "7" is not FIRST-LAST`},
-		{"search --seeds 9-1", exitFailed, `tamarindshore: --seeds: "9-1" is not FIRST-LAST`},
-		{"search --seeds 1-200000000", exitFailed, `tamarindshore: --seeds: "1-200000000" is not FIRST-LAST`},
+		{"load --servers 0", exitFailed, "tamarindshore: --servers: 0 is not between 1 and 5000"},
+		{"load --faults 0.6", exitFailed, "tamarindshore: --faults: 0.6 is not between 0 and 0.5"},
+		{"load --cores 1,65", exitFailed, "tamarindshore: --cores: 65 is not between 1 and 64"},
+		{"search --seeds 7", exitFailed, `tamarindshore: --seeds: "7" is not FIRST-LAST with LAST between FIRST and FIRST+100000000`},
+		{"search --seeds 9-1", exitFailed, `tamarindshore: --seeds: "9-1" is not FIRST-LAST with LAST between FIRST and FIRST+100000000`},
+		{"search --seeds 1-200000000", exitFailed,
+			`tamarindshore: --seeds: "1-200000000" is not FIRST-LAST with LAST between FIRST and FIRST+100000000`},
 		{"search --scenario none", exitFailed, "tamarindshore: open none: no such file or directory"},
 		{"replay none", exitFailed, "tamarindshore: open none: no such file or directory"},
 		{"tables log", exitFailed, `tamarindshore: --socket: is missing; the manager's settings name it: (admin (socket "PATH"))`},
 		{"tables --socket none log", exitFailed, "tamarindshore: dial unix none: connect: no such file or directory"},
-		{"check " + empty, exitFailed, empty + ": is empty\ntamarindshore: 1 of 1 files are faulty"},
+		{"check " + empty, exitFailed, empty + ": is empty\ntamarindshore: 1 of 1 files are invalid"},
 		{"check " + badOperator + " none", exitFailed, badOperator + ":2: cores: 0 is not an integer between 1 and 64\n" +
-			"open none: no such file or directory\ntamarindshore: 2 of 2 files are faulty"},
-		{"check " + badPlatform, exitFailed, badPlatform + ": name: found number, expected string (line 2)\ntamarindshore: 1 of 1 files are faulty"},
+			"open none: no such file or directory\ntamarindshore: 2 of 2 files are invalid"},
+		{"check " + badPlatform, exitFailed,
+			badPlatform + ": name: found number, expected string (line 2)\ntamarindshore: 1 of 1 files are invalid"},
 		{"serve", exitFailed, "tamarindshore: PROXY_CONFIG: is missing"},
 		{"serve --settings " + badOperator, exitFailed, "tamarindshore: operator.sexp:2: cores: 0 is not an integer between 1 and 64"},
 	}
@@ -133,7 +135,7 @@
 
 func TestCheckSummarizesEachKindOfFile(t *testing.T) {
 	for path, want := range map[string]string{
-		"../../internal/config/testdata/platform.json": "a start: 2 zones, 2 traffic groups, up to 9 proxies",
+		"../../internal/config/testdata/platform.json": "platform configuration: 2 zones, 2 traffic classes, up to 9 proxies",
 		"../../internal/config/testdata/operator.sexp": "operator's settings: 3 cores, log debug as json",
 	} {
 		if got, err := checkFile(path); err != nil || got != want {
--- a/cmd/tamarindshore/load.go
+++ b/cmd/tamarindshore/load.go
@@ -69,9 +69,9 @@
 // check returns an error for the first flag whose value is out of range.
 func (c loadCommand) check() error {
 	for _, flag := range []struct {
-		name        string
-		value       float64
-		least, most float64
+		name             string
+		value            float64
+		minimum, maximum float64
 	}{
 		{"servers", float64(c.Servers), 1, 5000},
 		{"proxies", float64(c.Proxies), 1, 65535},
@@ -81,13 +81,13 @@
 		{"step", c.Step.Seconds(), 0.2, 60},
 		{"faults", c.Faults, 0, 0.5},
 	} {
-		if flag.value < flag.least || flag.value > flag.most {
-			return fmt.Errorf("--%s: %v is not from %v to %v", flag.name, flag.value, flag.least, flag.most)
+		if flag.value < flag.minimum || flag.value > flag.maximum {
+			return fmt.Errorf("--%s: %v is not between %v and %v", flag.name, flag.value, flag.minimum, flag.maximum)
 		}
 	}
 	for _, cores := range c.Cores {
 		if cores < 1 || cores > 64 {
-			return fmt.Errorf("--cores: %d is not from 1 to 64", cores)
+			return fmt.Errorf("--cores: %d is not between 1 and 64", cores)
 		}
 	}
 	return nil
--- a/cmd/tamarindshore/main.go
+++ b/cmd/tamarindshore/main.go
@@ -25,7 +25,7 @@
 type commands struct {
 	Serve    serveCommand    `cmd:"" default:"withargs" help:"Run the manager until SIGTERM. This is the default command."`
 	Check    checkCommand    `cmd:"" help:"Validate files: the platform's JSON, or operator settings as S-expressions."`
-	Load     loadCommand     `cmd:"" help:"Load-test a manager against fakes on loopback, and check the five rules."`
+	Load     loadCommand     `cmd:"" help:"Load-test a manager against fakes on loopback, and check the platform's five rules."`
 	Tables   tablesCommand   `cmd:"" help:"List and compare versions of the tables, roll back, hold and resume."`
 	Store    storeCommand    `cmd:"" help:"Check, compact or export the file that preserves versions across a crash."`
 	Search   searchCommand   `cmd:"" help:"Simulate random faults, drawn from seeds, on a virtual clock until a rule is violated."`
--- a/cmd/tamarindshore/replay.go
+++ b/cmd/tamarindshore/replay.go
@@ -42,8 +42,8 @@
 		trace = trace[max(0, len(trace)-shownTraceLines):]
 	}
 	if c.Shrink && violation != nil {
-		smallest, played := faultsim.Shrink(scenario, faultsim.Failure{Script: script, Violation: violation}, maxShrinkRuns)
-		fmt.Printf("; %d scripts played; %v\n%v", played, smallest.Violation, smallest.Script)
+		smallest, simulated := faultsim.Shrink(scenario, faultsim.Failure{Script: script, Violation: violation}, maxShrinkRuns)
+		fmt.Printf("; %d scripts simulated; %v\n%v", simulated, smallest.Violation, smallest.Script)
 		return errViolation
 	}
 	fmt.Print(script)
--- a/cmd/tamarindshore/search.go
+++ b/cmd/tamarindshore/search.go
@@ -20,8 +20,8 @@
 }
 
 const (
-	seedBits = 62
-	maxSeeds = 100_000_000
+	seedBits = 62          // a seed has at most this many bits
+	maxSeeds = 100_000_000 // maximum difference between the last and the first seed
 )
 
 // Run simulates seeds until one violates a rule, or all of them with --go-on. It returns errViolation if a rule is
@@ -40,9 +40,10 @@
 		cores = runtime.NumCPU()
 	}
 	began := time.Now()
-	failures, played := faultsim.SearchSeeds(scenario, first, last, cores, c.GoOn, seedProgress(began, last-first+1))
+	failures, simulated := faultsim.SearchSeeds(scenario, first, last, cores, c.GoOn, seedProgress(began, last-first+1))
 	took := time.Since(began).Seconds()
-	fmt.Printf("%d seeds in %.1fs on %d cores, %.0f a second: %d broke a rule\n", played, took, cores, float64(played)/took, len(failures))
+	fmt.Printf("%d seeds in %.1fs on %d cores, %.0f a second: %d violated a rule\n",
+		simulated, took, cores, float64(simulated)/took, len(failures))
 	for _, failure := range failures {
 		fmt.Printf("seed %d: %v\n", failure.Script.Seed, failure.Violation)
 	}
@@ -63,7 +64,7 @@
 	first, firstErr := strconv.ParseUint(from, 10, seedBits)
 	last, lastErr := strconv.ParseUint(to, 10, seedBits)
 	if firstErr != nil || lastErr != nil || last < first || last-first > maxSeeds {
-		return 0, 0, fmt.Errorf("--seeds: %q is not FIRST-LAST", text)
+		return 0, 0, fmt.Errorf("--seeds: %q is not FIRST-LAST with LAST between FIRST and FIRST+%d", text, maxSeeds)
 	}
 	return first, last, nil
 }
@@ -77,13 +78,13 @@
 }
 
 // seedProgress returns a callback that prints, at most once per second, how many of all seeds have been simulated.
-func seedProgress(began time.Time, all uint64) func(played int) {
+func seedProgress(began time.Time, all uint64) func(simulated int) {
 	shown := began
-	return func(played int) {
-		if played%100 != 0 || time.Since(shown) <= time.Second {
+	return func(simulated int) {
+		if simulated%100 != 0 || time.Since(shown) <= time.Second {
 			return
 		}
 		shown = time.Now()
-		fmt.Fprintf(os.Stderr, "%d of %d seeds, %.0f a second\n", played, all, float64(played)/time.Since(began).Seconds())
+		fmt.Fprintf(os.Stderr, "%d of %d seeds, %.0f a second\n", simulated, all, float64(simulated)/time.Since(began).Seconds())
 	}
 }
--- a/cmd/tamarindshore/store.go
+++ b/cmd/tamarindshore/store.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	list := contents.ServerList
-	fmt.Printf("%s: epoch %d, %d versions, %d drains, %d commands, state %v, a list of %d servers at version %d\n",
+	fmt.Printf("%s: epoch %d, %d versions, %d drains, %d commands, state %v, a list of %d servers at generation %d\n",
 		c.Path, contents.Epoch, len(contents.Versions), len(contents.Drains), len(contents.CompletedCommands),
 		contents.State.Digest(), len(list.Entries), list.Generation)
 	return nil
--- a/cmd/tamarindshore/tables.go
+++ b/cmd/tamarindshore/tables.go
@@ -12,12 +12,12 @@
 
 type tablesCommand struct {
 	Socket   string                `help:"The manager's admin socket." placeholder:"PATH" env:"TAMARINDSHORE_SOCKET"`
-	Log      tablesLogCommand      `cmd:"" help:"List the retained versions, newest first, and whether a hold is active."`
+	Log      tablesLogCommand      `cmd:"" help:"List the kept versions, newest first, and the hold in force."`
 	Show     tablesShowCommand     `cmd:"" help:"Print a version."`
 	Diff     tablesDiffCommand     `cmd:"" help:"Print the changes between two versions."`
-	Verify   tablesVerifyCommand   `cmd:"" help:"Rebuild each version from the previous one, and compare."`
-	Rollback tablesRollbackCommand `cmd:"" help:"Roll back to a version, as far as its servers are still available, and hold it."`
-	Hold     tablesHoldCommand     `cmd:"" help:"Freeze the tables, except for changes that the rules require."`
+	Verify   tablesVerifyCommand   `cmd:"" help:"Rebuild each version from the previous one, and compare the digests."`
+	Rollback tablesRollbackCommand `cmd:"" help:"Roll back to a version, restricted to servers that are still available, and hold it."`
+	Hold     tablesHoldCommand     `cmd:"" help:"Keep the tables as they are, except for urgent changes."`
 	Resume   tablesResumeCommand   `cmd:"" help:"End a hold; the tables then change step by step."`
 }
 
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// Run lists the retained versions.
+// Run lists the kept versions and the hold in force.
 func (tablesLogCommand) Run(root *commands) error {
 	return root.Tables.request(node.AdminRequest{Command: "log"})
 }
@@ -109,7 +109,7 @@
 	return root.Tables.request(node.AdminRequest{Command: "rollback", Version: c.To, Key: c.ID, Duration: c.For})
 }
 
-// Run freezes the tables.
+// Run holds the tables.
 func (c tablesHoldCommand) Run(root *commands) error {
 	return root.Tables.request(node.AdminRequest{Command: "hold", Key: c.ID, Duration: c.For})
 }
--- a/cmd/tamarindshore/version.go
+++ b/cmd/tamarindshore/version.go
@@ -30,7 +30,7 @@
 		case setting.Key == "vcs.revision":
 			revision = setting.Value[:min(revisionDigits, len(setting.Value))]
 		case setting.Key == "vcs.modified" && setting.Value == "true":
-			note = ", changed since"
+			note = ", modified"
 		}
 	}
 	return revision + note
--- a/cmd/tamarindshore/version_test.go
+++ b/cmd/tamarindshore/version_test.go
@@ -17,7 +17,7 @@
 	}{
 		{"no revision", nil, "unknown"},
 		{"clean tree", []debug.BuildSetting{revision, clean}, "0123456789ab"},
-		{"changed tree", []debug.BuildSetting{revision, modified}, "0123456789ab, changed since"},
+		{"modified tree", []debug.BuildSetting{revision, modified}, "0123456789ab, modified"},
 		{"short revision", []debug.BuildSetting{short, clean}, "0123"},
 	} {
 		if got := buildRevision(test.settings); got != test.want {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,7 +35,7 @@
 	LogLevel      string
 	LogFormat     string
 	StatusAddress string // address of the status listener; empty: none
-	AdminSocket   string // path of the socket for administrators' commands; empty: none
+	AdminSocket   string // path of the admin socket, which accepts operators' commands; empty: none
 	StorePath     string // path of the store; empty: none
 	TablesAddress string // address at which versioned tables are served; empty: they are not served
 	KeyFile       string // path of the file with the keys that sign versions
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	if s.Name != "n3" || s.Relay != "127.0.0.3:6400" || s.Seed != 0x8c1f30d27a5be964 || !s.ServersReportLoad {
-		t.Errorf("%+v", s)
+		t.Errorf("config %+v", s)
 	}
 	if s.Balancer.QueueCapacity != 8600 || len(s.ClassNames) != 1 || s.ClassNames[0] != "lookup" {
 		t.Errorf("balancer settings %+v", s.Balancer)
@@ -130,7 +130,7 @@
 func TestSmallestMachineSupportsAThousandServers(t *testing.T) {
 	l := limitsFor(machine{cores: 0.01, memoryMB: 32, sockets: 64})
 	if l.MaxQueuedHealthChecks < 1024 || l.MaxQueuedInputs < 1024 || l.MaxEndpointListBytes < 1024*200 {
-		t.Errorf("%+v", l)
+		t.Errorf("limits %+v", l)
 	}
 }
 
@@ -156,7 +156,7 @@
 		}
 		var located *LocatedError
 		if errors.As(err, &located) != strings.Contains(want, "(line ") {
-			t.Errorf("%s: error %v: whether it has a line is not as expected", replacement[1], err)
+			t.Errorf("%s: error %v must be a LocatedError exactly if a line is expected", replacement[1], err)
 		}
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -21,7 +21,7 @@
 	MaxInputBatch         int // inputs that this goroutine handles in one batch
 	MaxQueuedCalls        int // calls to the relay that wait; further ones are merged
 	MaxCallBytes          int // size of the commands in one call
-	MaxQueuedHealthChecks int // holds a whole fleet: if it is lost at once, all its servers are checked
+	MaxQueuedHealthChecks int // health checks that wait; if a whole fleet is lost at once, all its servers must fit
 	MaxOpenHealthChecks   int // health checks that run at the same time
 	MaxQueuedLogLines     int // further lines are dropped
 
@@ -38,8 +38,8 @@
 	ReadChunkBytes           int           // size of one read if several cores read connections
 	MaxQueuedChunks          int           // chunks of one connection that wait to be decoded
 	MaxEmptyMessages         int           // consecutive messages of a connection without a report
-	MaxRequestsPerSecond     float64       // that a report may state; also the limit on its in-flight requests
-	MaxReportInterval        time.Duration // interval that a report may cover
+	MaxRequestsPerSecond     float64       // maximum rate in a report; also the maximum of its in-flight requests
+	MaxReportInterval        time.Duration // longest interval that a report may cover
 
 	// ReadInterval is the time between reads from collectors and from the relay; 0: data is read as it arrives.
 	ReadInterval time.Duration
@@ -52,13 +52,13 @@
 	ProxyWatchIdleTimeout    time.Duration // between two messages of the relay's stream of proxies
 	EndpointWatchIdleTimeout time.Duration // between two messages of the stream of endpoints
 	StreamOpenTimeout        time.Duration // from the request for a stream to its beginning
-	ProxySnapshotTimeout     time.Duration // from the beginning of a stream; the next heartbeat ends the snapshot of proxies
+	ProxySnapshotTimeout     time.Duration // minimum age of a stream at the heartbeat that completes its snapshot of proxies
 	ConnectTimeout           time.Duration
 	WriteTimeout             time.Duration
 	RelayTimeout             time.Duration // for one call
 	HealthCheckTimeout       time.Duration // for one health check
 	ProcessStallGrace        time.Duration // extra time to read data that arrived while this process was stalled
-	MaxWatchGap              time.Duration // after which data that a stream missed is requested again
+	MaxWatchGap              time.Duration // how long a stream may lack a list before the list is requested again
 
 	// Start, reload, reconnection and logging.
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,11 +19,11 @@
 	LogLevel      string        // one of logging.Levels
 	LogFormat     string        // logging.Text or logging.JSON
 	StatusAddress string        // address of the status listener; empty: none
-	AdminSocket   string        // path of the socket for administrators' commands; empty: none
+	AdminSocket   string        // path of the admin socket, which accepts operators' commands; empty: none
 	TablesAddress string        // address at which replicas of versioned tables connect; empty: none
 	KeyFile       string        // path of the file with the keys that sign versions
 	StorePath     string        // path of the store, which survives a crash; empty: none
-	Spill         int           // number of servers that a manager uses from zones other than its proxies'; 0: all listed servers
+	Spill         int           // number of servers of other zones in the subset; 0: no subset, all servers are used
 	ReadInterval  time.Duration // between two reads from collectors and from the relay; 0: data is read as it arrives
 
 	form *sexp.Node // the parsed file, for positions in errors; nil: no file was read
--- a/internal/sharding/connection.go
+++ b/internal/sharding/connection.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	minLoad         = 0.01 // cores that a connection counts for at least, also before its load is measured
+	minLoad         = 0.01 // minimum load of a connection in cores, and its load before the first measurement
 	loadWindows     = 3    // number of recent windows that the load of a connection is averaged over
-	maxConnFailures = 2    // number of shard failures caused by a connection at which it is closed
+	maxConnFailures = 2    // a connection is closed once it has caused this many shard failures
 )
 
 // ownership is the step of a move that a connection is in, or owned if it is not moving.
--- a/internal/sharding/failure.go
+++ b/internal/sharding/failure.go
@@ -10,8 +10,9 @@
 	maxQuarantineFactor = 8 // longest quarantine as a multiple of the first one
 )
 
-// checkStalls counts the consecutive checks at which each shard exceeded the stall timeout, and marks the shard as failed
-// at stalledChecksToFail. A check that is late itself counts against no shard, because then the whole process was stalled.
+// checkStalls counts the consecutive checks at which a shard's task had run for at least the stall timeout, and marks the
+// shard as failed at stalledChecksToFail. A check that is late itself counts against no shard, because then the whole
+// process was stalled.
 func (a *Assigner) checkStalls(taskTimes []time.Duration, isLate bool) {
 	for i, s := range a.shards {
 		switch {
--- a/internal/sharding/log_record.go
+++ b/internal/sharding/log_record.go
@@ -19,7 +19,7 @@
 	EventConnClosed balancer.LogEvent = "conn_closed"
 	// EventShardStalled has shard and task_seconds: the shard has been running one task for too long.
 	EventShardStalled balancer.LogEvent = "shard_stalled"
-	// EventShardRestarted has shard and conns, the number of its connections that other shards take over.
+	// EventShardRestarted has shard and conns, the number of its connections, which were reassigned.
 	EventShardRestarted balancer.LogEvent = "shard_restarted"
 	// EventShardQuarantined has shard, seconds (the length of the quarantine) and failures.
 	EventShardQuarantined balancer.LogEvent = "shard_quarantined"
--- a/internal/sharding/mailbox.go
+++ b/internal/sharding/mailbox.go
@@ -19,17 +19,17 @@
 // UsageSample is a waiting usage report.
 type UsageSample struct{ balancer.UsageReport }
 
-// Mailbox queues samples, in the order of their arrival, for the single core that makes the balancing decisions. When
-// more samples wait than its limit, samples with the same key (server and zone, or proxy and traffic class) are merged
-// into one that covers the sum of their intervals. The queue is then bounded by the number of keys, and rates are
-// preserved. If it is still at the limit, HasRoom returns false and the producers wait: the buffers of the senders fill,
-// and the senders decide what to do.
+// Mailbox queues samples, in the order of their arrival, for the single core that makes the balancing decisions. When it
+// reaches its limit, samples with the same key (server and zone, or proxy and traffic class) are merged into one that
+// covers the sum of their intervals. The queue is then bounded by the number of keys, and rates are preserved. If it is
+// still at the limit, HasRoom returns false and the producers wait: the buffers of the senders fill, and the senders
+// decide what to do.
 type Mailbox struct {
 	limit   int
 	samples []Sample
 	Merged  int // number of samples that were merged into another
 
-	// Indexes of the waiting samples by key. Set only while no two waiting samples have the same key, else nil.
+	// Indexes of the waiting samples by key. Set only while the waiting samples are merged, else nil.
 	reports map[reportKey]int
 	usages  map[usageKey]int
 }
@@ -47,8 +47,8 @@
 // NewMailbox returns an empty mailbox. Its limit is soft, since Put always adds all samples.
 func NewMailbox(limit int) *Mailbox { return &Mailbox{limit: limit} }
 
-// HasRoom reports whether more samples may be put. At the limit, it first merges the waiting
-// samples unless they are merged already.
+// HasRoom reports whether more samples may be put. At the limit, it first merges the waiting samples unless they are merged
+// already.
 func (m *Mailbox) HasRoom() bool {
 	if len(m.samples) >= m.limit && !m.isMerged() {
 		m.mergeAll()
--- a/internal/sharding/rebalance.go
+++ b/internal/sharding/rebalance.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	minLoadGap     = 0.2  // load gap between the most and the least loaded shard, in cores, below which nothing moves
-	minGapDecrease = 0.15 // fraction by which a move must reduce that gap
+	minLoadGap     = 0.2  // nothing moves while the loads of the most and the least loaded shard differ by fewer cores
+	minGapDecrease = 0.15 // a move must reduce that gap by more than this fraction
 )
 
 // needsRebalance reports whether a load window has ended since the last rebalance. Rebalancing only once per window limits
--- a/internal/sharding/shard.go
+++ b/internal/sharding/shard.go
@@ -14,7 +14,7 @@
 type shard struct {
 	conns            map[ConnID]*connection
 	load             float64         // cores that its connections use
-	stalledChecks    int             // consecutive checks at which its task exceeded the stall timeout
+	stalledChecks    int             // consecutive checks at which its task had run for at least the stall timeout
 	failures         []time.Duration // times of its failures within FailureWindow
 	quarantinedUntil time.Duration   // until then it gets no connections; 0 if it is not in quarantine
 	nextQuarantine   time.Duration   // duration of its next quarantine
--- a/internal/sharding/types.go
+++ b/internal/sharding/types.go
@@ -1,7 +1,7 @@
-// Package sharding assigns connections to shards, where a shard is the work of one core. It decides when a connection moves
-// to another shard and reassigns the connections of a shard that stalls or fails. It also queues the samples that wait
-// for the single core that makes the balancing decisions, and merges them when too many wait. It does no I/O, starts no
-// goroutine and reads no clock, and nothing in it is safe for concurrent use.
+// Package sharding assigns connections to shards; one core processes the connections of a shard. It decides when a
+// connection moves to another shard and reassigns the connections of a shard that stalls or fails. It also queues the
+// samples that wait for the single core that makes the balancing decisions, and merges them when too many wait. It does
+// no I/O, starts no goroutine and reads no clock, and nothing in it is safe for concurrent use.
 //
 // NewAssigner makes an Assigner from its settings. Each input has its own method, which takes the time since the start
 // and returns Actions. A connection moves in four steps: its owner drains it, the data that the owner has already read is
@@ -39,11 +39,11 @@
 	Shards             int
 	CheckInterval      time.Duration // between two calls of HandleWorkerCheck
 	RebalanceInterval  time.Duration // between two calls of HandleLoad
-	StallTimeout       time.Duration // longest time that one task may take
+	StallTimeout       time.Duration // a shard whose task runs for this long or longer is stalled
 	DrainTimeout       time.Duration // longest time that a shard may take to drain a connection
 	MoveCooldown       time.Duration // shortest time before a connection that moved may move again
 	MoveWindow         time.Duration // period that MaxMoves applies to
-	MaxMoves           int           // moves to balance load within MoveWindow; connections of failed shards do not count
+	MaxMoves           int           // maximum number of moves to balance load within MoveWindow; reassignments after a failure do not count
 	MaxFailures        int           // failures of a shard within FailureWindow that lead to its quarantine
 	FailureWindow      time.Duration
 	QuarantineDuration time.Duration // first quarantine of a shard; doubled each time, up to maxQuarantineFactor times this
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -75,14 +75,14 @@
 	return value
 }
 
-// integer reads a whole number in the range from least to most, inclusive.
-func (f *fieldReader) integer(field string, least, most int64) int64 {
+// integer reads a whole number between minimum and maximum, inclusive.
+func (f *fieldReader) integer(field string, minimum, maximum int64) int64 {
 	value := f.text(field)
 	n, err := strconv.ParseInt(value, 10, 64)
 	if err != nil {
 		f.fail(field, value, "is not a whole number")
-	} else if n < least || n > most {
-		f.fail(field, value, fmt.Sprintf("is not in the range from %d to %d", least, most))
+	} else if n < minimum || n > maximum {
+		f.fail(field, value, fmt.Sprintf("is not between %d and %d", minimum, maximum))
 	}
 	return n
 }
--- a/internal/simprotocol/serve_test.go
+++ b/internal/simprotocol/serve_test.go
@@ -48,12 +48,12 @@
 	}{
 		{"OBSERVED\t3\tw1\t1", "line 8: OBSERVED: too few values: many is missing", ErrTooFewValues, ""},
 		{"STREAM_DOWN\t3\t41\t1", "line 8: STREAM_DOWN: 1 unexpected values at the end of the line", ErrTooManyValues, ""},
-		{"STREAM_DOWN\t3\t65536", "is not in the range from 0 to 65535", nil, "sidecar"},
+		{"STREAM_DOWN\t3\t65536", "is not between 0 and 65535", nil, "sidecar"},
 		{"STREAM_DOWN\t4\t1", "instance 4 is not known", ErrUnknownInstance, ""},
-		{"STREAM_DOWN\t-1\t1", "is not in the range from 0 to 2147483647", nil, "who"},
+		{"STREAM_DOWN\t-1\t1", "is not between 0 and 2147483647", nil, "who"},
 		{"DOWN\t3\t1", "1 unexpected values at the end of the line", ErrTooManyValues, ""},
 		{"DIALLED_IN\t3\tNaN\t1\t41\teast", "is not a finite, non-negative number", nil, "part"},
-		{"DIALLED_IN\t3\t6.5\t2\t41\teast", "is not in the range from 0 to 1", nil, "flag"},
+		{"DIALLED_IN\t3\t6.5\t2\t41\teast", "is not between 0 and 1", nil, "flag"},
 		{"DIALLED_IN\t3\t6.5\t1\t41\t-", "is not a name", nil, "dc"},
 		{"OFFERED_LOAD\t3\t41\tnone\t9\t0\t1", "is not one of quote", nil, "kind"},
 		{"HEALTH_RESULT\t3\tw1\tdelivered\t-1\t-", "elapsedUs", nil, "elapsedUs"},
@@ -92,7 +92,7 @@
 	for text, want := range map[string]string{
 		"BATH\t1\n":       `line 1: expected BATCH, found "BATH"`,
 		"BATCH\n":         "line 1: BATCH: too few values: clock is missing",
-		"BATCH\t-1\n":     `line 1: BATCH: clock: "-1" is not in the range from 0 to 9223372036854775`,
+		"BATCH\t-1\n":     `line 1: BATCH: clock: "-1" is not between 0 and 9223372036854775`,
 		"\n\nBATCH\t1\t2": "line 3: BATCH: 1 unexpected values at the end of the line",
 	} {
 		if _, err := serve(text); err == nil || err.Error() != want {
--- a/internal/store/save.go
+++ b/internal/store/save.go
@@ -88,7 +88,7 @@
 }
 
 // pruneVersions deletes the oldest versions beyond the limit and turns the oldest remaining one into a snapshot. It does
-// nothing until an eighth of the limit can be deleted, because it reads all keys.
+// nothing until more than an eighth of the limit can be deleted, because it reads all keys.
 func (s *Store) pruneVersions(bucket *bbolt.Bucket, head *versionsHead) error {
 	limit := s.limits.MaxVersions
 	if head.count <= limit+limit/8 {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -27,7 +27,7 @@
 
 // Limits bounds the size of the file and the time to open it.
 type Limits struct {
-	MaxVersions       int           // number of versions to retain; up to an eighth more are kept until the next pruning
+	MaxVersions       int           // number of versions to keep; up to an eighth more remain until the next pruning
 	CompactAboveBytes int64         // Open compacts a file larger than this
 	LockTimeout       time.Duration // how long to wait for another process to close the file
 }
@@ -50,7 +50,7 @@
 	CreatedAt  time.Time     `json:"at"`
 	Cause      string        `json:"cause"`
 	Layout     string        `json:"layout"`        // how the tables were numbered
-	CommandKey string        `json:"key,omitempty"` // idempotency key of the operator's command that caused it
+	CommandKey string        `json:"key,omitempty"` // idempotency key of the operator's command whose hold was in force; empty if none was
 	Snapshot   bool          `json:"whole"`         // Ops start from the empty state
 	Ops        []tables.Op   `json:"ops"`
 }
@@ -75,8 +75,8 @@
 type Contents struct {
 	Epoch             uint64 // of the last process that opened the store for writing
 	Versions          []Version
-	State             *tables.State // after the last version
-	Drains            map[string]time.Time
+	State             *tables.State        // after the last version
+	Drains            map[string]time.Time // all servers that are draining or gone, and since when
 	CompletedCommands []CompletedCommand
 	ServerList        ServerList
 }
--- a/internal/subset/demand.go
+++ b/internal/subset/demand.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	zoneShortThreshold = 0.7             // fraction of a home zone's servers in service below which other zones replace the rest
+	zoneShortThreshold = 0.7             // if a smaller fraction of a home zone is in service, other zones replace its missing servers
 	checkDuration      = 3 * time.Second // how long a new member counts as in service while its first health check is pending
 	peakLifetime       = time.Hour       // how long the peak size of a zone is remembered after the zone shrank
 )
--- a/internal/subset/record.go
+++ b/internal/subset/record.go
@@ -10,17 +10,17 @@
 type phase uint8
 
 const (
-	phaseUnpublished phase = iota // not published
-	phaseMember                   // with its state on the list
-	phaseDraining                 // as draining, because the list marks it so or it is no longer a member
-	phaseReleased                 // as removed, until the balancer forgets it
+	phaseUnpublished phase = iota // not published, or forgotten by the balancer since
+	phaseMember                   // published with its state on the list
+	phaseDraining                 // published as draining, because the list marks it so or it is no longer a member
+	phaseReleased                 // published as removed, until the balancer forgets it
 )
 
 // record holds the state of one server. There is one for each server of the fleet, so the fields are ordered to
 // avoid padding.
 type record struct {
-	server     Server // as last listed
-	distance   uint64 // from the manager on the ring
+	server     Server // its latest entry on the list
+	distance   uint64 // distance from the manager on the ring
 	phaseSince time.Duration
 	// The balancer applies slow start to a new server from its start time. A server that was already warm when it became
 	// a member is published without its start time, as long as it has not restarted since startedAtAdmission.
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -103,8 +103,8 @@
 	below uint64 // exclusive upper bound of the distance; ignored if all is set
 }
 
-// Bounds of the number of selected servers relative to the wanted number. They differ because the servers are unevenly
-// spaced on the ring.
+// Bounds of the number of selected servers relative to the wanted number. The numbers differ because the servers are
+// unevenly spaced on the ring.
 const (
 	minSizeRatio = 0.8
 	maxSizeRatio = 1.25
--- a/internal/versions/chain.go
+++ b/internal/versions/chain.go
@@ -46,7 +46,7 @@
 func (c *Chain) Verify() (lines []string, err error) {
 	for i, version := range c.versions {
 		if digest := version.State.Digest(); digest != version.Digest {
-			return lines, fmt.Errorf("version %v: its state has digest %v, recorded is %v", version.ID, digest, version.Digest)
+			return lines, fmt.Errorf("version %v: its state has digest %v, expected %v", version.ID, digest, version.Digest)
 		}
 		if i == 0 || c.versions[i-1].Digest != version.Parent {
 			lines = append(lines, fmt.Sprintf("version %v (%v): the state matches its digest; the previous version is not kept",
@@ -59,7 +59,7 @@
 				version.ID, c.versions[i-1].ID, version.Digest)
 		}
 	}
-	return append(lines, fmt.Sprintf("the digests of all %d versions hold", len(c.versions))), nil
+	return append(lines, fmt.Sprintf("the digests of all %d versions match", len(c.versions))), nil
 }
 
 // SetLayout sets the numbering of the tables from now on.
--- a/internal/versions/chain_test.go
+++ b/internal/versions/chain_test.go
@@ -72,7 +72,7 @@
 	chain.Propose(2*time.Second, weights(weight(0, "a0", 20)), "health", allReady)
 	lines, err := chain.Verify()
 	if err != nil || len(lines) != 2 || !strings.HasSuffix(lines[0], "): the state matches its digest; the previous version is not kept") ||
-		lines[1] != "the digests of all 2 versions hold" {
+		lines[1] != "the digests of all 2 versions match" {
 		t.Errorf("%q, error %v", lines, err)
 	}
 	intact := *chain.versions[1]
--- a/internal/versions/hold.go
+++ b/internal/versions/hold.go
@@ -187,7 +187,7 @@
 	return remaining / max(c.hold.pinnedWeight, minPinnedWeight)
 }
 
-// minPinnedWeight replaces the total weight if empty tables are held; such a hold ends at once.
+// minPinnedWeight replaces a total weight of 0 as the divisor if empty tables are held; such a hold ends at once.
 const minPinnedWeight = 1e-9
 
 func (p PinnedTables) totalWeight() float64 {
--- a/internal/versions/peer.go
+++ b/internal/versions/peer.go
@@ -20,10 +20,10 @@
 	}
 }
 
-// Peer decides which delta to send to one replica, and when. It sends the newest version: as a delta if the replica's own
-// version is still kept, otherwise or if the replica needs it as a snapshot. Only one is in flight at a time. If the
-// replica rejects it or does not answer, the peer retries with growing backoff. It stops sending once another manager has
-// taken over the replica. A Peer is not safe for concurrent use.
+// Peer decides which delta to send to one replica, and when. It sends the newest version as a delta from the replica's
+// own version. If that is no longer kept or the replica needs a snapshot, it sends a snapshot instead. Only one of them is
+// in flight at a time. If the replica rejects it or does not answer, the peer retries with growing backoff. It stops
+// sending once another manager has taken over the replica. A Peer is not safe for concurrent use.
 type Peer struct {
 	settings       RetrySettings
 	rng            jitter
