--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,10 +40,10 @@
 func TestLimitsScaleWithTheMachine(t *testing.T) {
 	l := limitsFor(machine{cores: 0.2, memoryMB: 32, sockets: 256})
 	if open := l.MaxUnidentifiedConns + l.MaxCollectorConns + l.MaxOpenHealthChecks + 8; open > 128 {
-		t.Errorf("%d of 256 file descriptors may be open", open)
+		t.Errorf("%d of 256 file descriptors may be open, want at most 128", open)
 	}
 	if buffered := int64(l.MaxUnidentifiedConns*l.MaxUnidentifiedLineBytes + l.MaxCollectorConns*l.MaxCollectorLineBytes + 2*l.MaxEndpointListBytes); buffered > l.Memory/8 {
-		t.Errorf("line buffers may take %d of %d bytes", buffered, l.Memory)
+		t.Errorf("line buffers may take %d of %d bytes, want at most an eighth", buffered, l.Memory)
 	}
 }
 
@@ -164,10 +164,10 @@
 // A list of 24,000 servers of 200 bytes each must fit a manager with 256 MB; the limit is never below 1 MiB.
 func TestMaxEndpointListBytesScalesWithMemory(t *testing.T) {
 	if limit := limitsFor(machine{cores: 1, memoryMB: 256, sockets: 1024}).MaxEndpointListBytes; limit < 24000*200 {
-		t.Errorf("%d bytes with 256 MB", limit)
+		t.Errorf("a list may have %d bytes with 256 MB of memory, want at least %d", limit, 24000*200)
 	}
 	if limit := limitsFor(machine{cores: 1, memoryMB: 16, sockets: 1024}).MaxEndpointListBytes; limit != minEndpointListBytes {
-		t.Errorf("%d bytes with 16 MB", limit)
+		t.Errorf("a list may have %d bytes with 16 MB of memory, want %d", limit, minEndpointListBytes)
 	}
 }
 
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -87,7 +87,7 @@
 func TestSubsetIsOffByDefault(t *testing.T) {
 	for text, want := range map[string]int{"(tamarindshore)": 0, "(tamarindshore (subset (spill 100)))": 100} {
 		if s := newConfig(t, text); s.Spill != want {
-			t.Errorf("%s: spill is %d", text, s.Spill)
+			t.Errorf("%s: spill %d, want %d", text, s.Spill, want)
 		}
 	}
 }
@@ -95,7 +95,7 @@
 func TestReadIntervalIsOffByDefault(t *testing.T) {
 	for text, want := range map[string]time.Duration{"(tamarindshore)": 0, "(tamarindshore (read-interval 50ms))": 50 * time.Millisecond} {
 		if s := newConfig(t, text); s.Limits.ReadInterval != want {
-			t.Errorf("%s: read interval is %v", text, s.Limits.ReadInterval)
+			t.Errorf("%s: read interval %v, want %v", text, s.Limits.ReadInterval, want)
 		}
 	}
 	for _, text := range []string{"0s", "1us", "201ms", "-1ms", "soon"} {
--- a/internal/logging/async_writer_test.go
+++ b/internal/logging/async_writer_test.go
@@ -41,7 +41,7 @@
 	}
 	w.Shutdown(time.Minute)
 	if out.String() != "0\n1\n2\n3\n4\n5\n6\n7\n8\n9\n" {
-		t.Errorf("%q", out.String())
+		t.Errorf("wrote %q, want the lines 0 to 9", out.String())
 	}
 }
 
--- a/internal/logging/logger_test.go
+++ b/internal/logging/logger_test.go
@@ -18,7 +18,7 @@
 		log.Info().Str("event", "start").Str("name", "n1").Int("servers", 30).Str("note", "a b").Send()
 		log.Debug().Msg("below the level")
 		if !regexp.MustCompile(want).MatchString(out.String()) {
-			t.Errorf("%s: %q", format, out.String())
+			t.Errorf("format %s: wrote %q, want a match for %s", format, out.String(), want)
 		}
 		if format == JSON && !json.Valid(out.Bytes()) {
 			t.Error("the line is not valid JSON")
--- a/internal/simprotocol/serve_test.go
+++ b/internal/simprotocol/serve_test.go
@@ -123,6 +123,6 @@
 	h.run(3, func() balancer.Commands { panic("again") })
 	h.out.Flush()
 	if out.String() != "INTERNAL_ERROR\t3\tcause of it\n" {
-		t.Errorf("got %q", out.String())
+		t.Errorf("got %q, want one INTERNAL_ERROR line with the first cause", out.String())
 	}
 }
--- a/internal/versions/chain_test.go
+++ b/internal/versions/chain_test.go
@@ -73,16 +73,16 @@
 	lines, err := chain.Verify()
 	if err != nil || len(lines) != 2 || !strings.HasSuffix(lines[0], "): the state matches its digest; the previous version is not kept") ||
 		lines[1] != "the digests of all 2 versions match" {
-		t.Errorf("%q, error %v", lines, err)
+		t.Errorf("intact versions: lines %q, error %v, want 2 lines and no error", lines, err)
 	}
 	intact := *chain.versions[1]
 	chain.versions[1].Ops = nil
 	if _, err := chain.Verify(); err == nil || !strings.Contains(err.Error(), "version 7.2 does not follow from version 7.1") {
-		t.Errorf("error %v", err)
+		t.Errorf("version without operations: error %v, want one about versions 7.1 and 7.2", err)
 	}
 	*chain.versions[1] = intact
 	chain.versions[1].Digest = tables.Digest{}
 	if _, err := chain.Verify(); err == nil || !strings.Contains(err.Error(), "version 7.2: its state has digest") {
-		t.Errorf("error %v", err)
+		t.Errorf("version with a wrong digest: error %v, want one about the digest of version 7.2", err)
 	}
 }
