--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	if s.Name != "n3" || s.Relay != "127.0.0.3:6400" || s.Seed != 0x8c1f30d27a5be964 || !s.ServersReportLoad {
-		t.Errorf("%+v", s)
+		t.Errorf("config %+v", s)
 	}
 	if s.Balancer.QueueCapacity != 8600 || len(s.ClassNames) != 1 || s.ClassNames[0] != "lookup" {
 		t.Errorf("balancer settings %+v", s.Balancer)
@@ -40,10 +40,10 @@
 func TestLimitsScaleWithTheMachine(t *testing.T) {
 	l := limitsFor(machine{cores: 0.2, memoryMB: 32, sockets: 256})
 	if open := l.MaxUnidentifiedConns + l.MaxCollectorConns + l.MaxOpenHealthChecks + 8; open > 128 {
-		t.Errorf("%d of 256 file descriptors may be open", open)
+		t.Errorf("%d of 256 file descriptors may be open, want at most 128", open)
 	}
 	if buffered := int64(l.MaxUnidentifiedConns*l.MaxUnidentifiedLineBytes + l.MaxCollectorConns*l.MaxCollectorLineBytes + 2*l.MaxEndpointListBytes); buffered > l.Memory/8 {
-		t.Errorf("line buffers may take %d of %d bytes", buffered, l.Memory)
+		t.Errorf("line buffers may take %d of %d bytes, want at most an eighth", buffered, l.Memory)
 	}
 }
 
@@ -130,7 +130,7 @@
 func TestSmallestMachineSupportsAThousandServers(t *testing.T) {
 	l := limitsFor(machine{cores: 0.01, memoryMB: 32, sockets: 64})
 	if l.MaxQueuedHealthChecks < 1024 || l.MaxQueuedInputs < 1024 || l.MaxEndpointListBytes < 1024*200 {
-		t.Errorf("%+v", l)
+		t.Errorf("limits %+v", l)
 	}
 }
 
@@ -156,7 +156,7 @@
 		}
 		var located *LocatedError
 		if errors.As(err, &located) != strings.Contains(want, "(line ") {
-			t.Errorf("%s: error %v: whether it has a line is not as expected", replacement[1], err)
+			t.Errorf("%s: error %v must be a LocatedError exactly if a line is expected", replacement[1], err)
 		}
 	}
 }
@@ -164,10 +164,10 @@
 // A list of 24,000 servers of 200 bytes each must fit a manager with 256 MB; the limit is never below 1 MiB.
 func TestMaxEndpointListBytesScalesWithMemory(t *testing.T) {
 	if limit := limitsFor(machine{cores: 1, memoryMB: 256, sockets: 1024}).MaxEndpointListBytes; limit < 24000*200 {
-		t.Errorf("%d bytes with 256 MB", limit)
+		t.Errorf("a list may have %d bytes with 256 MB of memory, want at least %d", limit, 24000*200)
 	}
 	if limit := limitsFor(machine{cores: 1, memoryMB: 16, sockets: 1024}).MaxEndpointListBytes; limit != minEndpointListBytes {
-		t.Errorf("%d bytes with 16 MB", limit)
+		t.Errorf("a list may have %d bytes with 16 MB of memory, want %d", limit, minEndpointListBytes)
 	}
 }
 
