--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -18,8 +18,8 @@
 	lowLoad = 0.26
 	// highLoad is the load above which the admission limit is lowered.
 	highLoad = 0.32
-	// lowLoadBaselineFactor and highLoadBaselineFactor are the same bounds as multiples of the baseline load. The
-	// higher of the two bounds applies.
+	// lowLoadBaselineFactor and highLoadBaselineFactor are the same bounds as multiples of the baseline load. In
+	// each case, the higher bound applies.
 	lowLoadBaselineFactor  = 1.5
 	highLoadBaselineFactor = 2.0
 	// maxBaselineLoad caps the baseline load, because a manager that starts under load observes one that is too high.
@@ -46,12 +46,12 @@
 	limitRemovalFactor = 1.2
 	// surgeSaturationFactor is the highest limit during a surge, as a multiple of the saturation rate.
 	surgeSaturationFactor = 1.5
-	// minDeliverySamples is the number of samples of the delivered rate above which the saturation rate is trusted.
+	// minDeliverySamples is the number of samples of the delivered rate that must be exceeded to trust the saturation rate.
 	minDeliverySamples = 5
-	// loggedLimitIncrease is the factor by which the limit must increase for the change to be logged.
+	// loggedLimitIncrease is the factor above which an increase of the limit is logged.
 	loggedLimitIncrease = 2
-	// minReportedShare is the share of the announced rate whose proxies must have reported usage before the limit is
-	// changed.
+	// minReportedShare is the minimum share of the announced rate whose proxies must have reported usage recently for
+	// the limit to be adjusted.
 	minReportedShare = 0.5
 
 	// minInFlightRate is the attempts per second above which a server's in-flight requests indicate its latency.
@@ -69,10 +69,10 @@
 )
 
 // retryPolicyFor returns the platform's retry policy, restricted to what is safe for a class: a request that may have
-// been executed is sent again only if it is idempotent or if servers drop duplicates until its deadline.
+// been executed is sent again only if it is idempotent or if servers discard duplicates until its deadline.
 func retryPolicyFor(platform RetryPolicy, class TrafficClass) RetryPolicy {
-	copiesDropped := class.Idempotency == IdempotencyKeyed && class.DedupWindow >= class.Deadline
-	if class.Idempotency == Idempotent || copiesDropped {
+	duplicatesDiscarded := class.Idempotency == IdempotencyKeyed && class.DedupWindow >= class.Deadline
+	if class.Idempotency == Idempotent || duplicatesDiscarded {
 		return platform
 	}
 	return min(platform, RetryIfNotExecuted)
@@ -152,16 +152,16 @@
 	}
 }
 
-// updateAdmissionLimit adjusts the limit according to what the proxies reported since the last tick.
+// updateAdmissionLimit adjusts the limit according to recent load and usage reports.
 func (m *Manager) updateAdmissionLimit() {
 	a := &m.admission
 	traffic := m.trafficSample()
-	reportedRate := m.reportedProxyRate()
-	capacity := reportedRate * m.usableWeight()
+	reportingRate := m.reportingProxiesRate()
+	capacity := reportingRate * m.usableWeight()
 	a.scaleTo(capacity)
 	previous := a.limit
 	announcedRate := m.meanAnnouncedRate() * float64(len(m.proxies))
-	if reportedRate < minReportedShare*announcedRate || capacity == 0 || m.admissionUnit == AdmitNone {
+	if reportingRate < minReportedShare*announcedRate || capacity == 0 || m.admissionUnit == AdmitNone {
 		return
 	}
 	a.deliveryRates = lastN(append(a.deliveryRates, traffic.delivered/capacity), maxSamples)
@@ -196,14 +196,14 @@
 // from the duration of health checks. Health checks may bypass the request queue, so they count only if they show idle
 // servers. Latency that arises elsewhere, such as in the network, must not trigger admission control.
 func (m *Manager) serverLatency(latency float64) float64 {
-	inFlightTimes := m.inFlightLatencies(minInFlightRate)
+	latencies := m.inFlightLatencies(minInFlightRate)
 	m.checkRandomServers()
-	if len(inFlightTimes) > 0 {
-		return min(latency, median(inFlightTimes))
+	if len(latencies) > 0 {
+		return min(latency, median(latencies))
 	}
-	checkTimes := m.recentCheckDurations()
-	if m.healthChecks && len(checkTimes) > 0 && median(checkTimes) < idleCheckLatencyShare*latency {
-		return median(checkTimes)
+	checkDurations := m.recentCheckDurations()
+	if m.healthChecks && len(checkDurations) > 0 && median(checkDurations) < idleCheckLatencyShare*latency {
+		return median(checkDurations)
 	}
 	return latency
 }
@@ -269,7 +269,7 @@
 }
 
 // zoneLocalAdmissionShare returns the share of the zone-local classes' requests that a table admits. In a zone that
-// lost most of its servers, it admits only as much as the remaining servers should get.
+// lost most of its servers, it admits at most maxWarmingShareFactor times what the table gives the remaining servers.
 func (m *Manager) zoneLocalAdmissionShare(id TableID, demand []float64, total float64) float64 {
 	zoneLocalDemand := 0.0
 	for class := range demand {
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -63,7 +63,7 @@
 	}
 	m.updateAdmissionLimit()
 	if !math.IsInf(m.admission.limit, 1) {
-		t.Errorf("limit %.0f after failures in the first second only", m.admission.limit)
+		t.Errorf("limit %.0f after failures, although there are not enough samples of the delivered rate, want none", m.admission.limit)
 	}
 	m.admission.deliveryRates = make([]float64, minDeliverySamples)
 	m.updateAdmissionLimit()
@@ -87,7 +87,7 @@
 	}
 	m.updateAdmissionLimit()
 	if !math.IsInf(m.admission.limit, 1) {
-		t.Errorf("limit %.0f although only a tenth of the announced rate is reported on", m.admission.limit)
+		t.Errorf("limit %.0f although proxies with only a tenth of the announced rate reported usage", m.admission.limit)
 	}
 }
 
@@ -129,7 +129,7 @@
 	}
 	m.updateAdmissionLimit()
 	if m.admission.limit > 1.1*surgeSaturationFactor*4*8 {
-		t.Errorf("limit %.0f for four of ten servers, which delivered 8 requests per second each", m.admission.limit)
+		t.Errorf("limit %.0f is too high for four of ten servers, which delivered 8 requests per second each", m.admission.limit)
 	}
 	for _, s := range m.servers[:6] {
 		s.state = Ready
@@ -137,7 +137,7 @@
 	}
 	m.updateAdmissionLimit()
 	if m.admission.limit < 2*surgeSaturationFactor*4*8 {
-		t.Errorf("limit %.0f once all servers are ready again", m.admission.limit)
+		t.Errorf("limit %.0f is too low once all servers are ready again", m.admission.limit)
 	}
 }
 
--- a/balancer/assignment.go
+++ b/balancer/assignment.go
@@ -30,8 +30,8 @@
 	m.cheapestAssignCost = 0
 }
 
-// nextAssignment returns the next proxy to assign to its partition's table, in order of connection, or nil if no proxy is
-// unassigned or no assignment fits into the channel.
+// nextAssignment returns the next proxy to assign to its partition's table, in order of connection, or nil if no proxy
+// is unassigned or no assignment fits into the channel.
 func (m *Manager) nextAssignment() *proxy {
 	priority := urgentPriority
 	if m.assignsBeforeDrains() {
@@ -57,13 +57,13 @@
 	m.reserve([]*proxy{p}, m.assignmentCost(m.tables[p.partition]))
 }
 
-// recordAssignment adds the commands that assign a proxy to its partition's table, and to the table's zone-local part for
-// zone-local classes.
+// recordAssignment adds the commands that assign a proxy to its partition's table, and to the table's zone-local part
+// for zone-local classes.
 func (m *Manager) recordAssignment(p *proxy) {
 	m.updateTableIndex()
 	m.removeUnassigned(p, m.tables[p.partition])
 	p.assigned = true
-	p.mayHoldTable = false
+	p.mayUseOldTable = false
 	id := TableID(p.partition)
 	if !m.hasZoneLocalClasses() {
 		m.commands.Assign = append(m.commands.Assign, TableAssignment{Proxy: p.id, Table: id})
@@ -76,7 +76,7 @@
 }
 
 // assignableProxies returns the unassigned proxies, or nil if even the cheapest assignment costs more commands than are
-// available: thousands of proxies may be unassigned after a restart, and each input would iterate over them.
+// available. Thousands of proxies may be unassigned after a restart, and each input would otherwise iterate over them.
 func (m *Manager) assignableProxies(available float64) []*proxy {
 	if m.cheapestAssignment() > available {
 		return nil
--- a/balancer/assignment_test.go
+++ b/balancer/assignment_test.go
@@ -147,8 +147,9 @@
 	}
 }
 
-// The watch may report a connected proxy again. If the proxy lost its state, the admission limit would open for lack of
-// usage, the proxy would change its partition and close all its connections, and its message count would restart at 0.
+// A connected proxy may be reported again. If the manager discarded the proxy's state, it would lift the admission limit
+// for lack of usage, the proxy would change its partition and close all its connections, and its message count would
+// restart at 0.
 func TestReconnectedProxyKeepsItsUsage(t *testing.T) {
 	m := newTestManager(2)
 	m.now = 500 * time.Millisecond
@@ -188,13 +189,13 @@
 	}
 }
 
-// A proxy that is reported again after a gap in the watch may never have disconnected. It still holds its table, so until
-// it is assigned again it gets the commands for that table and must count for their cost.
+// A proxy that is reported again may never have disconnected. It then still uses its table, so until it is assigned
+// again it gets the commands for that table and must count for their cost.
 func TestReconnectedProxyCountsForTheCostOfItsTable(t *testing.T) {
 	m := newTestManager(4)
 	m.updateTableIndex()
 	m.partitioned = false // so that no proxy is assigned
-	before, held := len(m.tableProxies(0)), len(m.proxiesUsing(m.server("a0")))
+	before, using := len(m.tableProxies(0)), len(m.proxiesUsing(m.server("a0")))
 	m.HandleProxyConnected(m.now+1, 0, "a", 5)
 	if p := m.proxy(0); p.assigned {
 		t.Fatal("the proxy is already assigned")
@@ -202,8 +203,8 @@
 	if got := len(m.tableProxies(0)); got != before || before == 0 {
 		t.Errorf("commands are reserved for %d proxies, want %d, which must not be 0", got, before)
 	}
-	if got := len(m.proxiesUsing(m.server("a0"))); got != held {
-		t.Errorf("a withdrawal is reserved for %d proxies, want %d", got, held)
+	if got := len(m.proxiesUsing(m.server("a0"))); got != using {
+		t.Errorf("a withdrawal is reserved for %d proxies, want %d", got, using)
 	}
 	m.HandleProxyDisconnected(m.now+1, 0)
 	m.HandleProxyConnected(m.now+1, 0, "a", 5)
--- a/balancer/demand.go
+++ b/balancer/demand.go
@@ -79,8 +79,8 @@
 }
 
 // demandByClass returns the requests per second of all proxies by traffic class: the mean rate of the reporting
-// proxies, times their number. The mean is taken over all requests and all seconds, because a sample ends when a
-// request arrives, so the sum of each proxy's latest rate is far too high where proxies get few requests.
+// proxies, times their number. The mean is taken over all requests and all seconds, not over the rates of the proxies:
+// a sample ends when a request arrives, so the sum of their latest rates is far too high where proxies get few requests.
 func (m *Manager) demandByClass() []float64 {
 	demand := make([]float64, len(m.latencyObjectives))
 	for class := range demand {
@@ -99,8 +99,8 @@
 	return demand
 }
 
-// offeredAndDelivered returns the offered rate, and the rate delivered by the servers that may get requests, in requests per
-// second.
+// offeredAndDelivered returns the offered rate, and the rate delivered by the servers that may get requests, both in
+// requests per second.
 func (m *Manager) offeredAndDelivered() (offered, delivered float64) {
 	for _, s := range m.servers {
 		if m.mayServe(s) && !s.ejected {
@@ -134,8 +134,8 @@
 	return total / max(1, float64(len(m.proxies)))
 }
 
-// reportedProxyRate returns the total announced rate of the proxies that reported their usage recently.
-func (m *Manager) reportedProxyRate() float64 {
+// reportingProxiesRate returns the total announced rate of the proxies that reported their usage recently.
+func (m *Manager) reportingProxiesRate() float64 {
 	total := 0.0
 	for _, p := range m.proxies {
 		if m.usageIsRecent(p) {
--- a/balancer/distribution.go
+++ b/balancer/distribution.go
@@ -10,28 +10,28 @@
 	// maxListedShareFactor is the most that a server gets, as a multiple of its share of the listed weight.
 	maxListedShareFactor = 2.0
 
-	// minWeightShare is the smallest share of a table's requests for which a server is named in the table.
+	// minWeightShare is the share of a table's requests above which a server is named in the table.
 	minWeightShare = 0.005
-	// minShareOfLargest replaces minWeightShare in tables of hundreds of equal servers, each of which gets less than
-	// minWeightShare: a server is named if it gets more than this multiple of the table's largest share.
+	// minShareOfLargest applies instead of minWeightShare in tables of hundreds of equal servers, each of which gets
+	// less than minWeightShare: a server is named if it gets more than this fraction of the table's largest share.
 	minShareOfLargest = 0.5
 
-	// rateTolerance is the relative change of a partition's request rate that triggers a redistribution.
+	// rateTolerance is the relative change of a partition's request rate above which the requests are redistributed.
 	rateTolerance = 0.2
 	// rateWindow is how many seconds of usage a proxy's request rate in the distribution is computed from.
 	rateWindow = 6.0
-	// minAnnouncedShare is the smallest multiple of its announced rate that a proxy counts for while servers warm up.
+	// minAnnouncedShare is the smallest fraction of its announced rate that a proxy counts for while servers warm up.
 	minAnnouncedShare = 0.5
 )
 
-// redistributionReason is the reason why the tables' target weights must be recomputed.
+// redistributionReason is the reason why the tables' target shares must be recomputed.
 type redistributionReason int
 
 const (
 	upToDate redistributionReason = iota
 	endpointsChanged
 	serverEjected
-	serverRestored
+	ejectionEnded
 	healthChanged
 	warmUpAdvanced
 	slowStartPauseChanged
@@ -47,7 +47,7 @@
 	return m.redistribution != upToDate && m.partitioned && (m.publication.due || m.publication.urgent)
 }
 
-// redistribute computes every table's target weights from the request rate of each partition and the target rate of
+// redistribute computes every table's target shares from the request rate of each partition and the target rate of
 // each server.
 func (m *Manager) redistribute() {
 	m.redistribution = upToDate
@@ -85,8 +85,8 @@
 		target := m.serverTarget(s)
 		if s.warmingUp {
 			// A warming server gets its warm-up progress times its share of the usable weight. The lower bound of
-			// usableWeight limits that share to maxWarmingShareFactor times the one in a healthy fleet, so that the server
-			// is not overloaded when others fail.
+			// usableWeight limits that share to maxWarmingShareFactor times the server's share in a healthy fleet, so that
+			// the server is not overloaded when others fail.
 			target.rate *= m.warmUpProgress(s) * totalRate / usableWeight
 			warmingRate += target.rate
 		} else {
@@ -143,10 +143,11 @@
 	}
 }
 
-// countedRate returns the request rate that a proxy counts for in the distribution, given its reported rate. A proxy that
-// reported nothing counts for its announced rate. While servers warm up, a newly connected proxy counts for at least its
-// announced rate, and any other proxy for at least minAnnouncedShare of it: a partition with few reported requests could
-// otherwise get a table full of warming servers, which would be overloaded when the other requests arrive.
+// countedRate returns the request rate that a proxy counts for in the distribution, given its reported rate. A proxy
+// that reported no requests counts for its announced rate. While servers warm up, a newly connected proxy counts for at
+// least its announced rate, and any other proxy for at least minAnnouncedShare of it: a partition with few reported
+// requests could otherwise get a table full of warming servers, which would be overloaded when the other requests
+// arrive.
 func (m *Manager) countedRate(p *proxy, reported float64, warmingUp bool) float64 {
 	newlyConnected := m.now-p.connectedAt <= maxSampleAge
 	switch {
@@ -285,7 +286,7 @@
 	remainderTotal   float64
 }
 
-// rate returns the request rate from a partition to the server rate position i of the targets.
+// rate returns the request rate from a partition to the server at position i of the targets.
 func (r distributionResult) rate(partition, i int) float64 {
 	if r.unallocated[partition] == 0 {
 		return r.allocated[partition][i]
--- a/balancer/distribution_test.go
+++ b/balancer/distribution_test.go
@@ -6,20 +6,20 @@
 )
 
 func TestDistributeStaysInZoneWithinTheBand(t *testing.T) {
-	got := distributeRates([]float64{22, 18}, append(equalParts(0, 2, 10), equalParts(1, 2, 10)...), [][]int{{1}, {0}}, noPairClosed)
+	got := distributeRates([]float64{22, 18}, append(equalTargets(0, 2, 10), equalTargets(1, 2, 10)...), [][]int{{1}, {0}}, noPairClosed)
 	wantNear(t, "rate from zone 0 to its own servers", got[0][0]+got[0][1], 22)
 	wantNear(t, "rate from zone 1 to its own servers", got[1][2]+got[1][3], 18)
 }
 
 func TestDistributeFillsFloorsFromTheSurplusOfOtherZones(t *testing.T) {
-	got := distributeRates([]float64{30, 10}, append(equalParts(0, 2, 10), equalParts(1, 2, 10)...), [][]int{{1}, {0}}, noPairClosed)
+	got := distributeRates([]float64{30, 10}, append(equalTargets(0, 2, 10), equalTargets(1, 2, 10)...), [][]int{{1}, {0}}, noPairClosed)
 	wantNear(t, "rate up to the ceilings in the own zone", got[0][0]+got[0][1], 24)
 	wantNear(t, "rate spilled to the other zone", got[0][2]+got[0][3], 6)
 	wantNear(t, "floor of a server, filled from both zones", got[0][2]+got[1][2], 8)
 }
 
 func TestDistributeSpillsToTheNearestOpenZone(t *testing.T) {
-	targets := append(append(equalParts(0, 1, 10), equalParts(1, 4, 10)...), equalParts(2, 4, 10)...)
+	targets := append(append(equalTargets(0, 1, 10), equalTargets(1, 4, 10)...), equalTargets(2, 4, 10)...)
 	rates := []float64{18, 36, 36}
 	nearest := [][]int{{1, 2}, {0, 2}, {0, 1}}
 	got := distributeRates(rates, targets, nearest, noPairClosed)
--- a/balancer/draining.go
+++ b/balancer/draining.go
@@ -3,8 +3,8 @@
 import "slices"
 
 // nextDrain returns the next server to withdraw, or nil if no server is leaving or no withdrawal fits into the channel.
-// An input that assigned a proxy withdraws no server, because Commands are carried out with withdrawals first and the
-// withdrawal would overtake the assignment.
+// An input that assigned a proxy withdraws no server: Commands are carried out with withdrawals first, so the withdrawal
+// would overtake the assignment.
 func (m *Manager) nextDrain() *server {
 	for _, s := range m.currentServerSets().leaving {
 		if m.commands.Assign == nil && m.fits(m.proxiesUsing(s), 1, drainPriority) {
@@ -28,20 +28,20 @@
 		m.allAssignmentsCost() <= m.drainGraceCommands
 }
 
-// withdraw stops requests to a leaving server in all tables that proxies hold.
+// withdraw stops requests to a leaving server in all tables that proxies use.
 func (m *Manager) withdraw() {
 	s := m.nextDrain()
 	m.commands.Withdraw = append(m.commands.Withdraw, s.id)
 	m.setWithdrawn(s, true)
 	m.reserve(m.proxiesUsing(s), 1)
 	m.checkEmptyTables()
-	if slices.ContainsFunc(s.tables, m.wouldOverloadWarmingServers) {
+	if slices.ContainsFunc(s.tables, m.overloadsWarmingServers) {
 		m.publication.urgent = true
 	}
 }
 
 // checkEmptyTables makes the publication urgent if a table, or the zone-local part of a table, has no usable endpoint.
-// The changes of such a table may use the channel limits of drains.
+// The changes of such a table may use the channel limits of drains. checkEmptyTables also updates drainPending.
 func (m *Manager) checkEmptyTables() {
 	m.publication.emptyTable = slices.ContainsFunc(m.tables, m.isEmptyTable)
 	m.drainPending = m.nextDrain() != nil
--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestWithdrawalCountsOnlyMessagesToProxiesThatHoldTheServer(t *testing.T) {
+func TestWithdrawalCountsOnlyMessagesToProxiesThatUseTheServer(t *testing.T) {
 	m := newTestManager(2)
 	m.now = 10 * time.Second
 	m.servers[0].state = Draining
@@ -28,7 +28,7 @@
 	}
 	m.servers[2].state = Draining
 	if m.drainReady() {
-		t.Error("the drain would send a 20th message within 10 s, and the drain limit is 19")
+		t.Error("a drain is ready that needs a 20th message to a proxy within 10 s, although the limit for drains is 19")
 	}
 }
 
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -31,10 +31,10 @@
 	m.pollsEndpoints = true
 	m.subscribed = true
 	if commands := m.HandleEndpointListError(time.Second); commands.Subscribe {
-		t.Error("the list is requested at once after an error")
+		t.Error("the manager subscribes again at once after an error")
 	}
 	if commands := m.HandleTimer(2 * time.Second); !commands.Subscribe {
-		t.Error("the list is not requested again a second after the error")
+		t.Error("the manager does not subscribe again a second after the error")
 	}
 }
 
--- a/balancer/flow_control.go
+++ b/balancer/flow_control.go
@@ -19,12 +19,12 @@
 	// priority. Drains may use all messages but one.
 	messageShareNormal = 0.6
 	messageShareUrgent = 0.8
-	// sendSecondsNormal and sendSecondsUrgent limit the commands that may wait to what the channel sends in this
-	// time. This applies only where the queue could hold more.
+	// sendSecondsNormal and sendSecondsUrgent limit the commands that may wait to what the channel sends in this many
+	// seconds. They apply only where the queue could hold more.
 	sendSecondsNormal = 1.0
 	sendSecondsUrgent = 2.0
-	// resendWithDrainsShare limits the commands that may be waiting when others are resent together with late
-	// withdrawals, as a share of the limit for normal commands.
+	// resendWithDrainsShare is the share of the normal sendTimeLimits up to which the queue may be filled for a further
+	// command to be resent together with withdrawals.
 	resendWithDrainsShare = 0.5
 
 	// maxBarrier is the largest barrier number; the next barrier has number 1.
@@ -56,8 +56,8 @@
 	unsentCommands float64 // commands in the other pending batches
 }
 
-// pendingBatch holds the commands of one point in time that are not known to have left the channel, since no barrier
-// that follows them has been acknowledged.
+// pendingBatch holds the commands decided at one time that are not known to have left the channel: no later barrier has
+// been acknowledged, and the batch's own barrier has not been acknowledged by all of its proxies.
 type pendingBatch struct {
 	barrier  BarrierID
 	at       time.Duration       // when the commands were decided
@@ -141,8 +141,8 @@
 	return len(p.messageTimes) > 0 && p.messageTimes[len(p.messageTimes)-1] == now
 }
 
-// withinMessageLimit reports whether each of the proxies may get another command without exceeding its message limit. It also
-// discards messageTimes outside messageWindow.
+// withinMessageLimit reports whether each of the proxies may get another command without exceeding its message limit.
+// It also discards messageTimes outside messageWindow.
 func (m *Manager) withinMessageLimit(proxies []*proxy, priority priority) bool {
 	limit := m.messageLimits[priority]
 	for _, p := range proxies {
@@ -190,10 +190,10 @@
 	m.markSent(m.channel.indexOf(barrier))
 }
 
-// markSent marks the batches up to an index as sent, so that they count as leaving from now on. What earlier batches
-// have been assumed to send so far remains counted as departed.
+// markSent marks the batches up to an index as sent, so that their commands are assumed to leave the channel from now
+// on. Commands of earlier batches that are assumed to have left so far remain counted as departed.
 func (m *Manager) markSent(index int) {
-	m.queuedCommands()
+	m.queuedCommands() // recomputes sentCommands if it is out of date
 	c := &m.channel
 	c.departed = c.sentCommands - m.queuedAfterSend()
 	c.departedAt = m.now
@@ -303,7 +303,7 @@
 	return proxies, m.assignmentCost(m.tables[assignment.Table&^ZoneLocalTables])
 }
 
-// proxiesUsingID returns the result of holders for a server id, or nil if the server is unknown.
+// proxiesUsingID returns the result of proxiesUsing for a server id, or nil if the server is unknown.
 func (m *Manager) proxiesUsingID(id ServerID) []*proxy {
 	if s := m.server(id); s != nil {
 		return m.proxiesUsing(s)
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -6,18 +6,22 @@
 )
 
 const (
-	// maxSamples is the number of reports kept per server, and of samples kept per proxy and class.
+	// maxSamples is the number of reports kept per server, of usage samples per proxy and class, and of durations of
+	// health checks and delivered rates for the whole fleet.
 	maxSamples = 24
 	// maxSampleAge is the age up to which reports and samples are used.
 	maxSampleAge = 5 * time.Second
 	// targetAttempts is the number of attempts that a server's statistics should cover.
 	targetAttempts = 6
-	// minAttempts is the minimum number of attempts for a server to count as a peer.
+	// minAttempts is the minimum number of attempts for a server to count as a peer, and for a load report to count for
+	// its zone pair.
 	minAttempts = 3
 
-	// unresponsiveAfter is the time without a response after which a server is checked and may be ejected.
+	// unresponsiveAfter is the time without a response after which a server is checked and may be ejected. It is also the
+	// minimum time between two of these checks of a server or a zone.
 	unresponsiveAfter = 2 * time.Second
-	// minUnansweredAttempts is the number of attempts that a server must have been expected to get during that time.
+	// minUnansweredAttempts is the minimum number of attempts that a server must have been expected to get since its last
+	// response for it to be checked.
 	minUnansweredAttempts = 4.0
 	// removedRetention is how long the state of a removed server is kept.
 	removedRetention = time.Minute
@@ -44,7 +48,7 @@
 	minHealthFactor = 0.8
 	// healthSmoothing is the smoothing factor per tick with which the logarithm of the health follows its target.
 	healthSmoothing = 0.3
-	// healthTolerance is the change of health above which the load is redistributed.
+	// healthTolerance is the decrease of health, or its relative increase, above which the requests are redistributed.
 	healthTolerance = 0.05
 )
 
@@ -61,8 +65,8 @@
 	return s.state == Ready || s.state == Removed && m.removedMayServe && m.healthChecks
 }
 
-// removalExpired reports whether a server was removed so long ago that it is not expected to return. First its weights are
-// removed from the tables, then its state is deleted.
+// removalExpired reports whether a server was removed so long ago that it is not expected to return. Its weights are
+// then removed from the tables, and after that its state is deleted.
 func (m *Manager) removalExpired(s *server) bool {
 	expired := s.removedAt > 0 && m.now-s.removedAt > removedRetention
 	return expired && (!m.mayServe(s) || s.ejected)
@@ -91,7 +95,7 @@
 func (m *Manager) endEjection(s *server) {
 	s.ejected = false
 	s.lastSeen = m.now
-	m.redistribution = serverRestored
+	m.redistribution = ejectionEnded
 	if !s.warmingUp {
 		s.health = restoredHealth
 	}
@@ -145,7 +149,8 @@
 }
 
 // checkUnresponsive sends health checks to servers that may have stopped answering, without waiting for the endpoint
-// list. Missing responses may have other causes, so they lead to a health check and to nothing else.
+// list, and to servers that were removed, are ejected or have low health. Missing responses may have other causes, so
+// they lead to a health check and to nothing else.
 func (m *Manager) checkUnresponsive() {
 	m.updateExpectedRates()
 	for _, s := range m.servers {
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -62,13 +62,13 @@
 	}
 }
 
-// distributeRates returns the rates that distribute allocates, by partition and part.
-func distributeRates(rates []float64, parts []serverTarget, nearest [][]int, closed func(from, to int) bool) [][]float64 {
-	shares := distribute(rates, parts, func(partition int) []int { return nearest[partition] }, closed)
+// distributeRates returns the rates that distribute allocates, by partition and target.
+func distributeRates(rates []float64, targets []serverTarget, nearest [][]int, closed func(from, to int) bool) [][]float64 {
+	result := distribute(rates, targets, func(partition int) []int { return nearest[partition] }, closed)
 	all := make([][]float64, len(rates))
 	for partition := range rates {
-		for i := range parts {
-			all[partition] = append(all[partition], shares.rate(partition, i))
+		for i := range targets {
+			all[partition] = append(all[partition], result.rate(partition, i))
 		}
 	}
 	return all
@@ -76,11 +76,11 @@
 
 func noPairClosed(from, to int) bool { return false }
 
-func equalParts(zone, n int, target float64) (parts []serverTarget) {
+func equalTargets(zone, n int, rate float64) (targets []serverTarget) {
 	for range n {
-		parts = append(parts, serverTarget{zone, target, 0.8, 1.2})
+		targets = append(targets, serverTarget{zone, rate, 0.8, 1.2})
 	}
-	return parts
+	return targets
 }
 
 // managerWithUnassigned returns a manager with four servers per zone, one of which (a1) is in its warm-up, and the given
--- a/balancer/indexes.go
+++ b/balancer/indexes.go
@@ -28,7 +28,7 @@
 	withdrawnUnusable int       // number of withdrawn servers that may not serve
 }
 
-// currentServerSets returns the server currentServerSets, which it recomputes if they are out of date.
+// currentServerSets returns the server sets, which it recomputes if they are out of date.
 func (m *Manager) currentServerSets() *serverSets {
 	if m.serverSetsValid {
 		return &m.serverSets
@@ -235,7 +235,7 @@
 		proxies = append(proxies, m.tableProxies(id)...)
 	}
 	slices.SortFunc(proxies, compareProxyIDs)
-	return slices.Compact(proxies) // an unassigned proxy with mayHoldTable is in both lists
+	return slices.Compact(proxies) // an unassigned proxy with mayUseOldTable may be in both lists
 }
 
 // tableProxies returns the proxies that use, or may still use, a table, ordered by number.
@@ -243,7 +243,7 @@
 	m.updateTableIndex()
 	var proxies []*proxy
 	for _, p := range m.tables[id].proxies {
-		if p.assigned || p.mayHoldTable {
+		if p.assigned || p.mayUseOldTable {
 			proxies = append(proxies, p)
 		}
 	}
--- a/balancer/inputs.go
+++ b/balancer/inputs.go
@@ -76,8 +76,8 @@
 }
 
 // setListedState applies a server's state in the endpoint list. If removed servers may serve, a removal alone does not
-// stop requests to the server: it keeps them until a health check fails as well. A server that was draining before its
-// removal stays withdrawn.
+// stop requests to the server: it keeps getting them until a health check fails as well. A server that was draining
+// before its removal stays withdrawn.
 func (m *Manager) setListedState(s *server, state ServerState) {
 	if state != Removed || s.state == Ready {
 		s.state = state
@@ -126,7 +126,7 @@
 		if p.zone == previous.zone {
 			p.partition = previous.partition
 			// Commands for its table still reach it, so channel capacity must be reserved for it too.
-			p.mayHoldTable = previous.assigned || previous.mayHoldTable
+			p.mayUseOldTable = previous.assigned || previous.mayUseOldTable
 		}
 		m.removeProxy(previous)
 	}
@@ -200,8 +200,7 @@
 	return m.decide()
 }
 
-// HandleBarrierAck processes a proxy's acknowledgement of a barrier: the commands up to it have left the channel to
-// that proxy.
+// HandleBarrierAck processes a proxy's acknowledgement of a barrier, which shows that commands have left the channel.
 func (m *Manager) HandleBarrierAck(now time.Duration, id ProxyID, barrier BarrierID) Commands {
 	m.now = now
 	m.acknowledge(id, barrier)
--- a/balancer/log_record.go
+++ b/balancer/log_record.go
@@ -12,20 +12,21 @@
 const (
 	// EventServerEjected has server, unresponsive_seconds and cause.
 	EventServerEjected LogEvent = "server_ejected"
-	// EventServerRestored has server.
+	// EventServerRestored has server, whose ejection ended.
 	EventServerRestored LogEvent = "server_restored"
 	// EventServerDegraded has server, health, failed, attempts, latency_seconds, peer_latency_seconds and
 	// peer_failure_rate.
 	EventServerDegraded LogEvent = "server_degraded"
 	// EventSlowStartPaused has below (warm-up progress below which servers get no requests; 0: no server is paused),
-	// failure_rate, reporting and peers.
+	// failure_rate, reporting (number of servers with enough reported attempts) and peers (number of warm servers).
 	EventSlowStartPaused LogEvent = "slow_start_paused"
 	// EventZonePair has from, to, closed and usual_latency_seconds.
 	EventZonePair LogEvent = "zone_pair"
 	// EventAdmissionLimit has limit, offered and delivered (requests per second), load (latency over objective)
 	// and failure_rate.
 	EventAdmissionLimit LogEvent = "admission_limit"
-	// EventZonesPartitioned has partitions, servers (per zone) and connection_uses.
+	// EventZonesPartitioned has partitions and servers (both per zone) and connection_uses (mean number of requests of a
+	// proxy within the idle timeout).
 	EventZonesPartitioned LogEvent = "zones_partitioned"
 )
 
--- a/balancer/manager.go
+++ b/balancer/manager.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Manager decides the endpoint tables of the proxies that are connected to one manager.
+// Manager decides the endpoint tables of the proxies that are connected to one manager process.
 type Manager struct {
 	parameters
 	indexes
@@ -51,7 +51,7 @@
 	drainPending  bool            // some server may have to be withdrawn
 	newProxyTable *table          // table of a proxy that has just connected; nil: none
 	suspectedZone int             // zone with a suspected outage; noZone: none
-	zoneCheckedAt []time.Duration // by zone, when all of its servers were last checked
+	zoneCheckedAt []time.Duration // by zone: when all servers of the zone were last checked
 
 	admission      admissionControl
 	checkDurations []sample // durations of the last health checks in seconds
@@ -60,10 +60,10 @@
 	channel channel
 }
 
-// noZone means no zone where a zone index is expected.
+// noZone is the zone index that stands for no zone.
 const noZone = -1
 
-// unsetTime marks a time that is not set; it differs from every time of a manager, since those start at 0.
+// unsetTime marks a time that is not set. It differs from the time of every input, since those are at least 0.
 const unsetTime time.Duration = -1
 
 // New returns a manager for a platform with the given settings. Managers with the same seed and inputs give the same
@@ -95,5 +95,5 @@
 	return float64(shifted>>rotation|shifted<<(32-rotation)) / (1 << 32)
 }
 
-// unlimited is the admission limit that admits all requests.
+// unlimited is the admission limit that admits all requests, and the cost of an assignment that is not possible.
 var unlimited = math.Inf(1)
--- a/balancer/partitioning.go
+++ b/balancer/partitioning.go
@@ -11,7 +11,7 @@
 	minConnectionUses = 8.0
 	// minPartitionServers is the smallest mean number of servers in a partition.
 	minPartitionServers = 4.0
-	// minPartitionProxies is the smallest mean number of this manager's proxies in a partition.
+	// minPartitionProxies is the smallest mean number of one manager's proxies in a partition.
 	minPartitionProxies = 5.0
 )
 
@@ -72,7 +72,8 @@
 	return smallest
 }
 
-// layOutTables replaces all tables by empty ones and divides servers and proxies among the partitions.
+// layOutTables adds the given zones, replaces all tables by empty ones, and divides servers and proxies among the
+// partitions.
 func (m *Manager) layOutTables(partitionsPerZone int, zones []ZoneID) {
 	m.partitionsPerZone = partitionsPerZone
 	m.tables = nil
@@ -141,7 +142,7 @@
 	return order
 }
 
-// pairClosed reports whether the zone pair of two partitions is closed to new spill from the first to the second.
+// pairClosed reports whether the zone pair from the proxies of one partition to the servers of another is closed.
 func (m *Manager) pairClosed(from, to int) bool {
 	return m.zonePairs[from/m.partitionsPerZone][to/m.partitionsPerZone].closed
 }
--- a/balancer/pinning.go
+++ b/balancer/pinning.go
@@ -29,8 +29,8 @@
 	return m.decide()
 }
 
-// HandleTablesReset adopts the actual contents of the tables where they differ from what this manager commanded,
-// because commands were held back before they took effect. withdrawn reports whether a server is withdrawn.
+// HandleTablesReset replaces the recorded contents of the tables by the given ones, which are the actual contents. They
+// differ from what this manager commanded if commands were held back. withdrawn reports whether a server is withdrawn.
 func (m *Manager) HandleTablesReset(now time.Duration, weights map[TableID]map[ServerID]float64, levels map[TableID]map[uint]AdmissionLevel, withdrawn func(ServerID) bool) {
 	m.now = now
 	for i, t := range m.tables {
@@ -50,10 +50,10 @@
 	m.redistribution = tablesReset
 }
 
-// applyPinnedWeights replaces a table's target with the pinned weights of the servers that may get requests. The weight of a
-// warming server is scaled by its warm-up progress. If warm servers have too little of the pinned weight, the target
-// stays as it is, so that a pin neither leaves proxies without an endpoint nor gives warming servers the requests of
-// their lost peers.
+// applyPinnedWeights replaces a table's target shares by the shares of the pinned weights of the servers that may get
+// requests. The weight of a warming server is scaled by its warm-up progress. If warm servers have too little of the
+// pinned weight, the target shares stay as they are, so that a pin neither leaves proxies without an endpoint nor gives
+// warming servers the requests of their lost peers.
 func (m *Manager) applyPinnedWeights(t *table, anyUsable bool) {
 	weights := map[ServerID]float64{}
 	usable := 0.0
--- a/balancer/pinning_test.go
+++ b/balancer/pinning_test.go
@@ -56,12 +56,12 @@
 		t.Errorf("got published weights %v and %v, or wrong withdrawn servers", m.tables[0].publishedWeights, m.tables[1].publishedWeights)
 	}
 	if got := m.proxiesUsing(m.servers[0]); len(got) != 1 || got[0].id != 0 {
-		t.Errorf("got %d tables that name a0, want only table 0", len(got))
+		t.Errorf("got %d proxies that use a0, want only proxy 0", len(got))
 	}
 }
 
-// Regression test for seed 1810 of the fault simulation: a zone is lost while its table is pinned, and two servers
-// return cold. They must not get the requests of their lost peers.
+// Regression test for seed 1810 of the fault simulation: a zone was lost while its table was pinned, and two servers
+// restarted. Servers in their warm-up must not get the requests of their lost peers.
 func TestAPinDoesNotGiveWarmingServersTheRequestsOfLostPeers(t *testing.T) {
 	m := newTestManager(4)
 	m.now = time.Second
--- a/balancer/publishing.go
+++ b/balancer/publishing.go
@@ -10,7 +10,7 @@
 const (
 	// baseWeightTolerance is the largest relative change of a weight that is not published if commands cost nothing.
 	baseWeightTolerance = 0.1
-	// weightTolerancePerPrice is the factor by which the price of commands adds to the tolerance.
+	// weightTolerancePerPrice is multiplied by Settings.CommandPrice and added to baseWeightTolerance.
 	weightTolerancePerPrice = 1.5
 	// weightSteps is the precision of published weights: they are rounded to multiples of 1/weightSteps.
 	weightSteps = 1000
@@ -18,14 +18,14 @@
 	defaultWeightScale = 100
 )
 
-// publication is the state of publishing the tables: idle, due, or blocked. A blocked publication is due, but the channel
-// has no room for changes that restore an invariant (see invariantChange).
+// publication is the state of publishing the tables: idle, due, or blocked. A blocked publication is due, but the
+// channel has no room for changes that restore an invariant (see invariantChange).
 type publication struct {
 	due            bool
 	urgent         bool          // must not wait until the next tick
 	listChanged    bool          // the endpoint list changed after the last distribution
-	blockedAt      time.Duration // when changes last found no room
-	blockedProxies int           // recipients of the smallest change without room; 0: not blocked by the queue
+	blockedAt      time.Duration // when the publication was last blocked
+	blockedProxies int           // number of recipients of the smallest change without room; 0: not blocked by the queue
 	emptyTable     bool          // some table has no usable endpoint
 }
 
@@ -35,13 +35,13 @@
 	p.blockedProxies = 0
 }
 
-// begin clears the due and blocked states; changes that find no room during the publication block it again.
+// begin clears the due and blocked states; invariant changes that find no room during the publication block it again.
 func (p *publication) begin() {
 	p.due = false
 	p.blockedProxies = 0
 }
 
-// block keeps the publication due until the smallest remaining change fits or the next tick begins.
+// block keeps the publication due until the smallest change without room fits or the next tick begins.
 func (p *publication) block(now time.Duration) {
 	p.due = true
 	p.blockedAt = now
@@ -80,7 +80,8 @@
 	return tableChange{EndpointWeight: EndpointWeight{Table: level.Table}, level: level, rate: rate}
 }
 
-// sortKey returns the request rate by which changes are sorted in descending order. A higher priority precedes any rate.
+// sortKey returns the value by which changes are sorted in descending order: the request rate that an ordinary change
+// moves, and for higher priorities a value above all rates.
 func (c tableChange) sortKey() float64 {
 	switch c.priority {
 	case invariantChange:
@@ -137,7 +138,7 @@
 	movedRates     []float64  // requests per second that a table's changes move, by table
 	incomplete     bool       // some change was not published
 	blocked        bool       // some change that restores an invariant was not published
-	messageLimited bool       // blocked because a proxy reached its message limit
+	messageLimited bool       // some blocked change would exceed the message limit of a proxy
 }
 
 // collectChanges computes the changes of all tables.
@@ -213,7 +214,7 @@
 }
 
 // reserveChange reserves room in the channel for a change's commands and reports whether there was enough. If not, the
-// round is incomplete, and it is also blocked if the change restores an invariant (its priority is drainPriority).
+// round is incomplete, and it is also blocked if the change restores an invariant, which is sent at drainPriority.
 func (m *Manager) reserveChange(round *publishRound, id TableID, commands float64, priority priority) bool {
 	proxies := round.recipients[id]
 	if m.fits(proxies, commands, priority) {
@@ -235,7 +236,7 @@
 }
 
 // weightChanges returns the changes of a table's weights, scaled to match its published weights. It never empties a
-// table: a table without target weights stays as it is.
+// table: a table without target shares stays as it is.
 func (m *Manager) weightChanges(id TableID) []tableChange {
 	t := m.tables[id]
 	if len(t.targetShares) == 0 {
@@ -243,7 +244,7 @@
 	}
 	var changes []tableChange
 	scale := t.scale()
-	restoresInvariant := m.isEmptyTable(t) || m.hasNoLocalEndpoint(t) || m.wouldOverloadWarmingServers(id)
+	restoresInvariant := m.isEmptyTable(t) || m.hasNoLocalEndpoint(t) || m.overloadsWarmingServers(id)
 	for _, s := range m.tableServers(t) {
 		if s.withdrawn && !m.mayServe(s) && !m.removalExpired(s) {
 			continue // the weight of a withdrawn server has no effect
@@ -281,7 +282,7 @@
 
 func (m *Manager) weightPriority(s *server, published, weight float64) changePriority {
 	overloaded := s.warmingUp && weight < published/maxWarmingShareIncrease
-	leaving := weight == 0 && s.leavingSince > 0 && m.assignsBeforeDrains() // removed before proxies get the table
+	leaving := weight == 0 && s.leavingSince > 0 && m.assignsBeforeDrains() // must leave the table before proxies are assigned to it
 	reduced := weight < published && (s.warmingUp || weight == 0)
 	switch {
 	case overloaded || leaving:
@@ -327,8 +328,8 @@
 	m.commands.AdmissionLevels = append(m.commands.AdmissionLevels, level)
 }
 
-// scale returns the weight that corresponds to a target share of 1: the pinned weight of a pinned table, or otherwise the
-// median over the servers that the table already names.
+// scale returns the weight that corresponds to a target share of 1: the pinned weight of a pinned table; otherwise the
+// median over the servers that the table already names, or defaultWeightScale if it names none.
 func (t *table) scale() float64 {
 	if t.pinnedWeight > 0 {
 		return t.pinnedWeight
--- a/balancer/publishing_test.go
+++ b/balancer/publishing_test.go
@@ -18,7 +18,7 @@
 	m := newTestManager(2)
 	clear(m.tables[0].targetShares)
 	if got := m.weightChanges(0); len(got) != 0 {
-		t.Errorf("changes %v of a table without targets, want none", got)
+		t.Errorf("changes %v of a table without target shares, want none", got)
 	}
 }
 
@@ -70,8 +70,8 @@
 	}
 }
 
-// Small admission level changes in each tick and a message overhead for each weight must not use up the channel while the
-// changes that move the most requests find no room.
+// Small admission level changes in each tick and a message overhead for each weight must not use up the channel while
+// the changes that move the most requests find no room.
 func TestTableThatMovesTheMostRequestsIsPublishedFirst(t *testing.T) {
 	m := newTestManager(12)
 	m.admission.limit = 70
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -3,12 +3,12 @@
 const (
 	// warmUpStartShare is the maximum share of its target that a server gets at the start of its warm-up.
 	warmUpStartShare = 0.1
-	// warmUpStartColdShare is the share of the configured cold capacity with which the warm-up starts if that is less.
+	// warmUpStartColdShare is the fraction of the configured cold capacity with which the warm-up starts if that is less.
 	warmUpStartColdShare = 0.6
 	// maxWarmingShareFactor is the maximum load of a warming server, as a multiple of its share in a fully healthy fleet.
 	maxWarmingShareFactor = 1.5
-	// maxWarmingShareIncrease is the maximum factor by which withdrawals of other servers may increase the share of warming
-	// servers.
+	// maxWarmingShareIncrease is the maximum factor by which withdrawals of other servers may increase the share of
+	// warming servers.
 	maxWarmingShareIncrease = 2.0
 
 	// pauseFailureRate is the failure rate of the peers above which slow start is paused for all warming servers.
@@ -79,7 +79,8 @@
 	}
 }
 
-// wouldOverloadWarmingServers reports whether withdrawals would leave a table's warming servers with too large a share.
-func (m *Manager) wouldOverloadWarmingServers(id TableID) bool {
+// overloadsWarmingServers reports whether a table gives its warming servers too large a share of the requests because
+// other servers were withdrawn.
+func (m *Manager) overloadsWarmingServers(id TableID) bool {
 	return m.warmingShareRise(m.tables[id]) > maxWarmingShareIncrease
 }
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -28,7 +28,7 @@
 		rate += m.tables[partition].targetShares["a0"] * m.distributedRates[partition]
 	}
 	if rate > 80.0/6+1e-6 {
-		t.Errorf("a warming server, one of six, gets %.1f of 80 requests per second", rate)
+		t.Errorf("a warming server, one of six, gets %.1f of 80 requests per second, want at most a sixth", rate)
 	}
 }
 
@@ -42,7 +42,7 @@
 	m.updateSlowStart()
 	m.redistribute()
 	if m.slowStartPause != 1 || m.tables[0].targetShares["a0"] != 0 {
-		t.Errorf("slow start is not paused, or a0 has a target: %v", m.tables[0].targetShares)
+		t.Errorf("slow start is not paused, or a0 has a target share: %v", m.tables[0].targetShares)
 	}
 }
 
@@ -78,10 +78,10 @@
 // Until the next tick, warming servers must not get the requests of all the servers that start to drain.
 func TestWarmingServersDoNotGetTheRequestsOfDrainingServers(t *testing.T) {
 	m := newTestManager(4)
-	table, cold := m.tables[0], m.servers[0]
-	cold.warmingUp = true
-	cold.warmUpFrom = 0
-	cold.listedStart = 0
+	table, warming := m.tables[0], m.servers[0]
+	warming.warmingUp = true
+	warming.warmUpFrom = 0
+	warming.listedStart = 0
 	table.targetShares = map[ServerID]float64{"a0": 0.04, "a1": 0.32, "a2": 0.32, "a3": 0.32}
 	table.publishedWeights = map[ServerID]float64{"a0": 12.5, "a1": 100, "a2": 100, "a3": 100}
 	m.listReceived = true
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -64,15 +64,15 @@
 
 // proxy is the state of one proxy.
 type proxy struct {
-	id            ProxyID
-	zone          int
-	partition     int     // table number of the proxy's partition
-	announcedRate float64 // requests per second that the proxy announced when it connected
-	connectedAt   time.Duration
-	assigned      bool            // the proxy was put on its partition's table since it connected
-	mayHoldTable  bool            // the proxy reconnected and may still use the table it had before
-	messageTimes  []time.Duration // times of the messages within the window of the message limit
-	usage         [][]sample      // request counts by traffic class, the most recent samples
+	id             ProxyID
+	zone           int
+	partition      int     // table number of the proxy's partition
+	announcedRate  float64 // requests per second that the proxy announced when it connected
+	connectedAt    time.Duration
+	assigned       bool            // the proxy was put on its partition's table since it connected
+	mayUseOldTable bool            // the proxy reconnected and may still use the table it had before
+	messageTimes   []time.Duration // times of the messages within the window of the message limit
+	usage          [][]sample      // request counts by traffic class, the most recent samples
 }
 
 // sample is one measurement; seconds is the time that it covers if the value is a count.
@@ -95,7 +95,7 @@
 	proxies            []*proxy // proxies of the partition, assigned or not, ordered by number
 	announcedRate      float64  // requests per second that these proxies announced
 	unassignedCount    int      // number of proxies waiting to be put on the table
-	awaitsDistribution bool     // these proxies wait for the next distribution
+	awaitsDistribution bool     // the unassigned proxies wait for the next distribution
 }
 
 // addServer adds a server that appeared in the endpoint list.
--- a/balancer/statistics.go
+++ b/balancer/statistics.go
@@ -12,7 +12,8 @@
 const (
 	// minIntervalSeconds is the minimum number of seconds by which a count is divided to get a rate.
 	minIntervalSeconds = 0.1
-	// minServerWeight and minRate replace a listed weight, or a rate in requests per second, of 0.
+	// minServerWeight and minRate replace lower listed weights and lower rates in requests per second, so that no
+	// calculation divides by 0.
 	minServerWeight = 1e-6
 	minRate         = 1e-3
 )
@@ -148,6 +149,7 @@
 	servers     int     // number of servers in the baseline
 }
 
+// peerBaseline computes the baseline of the servers that may serve.
 func (m *Manager) peerBaseline() baseline {
 	var latencies, failureRates []float64
 	for _, s := range m.servers {
@@ -163,9 +165,9 @@
 	return baseline{median(latencies), median(failureRates), len(failureRates)}
 }
 
-// observedLatency returns the latency in seconds that a fraction of the successful attempts in fresh reports do not
-// exceed (a quantile), and the failure rate of all attempts in fresh reports. All attempts of a report count with its
-// mean latency.
+// observedLatency returns the given quantile (from 0 to 1) of the latency in seconds of the successful attempts in
+// fresh reports, and the failure rate of all attempts in fresh reports. Each successful attempt counts with the mean
+// latency of its report.
 func (m *Manager) observedLatency(fraction float64) (latency, failureRate float64) {
 	type success struct{ latency, n float64 }
 	var successes []success
@@ -203,8 +205,8 @@
 	m.checkDurations = lastN(append(m.checkDurations, sample{at: m.now, value: seconds}), maxSamples)
 }
 
-// recentCheckDurations returns the durations in seconds of the health checks within maxSampleAge, infinite for those that
-// did not pass.
+// recentCheckDurations returns the durations in seconds of the health checks within maxSampleAge, infinite for those
+// that did not pass.
 func (m *Manager) recentCheckDurations() []float64 {
 	var durations []float64
 	for _, check := range m.checkDurations {
--- a/balancer/table_figures.go
+++ b/balancer/table_figures.go
@@ -75,8 +75,8 @@
 	return total
 }
 
-// publishedWeights returns the total weights of a table's usable endpoints: of those in their warm-up, and of all.
-func (m *Manager) publishedWeights(t *table) (warming, all float64) {
+// warmingAndTotalWeight returns the total weights of a table's usable endpoints: of those in their warm-up, and of all.
+func (m *Manager) warmingAndTotalWeight(t *table) (warming, all float64) {
 	for id, weight := range t.publishedWeights {
 		s := m.server(id)
 		if s == nil || s.withdrawn {
@@ -92,14 +92,14 @@
 
 // tableWarmingShare returns the share of a table's requests that goes to servers in their warm-up.
 func (m *Manager) tableWarmingShare(t *table) float64 {
-	warming, all := m.publishedWeights(t)
+	warming, all := m.warmingAndTotalWeight(t)
 	return warming / max(all, 1e-9)
 }
 
-// warmingShareRise returns the ratio of a table's tableWarmingShare to the share in its target. Withdrawals of other
-// servers raise it above 1.
+// warmingShareRise returns the ratio of a table's tableWarmingShare to the share of warming servers in its target
+// shares. Withdrawals of other servers raise it above 1.
 func (m *Manager) warmingShareRise(t *table) float64 {
-	warming, all := m.publishedWeights(t)
+	warming, all := m.warmingAndTotalWeight(t)
 	if warming == 0 {
 		return 0
 	}
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -13,7 +13,8 @@
 	ClassID int
 	// TableID identifies a table of endpoints and their weights by number.
 	TableID int
-	// BarrierID identifies a barrier. Its acknowledgement shows that the commands sent before it have left the channel.
+	// BarrierID identifies a barrier. A proxy's acknowledgement of a barrier shows that the proxy's commands before the
+	// barrier, and the commands for all proxies before the previous barrier, have left the channel.
 	BarrierID int
 )
 
@@ -104,7 +105,7 @@
 	ColdCapacity       float64       // share of its full capacity that a server has when it starts
 	WarmUpDuration     time.Duration
 	DrainGrace         time.Duration // time from the start of a drain until no proxy may send to the server; 0: unspecified
-	QueueCapacity      float64       // number of commands that may wait in the channel
+	QueueCapacity      float64       // number of commands that may wait in the channel's queue
 	CommandsPerSecond  float64       // number of commands that the channel sends per second
 	CommandPrice       float64       // price of sending at CommandsPerSecond all day, relative to that of the service
 	MessageOverhead    float64       // cost of a message in addition to its commands, as a number of commands
@@ -132,8 +133,8 @@
 	Interval time.Duration // time that the report covers
 }
 
-// HealthCheckResult is the outcome of a health check. For HealthCheckTimedOut and all greater values there was no
-// response.
+// HealthCheckResult is the outcome of a health check. HealthCheckTimedOut and all greater values mean that the server
+// did not respond.
 type HealthCheckResult int
 
 const (
--- a/balancer/zone_local_test.go
+++ b/balancer/zone_local_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A zone-local table must name only servers of its own zone, whatever the distribution spills to other zones. Proxies
-// must be assigned to it for the zone-local classes.
+// The zone-local part of a table must name only servers of its own zone, whatever the distribution spills to other
+// zones. Proxies must be assigned to it for the zone-local classes.
 func TestZoneLocalClassesStayInTheirZone(t *testing.T) {
 	settings := testSettings
 	settings.Classes = []TrafficClass{testSettings.Classes[0], testSettings.Classes[1]}
@@ -35,14 +35,14 @@
 		if weight.Table >= ZoneLocalTables {
 			zoneLocalWeights[weight.Table]++
 			if zone := int(weight.Table-ZoneLocalTables) / m.partitionsPerZone; zoneOf[weight.Server] != zone {
-				t.Errorf("server %s is in the zone-local table of zone %d", weight.Server, zone)
+				t.Errorf("server %s is in the zone-local part of the table of zone %d", weight.Server, zone)
 			}
 		} else if zoneOf[weight.Server] != int(weight.Table)/m.partitionsPerZone {
 			spilled++
 		}
 	}
 	if len(zoneLocalWeights) != 2 || spilled == 0 {
-		t.Errorf("weights by zone-local table %v, want two tables; %d weights spilled to other zones, want some", zoneLocalWeights, spilled)
+		t.Errorf("weights by zone-local part %v, want two parts; %d weights spilled to other zones, want some", zoneLocalWeights, spilled)
 	}
 	want := map[TableAssignment]bool{{1, 0, 1}: true, {1, ZoneLocalTables, 2}: true, {2, 1, 1}: true, {2, ZoneLocalTables + 1, 2}: true}
 	for _, assignment := range issued.Assign {
@@ -77,7 +77,7 @@
 		}
 	}
 	if !lowered {
-		t.Error("the zone-local class of a lost zone is not limited to at most 0.1")
+		t.Error("the admission level of the zone-local class of a lost zone is not lowered to at most 0.1")
 	}
 	m.redistribute()
 	if m.zoneLocalShare(m.tables[1]) < 0.3 {
@@ -85,15 +85,15 @@
 	}
 }
 
-// Admission levels of zone-local classes belong to the zone-local table, and the cost of an assignment includes the
-// commands of both tables.
+// Admission levels of zone-local classes belong to the zone-local part of a table, and the cost of an assignment
+// includes the commands for both parts.
 func TestZoneLocalTablesHaveTheirOwnLevelsAndCost(t *testing.T) {
 	m, withoutZoneLocal := newZoneLocalManager(4), newTestManager(4)
 	m.recordLevel(m.tables[1], AdmissionLevel{Table: 1, Classes: 2, Amount: 0.5})
 	m.recordLevel(m.tables[1], AdmissionLevel{Table: 1, Classes: 1, Amount: 0.5})
 	if levels := m.commands.AdmissionLevels; levels[0].Table != ZoneLocalTables+1 || levels[1].Table != 1 ||
 		len(m.tables[1].publishedLevels) != 2 {
-		t.Errorf("got levels %+v, want one for the zone-local table and one for the other, and two published levels", levels)
+		t.Errorf("got levels %+v, want one for the zone-local part and one for the table itself, and two published levels", levels)
 	}
 	if got, want := m.assignmentCost(m.tables[0]), withoutZoneLocal.assignmentCost(withoutZoneLocal.tables[0])+1+4; got != want {
 		t.Errorf("an assignment costs %v commands, want %v", got, want)
@@ -109,12 +109,12 @@
 	}
 }
 
-// A zone-local table must not lose its last endpoint before another one is published. The weight that it keeps for a
-// zone that does not respond must not be increased.
+// The zone-local part of a table must not lose its last endpoint before another one is published. The weight that it
+// keeps for an ejected server must not be increased.
 func TestTheLastEndpointOfAZoneIsRemovedAfterOthers(t *testing.T) {
 	m := newZoneLocalManager(2)
 	if m.isLastZoneLocal(m.tables[0], m.server("a0")) {
-		t.Error("a0 counts as the last endpoint of zone a although a1 may be picked too")
+		t.Error("a0 counts as the last endpoint of zone a although a1 is usable too")
 	}
 	m.server("a1").withdrawn = true
 	if !m.isLastZoneLocal(m.tables[0], m.server("a0")) || m.isLastZoneLocal(m.tables[0], m.server("b0")) {
--- a/balancer/zone_outage.go
+++ b/balancer/zone_outage.go
@@ -12,7 +12,7 @@
 	pairLatencyFactor = 2.0
 	// pairFailureRate is the failure rate above which a zone pair is closed.
 	pairFailureRate = 0.5
-	// pairConsecutiveSamples is the number of latest samples that must all exceed these bounds.
+	// pairConsecutiveSamples is the number of latest samples that must each exceed at least one of these bounds.
 	pairConsecutiveSamples = 3
 	// minPairLatencies is the minimum number of samples that define a usual latency.
 	minPairLatencies = 3 * pairConsecutiveSamples
@@ -52,7 +52,8 @@
 	return true
 }
 
-// updateZonePairs closes a zone pair while its latency is a multiple of the usual latency or most attempts fail.
+// updateZonePairs closes a zone pair while its latency is more than pairLatencyFactor times the usual one or most
+// attempts fail, and reopens it afterwards.
 func (m *Manager) updateZonePairs() {
 	for from := range m.zonePairs {
 		for to := range m.zonePairs[from] {
@@ -84,8 +85,8 @@
 func (m *Manager) zoneSuspected() bool { return m.suspectedZone != noZone }
 
 // checkSuspectedZone sends health checks to all servers of a zone in which one stopped answering. Load reports of a
-// large fleet cover several seconds and arrive seconds late, so without it a lost zone would be detected server by
-// server.
+// large fleet cover several seconds and arrive seconds late, so without these checks a lost zone would be detected
+// server by server.
 func (m *Manager) checkSuspectedZone() {
 	for _, s := range m.servers {
 		if s.zone == m.suspectedZone && !s.ejected {
@@ -119,8 +120,8 @@
 	}
 }
 
-// checkedSinceZoneCheck reports whether its whole zone was checked recently and a server's last health check ended
-// after that.
+// checkedSinceZoneCheck reports whether all servers in a server's zone were checked recently and the server's own last
+// health check ended after that.
 func (m *Manager) checkedSinceZoneCheck(s *server) bool {
 	zoneCheckedAt := m.zoneCheckedAt[s.zone]
 	return m.mayServe(s) && m.now-zoneCheckedAt <= zoneCheckValidity && s.checkEndedAt >= zoneCheckedAt
