--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -186,7 +186,7 @@
 }
 
 // A rate that is NaN would sort a table's changes after all others.
-func TestLevelChangesHaveARateWithoutOfferedRequests(t *testing.T) {
+func TestRatesOfLevelChangesAreNumbersWithoutOfferedRequests(t *testing.T) {
 	m := newTestManager(2)
 	m.now = time.Minute
 	m.admission.limit = 0
--- a/balancer/flow_control.go
+++ b/balancer/flow_control.go
@@ -27,7 +27,7 @@
 	// command to be resent together with withdrawals.
 	resendWithDrainsShare = 0.5
 
-	// maxBarrier is the largest barrier number; the next barrier has number 1.
+	// maxBarrier is the largest barrier number, since the protocol has 16 bits for it. Numbering then restarts at 1.
 	maxBarrier = 1<<16 - 1
 )
 
--- a/balancer/pinning.go
+++ b/balancer/pinning.go
@@ -50,7 +50,7 @@
 	m.redistribution = tablesReset
 }
 
-// applyPinnedWeights replaces a table's target shares by the shares of the pinned weights of the servers that may get
+// applyPinnedWeights makes a table's target shares proportional to the pinned weights of the servers that may get
 // requests. The weight of a warming server is scaled by its warm-up progress. If warm servers have too little of the
 // pinned weight, the target shares stay as they are, so that a pin neither leaves proxies without an endpoint nor gives
 // warming servers the requests of their lost peers.
--- a/balancer/pinning_test.go
+++ b/balancer/pinning_test.go
@@ -53,7 +53,8 @@
 	m.now = time.Second
 	m.HandleTablesReset(m.now, map[TableID]map[ServerID]float64{0: {"a0": 7}}, nil, func(s ServerID) bool { return s == "a1" })
 	if m.tables[0].publishedWeights["a0"] != 7 || len(m.tables[1].publishedWeights) != 0 || !m.servers[1].withdrawn || m.servers[0].withdrawn {
-		t.Errorf("got published weights %v and %v, or wrong withdrawn servers", m.tables[0].publishedWeights, m.tables[1].publishedWeights)
+		t.Errorf("got published weights %v and %v, want only a0 at 7 in table 0; withdrawn: a0 %v, a1 %v, want only a1",
+			m.tables[0].publishedWeights, m.tables[1].publishedWeights, m.servers[0].withdrawn, m.servers[1].withdrawn)
 	}
 	if got := m.proxiesUsing(m.servers[0]); len(got) != 1 || got[0].id != 0 {
 		t.Errorf("got %d proxies that use a0, want only proxy 0", len(got))
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -7,7 +7,7 @@
 	tickInterval = time.Second
 	// tickDelayAfterReports is how long after the expected arrival of the next load reports a tick runs.
 	tickDelayAfterReports = 10 * time.Millisecond
-	// firstTickDelay is the maximum time from the first proxy's connection to the next tick.
+	// firstTickDelay is the maximum time from the first proxy's connection to the tick after it.
 	firstTickDelay = 50 * time.Millisecond
 )
 
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -107,9 +107,9 @@
 	DrainGrace         time.Duration // time from the start of a drain until no proxy may send to the server; 0: unspecified
 	QueueCapacity      float64       // number of commands that may wait in the channel's queue
 	CommandsPerSecond  float64       // number of commands that the channel sends per second
-	CommandPrice       float64       // price of sending at CommandsPerSecond all day, relative to that of the service
+	CommandPrice       float64       // price of sending at CommandsPerSecond all day, as a multiple of the price of the service
 	MessageOverhead    float64       // cost of a message in addition to its commands, as a number of commands
-	MaxMessages        int           // messages to one proxy within MessageWindow; 0: no limit
+	MaxMessages        int           // messages to one proxy within MessageWindow; 0 or 1: no limit
 	MessageWindow      time.Duration
 }
 
--- a/balancer/zone_outage_test.go
+++ b/balancer/zone_outage_test.go
@@ -38,7 +38,7 @@
 	}
 	m.detectZoneOutage()
 	if got := count(m.servers[:4], func(s *server) bool { return s.ejected }); got != 0 {
-		t.Errorf("%d servers are ejected that only answer late", got)
+		t.Errorf("%d servers are ejected, want none after health checks that mostly timed out", got)
 	}
 }
 
