--- a/balancer/assignment_test.go
+++ b/balancer/assignment_test.go
@@ -176,7 +176,7 @@
 	m.sendTimeLimits[urgentPriority] = 7
 	m.queueLimits[urgentPriority] = 7
 	if visited := m.assignableProxies(m.availableCapacity(urgentPriority)); visited != nil || m.nextAssignment() != nil {
-		t.Error("the proxies are visited with room for 7 commands, although an assignment takes 3 and its message 5")
+		t.Error("the proxies are visited with room for 7 commands, although an assignment costs 3 and its message 5")
 	}
 	m.sendTimeLimits[urgentPriority] = 8
 	m.queueLimits[urgentPriority] = 8
--- a/balancer/log_record.go
+++ b/balancer/log_record.go
@@ -58,7 +58,7 @@
 
 func boolField(name string, value bool) LogField { return LogField{name, fmt.Sprint(value)} }
 
-// numberField rounds a value to the given number of decimals.
+// numberField formats a value, rounded to the given number of decimals.
 func numberField(name string, value float64, decimals int) LogField {
 	return LogField{name, fmt.Sprintf("%.*f", decimals, value)}
 }
