--- a/internal/capacity/limits.go
+++ b/internal/capacity/limits.go
@@ -2,12 +2,12 @@
 
 import "tamarindshore/internal/config"
 
-// Limits of the current code that a plan may exceed whatever its costs. Limit.Where says where each limit is in the
-// code.
+// Fixed limits of the current code, which a plan may exceed even if it is within its budgets. Limit.Where says where each
+// limit is in the code.
 const (
-	maxListMessageSeconds = 2.6   // seconds until one message of the endpoint list has to be complete
-	maxProxies            = 65536 // proxies of all managers
-	maxQueuedHealthChecks = 4096  // servers that are checked at the same time
+	maxListMessageSeconds = 2.6   // seconds within which one message of the endpoint list must arrive completely
+	maxProxies            = 65536 // total number of proxies of all managers
+	maxQueuedHealthChecks = 4096  // health checks that may wait to be sent
 	maxTrafficClasses     = 63
 	assignmentQueueShare  = 0.75 // fraction of the queue into which the assignment of one proxy must fit
 )
@@ -93,8 +93,8 @@
 	}
 }
 
-// tableWeights returns the number of servers in a table. A table covers its part of all held servers, divided evenly,
-// because the target load of a server is its share of the whole.
+// tableWeights returns the number of servers in a table. All held servers are divided evenly among the tables of all zones
+// with proxies, because the target load of a server is its share of the whole load.
 func (m *Model) tableWeights(counts serverCounts) float64 {
 	return counts.held / float64(m.Plan.Managers.ProxyZones) / m.partitionsPerZone()
 }
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -15,10 +15,10 @@
 	usageReports float64
 	relayEvents  float64
 	listMessages float64
-	healthChecks float64 // answers
+	healthChecks float64 // answers to health checks
 }
 
-// decisions returns the number of inputs that the balancer processes, except messages of the list.
+// decisions returns the number of inputs that the balancer processes per second, except messages of the list.
 func (in inputs) decisions() float64 {
 	return in.loadReports + in.usageReports + in.relayEvents + in.healthChecks
 }
--- a/internal/capacity/mechanism.go
+++ b/internal/capacity/mechanism.go
@@ -15,7 +15,7 @@
 	Name          string
 	Status        Status
 	Where         string // where in the code, or what is not implemented
-	KeptInRanking bool   // ranked first while missing, and built for that reason: it stays in the ranking that selected it
+	KeptInRanking bool   // the mechanism was built because it ranked first, and stays in the ranking although it is implemented
 }
 
 // Mechanisms and how far the code implements each of them.
--- a/internal/capacity/propagation.go
+++ b/internal/capacity/propagation.go
@@ -19,8 +19,8 @@
 }
 
 // propagation returns the seconds until the last manager has sent the commands for a change. It is the time measured
-// with managers of the smallest useful state, plus the longest decision of a manager of the plan's size on its share
-// of a core, because a change may have to wait for that decision.
+// with the small managers of package scale, plus the longest decision of a manager of the plan's size on its share of
+// a core, because a change may have to wait for that decision.
 func (m *Model) propagation(scope Scope) Figure {
 	return m.allManagers(scale.PropagationLast).plus(m.waitForDecision(scope))
 }
--- a/internal/capacity/situation.go
+++ b/internal/capacity/situation.go
@@ -167,8 +167,8 @@
 	return float64(poissonQuantile(rate, 1-1.0/secondsPerHour) * p.Day.Batch)
 }
 
-// poissonQuantile returns the smallest n for which a Poisson variable with the given mean is at most n with the given
-// probability.
+// poissonQuantile returns the smallest n for which a Poisson variable with the given mean is at most n with at least the
+// given probability.
 func poissonQuantile(mean, probability float64) int {
 	term := math.Exp(-mean)
 	if term == 0 { // the mean is in the hundreds or more: use the normal approximation
--- a/internal/fakes/config_file.go
+++ b/internal/fakes/config_file.go
@@ -108,7 +108,7 @@
 		Domain: fileDomain{
 			Admit:        "share",
 			EgressPerS:   s.ChannelLinesPerSecond,
-			Envelope:     s.MessageHeaderLines,
+			Envelope:     s.MessageOverhead,
 			LineFee:      0.02,
 			MessagesMost: s.MaxMessages,
 			Proxies:      s.Proxies,
@@ -120,7 +120,7 @@
 		Limits: fileSiteLimits{ConnIdleUs: 15_000_000, Probing: true},
 		Report: fileReport{How: "piggyback"},
 		Rules: fileRules{
-			ColdFrom:     s.InitialCapacityShare,
+			ColdFrom:     s.ColdCapacity,
 			DrainGraceUs: s.DrainGracePeriod.Microseconds(),
 			EmptyForUs:   s.EmptyTableLimit.Microseconds(),
 			WarmAfterUs:  s.WarmUpDuration.Microseconds(),
--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// admissionLevel is how much of the traffic of some classes a table admits, and their retry policy.
+// admissionLevel is the admission limit of some traffic classes in a table, and their retry policy.
 type admissionLevel struct {
 	amount      float64
 	retryPolicy int // 0: no retry, 1: retry if not executed, 2 or 3: maximum number of attempts
@@ -41,7 +41,7 @@
 	zone            string
 	requestRate     float64     // per second
 	table           int         // number of its table, or noTable
-	emptySince      time.Time   // since when it has had no server to send to; zero if it has one
+	emptySince      time.Time   // since when it has had no usable server; zero if it has one
 	messageTimes    []time.Time // send times of the messages within the site's MessageWindow
 	messagesApplied int
 }
@@ -49,7 +49,7 @@
 // message is the data that one call sends to one proxy. Messages leave the channel in the order of their calls.
 type message struct {
 	to        *proxy
-	lines     float64
+	size      float64  // in commands, including the site's MessageOverhead
 	barriers  []int    // barrier numbers to acknowledge
 	assigns   bool     // whether it assigns the proxy to a table
 	withdrawn []string // servers that it withdraws
@@ -82,10 +82,10 @@
 	unavailable bool
 
 	// The channel sends queued messages at a limited rate.
-	queue       []message
-	queuedLines float64 // total lines of the queued messages
-	credit      float64 // lines that may be sent now
-	speed       float64 // multiple of the site's ChannelLinesPerSecond
+	queue          []message
+	queuedCommands float64 // total size of the queued messages, in commands
+	credit         float64 // commands that may be sent now
+	speed          float64 // multiple of the site's ChannelLinesPerSecond
 
 	calls        int
 	faults       [faultCount]int
@@ -210,7 +210,7 @@
 		if m.to != p {
 			return false
 		}
-		r.queuedLines -= m.lines
+		r.queuedCommands -= m.size
 		r.Rules.withdrawalsApplied(time.Now(), m.withdrawn)
 		return true
 	})
--- a/internal/fakes/relay_call.go
+++ b/internal/fakes/relay_call.go
@@ -13,7 +13,7 @@
 // Fault is a fault that the relay injects into a call.
 type Fault int
 
-// The faults of a call. Only a call with NoFault gets a readable answer of success without delay.
+// The faults of a call. Only a call with NoFault is answered with success and without delay.
 const (
 	NoFault       Fault = iota // executed and answered
 	AnswerLost                 // executed, but the connection breaks before the answer
@@ -95,8 +95,8 @@
 }
 
 // executeAll executes commands in order, up to the first invalid one, and queues one message to each affected proxy. If
-// the caller got no answer to the last executed call, a command that repeats one of it must not change any state;
-// executeAll reports each repeat to the rule checker. The caller holds the lock.
+// the caller got no answer to the last executed call, a command that repeats one of that call's commands must not change
+// any state; executeAll reports each repeat to the rule checker. The caller holds the lock.
 func (r *Relay) executeAll(commands []string, unanswered bool) (accepted int) {
 	now := time.Now()
 	messages := &callMessages{at: now, byProxy: map[int]*message{}}
@@ -152,12 +152,12 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		m := messages.byProxy[id]
-		m.lines += r.site.MessageHeaderLines
-		r.queuedLines += m.lines
+		m.size += r.site.MessageOverhead
+		r.queuedCommands += m.size
 		r.queue = append(r.queue, *m)
 		r.countMessage(m.to, messages.at)
 	}
-	r.Rules.checkQueue(messages.at, r.queuedLines)
+	r.Rules.checkQueue(messages.at, r.queuedCommands)
 }
 
 // countMessage counts a message to a proxy and checks the number of messages within the site's window.
@@ -175,13 +175,14 @@
 	byProxy map[int]*message
 }
 
-// add adds lines to the message to a proxy, which it creates if necessary, and returns the message.
-func (c *callMessages) add(p *proxy, lines int) *message {
+// add adds to the size of the message to a proxy, which it creates if necessary, and returns the message. size is in
+// commands.
+func (c *callMessages) add(p *proxy, size int) *message {
 	m := c.byProxy[p.id]
 	if m == nil {
 		m = &message{to: p, sentAt: c.at}
 		c.byProxy[p.id] = m
 	}
-	m.lines += float64(lines)
+	m.size += float64(size)
 	return m
 }
--- a/internal/fakes/relay_channel.go
+++ b/internal/fakes/relay_channel.go
@@ -4,11 +4,11 @@
 
 const (
 	channelInterval = 2 * time.Millisecond // interval between two checks of the queue
-	burstsPerSecond = 20                   // one burst has at most 1/20 of the lines that the channel may send per second
+	burstsPerSecond = 20                   // a burst has at most 1/20 of the commands that the channel may send per second
 )
 
-// checkEmptyTable starts or ends the empty period of each proxy on a table, depending on whether the table has a usable
-// server.
+// checkEmptyTable starts the empty period of each proxy on a table if the table has no usable server. Otherwise it ends the
+// period, except for proxies that have applied no message yet.
 func (r *Relay) checkEmptyTable(t *table) {
 	now := time.Now()
 	empty := !t.hasUsableServer(r.withdrawn)
@@ -52,18 +52,18 @@
 func (r *Relay) sendQueued(now time.Time, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	linesPerSecond := r.site.ChannelLinesPerSecond
-	r.credit = min(r.credit+linesPerSecond*r.speed*elapsed.Seconds(), linesPerSecond/burstsPerSecond)
-	for len(r.queue) > 0 && r.credit >= r.queue[0].lines {
+	commandsPerSecond := r.site.ChannelLinesPerSecond
+	r.credit = min(r.credit+commandsPerSecond*r.speed*elapsed.Seconds(), commandsPerSecond/burstsPerSecond)
+	for len(r.queue) > 0 && r.credit >= r.queue[0].size {
 		m := r.queue[0]
 		r.queue = r.queue[1:]
-		r.credit -= m.lines
-		r.queuedLines -= m.lines
+		r.credit -= m.size
+		r.queuedCommands -= m.size
 		r.apply(now, m)
 	}
 	if len(r.queue) == 0 {
 		r.queue = nil
-		r.queuedLines = 0
+		r.queuedCommands = 0
 	}
 }
 
--- a/internal/fakes/relay_command.go
+++ b/internal/fakes/relay_command.go
@@ -152,13 +152,13 @@
 	t := r.tableByNumber(c.table)
 	p.table = c.table
 	t.proxies[p.id] = p
-	lines := 1 + len(t.weights) + len(t.levels)
+	size := 1 + len(t.weights) + len(t.levels)
 	for server := range t.weights {
 		if r.withdrawn[server] {
-			lines++
+			size++
 		}
 	}
-	messages.add(p, lines).assigns = true
+	messages.add(p, size).assigns = true
 	return true
 }
 
@@ -260,7 +260,7 @@
 func (c setBarrier) execute(r *Relay, messages *callMessages) bool {
 	for _, m := range messages.byProxy {
 		m.barriers = append(m.barriers, c.number)
-		m.lines++
+		m.size++
 	}
 	if !c.allProxies {
 		return true
--- a/internal/fakes/relay_counts.go
+++ b/internal/fakes/relay_counts.go
@@ -62,7 +62,7 @@
 	ConnectedProxies int            `json:"proxies"`
 	AssignedProxies  int            `json:"bound"` // proxies with a table that have applied at least one message
 	Tables           int            `json:"tables"`
-	TableLines       int            `json:"lines"`
+	TableWeights     int            `json:"lines"`     // total number of weights in all tables
 	Withdrawn        int            `json:"withdrawn"` // number of withdrawn servers
 	Faults           map[string]int `json:"faults,omitempty"`
 }
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, t := range r.tables {
-		counts.TableLines += len(t.weights)
+		counts.TableWeights += len(t.weights)
 	}
 	for _, withdrawn := range r.withdrawn {
 		if withdrawn {
--- a/internal/fakes/rule_checker.go
+++ b/internal/fakes/rule_checker.go
@@ -37,7 +37,7 @@
 const (
 	// timingTolerance is the delay that sockets may add to the time limits, according to the platform's documentation.
 	timingTolerance = 300 * time.Millisecond
-	// drainRecheckDelay is how long a drain is exempt from further checks once its end has been checked.
+	// drainRecheckDelay is how long a drain is exempt from further checks after its duration has been checked.
 	drainRecheckDelay = time.Hour
 	// Highest retry policies that a class may have. By default, a request may be sent a second time only after proof
 	// that it was not executed. A request of an idempotent class may be sent up to three times, whatever the failure.
@@ -110,8 +110,8 @@
 	return slices.Clone(c.results[:])
 }
 
-// RequireWarmServer sets whether the rule that each proxy has a usable server applies. It applies only while the list has
-// a warm server that is ready.
+// RequireWarmServer switches the rule that each proxy has a usable server on or off. Switch it off while the endpoint list
+// has no warm server that is ready, because the platform's rule does not apply then.
 func (c *RuleChecker) RequireWarmServer(required bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,8 +202,8 @@
 	}
 }
 
-// endWithdrawal checks the duration of the drain of a server once no message with its withdrawal is pending. The caller
-// holds the lock.
+// endWithdrawal checks how long a server's drain took. It is called when no message with the server's withdrawal is
+// pending any more, or when the withdrawal is revoked. The caller holds the lock.
 func (c *RuleChecker) endWithdrawal(at time.Time, server string) {
 	delete(c.pendingWithdrawals, server)
 	publishedAt, draining := c.drainPublishedAt[server]
@@ -258,11 +258,11 @@
 	}
 }
 
-// checkQueue checks the number of lines that are queued in the channel.
-func (c *RuleChecker) checkQueue(at time.Time, lines float64) {
+// checkQueue checks the total size, in commands, of the messages that are queued in the channel.
+func (c *RuleChecker) checkQueue(at time.Time, size float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.record(queueRule, at, lines/c.site.ChannelQueueLines, fmt.Sprintf("%.0f lines queued", lines))
+	c.record(queueRule, at, size/c.site.ChannelQueueLines, fmt.Sprintf("%.0f lines queued", size))
 }
 
 // checkMessageCount checks the number of messages to a proxy within the site's window.
--- a/internal/fakes/server.go
+++ b/internal/fakes/server.go
@@ -33,7 +33,7 @@
 	ID           string
 	Zone         string
 	Address      string
-	HealthChecks atomic.Int64 // number of requests received
+	HealthChecks atomic.Int64 // number of requests received: health checks and load requests
 	InFlight     atomic.Int64 // in-flight requests that it reports
 
 	behaviour atomic.Int32
--- a/internal/fakes/site.go
+++ b/internal/fakes/site.go
@@ -35,30 +35,31 @@
 	ServerCapacity float64 // requests per second that a warm server can handle
 
 	ChannelLinesPerSecond float64
-	ChannelQueueLines     float64 // maximum number of queued lines
-	MessageHeaderLines    float64 // added to the lines of each message
+	ChannelQueueLines     float64 // maximum total size of the queued messages, in commands
+	MessageOverhead       float64 // size of a message in addition to its commands, as a number of commands
 	MaxMessages           int     // maximum number of messages to one proxy within MessageWindow; 0 means no limit
 	MessageWindow         time.Duration
 
-	InitialCapacityShare float64 // capacity of a server that has just started, as a share of ServerCapacity
-	WarmUpDuration       time.Duration
-	OverloadFactor       float64       // a warming server is overloaded above this multiple of its current capacity
-	OverloadDuration     time.Duration // an overload that lasts this long is a violation
-	DrainGracePeriod     time.Duration // how long proxies may still send to a server that drains or was removed
-	EmptyTableLimit      time.Duration // how long a proxy may have no usable server
+	ColdCapacity     float64 // capacity of a server that has just started, as a share of ServerCapacity
+	WarmUpDuration   time.Duration
+	OverloadFactor   float64       // a warming server is overloaded above this multiple of its current capacity
+	OverloadDuration time.Duration // an overload that lasts this long is a violation
+	DrainGracePeriod time.Duration // how long proxies may still send to a server that drains or was removed
+	EmptyTableLimit  time.Duration // how long a proxy may have no usable server
 }
 
-// The channel of a default site sends channelLinesPerProxy lines per second for each proxy, but at least minChannelLines.
+// The channel of a default site sends channelCommandsPerProxy commands per second for each proxy, but at least
+// minChannelCommands.
 const (
-	minChannelLines      = 8600
-	channelLinesPerProxy = 10
+	minChannelCommands      = 8600
+	channelCommandsPerProxy = 10
 )
 
 // DefaultSite returns a site whose servers have twice the capacity that the requests of its proxies need.
 func DefaultSite(servers, proxies int) Site {
 	const requestRate = 4.0
 	const spareCapacity = 2.0
-	lines := max(minChannelLines, channelLinesPerProxy*float64(proxies))
+	commands := max(minChannelCommands, channelCommandsPerProxy*float64(proxies))
 	return Site{
 		Zones: []string{"a", "b", "c"},
 		TrafficClasses: []TrafficClass{
@@ -69,10 +70,10 @@
 		Proxies:               proxies,
 		RequestRate:           requestRate,
 		ServerCapacity:        requestRate * float64(proxies) / float64(servers) * spareCapacity,
-		ChannelLinesPerSecond: lines,
-		ChannelQueueLines:     lines,
-		MessageHeaderLines:    4,
-		InitialCapacityShare:  0.15,
+		ChannelLinesPerSecond: commands,
+		ChannelQueueLines:     commands,
+		MessageOverhead:       4,
+		ColdCapacity:          0.15,
 		WarmUpDuration:        16 * time.Second,
 		OverloadFactor:        3,
 		OverloadDuration:      2 * time.Second,
@@ -87,7 +88,7 @@
 // capacityAtAge returns the requests per second that a warming server can handle at an age below WarmUpDuration.
 func (s Site) capacityAtAge(age time.Duration) float64 {
 	progress := max(0, age.Seconds()) / s.WarmUpDuration.Seconds()
-	return s.ServerCapacity * (s.InitialCapacityShare + (1-s.InitialCapacityShare)*progress)
+	return s.ServerCapacity * (s.ColdCapacity + (1-s.ColdCapacity)*progress)
 }
 
 // ServerID returns the ID of the n-th server. IDs are not in the order of n.
--- a/internal/faultsim/bad_input_test.go
+++ b/internal/faultsim/bad_input_test.go
@@ -24,8 +24,8 @@
 		{"integer out of range", "(scenario\n (zones 17))", "f:2: zones: 17 is not an integer between 1 and 16"},
 		{"number out of range", "(scenario\n (rate 0))", "f:2: rate: 0 is not a number between 0.01 and 10000"},
 		{"no duration", "(scenario\n (service 5))", "f:2: service: 5 is not a duration"},
-		{"reversed range", "(scenario\n (transit (least 2s) (most 1s)))", "f:2: transit: most is under least"},
-		{"reversed counts", "(scenario (faults (least 5) (most 4)))", "f:1: faults: most is under least"},
+		{"reversed range", "(scenario\n (transit (least 2s) (most 1s)))", "f:2: transit: most 1s is less than least 2s"},
+		{"reversed counts", "(scenario (faults (least 5) (most 4)))", "f:1: faults: most 4 is less than least 5"},
 		{"unknown fault", "(scenario (weights\n (fire 1)))", "f:2: fire: unknown key"},
 		{"negative weight", "(scenario (weights\n (crash -1)))", "f:2: crash: -1 is not a number between 0 and 100"},
 	} {
--- a/internal/faultsim/channel.go
+++ b/internal/faultsim/channel.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// messageOverhead is the fixed size of a message, in commands, which the channel adds to its changes. It is one
-	// command more than balancer.Settings.MessageOverhead, to account for the barrier.
+	// messageOverhead is the size that each message has in addition to its changes, in commands. It is one command
+	// more than balancer.Settings.MessageOverhead, to account for the barrier.
 	messageOverhead = 5
 	messageWindow   = 10 * time.Second // window in which messages to one proxy are counted
 	sizeTolerance   = 1e-6             // in commands: tolerates rounding errors of the remaining message size
--- a/internal/faultsim/relay.go
+++ b/internal/faultsim/relay.go
@@ -16,7 +16,7 @@
 	executedFraction     = 0.5 // fraction of calls without a response that were executed nevertheless
 )
 
-// callBackoff is the pause before a call is retried, or before the rest of a split call is sent.
+// callBackoff is the pause before a call to an unreachable relay is retried, or before the rest of a split call is sent.
 var callBackoff = DurationRange{50 * time.Millisecond, 200 * time.Millisecond}
 
 // relay holds the state of the relay between the manager and the proxies.
--- a/internal/faultsim/rules.go
+++ b/internal/faultsim/rules.go
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s: broken at %.3fs by %s: %s", v.Rule, v.At.Seconds(), v.Subject, v.Details)
 }
 
-// condition is the start of a state that must not last too long, with the total duration of outages before it.
+// condition records when a state that must not last too long began, and the total duration of outages until then.
 type condition struct {
 	since         time.Duration
 	outagesBefore time.Duration
@@ -201,7 +201,8 @@
 	}
 }
 
-// maxMessageTime limits how long a message may take after the last fault, including its time in the channel's queue.
+// maxMessageTime is how long a message may take to arrive after it was queued. At the end of a run, the tables of proxies
+// with a more recent message are not compared, because that message may still be on its way.
 const maxMessageTime = 5 * time.Second
 
 // checkProgress checks the end of a run: no command is waiting, and each connected proxy holds its table as the relay
@@ -219,7 +220,7 @@
 	r.checkRelayTables()
 }
 
-// checkTable checks that a proxy is assigned to a table, and that its weights equal those of the relay.
+// checkTable checks that a proxy is assigned to a table, and that it has the relay's weight for each server of the table.
 func (r *rules) checkTable(p *proxy) {
 	s := r.simulation
 	if !p.assigned {
@@ -237,7 +238,7 @@
 	}
 }
 
-// checkRelayTables checks that the relay's weights equal those of the versioned tables.
+// checkRelayTables checks that the relay has the weight of each server in the versioned tables.
 func (r *rules) checkRelayTables() {
 	state := r.simulation.manager.chain.State()
 	for _, id := range state.TableIDs() {
--- a/internal/faultsim/scenario.go
+++ b/internal/faultsim/scenario.go
@@ -25,23 +25,23 @@
 
 	RequestRate    float64       // requests per second of each proxy
 	ServerCapacity float64       // requests per second that a warm server can serve
-	ServiceTime    time.Duration // of a request at an idle server
+	ServiceTime    time.Duration // time that an idle server takes for a request
 
-	ReportDelay  DurationRange // of load and usage reports
-	ListDelay    DurationRange // of changes of the endpoint list
-	MessageDelay DurationRange // of a message from the channel to a proxy
+	ReportDelay  DurationRange // delay of load and usage reports
+	ListDelay    DurationRange // delay of changes of the endpoint list
+	MessageDelay DurationRange // delay of a message from the channel to a proxy
 
-	CommandsPerSecond float64 // rate at which the channel sends
-	QueueCapacity     float64 // in commands
+	CommandsPerSecond float64 // rate of the channel
+	QueueCapacity     float64 // maximum total size of the queued messages, in commands
 	MaxMessages       int     // limit of messages to one proxy within ten seconds; 0: no limit
 
-	ColdCapacity   float64 // of a server that has just started, as a fraction of ServerCapacity
+	ColdCapacity   float64 // capacity of a server that has just started, as a fraction of ServerCapacity
 	WarmUpDuration time.Duration
 
-	DrainGracePeriod     time.Duration // time after which no proxy may send requests to a draining server
-	MaxTimeWithoutServer time.Duration // of a proxy, while a warm server is ready
+	DrainGracePeriod     time.Duration // how long proxies may still send requests to a draining or removed server
+	MaxTimeWithoutServer time.Duration // how long a proxy may have no server while a warm server is ready
 	OverloadFactor       float64       // a warming server is overloaded above this multiple of its capacity
-	MaxOverloadTime      time.Duration // of a warming server
+	MaxOverloadTime      time.Duration // an overload of a warming server that lasts this long is a violation
 
 	FaultPhase   time.Duration // part of a run in which faults begin
 	SettlePhase  time.Duration // from the end of FaultPhase until progress is checked
--- a/internal/faultsim/scenario_file.go
+++ b/internal/faultsim/scenario_file.go
@@ -32,7 +32,7 @@
 		return s, err
 	}
 	if s.FaultCount.Max < s.FaultCount.Min {
-		return s, form.Errorf("faults: most is under least")
+		return s, form.Errorf("faults: most %d is less than least %d", s.FaultCount.Max, s.FaultCount.Min)
 	}
 	return s, nil
 }
@@ -108,7 +108,7 @@
 			return err
 		}
 		if value.Max < value.Min {
-			return node.Errorf("%s: most is under least", name)
+			return node.Errorf("%s: most %v is less than least %v", name, value.Max, value.Min)
 		}
 		return nil
 	}}
--- a/internal/faultsim/script_file.go
+++ b/internal/faultsim/script_file.go
@@ -25,7 +25,7 @@
 	return out.String()
 }
 
-// ParseScript parses the text of a replay file. Errors contain name as the name of the file, the line and the key.
+// ParseScript parses the text of a replay file. Errors contain the line, the key, and name as the name of the file.
 func ParseScript(name string, text []byte) (Script, error) {
 	var s Script
 	keys := sexp.Required(seedKey("seed", &s.Seed))
--- a/internal/faultsim/search.go
+++ b/internal/faultsim/search.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// minShrunkDuration is the duration up to which Shrink does not halve a fault's duration further.
+// minShrunkDuration is the duration above which Shrink tries to halve a fault's duration.
 const minShrunkDuration = time.Second
 
 // Shrink reduces a script that violates a rule to a smaller one that still violates the same rule: it drops faults one by
--- a/internal/faultsim/search_test.go
+++ b/internal/faultsim/search_test.go
@@ -73,7 +73,7 @@
 	if err != nil || s.Servers != 9 || s.ReportDelay.Max != 2*time.Second || s.FaultWeights[Crash] != 0 || s.FaultWeights[SlowServers] != 1 || s.Proxies != DefaultScenario().Proxies {
 		t.Errorf("%+v %v", s, err)
 	}
-	if _, err := ParseScenario("f", []byte("(scenario\n (transit (least 2s) (most 1s)))")); err == nil || err.Error() != "f:2: transit: most is under least" {
+	if _, err := ParseScenario("f", []byte("(scenario\n (transit (least 2s) (most 1s)))")); err == nil || err.Error() != "f:2: transit: most 1s is less than least 2s" {
 		t.Error(err)
 	}
 }
--- a/internal/faultsim/traffic.go
+++ b/internal/faultsim/traffic.go
@@ -10,7 +10,7 @@
 const (
 	reportInterval  = time.Second
 	minReportRate   = 0.05            // requests per second of a zone to a server; lower rates are not reported
-	maxLatency      = 3 * time.Second // of a server, however overloaded it is
+	maxLatency      = 3 * time.Second // latency of a server, however overloaded it is
 	latencyJitter   = 0.2             // width of the jitter, as a fraction of the latency
 	minHeadroom     = 0.05            // fraction of free capacity below which latency does not grow further
 	unknownInFlight = -1
--- a/internal/fleetmodel/fleet.go
+++ b/internal/fleetmodel/fleet.go
@@ -26,8 +26,8 @@
 // Tally holds numbers of requests, summed over all seconds played.
 type Tally struct {
 	Offered   float64
-	Shed      float64 // by the proxies' admission limits
-	Failed    float64 // at servers
+	Shed      float64 // rejected by the proxies' admission limits
+	Failed    float64 // failed at a server
 	CrossZone float64 // sent to a server of another zone
 }
 
--- a/internal/fleetmodel/scenario.go
+++ b/internal/fleetmodel/scenario.go
@@ -21,10 +21,10 @@
 	RequestRate    float64 // requests per second at each proxy, of all traffic classes
 	ServerCapacity float64 // requests per second that a warm server can serve
 
-	DrainFraction float64       // of the servers, a fifth of which enter the next state of a rolling restart each second; 0: none
-	SlowFraction  float64       // of the servers, which become five times slower after a third of the run
+	DrainFraction float64       // a fifth of this fraction of the servers takes a step of a rolling restart each second; 0: none
+	SlowFraction  float64       // fraction of the servers that become five times slower after a third of the run
 	SurgeFactor   float64       // factor on all request rates after a third of the run; 0: none
-	ChurnInterval time.Duration // between two events of a proxy disconnecting or reconnecting; 0: none
+	ChurnInterval time.Duration // mean time between two disconnects or reconnects of proxies; 0: there are none
 
 	RemovedMayServe bool // a removed server may still be running; only draining means that it must get no requests
 	AdmitByRate     bool // admission limits are rates instead of shares
@@ -33,7 +33,7 @@
 
 const (
 	warmUpDuration = 16 * time.Second
-	coldCapacity   = 0.15 // of a server that has just started, as a fraction of its warm capacity
+	coldCapacity   = 0.15 // capacity of a server that has just started, as a fraction of its warm capacity
 
 	// The channel's capacity is proportional to the number of proxies, with a minimum for small fleets.
 	minChannelCommands      = 8600
--- a/internal/fleetmodel/second.go
+++ b/internal/fleetmodel/second.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// rollingRestart moves some servers to their next state in each second after second 2: ready servers drain, drained ones
-// are removed, and removed ones restart as new processes.
+// rollingRestart moves some servers to their next state in each second after second 2: ready servers drain, draining ones
+// are removed, and removed ones restart as new processes. A restart that has begun continues at random.
 func (f *Fleet) rollingRestart(n int) {
 	limit := int(f.Scenario.DrainFraction * float64(f.Scenario.Servers))
 	if limit == 0 || n <= 2 {
--- a/internal/fleetmodel/traffic.go
+++ b/internal/fleetmodel/traffic.go
@@ -9,7 +9,7 @@
 
 const (
 	reportInterval = time.Second
-	serviceTime    = 120 * time.Millisecond // of a request at an idle server
+	serviceTime    = 120 * time.Millisecond // time that an idle server takes for a request
 	slowFactor     = 5                      // factor by which a slow server is slower
 	maxLatency     = 3 * time.Second
 	minHeadroom    = 0.05 // fraction of free capacity below which latency does not grow further
--- a/internal/loadtest/churn.go
+++ b/internal/loadtest/churn.go
@@ -10,7 +10,7 @@
 
 const (
 	drainInterval     = 100 * time.Millisecond
-	drainsInProgress  = 10 // a server returns once this many more have started to drain, so after one second
+	drainsInProgress  = 10 // number of servers that drain at the same time, so each returns after one second
 	serverStride      = 7  // distance in the server list between consecutive drains
 	reconnectInterval = 20 * time.Millisecond
 	proxyStride       = 13 // distance between the IDs of consecutively reconnected proxies
--- a/internal/loadtest/format_test.go
+++ b/internal/loadtest/format_test.go
@@ -29,7 +29,7 @@
 				{Name: "twice", Worst: 3, Unit: "times", At: 2 * time.Second, Subject: "s-1", Violations: 3, Checks: 9},
 			},
 			Relay: fakes.Counts{Calls: 1, CommandsAccepted: 2, CommandsRejected: 3, StateChanges: 4, ConnectedProxies: 5,
-				AssignedProxies: 6, Tables: 7, TableLines: 8, Withdrawn: 9, Faults: map[string]int{"lost": 10}},
+				AssignedProxies: 6, Tables: 7, TableWeights: 8, Withdrawn: 9, Faults: map[string]int{"lost": 10}},
 			Steps:          []StepResult{{Rate: 20000, AcceptedFraction: 0.98, AcceptLatency: 3 * time.Millisecond}},
 			MergedFraction: 0.125,
 		},
--- a/internal/scale/control.go
+++ b/internal/scale/control.go
@@ -138,7 +138,7 @@
 type listReader struct {
 	connection net.Conn
 	reader     *bufio.Reader
-	bytes      int // read so far
+	bytes      int // number of bytes read so far
 }
 
 // openReader opens a connection and requests the complete list and its changes.
--- a/internal/scale/costs.go
+++ b/internal/scale/costs.go
@@ -11,7 +11,7 @@
 	TrafficClasses  Axis = "traffic-groups"
 	Managers        Axis = "managers"       // managers that read one endpoint list
 	Processes       Axis = "real-processes" // managers that read one endpoint list, each a real process on loopback
-	Connections     Axis = "connections"    // to one real process
+	Connections     Axis = "connections"    // connections to one real process
 	ListChanges     Axis = "list-changes-per-second"
 	Reports         Axis = "reports-per-second"
 	RestartsAtOnce  Axis = "restarts-at-once"
@@ -25,8 +25,8 @@
 // complete endpoint list, then its proxies connect. A quiet second has no reports and no list changes.
 const (
 	CPUPerInput       Cost = "cpu-per-input"        // seconds per load or usage report
-	CPUPerQuietSecond Cost = "cpu-per-quiet-second" // seconds; no input
-	CPUPerBusySecond  Cost = "cpu-per-busy-second"  // seconds; inputs of the reference scenario
+	CPUPerQuietSecond Cost = "cpu-per-quiet-second" // seconds; without reports and list changes
+	CPUPerBusySecond  Cost = "cpu-per-busy-second"  // seconds; with the scenario's reports and list changes
 	CPUPerListChange  Cost = "cpu-per-list-change"  // seconds
 	CPUPerOpening     Cost = "cpu-per-opening"      // seconds
 	CPUPerListRead    Cost = "cpu-per-list-read"    // seconds to decode a complete list and make the first decision
@@ -34,18 +34,18 @@
 	LongestDecision   Cost = "longest-decision"     // seconds
 	HeapBytes         Cost = "heap-bytes"           // in use after a garbage collection
 
-	BytesOfOpening     Cost = "bytes-of-opening"     // of a complete list
-	BytesOfListChange  Cost = "bytes-of-list-change" // of one change on the wire
-	BytesOfReport      Cost = "bytes-of-report"      // of one load report
-	BytesOfUsage       Cost = "bytes-of-usage"       // of one usage report
-	BytesOfRelayEvent  Cost = "bytes-of-news"        // of one event of the relay
-	BytesOfCalls       Cost = "bytes-of-calls"       // of one second's calls to the relay
-	BytesOfHealthCheck Cost = "bytes-of-probe"       // of one health check and its answer
-	BytesOfHeartbeat   Cost = "bytes-of-heartbeat"   // of one second's heartbeats
+	BytesOfOpening     Cost = "bytes-of-opening"     // bytes of a complete list
+	BytesOfListChange  Cost = "bytes-of-list-change" // bytes of one list change
+	BytesOfReport      Cost = "bytes-of-report"      // bytes of one load report
+	BytesOfUsage       Cost = "bytes-of-usage"       // bytes of one usage report
+	BytesOfRelayEvent  Cost = "bytes-of-news"        // bytes of one event of the relay
+	BytesOfCalls       Cost = "bytes-of-calls"       // bytes of one second's calls to the relay
+	BytesOfHealthCheck Cost = "bytes-of-probe"       // bytes of one health check and its answer
+	BytesOfHeartbeat   Cost = "bytes-of-heartbeat"   // bytes of one second's heartbeats
 
-	HealthChecksPerSecond Cost = "probes-per-second" // in a busy second
-	RelayEventsPerSecond  Cost = "news-per-second"   // in a busy second; these are barrier acknowledgements
-	CommandsPerSecond     Cost = "orders-per-second" // to the relay, in a busy second
+	HealthChecksPerSecond Cost = "probes-per-second" // health checks in a busy second
+	RelayEventsPerSecond  Cost = "news-per-second"   // events of the relay in a busy second: barrier acknowledgements
+	CommandsPerSecond     Cost = "orders-per-second" // commands to the relay in a busy second
 	ProxiesAssigned       Cost = "proxies-bound"     // proxies that have a table
 	HollowBytes           Cost = "hollow-bytes"      // heap of one hollow manager among many, in the propagation scenario
 )
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -47,8 +47,8 @@
 	return s
 }
 
-// minMedianFraction is the fraction of the largest median that is the smallest divisor of a relative error. Without it,
-// the relative error at a cost of zero would be undefined.
+// minMedianFraction limits the divisor of a relative error: it is at least this fraction of the largest median. Without the
+// limit, the relative error at a cost of zero would be undefined.
 const minMedianFraction = 1e-3
 
 // largestMedian returns the largest median of the points. Costs are never negative.
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -27,7 +27,7 @@
 	relayMessages   []node.Message // messages from the relay to a manager that starts
 	coreShare       float64        // fraction of a core for each manager
 	managers        []*pacedManager
-	bytesPerManager float64 // of heap
+	bytesPerManager float64 // heap of one manager, estimated by checkMemory
 }
 
 // newHollowFleet returns a fleet without managers. Managers that are added get coreShare of a core each.
--- a/internal/scale/messages.go
+++ b/internal/scale/messages.go
@@ -74,8 +74,8 @@
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-// reportInterval returns the time between two reports on the same subject when the given number of subjects, servers or
-// proxies with their traffic classes, are reported on in turn.
+// reportInterval returns the time between two reports on the same subject, at most maxReportInterval. The given number of
+// subjects, which are servers or pairs of a proxy and a traffic class, are reported on in turn.
 func (s *messageSource) reportInterval(subjects int) time.Duration {
 	seconds := float64(subjects) / (s.scenario.Reports / 2)
 	return min(maxReportInterval, time.Duration(seconds*float64(time.Second)))
--- a/internal/scale/plansize.go
+++ b/internal/scale/plansize.go
@@ -7,12 +7,12 @@
 
 // Sizes in the capacity plan: the fleet as one manager sees it, and the list of a manager that holds a subset.
 const (
-	planServers        = 24_000
-	planZones          = 88
-	planProxies        = 480
-	planServersPerZone = 273 // 24,000 over 88
-	subsetServers      = 400 // the servers of the home zone and some of each other zone
-	singleShardServers = 190 // in a zone that is one shard; a server whose share of a table would be below 0.005 gets no weight in it
+	planServers            = 24_000
+	planZones              = 88
+	planProxies            = 480
+	planServersPerZone     = 273 // rounded up from 24,000 servers in 88 zones
+	subsetServers          = 400 // the servers of the home zone and some of each other zone
+	singlePartitionServers = 190 // servers of a home zone that is one partition: with over 200, an equal share of its table is below 0.005
 )
 
 // planCase is a named scenario at the size of the capacity plan.
@@ -39,10 +39,10 @@
 	subset := oneProxyZone
 	subset.Servers = subsetServers
 
-	oneShard := subset
-	oneShard.HomeServers = singleShardServers
+	onePartition := subset
+	onePartition.HomeServers = singlePartitionServers
 
-	oneZone := oneShard
+	oneZone := onePartition
 	oneZone.Servers = planServersPerZone
 	oneZone.Zones = 1
 	oneZone.HomeServers = 0
@@ -52,7 +52,7 @@
 		{"whole list, 480 proxies in one zone", oneProxyZone},
 		{"whole list, 960 proxies in all zones", twiceTheProxies},
 		{"subset of 400 with a home zone of 273, 480 proxies", subset},
-		{"subset of 400 with a home zone of 190, 480 proxies", oneShard},
+		{"subset of 400 with a home zone of 190, 480 proxies", onePartition},
 		{"subset of 273 in one zone alone, 480 proxies", oneZone},
 	}
 }
--- a/internal/scale/process_fleet.go
+++ b/internal/scale/process_fleet.go
@@ -39,6 +39,7 @@
 	if processes > maxProcesses {
 		return newCountLimitError(what, "processes", processes, maxProcesses)
 	}
+	// checkFits multiplies by gcHeapFactor, but bytesOfProcess already includes garbage.
 	return memory.checkFits(what, bytesOfProcess/gcHeapFactor, processes)
 }
 
--- a/internal/scale/propagation.go
+++ b/internal/scale/propagation.go
@@ -47,8 +47,8 @@
 
 // propagationInputs holds the processor times that the propagation of a change depends on. They are measured before it.
 type propagationInputs struct {
-	changeWriteTime time.Duration // control side's time to write one change to one reader
-	listWriteTime   time.Duration // control side's time to write a complete list to one reader
+	changeWriteTime time.Duration // control plane's time to write one change to one reader
+	listWriteTime   time.Duration // control plane's time to write a complete list to one reader
 	listReadTime    time.Duration // manager's time to read a complete list of the capacity plan's size
 }
 
@@ -57,7 +57,7 @@
 	fleet        *hollowFleet
 	control      controlPlane
 	listReadTime time.Duration
-	version      int   // of the endpoint list, after the changes so far
+	version      int   // version of the endpoint list after the changes so far
 	drained      []int // numbers of the drained servers, in the order in which they drained
 }
 
--- a/internal/scale/propagation_test.go
+++ b/internal/scale/propagation_test.go
@@ -29,8 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The change is written after two lists of 10 ms each. Reading a list costs a manager 1 ms of processor time, which takes
-	// longer on its share of a core.
+	// Each machine writes two lists in 10 ms each, then the change to its first manager in 1 ms.
 	least := 20*time.Millisecond + time.Millisecond + minTransit
 	checkTimes(t, "during openings", opening, managers, least)
 	quiet, err := r.drainRunningFleet(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
--- a/internal/scale/proxies.go
+++ b/internal/scale/proxies.go
@@ -84,7 +84,7 @@
 	p.tablesWith[w.Server][w.Table] = true
 }
 
-// assign assigns a table to a proxy and releases its previous table.
+// assign assigns a proxy to a table and removes it from its previous table.
 func (p *proxyTables) assign(a balancer.TableAssignment) {
 	if previous, assigned := p.tableOf[a.Proxy]; assigned {
 		delete(p.members[previous], a.Proxy)
--- a/internal/scale/recorder.go
+++ b/internal/scale/recorder.go
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// schedule queues answers for delivery at a time, in batches of at most as many as the router takes together.
+// schedule queues answers for delivery at a time, in batches of at most eventBatchSize.
 func (r *recorder) schedule(at time.Duration, messages []node.Message) {
 	for batch := range slices.Chunk(messages, eventBatchSize) {
 		place := len(r.pending)
--- a/internal/scale/replay.go
+++ b/internal/scale/replay.go
@@ -11,14 +11,14 @@
 
 // phaseCost is the cost of one phase of a script that was replayed.
 type phaseCost struct {
-	cpu             time.Duration // of the process, in the whole phase
-	changeCPU       time.Duration // of the thread, in the steps with list changes
+	cpu             time.Duration // processor time of the process in the whole phase
+	changeCPU       time.Duration // processor time of the thread in the steps with list changes
 	changes         int
-	reportCPU       time.Duration // of the process, in the steps with reports
+	reportCPU       time.Duration // processor time of the process in the steps with reports
 	reports         int
-	longestDecision time.Duration // of the thread, in the longest single call of the router
+	longestDecision time.Duration // processor time of the thread in the longest single call of the router
 	commands        int
-	heapBytes       float64 // heap in use at the end of the phase
+	heapBytes       float64 // heap that the manager uses at the end of the phase
 }
 
 // ReplayMismatchError reports that a replay did not cause the same work as the recording, so its cost is meaningless.
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -13,13 +13,13 @@
 // Options selects what a run measures.
 type Options struct {
 	Axes     []Axis    // empty: all axes
-	Sizes    []float64 // replace the default sizes of hollow managers or of real processes on the one selected axis; empty: default sizes
-	Seed     uint64    // of all random numbers
+	Sizes    []float64 // sizes along the one selected axis; empty, and always for the control plane: default sizes
+	Seed     uint64    // seed of all random numbers
 	Runs     int       // number of runs at each size
 	Small    bool      // measure at fewer and smaller sizes
 	Memory   Memory    // limit on the memory in use
 	Progress io.Writer // receives a line for each size
-	Program  string    // executable started as a real manager and as the control side; empty: neither is measured
+	Program  string    // executable started as a real manager and as the control process; empty: neither is measured
 }
 
 // OptionError reports an invalid option.
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestControlSideIsMeasured(t *testing.T) {
+func TestControlPlaneIsMeasured(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/scenario.go
+++ b/internal/scale/scenario.go
@@ -14,13 +14,13 @@
 // Scenario describes a fleet and its activity as one manager sees them.
 type Scenario struct {
 	Servers        int
-	Proxies        int // that this manager serves
+	Proxies        int // proxies that this manager serves
 	Zones          int
 	TrafficClasses int
-	ListChanges    float64 // per second, each of one server
-	Reports        float64 // per second: half are load reports on servers, half usage reports on proxies
+	ListChanges    float64 // list changes per second, each of one server
+	Reports        float64 // reports per second: half are load reports on servers, half usage reports on proxies
 	RestartsAtOnce int     // servers in one change of the endpoint list
-	Seed           uint64  // of all random numbers
+	Seed           uint64  // seed of all random numbers
 	HomeServers    int     // servers in the first zone, while the others are spread over the other zones; 0: all servers are spread evenly
 	HomeProxies    bool    // all proxies are in the first zone; false: they are spread evenly
 }
@@ -41,9 +41,9 @@
 
 const (
 	requestsPerReport = 3    // few enough that no server counts as unresponsive between two reports on it
-	memoryMB          = 4096 // limit in the configuration: far above a manager's needs, so that it has no effect
+	memoryMB          = 4096 // memory limit in the configuration: far above a manager's needs, so that it has no effect
 	maxDescriptors    = 4096 // limit on descriptors in the configuration
-	firstVersion      = 41   // of the endpoint list
+	firstVersion      = 41   // first version of the endpoint list
 )
 
 // With returns the scenario with another size along one axis.
--- a/internal/scale/script.go
+++ b/internal/scale/script.go
@@ -18,7 +18,7 @@
 	PhaseBusy    Phase = "busy"    // reports and list changes arrive
 	PhaseChanges Phase = "changes" // only changes of the endpoint list arrive
 	PhaseInputs  Phase = "inputs"  // only reports arrive, between two of the manager's timers
-	PhaseQuiet   Phase = "quiet"   // no messages arrive
+	PhaseQuiet   Phase = "quiet"   // neither reports nor list changes arrive
 )
 
 // Durations of the phases, by the script's clock.
@@ -37,8 +37,8 @@
 )
 
 const (
-	ackDelay          = 20 * time.Millisecond // until a proxy acknowledges the barrier of a call
-	healthCheckDelay  = 2 * time.Millisecond  // until a server answers a health check
+	ackDelay          = 20 * time.Millisecond // time until a proxy acknowledges the barrier of a call
+	healthCheckDelay  = 2 * time.Millisecond  // time until a server answers a health check
 	reportTick        = time.Millisecond      // resolution of the times at which reports arrive
 	listChangeSpacing = 50 * time.Millisecond // leaves time for the proxies' acknowledgements of a change
 	maxReportInterval = time.Minute           // longest interval that the manager accepts in a report
@@ -86,7 +86,7 @@
 	scenario        Scenario
 	site            fakes.Site
 	phases          []phase
-	assignedProxies int // number at the end
+	assignedProxies int // number of proxies that have a table at the end
 }
 
 // phase returns the phase with a name, or nil if the script has none.
--- a/internal/scale/session.go
+++ b/internal/scale/session.go
@@ -11,15 +11,15 @@
 type session struct {
 	options         Options
 	reference       Scenario
-	changeWriteTime time.Duration      // of the control plane with the most readers; median of the runs
-	listReadTime    time.Duration      // for the longest list of which a subset was taken; 0: not measured yet
+	changeWriteTime time.Duration      // time to write one change to one reader, at the last measured size; 0: not measured yet
+	listReadTime    time.Duration      // time to read a list and take a subset of it, at the last measured size; 0: not measured yet
 	propagation     *propagationInputs // nil: not measured yet
 }
 
 const (
-	smallListSize      = 2400                  // entries on the list that opening managers read in a small run
-	minChangeWriteTime = 10 * time.Microsecond // per change and reader, if the control plane wasn't measured
-	minListWriteTime   = time.Millisecond      // per complete list and reader, if the control plane wasn't measured
+	smallListSize        = 2400                  // entries on the list that opening managers read in a small run
+	minChangeWriteTime   = 10 * time.Microsecond // lower bound per change and reader; used if the control plane wasn't measured
+	defaultListWriteTime = time.Millisecond      // used per complete list and reader if the control plane wasn't measured
 )
 
 // measureManager measures hollow managers at a size along the survey's axis.
@@ -112,7 +112,7 @@
 	}
 	inputs := propagationInputs{
 		changeWriteTime: max(r.changeWriteTime, minChangeWriteTime),
-		listWriteTime:   minListWriteTime,
+		listWriteTime:   defaultListWriteTime,
 		listReadTime:    r.listReadTime,
 	}
 	if r.options.Program != "" {
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -118,7 +118,7 @@
 	GoVersion string           `json:"goVersion"`
 	Reference map[Axis]float64 `json:"reference"` // sizes of the axes that stay constant while one axis grows
 	Slopes    []Slope          `json:"slopes"`
-	PlanSize  []PlanSizeCase   `json:"planSize,omitempty"` // one manager at the capacity plan's size, with the whole list and with a subset
+	PlanSize  []PlanSizeCase   `json:"planSize,omitempty"` // one manager at the capacity plan's size, with the complete list and with a subset
 	Processes []ProcessCase    `json:"real,omitempty"`     // real processes compared with hollow managers
 }
 
--- a/internal/scale/subset_read.go
+++ b/internal/scale/subset_read.go
@@ -22,7 +22,7 @@
 	return scenario
 }
 
-// measureSubsetRead measures the processor time that a manager takes to read a whole list and to select its subset from it:
+// measureSubsetRead measures the processor time that a manager takes to read a complete list and select its subset:
 // the list is decoded, the first proxy connects, and the router receives the servers that this proxy needs.
 func measureSubsetRead(ctx context.Context, scenario Scenario, runs int) ([]sample, error) {
 	var samples []sample
--- a/internal/scale/surveys.go
+++ b/internal/scale/surveys.go
@@ -29,13 +29,13 @@
 	CommandsPerSecond,
 }
 
-// openingCosts are the costs of the control side for each manager that opens.
+// openingCosts are the costs of the control plane for each manager that opens.
 var openingCosts = []Cost{ControlCPUPerManager, ControlCPUPerChange, ControlHeapPerManager, ControlBytesPerManager}
 
-// controlCosts are the costs of the control side for each manager that it serves.
+// controlCosts are the costs of the control plane for each manager that it serves.
 var controlCosts = slices.Concat(openingCosts, []Cost{ControlConnections, OpeningLast, ControlCPUPerQuietSecond})
 
-// surveys lists all surveys in the order in which they run. Those of the control side and of the subset come before the
+// surveys lists all surveys in the order in which they run. Those of the control plane and of the subset come before the
 // propagation of changes, which uses their results.
 var surveys = []survey{
 	managerSurvey(Servers, []float64{60, 240, 600, 2400, 6000, 24000}, []float64{60, 240, 600, 2400}, managerCosts),
