--- a/internal/capacity/budget.go
+++ b/internal/capacity/budget.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Resource is what a budget bounds.
+// Resource is a quantity that a budget limits.
 type Resource string
 
 // Resources. The strict variants count everything except requests; the others also leave out what collectors send.
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -13,7 +13,7 @@
 		t.Error("the example slopes lack the cost of a list change, but the core is known")
 	}
 	if got := formatFigure(load.Core, formatPercent); !strings.HasPrefix(got, "at least 5.7") {
-		t.Errorf("core with an unmeasured part: got %q, want a lower bound of 5.7", got)
+		t.Errorf("core with an unmeasured part: got %q, want a lower bound that begins with 5.7", got)
 	}
 	if got := formatFigure(Figure{}, formatPercent); got != unmeasured {
 		t.Errorf("unmeasured figure: got %q, want %q", got, unmeasured)
--- a/internal/fakes/relay_call_test.go
+++ b/internal/fakes/relay_call_test.go
@@ -84,7 +84,7 @@
 		r := newTestRelay(t)
 		answer, err := post(t, r, form, time.Second)
 		if err != nil || !strings.Contains(answer, "<error>SYNTAX</error>") || r.Withdrawn(ServerID(0)) {
-			t.Errorf("%s: answer %q, error %v", name, answer, err)
+			t.Errorf("%s: answer %q, error %v; want a syntax error as the answer and no withdrawal", name, answer, err)
 		}
 	}
 }
@@ -94,10 +94,10 @@
 	r := newTestRelay(t)
 	r.SetUnavailable(true)
 	if answer, err := post(t, r, commitForm("withdraw,"+ServerID(0)), time.Second); err == nil || r.Withdrawn(ServerID(0)) {
-		t.Errorf("unavailable relay: answer %q", answer)
+		t.Errorf("unavailable relay: answer %q; want a broken connection and no withdrawal", answer)
 	}
 	r.SetUnavailable(false)
 	if answer, err := post(t, r, commitForm("withdraw,"+ServerID(0)), time.Second); err != nil || !r.Withdrawn(ServerID(0)) {
-		t.Errorf("available again: answer %q, error %v", answer, err)
+		t.Errorf("available again: answer %q, error %v; want a withdrawal", answer, err)
 	}
 }
--- a/internal/faultsim/bad_input_test.go
+++ b/internal/faultsim/bad_input_test.go
@@ -66,7 +66,7 @@
 	}{{"(other)", 1}, {"(scenario\n (zones 17))", 2}, {"(scenario (faults (least 5) (most 4)))", 1}} {
 		var file *sexp.Error
 		if _, err := ParseScenario("f", []byte(one.text)); !errors.As(err, &file) || file.File != "f" || file.Line != one.line {
-			t.Errorf("scenario %q: %v", one.text, err)
+			t.Errorf("scenario %q: got error %v, want a sexp.Error at f:%d", one.text, err, one.line)
 		}
 	}
 	for _, one := range []struct {
@@ -75,7 +75,7 @@
 	}{{"(other)", 1}, {"(replay (seed 1)\n (fire))", 2}} {
 		var file *sexp.Error
 		if _, err := ParseScript("g", []byte(one.text)); !errors.As(err, &file) || file.File != "g" || file.Line != one.line {
-			t.Errorf("replay %q: %v", one.text, err)
+			t.Errorf("replay %q: got error %v, want a sexp.Error at g:%d", one.text, err, one.line)
 		}
 	}
 	if _, err := ReadScenario(filepath.Join(t.TempDir(), "none.sexp")); !errors.Is(err, fs.ErrNotExist) {
--- a/internal/faultsim/search_test.go
+++ b/internal/faultsim/search_test.go
@@ -31,7 +31,7 @@
 func TestHundredSeedsKeepAllRules(t *testing.T) {
 	found, played := SearchSeeds(DefaultScenario(), 1, 100, 4, true, func(int) {})
 	for _, f := range found {
-		t.Errorf("%v\n%v", f.Violation, f.Script)
+		t.Errorf("got violation %v by the script\n%v", f.Violation, f.Script)
 	}
 	if played != 100 {
 		t.Errorf("%d seeds were played, want 100", played)
@@ -43,7 +43,7 @@
 func TestLargeFleetKeepsAllRules(t *testing.T) {
 	found, played := SearchSeeds(LargeFleetScenario(), 1, 16, 4, true, func(int) {})
 	for _, f := range found {
-		t.Errorf("%v\n%v", f.Violation, f.Script)
+		t.Errorf("got violation %v by the script\n%v", f.Violation, f.Script)
 	}
 	if played != 16 {
 		t.Errorf("%d seeds were played, want 16", played)
@@ -54,27 +54,29 @@
 	want := GenerateScript(DefaultScenario(), 7)
 	got, err := ParseScript("f", []byte(want.String()))
 	if err != nil || got.String() != want.String() || len(got.Faults) == 0 {
-		t.Errorf("%v\n%v\n%v", err, got, want)
+		t.Errorf("got error %v and script\n%v\nwant no error and at least one fault in\n%v", err, got, want)
 	}
-	for text, fault := range map[string]string{
+	for text, wantPrefix := range map[string]string{
 		"(replay)":                            "f:1: seed: is missing",
 		"(replay (seed 1)\n (crash (at 1s)))": "f:2: for: is missing",
 		"(replay (seed 1)\n (fire (at 1s) (for 1s) (part 1) (whom 1)))":    "f:2: fire: unknown key",
 		"(replay (seed 1) (crash (at 1s) (for 1s)\n (part 1.5) (whom 1)))": "f:2: part: 1.5 is not a number between 0 and 1",
 	} {
-		if _, err := ParseScript("f", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), fault) {
-			t.Errorf("%q: %v", text, err)
+		if _, err := ParseScript("f", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), wantPrefix) {
+			t.Errorf("%q: got error %v, want one that begins with %q", text, err, wantPrefix)
 		}
 	}
 }
 
 func TestScenariosAreReadWithDefaults(t *testing.T) {
 	s, err := ParseScenario("f", []byte("(scenario (servers 9) (reports-late (least 1s) (most 2s)) (weights (crash 0)))"))
-	if err != nil || s.Servers != 9 || s.ReportDelay.Max != 2*time.Second || s.FaultWeights[Crash] != 0 || s.FaultWeights[SlowServers] != 1 || s.Proxies != DefaultScenario().Proxies {
-		t.Errorf("%+v %v", s, err)
+	if err != nil || s.Servers != 9 || s.ReportDelay.Max != 2*time.Second || s.FaultWeights[Crash] != 0 ||
+		s.FaultWeights[SlowServers] != 1 || s.Proxies != DefaultScenario().Proxies {
+		t.Errorf("got scenario %+v and error %v, want the given values, defaults for all others, and no error", s, err)
 	}
-	if _, err := ParseScenario("f", []byte("(scenario\n (transit (least 2s) (most 1s)))")); err == nil || err.Error() != "f:2: transit: most 1s is less than least 2s" {
-		t.Error(err)
+	if _, err := ParseScenario("f", []byte("(scenario\n (transit (least 2s) (most 1s)))")); err == nil ||
+		err.Error() != "f:2: transit: most 1s is less than least 2s" {
+		t.Errorf("reversed range: got error %v, want one that states both bounds", err)
 	}
 }
 
--- a/internal/fleetmodel/second.go
+++ b/internal/fleetmodel/second.go
@@ -21,12 +21,12 @@
 	f.updateTraffic(requestRate)
 	start := f.now
 	reports := f.Scenario.Servers*f.Scenario.Zones + f.Scenario.Proxies*len(ClassFractions)
-	spread := &reportSchedule{fleet: f, start: start, step: time.Second / time.Duration(reports+1)}
+	schedule := &reportSchedule{fleet: f, start: start, step: time.Second / time.Duration(reports+1)}
 	for _, s := range f.servers {
-		f.reportLoad(s, spread)
+		f.reportLoad(s, schedule)
 	}
 	for i := range f.proxies {
-		f.reportUsage(i, requestRate, spread)
+		f.reportUsage(i, requestRate, schedule)
 	}
 	f.churnProxies()
 	f.playUntil(start + time.Second)
--- a/internal/fleetmodel/traffic.go
+++ b/internal/fleetmodel/traffic.go
@@ -119,11 +119,11 @@
 }
 
 // reportLoad sends the load reports about a server, one from each zone that sends requests to it.
-func (f *Fleet) reportLoad(s *server, spread *reportSchedule) {
+func (f *Fleet) reportLoad(s *server, schedule *reportSchedule) {
 	latency, failedFraction := f.serverResponse(s)
 	for zone, rate := range s.rateByZone {
 		f.Tally.Failed += rate * failedFraction
-		spread.next()
+		schedule.next()
 		if rate <= 0 {
 			continue
 		}
@@ -152,9 +152,9 @@
 }
 
 // reportUsage sends a proxy's usage reports, one for each traffic class, unless the proxy is disconnected.
-func (f *Fleet) reportUsage(index int, requestRate float64, spread *reportSchedule) {
+func (f *Fleet) reportUsage(index int, requestRate float64, schedule *reportSchedule) {
 	for class, fraction := range ClassFractions {
-		spread.next()
+		schedule.next()
 		if f.proxies[index].disconnected {
 			continue
 		}
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -13,18 +13,18 @@
 // Result holds the results of the load test of one manager.
 type Result struct {
 	Cores             int                `json:"cores"`
-	MachineCores      int                `json:"real_cores"` // cores of the machine, which the manager shares with the load test
-	MaxRate           float64            `json:"top_per_s,omitempty"`
-	HeldRate          float64            `json:"rate_per_s"`
-	Sent              int64              `json:"sent"`    // messages sent while the rate was held and the manager caught up
-	Accepted          int64              `json:"taken"`   // messages accepted in that time, according to the manager's counters
-	AcceptLatency     LatencySummary     `json:"take_in"` // from the due time of a ping until all messages before it are accepted
-	SendDelay         LatencySummary     `json:"late"`    // from the due time of a message until it is written
-	AssignLatency     LatencySummary     `json:"bind"`    // from the connection of a proxy to the command that assigns it
-	WithdrawLatency   LatencySummary     `json:"drain"`   // from the drain of a server on the endpoint list to its withdrawal command
-	AllAssignedAfter  time.Duration      `json:"all_bound_ns"`
-	CPU               float64            `json:"cpu_s_per_s"`
-	MemoryMB          float64            `json:"memory_mb"`
+	MachineCores      int                `json:"real_cores"`          // cores of the machine, which the manager shares with the load test
+	MaxRate           float64            `json:"top_per_s,omitempty"` // messages per second; 0 if the plan sets the rate
+	HeldRate          float64            `json:"rate_per_s"`          // messages per second
+	Sent              int64              `json:"sent"`                // messages sent while the rate was held and the manager caught up
+	Accepted          int64              `json:"taken"`               // messages accepted in that time, according to the manager's counters
+	AcceptLatency     LatencySummary     `json:"take_in"`             // from the due time of a ping until all messages before it are accepted
+	SendDelay         LatencySummary     `json:"late"`                // from the due time of a message until it is written
+	AssignLatency     LatencySummary     `json:"bind"`                // from the connection of a proxy to the command that assigns it
+	WithdrawLatency   LatencySummary     `json:"drain"`               // from the drain of a server on the endpoint list to its withdrawal command
+	AllAssignedAfter  time.Duration      `json:"all_bound_ns"`        // from the connection of all proxies until each is assigned
+	CPU               float64            `json:"cpu_s_per_s"`         // CPU seconds of the manager per second
+	MemoryMB          float64            `json:"memory_mb"`           // peak resident memory of the manager
 	Rules             []fakes.RuleResult `json:"rules"`
 	Relay             fakes.Counts       `json:"relay"`
 	BrokenConnections int64              `json:"connections_broken"`
--- a/internal/scale/arrivals.go
+++ b/internal/scale/arrivals.go
@@ -10,8 +10,8 @@
 // Model of how a change reaches the managers (see docs/design/scale.md): a control machine writes to its readers one
 // after another, and each message then crosses the network.
 const (
-	minTransit          = 500 * time.Microsecond // within a zone
-	maxTransit          = 75 * time.Millisecond  // to the farthest region
+	minTransit          = 500 * time.Microsecond // network delay within a zone
+	maxTransit          = 75 * time.Millisecond  // network delay to the farthest region
 	controlMachines     = 7
 	lostControlMachines = 2
 	controlMachineCores = 16 // cores that write complete lists, as in deploy/capacity.sexp
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -131,7 +131,7 @@
 		report := validReport()
 		corrupt(&report.Slopes[0])
 		if got, err := report.firstInvalidField(); got != "slopes[0]."+field || err == nil {
-			t.Errorf("%s: got field %q and error %v", field, got, err)
+			t.Errorf("got field %q and error %v, want an error in slopes[0].%s", got, err, field)
 		}
 	}
 }
