--- a/internal/faultsim/bad_input_test.go
+++ b/internal/faultsim/bad_input_test.go
@@ -24,8 +24,8 @@
 		{"integer out of range", "(scenario\n (zones 17))", "f:2: zones: 17 is not an integer between 1 and 16"},
 		{"number out of range", "(scenario\n (rate 0))", "f:2: rate: 0 is not a number between 0.01 and 10000"},
 		{"no duration", "(scenario\n (service 5))", "f:2: service: 5 is not a duration"},
-		{"reversed range", "(scenario\n (transit (least 2s) (most 1s)))", "f:2: transit: most is under least"},
-		{"reversed counts", "(scenario (faults (least 5) (most 4)))", "f:1: faults: most is under least"},
+		{"reversed range", "(scenario\n (transit (least 2s) (most 1s)))", "f:2: transit: most 1s is less than least 2s"},
+		{"reversed counts", "(scenario (faults (least 5) (most 4)))", "f:1: faults: most 4 is less than least 5"},
 		{"unknown fault", "(scenario (weights\n (fire 1)))", "f:2: fire: unknown key"},
 		{"negative weight", "(scenario (weights\n (crash -1)))", "f:2: crash: -1 is not a number between 0 and 100"},
 	} {
@@ -66,7 +66,7 @@
 	}{{"(other)", 1}, {"(scenario\n (zones 17))", 2}, {"(scenario (faults (least 5) (most 4)))", 1}} {
 		var file *sexp.Error
 		if _, err := ParseScenario("f", []byte(one.text)); !errors.As(err, &file) || file.File != "f" || file.Line != one.line {
-			t.Errorf("scenario %q: %v", one.text, err)
+			t.Errorf("scenario %q: got error %v, want a sexp.Error at f:%d", one.text, err, one.line)
 		}
 	}
 	for _, one := range []struct {
@@ -75,7 +75,7 @@
 	}{{"(other)", 1}, {"(replay (seed 1)\n (fire))", 2}} {
 		var file *sexp.Error
 		if _, err := ParseScript("g", []byte(one.text)); !errors.As(err, &file) || file.File != "g" || file.Line != one.line {
-			t.Errorf("replay %q: %v", one.text, err)
+			t.Errorf("replay %q: got error %v, want a sexp.Error at g:%d", one.text, err, one.line)
 		}
 	}
 	if _, err := ReadScenario(filepath.Join(t.TempDir(), "none.sexp")); !errors.Is(err, fs.ErrNotExist) {
--- a/internal/fleetmodel/second.go
+++ b/internal/fleetmodel/second.go
@@ -21,12 +21,12 @@
 	f.updateTraffic(requestRate)
 	start := f.now
 	reports := f.Scenario.Servers*f.Scenario.Zones + f.Scenario.Proxies*len(ClassFractions)
-	spread := &reportSchedule{fleet: f, start: start, step: time.Second / time.Duration(reports+1)}
+	schedule := &reportSchedule{fleet: f, start: start, step: time.Second / time.Duration(reports+1)}
 	for _, s := range f.servers {
-		f.reportLoad(s, spread)
+		f.reportLoad(s, schedule)
 	}
 	for i := range f.proxies {
-		f.reportUsage(i, requestRate, spread)
+		f.reportUsage(i, requestRate, schedule)
 	}
 	f.churnProxies()
 	f.playUntil(start + time.Second)
@@ -40,8 +40,8 @@
 	}
 }
 
-// rollingRestart moves some servers to their next state in each second after second 2: ready servers drain, drained ones
-// are removed, and removed ones restart as new processes.
+// rollingRestart moves some servers to their next state in each second after second 2: ready servers drain, draining ones
+// are removed, and removed ones restart as new processes. A restart that has begun continues at random.
 func (f *Fleet) rollingRestart(n int) {
 	limit := int(f.Scenario.DrainFraction * float64(f.Scenario.Servers))
 	if limit == 0 || n <= 2 {
