--- a/internal/node/backlog.go
+++ b/internal/node/backlog.go
@@ -14,7 +14,7 @@
 	filled  chan struct{} // signalled when a batch is queued
 	metrics *metrics
 
-	mu    sync.Mutex // protects queue
+	mu    sync.Mutex // guards queue
 	queue []balancer.Commands
 }
 
--- a/internal/node/collector_conn.go
+++ b/internal/node/collector_conn.go
@@ -12,18 +12,18 @@
 	"tamarindshore/internal/config"
 )
 
-// collectorConn is a connection accepted at the manager's address. Until its first report it has one fixed deadline,
-// which nothing it sends restarts. Only one goroutine at a time handles its lines; state, zone and lastReport are written
-// under the receiver's lock because other goroutines read them.
+// collectorConn is a connection accepted at the manager's address. Until its first report it has a fixed deadline, which
+// no line restarts; naming its zone may postpone the deadline once. Only one goroutine at a time handles its lines;
+// state, zone and lastReport are written under the receiver's lock because other goroutines read them.
 type collectorConn struct {
 	deadlineConn
-	state         collectorState
-	zone          balancer.ZoneID // empty while state is collectorUnnamed
-	lastReport    time.Time       // initially the time of acceptance; updated at most once per Limits.LastSeenPrecision
-	emptyMessages int             // consecutive messages that are not a valid report
+	state                 collectorState
+	zone                  balancer.ZoneID // empty while state is collectorUnnamed
+	lastReport            time.Time       // initially the time of acceptance; updated at most once per Limits.LastSeenPrecision
+	messagesWithoutReport int             // consecutive messages that are not a valid report
 }
 
-// collectorState states whether a connection has named its zone and sent a report.
+// collectorState is the progress of a connection: whether it has named its zone and sent a report.
 type collectorState int
 
 const (
@@ -56,8 +56,8 @@
 }
 
 var (
-	errTooManyEmptyMessages = errors.New("too many consecutive messages without a report")
-	errZoneNotNamed         = errors.New("the first message must name the collector's zone")
+	errTooManyMessagesWithoutReport = errors.New("too many consecutive messages without a report")
+	errZoneNotNamed                 = errors.New("the first message must name the collector's zone")
 )
 
 // pong is the reply to a ping.
@@ -114,7 +114,8 @@
 	return err
 }
 
-// closeConn closes and unregisters a connection and counts the reason, err, in the metrics.
+// closeConn closes and unregisters a connection that ended with err. It counts partial lines, unreadable input and
+// deadlines missed before the first report.
 func (r *receiver) closeConn(conn *collectorConn, err error) {
 	switch {
 	case errors.Is(err, io.ErrUnexpectedEOF):
@@ -131,20 +132,20 @@
 	r.removeConn(conn)
 }
 
-// handleLine handles one decoded line of a connection. It returns the sample to pass on if the line is one, and whether
-// a ping is to be answered; an error ends the connection. A malformed message is dropped on its own, but too many
-// consecutive messages without a report end the connection: either the rest of its input is malformed too, or its pings
-// take up the time needed for decisions.
+// handleLine handles one decoded line of a connection. If the line is a sample, it is returned to be passed on; pinged is
+// true if the line is a ping to answer. An error ends the connection. Only the malformed message itself is dropped, but
+// too many consecutive messages without a report end the connection: either the rest of its input is probably malformed
+// too, or its pings take up the time needed for decisions.
 func (r *receiver) handleLine(conn *collectorConn, now time.Time, line decodedLine) (reported sample, pinged bool, end error) {
 	identity, isIdentity := line.message.(collectorIdentity)
 	_, isPing := line.message.(ping)
 	switch {
 	case errors.Is(line.err, errUnreadable):
 		return nil, false, line.err
-	case conn.emptyMessages >= r.limits.MaxEmptyMessages && (line.err != nil || isIdentity || isPing):
-		return nil, false, errors.Join(errUnreadable, errTooManyEmptyMessages)
+	case conn.messagesWithoutReport >= r.limits.MaxEmptyMessages && (line.err != nil || isIdentity || isPing):
+		return nil, false, errors.Join(errUnreadable, errTooManyMessagesWithoutReport)
 	case isPing:
-		conn.emptyMessages++
+		conn.messagesWithoutReport++
 		r.metrics.add(pings, 1)
 		return nil, true, nil
 	case !conn.named() && !isIdentity:
@@ -152,7 +153,7 @@
 	case line.err != nil:
 		return nil, false, r.dropLine(conn, line)
 	case isIdentity:
-		conn.emptyMessages++
+		conn.messagesWithoutReport++
 		r.registerCollector(conn, identity.zone)
 		return nil, false, nil
 	}
@@ -161,8 +162,8 @@
 	return reported, false, nil
 }
 
-// dropLine counts and logs a malformed message. It returns an error, which ends the connection, if that has not named
-// its zone yet.
+// dropLine counts and logs a malformed message. If the connection has not named its zone yet, it returns an error, which
+// ends the connection.
 func (r *receiver) dropLine(conn *collectorConn, line decodedLine) error {
 	if line.err == errUnknownName {
 		r.metrics.add(unknownNames, 1)
@@ -170,7 +171,7 @@
 		r.metrics.add(malformedMessages, 1)
 	}
 	r.metrics.logLimited("malformed_message", "from", conn.RemoteAddr().String(), "line", excerpt(line.text), "error", line.err)
-	conn.emptyMessages++
+	conn.messagesWithoutReport++
 	if !conn.named() {
 		return errors.Join(errUnreadable, line.err)
 	}
@@ -180,7 +181,7 @@
 // recordReport records that a connection sent a report. From the first report on, the idle timeout replaces the
 // connection's fixed deadline.
 func (r *receiver) recordReport(conn *collectorConn, now time.Time) {
-	conn.emptyMessages = 0
+	conn.messagesWithoutReport = 0
 	if conn.reported() && now.Sub(conn.lastReport) <= r.limits.LastSeenPrecision {
 		return
 	}
@@ -191,9 +192,9 @@
 	conn.startIdleTimeout(r.limits.CollectorIdleTimeout)
 }
 
-// registerCollector records the zone that a connection reports for. If no other connection reports for that zone, the
-// deadline is extended: there may be nothing to report for a while. If one does, the connection keeps the deadline it
-// has, so that a client that merely knows a zone's name can't hold a connection open.
+// registerCollector records the zone that a connection reports for. If no other connection has reported for that zone
+// within IdentifyTimeout, the deadline is postponed: there may be nothing to report for a while. Otherwise the deadline
+// stays as it is, so that a client that merely knows a zone's name can't hold a connection open.
 func (r *receiver) registerCollector(conn *collectorConn, zone balancer.ZoneID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/config_reader.go
+++ b/internal/node/config_reader.go
@@ -18,7 +18,7 @@
 	state       readState
 	results     chan readResult
 	retriesLeft int
-	retry       <-chan time.Time // nil: no retry is due
+	retry       <-chan time.Time // fires when the next retry is due; nil: none is planned
 }
 
 // readState is the state of a configReader.
@@ -45,7 +45,7 @@
 	}
 }
 
-// reload starts a read on a reload signal, and allows it all retries.
+// reload starts a read in response to a reload signal, and restores the full number of retries.
 func (c *configReader) reload() {
 	c.retriesLeft = c.maxRetries
 	c.request()
@@ -64,7 +64,8 @@
 	}()
 }
 
-// finish must be called after each result. valid says whether the configuration was valid.
+// finish must be called after each result; valid is whether the configuration was valid. It starts the next read if one
+// was requested in the meantime, or else plans a retry if the configuration was invalid and retries are left.
 func (c *configReader) finish(valid bool) {
 	outdated := c.state == readOutdated
 	c.state = readIdle
--- a/internal/node/deadline_conn.go
+++ b/internal/node/deadline_conn.go
@@ -9,7 +9,7 @@
 )
 
 // deadlineConn is a connection whose peer must send something by a deadline. After the deadline one more read is made,
-// for data that the kernel has already received: if this process was stalled, a healthy peer must not be dropped. One
+// for data that the kernel has already received, so that a healthy peer is not dropped if this process was stalled. One
 // goroutine reads; others may write and move the deadline.
 type deadlineConn struct {
 	net.Conn
@@ -22,7 +22,7 @@
 	idleTimeout   time.Duration
 	deadline      time.Time
 	graceUsed     bool // the one read after the deadline has been made
-	fixedDeadline bool // neither reads nor writes move the deadline
+	fixedDeadline bool // neither received lines nor writes move the deadline
 }
 
 // extendDeadline restarts the idle timeout, unless the deadline is fixed.
@@ -40,7 +40,8 @@
 	c.graceUsed = false
 }
 
-// startIdleTimeout replaces a fixed deadline by an idle timeout, which restarts whenever the peer sends something.
+// startIdleTimeout replaces the current deadline, even a fixed one, by an idle timeout. extendDeadline and Write restart
+// the timeout.
 func (c *deadlineConn) startIdleTimeout(timeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +50,7 @@
 	c.restartIdleTimeout()
 }
 
-// postponeDeadline moves the deadline into the future by a duration.
+// postponeDeadline makes the deadline later by a duration, even if it is fixed.
 func (c *deadlineConn) postponeDeadline(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,8 +64,8 @@
 	return c.deadline, c.graceUsed
 }
 
-// Read waits for the read pace, then reads until the deadline. If the deadline passes, it reads once more, for at most
-// the grace.
+// Read waits as long as the read pace requires, then reads until the deadline. If the deadline passes, it reads once
+// more, for at most the grace.
 func (c *deadlineConn) Read(buffer []byte) (int, error) {
 	c.pace.beforeRead()
 	n, err := c.readByDeadline(buffer)
--- a/internal/node/decode_fuzz_test.go
+++ b/internal/node/decode_fuzz_test.go
@@ -1,8 +1,8 @@
 package node
 
 // These tests cover the decoders of all external input: whatever the bytes, no decoder may panic, and a decoded message
-// must be within the bounds that the balancer relies on. CI runs the seeds and random mutations of them; `go test -fuzz`
-// searches further.
+// must be within the bounds that the balancer relies on. A plain `go test`, as in CI, runs the seeds and random mutations
+// of them; `go test -fuzz` searches further.
 
 import (
 	"fmt"
@@ -100,7 +100,7 @@
 
 func checkAnswer(t *testing.T, body string) {
 	if n, err := parseAnswer([]byte(body), 2); err == nil && (n < 0 || n > 2) {
-		t.Errorf("%q: %d of 2 commands taken", body, n)
+		t.Errorf("%q: parsed as %d of 2 commands accepted", body, n)
 	}
 }
 
--- a/internal/node/decoder.go
+++ b/internal/node/decoder.go
@@ -48,13 +48,13 @@
 	maxBarrier     = 65535
 )
 
-// decoder decodes and validates each message once. It translates the names on the wire and the site's names of zones and
-// traffic classes; the decoded messages have typed fields and IDs instead. The decoder must never keep a message, call the
-// balancer or guess a value that was not sent. It is safe for concurrent use.
+// decoder decodes and validates each message once. It translates names on the wire, and the site's names of zones and
+// traffic classes, into typed fields and IDs. The decoder must never keep a message, call the balancer or guess a value
+// that was not sent. It is safe for concurrent use.
 type decoder struct {
 	zones       map[string]balancer.ZoneID
 	classes     map[string]balancer.ClassID
-	startedAt   time.Time // zero of the router's clock
+	startedAt   time.Time // when the router's clock starts at zero
 	maxFields   int       // per line
 	maxProxyID  int
 	maxLatency  time.Duration // highest mean latency in a report
@@ -131,7 +131,7 @@
 	if report.Failed > report.Attempts {
 		f.fail("fail", fmt.Sprintf("%d is more than the count of %d", report.Failed, report.Attempts))
 	}
-	if _, hasMean := f.value("mean"); hasMean || report.Failed < report.Attempts { // the mean may be missing if no attempt succeeded
+	if _, hasMean := f.value("mean"); hasMean || report.Failed < report.Attempts { // if no attempt succeeded, the mean may be missing
 		report.Latency = f.millis("mean")
 	}
 	if report.Latency > d.maxLatency || report.Failed < report.Attempts && report.Latency == 0 {
@@ -183,7 +183,7 @@
 
 // parseLoad returns the requests in flight stated in a list of load figures, or -1 if the list does not state them; ok is
 // false if a figure is malformed or out of range. Pairs are separated by pairSeparator, key and figure by valueSeparator.
-// The key is the protocol's name for the requests in flight or the name used in the settings.
+// The key of the requests in flight is loadInFlight or loadOutstanding.
 func parseLoad(text, pairSeparator, valueSeparator string, limit float64) (inFlight float64, ok bool) {
 	inFlight = -1
 	for _, pair := range strings.Split(text, pairSeparator) {
--- a/internal/node/decoder_pool.go
+++ b/internal/node/decoder_pool.go
@@ -51,16 +51,16 @@
 
 func (p *decoderPool) now() time.Duration { return time.Since(p.startedAt) }
 
-// notifyAssigner passes one input to the assigner and applies the resulting actions.
-func (p *decoderPool) notifyAssigner(input func(now time.Duration) sharding.Actions) {
+// notifyAssigner calls handle, which passes an event to the assigner, and applies the resulting actions.
+func (p *decoderPool) notifyAssigner(handle func(now time.Duration) sharding.Actions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.apply(input)
+	p.apply(handle)
 }
 
-// apply passes one input to the assigner and applies the resulting actions. The caller holds mu.
-func (p *decoderPool) apply(input func(now time.Duration) sharding.Actions) {
-	actions := input(p.now())
+// apply does the work of notifyAssigner. The caller holds mu.
+func (p *decoderPool) apply(handle func(now time.Duration) sharding.Actions) {
+	actions := handle(p.now())
 	for _, assignment := range actions.Drain {
 		p.schedule(assignment, true)
 	}
@@ -75,7 +75,7 @@
 	for _, id := range actions.Close {
 		if conn := p.conns[id]; conn != nil {
 			conn.collector.Close()
-			go p.endConn(conn, errors.Join(errUnreadable, errShardsFailed)) // in a goroutine, because endConn locks mu
+			go p.endConn(conn, errors.Join(errUnreadable, errWorkersPanicked)) // in a goroutine, because endConn locks mu
 		}
 	}
 	for _, record := range actions.LogRecords {
@@ -83,8 +83,8 @@
 	}
 }
 
-// errShardsFailed ends a connection whose lines made the workers of several shards panic.
-var errShardsFailed = errors.New("the connection's lines made the workers of several shards panic")
+// errWorkersPanicked ends a connection whose lines repeatedly made the workers of shards panic.
+var errWorkersPanicked = errors.New("the connection's lines repeatedly made the workers of shards panic")
 
 // assign makes an owner responsible for a connection. The caller holds mu.
 func (p *decoderPool) assign(assignment sharding.Assignment) {
@@ -119,7 +119,7 @@
 // readConn reads a connection's bytes until it ends; the shard that owns the connection decodes and closes it.
 func (p *decoderPool) readConn(collector *collectorConn) {
 	conn := p.register(collector)
-	size := p.receiver.limits.ReadChunkBytes / 4 // until a read fills the chunk
+	size := p.receiver.limits.ReadChunkBytes / 4 // the full size is used once a read has filled a chunk
 	for {
 		chunk := make([]byte, size)
 		n, err := collector.Read(chunk)
@@ -148,8 +148,8 @@
 	return conn
 }
 
-// pushChunk appends a chunk that was read, and waits while too many are queued. It returns false once the connection has
-// ended or the receiver stops.
+// pushChunk queues a chunk that was read, after waiting until fewer than MaxQueuedChunks are queued. It returns false once
+// the connection has ended or the receiver stops.
 func (p *decoderPool) pushChunk(conn *shardConn, chunk []byte) bool {
 	for {
 		switch conn.tryPush(chunk, p.receiver.limits.MaxQueuedChunks) {
@@ -199,7 +199,7 @@
 // workerIdle is reported to the assigner as the busy time of a worker that is idle.
 const workerIdle = time.Duration(-1)
 
-// checkWorkers tells the assigner how long each worker has been busy with its current chunk.
+// checkWorkers reports to the assigner how long each worker has been busy with its current chunk.
 func (p *decoderPool) checkWorkers() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -214,7 +214,7 @@
 	p.apply(func(now time.Duration) sharding.Actions { return p.assigner.HandleWorkerCheck(now, busyFor) })
 }
 
-// reportLoad tells the assigner how many cores each connection used during a window.
+// reportLoad reports to the assigner how many cores each connection used during a window.
 func (p *decoderPool) reportLoad(window time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/decoder_test.go
+++ b/internal/node/decoder_test.go
@@ -115,7 +115,7 @@
 		{"instanceId":"s-2","hostPort":"127.0.0.1:2","zone":"b","lifecycle":"draining","startedAtMs":0},
 		{"instanceId":"s-3","hostPort":"127.0.0.1:3","zone":"z","lifecycle":"up","startedAtMs":0},
 		{"instanceId":"s-4","zone":"b","lifecycle":"removed"}]}`))
-	if err != nil || unknown != 1 || !in.snapshot || in.generation != 43 || len(in.entries) != 3 {
+	if err != nil || unknown != 1 || !in.snapshot || in.version != 43 || len(in.entries) != 3 {
 		t.Fatalf("decoded to %+v with %d unknown zones, %v", in, unknown, err)
 	}
 	if e := in.entries[0]; !e.RecentlyStarted || e.Started != 2500*time.Millisecond || e.Weight != 1.5 || in.addresses["s-1"] != "127.0.0.1:1" {
--- a/internal/node/deployment_test.go
+++ b/internal/node/deployment_test.go
@@ -41,8 +41,8 @@
 	manager      *inProcessManager
 }
 
-// newConfigReadFunc reads the operator's settings from a file. Each call of the returned function rereads the configuration file
-// and combines it with these settings.
+// newConfigReadFunc reads the operator's settings from a file. Each call of the returned function rereads the
+// configuration file and combines it with these settings.
 func newConfigReadFunc(configFile, settings string) (read func() (config.Config, error), err error) {
 	operator, err := config.ReadOperatorSettings(settings)
 	if err != nil {
@@ -197,7 +197,7 @@
 
 // replicaVersions records the version that each replica has applied. It is safe for concurrent use.
 type replicaVersions struct {
-	mu      sync.Mutex                // protects the fields below
+	mu      sync.Mutex                // guards the fields below
 	held    map[int]tables.VersionRef // the current version of each replica
 	applied map[int]map[tables.ID]int // how often each replica applied each version
 }
@@ -219,7 +219,7 @@
 	}
 }
 
-// allRun reports whether the first n replicas have a version.
+// allRun reports whether the last version that each of the first n replicas applied has the given ID.
 func (r *replicaVersions) allRun(n int, id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/endpoint_list.go
+++ b/internal/node/endpoint_list.go
@@ -49,8 +49,8 @@
 }
 
 // checkList validates the servers of a list. Entries of unknown zones are ignored and counted in unknown.
-func (d *decoder) checkList(generation int64, snapshot bool, instances []instance) (list endpointList, unknown int, err error) {
-	list = endpointList{generation: generation, snapshot: snapshot, addresses: map[balancer.ServerID]string{}, instances: instances}
+func (d *decoder) checkList(version int64, snapshot bool, instances []instance) (list endpointList, unknown int, err error) {
+	list = endpointList{version: version, snapshot: snapshot, addresses: map[balancer.ServerID]string{}, instances: instances}
 	for i, server := range instances {
 		entry, err := d.checkInstance(server)
 		if err == errUnknownName {
--- a/internal/node/feed.go
+++ b/internal/node/feed.go
@@ -51,7 +51,7 @@
 	return f
 }
 
-// publish replaces the view that replicas are brought up to date with.
+// publish replaces the view from which replicas are updated, and wakes the goroutines that wait for a new one.
 func (f *feed) publish(view versions.View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,7 +68,7 @@
 	return f.view, f.changed
 }
 
-// encode returns an encoded delta. It caches the result for other replicas with the same base.
+// encode encodes a delta. It caches the result for other replicas with the same base.
 func (f *feed) encode(delta *tables.Delta) ([]byte, error) {
 	key := deltaKey{head: delta.ID, base: delta.Base, baseDigest: delta.BaseDigest}
 	f.mu.Lock()
--- a/internal/node/health_check.go
+++ b/internal/node/health_check.go
@@ -48,8 +48,8 @@
 	return r.enqueue(result)
 }
 
-// checkOnce sends a health check to a server. The response also states its load, if servers of the site report it. sent
-// is false if this process lacked the resources to connect.
+// checkOnce sends a health check to a server. Where servers report their load, the response also states it. The returned
+// sent is false if this process lacked the resources to connect.
 func (r *receiver) checkOnce(target healthCheckTarget, path string) (result healthCheckResult, sent bool) {
 	result = healthCheckResult{server: target.server, address: target.address, outcome: balancer.HealthCheckTimedOut, inFlight: -1}
 	startedAt := time.Now()
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -56,15 +56,15 @@
 // relay client's backoff.
 const relayRetryDelay = 125 * time.Millisecond
 
-// HollowManager is a manager without a process and connections of its own: the decoders, the router with the balancer
-// and the version chain, and the encoder of relay calls, driven step by step on a virtual clock. It is used to measure
-// how the manager's cost grows; the daemon never creates one. docs/design/scale.md lists the parts that it lacks. It is
-// not safe for concurrent use.
+// HollowManager is a manager without a process and connections of its own. It consists of the decoders, the router with
+// the balancer and the version chain, and the encoder of relay calls, and is driven step by step on a virtual clock. It is
+// used to measure how the manager's cost grows; the daemon never creates one. docs/design/scale.md lists the parts that
+// it lacks. It is not safe for concurrent use.
 type HollowManager struct {
 	node            *Node
 	traffic         [messageKindCount]Traffic
 	deferred        balancer.Commands  // commands that the balancer's limits defer
-	deferredBarrier balancer.BarrierID // barrier of the call that contained the deferred commands
+	deferredBarrier balancer.BarrierID // barrier of the call from which the deferred commands were left over
 	retryAt         time.Duration      // when to retry the deferred commands; 0: there are none
 	result          StepResult
 	// Observe, if set, is called twice for each input: with true before the router handles it, and with false afterwards.
@@ -254,6 +254,7 @@
 	}
 }
 
+// resend asks the router which of the commands that were not accepted may be sent now.
 func (h *HollowManager) resend(missing balancer.Commands, barrier balancer.BarrierID, mayHaveExecuted bool) resendReply {
 	reply := make(chan resendReply, 1)
 	request := resendRequest{commands: missing, barrier: barrier, mayHaveExecuted: mayHaveExecuted, reply: reply}
@@ -306,7 +307,7 @@
 		select {
 		case target := <-h.node.router.healthChecks:
 			h.result.HealthChecks = append(h.result.HealthChecks, target.server)
-		case <-h.node.router.listRequested: // ignored: the caller passes lists without a request
+		case <-h.node.router.listRequested: // ignored: the caller passes endpoint lists without being asked
 		default:
 			return
 		}
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -46,13 +46,13 @@
 	return h, calls
 }
 
-func testEndpointList(generation int, snapshot bool, servers int, lifecycle string) string {
+func testEndpointList(version int, snapshot bool, servers int, lifecycle string) string {
 	var entries []string
 	for s := range servers {
 		entries = append(entries, fmt.Sprintf(`{"instanceId":"s-%03d","hostPort":"127.0.0.1:%d","zone":"%s","lifecycle":"%s"}`,
 			s, 1000+s, []string{"a", "b"}[s%2], lifecycle))
 	}
-	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, generation, snapshot, strings.Join(entries, ","))
+	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, version, snapshot, strings.Join(entries, ","))
 }
 
 func TestAHollowManagerAssignsAndWithdraws(t *testing.T) {
--- a/internal/node/inputs.go
+++ b/internal/node/inputs.go
@@ -6,8 +6,8 @@
 	"tamarindshore/balancer"
 )
 
-// input is an event that the router handles. The set of inputs is closed: the types of this file, and the samples among
-// a collector's messages.
+// input is an event that the router handles. There are no implementations but the types in this file and the samples of
+// collectors in collector_messages.go.
 type input interface {
 	// handleBy calls the router's handler for the input's type. It is called in the router's goroutine.
 	handleBy(r *router)
@@ -43,13 +43,13 @@
 
 // endpointList is the list of servers, or changes to it.
 type endpointList struct {
-	generation int64
-	snapshot   bool // the complete list, not changes to it
-	complete   bool // no change before its generation is missing
-	stored     bool // read from the store
-	entries    []balancer.Endpoint
-	addresses  map[balancer.ServerID]string
-	instances  []instance // as discovery sent them
+	version   int64
+	snapshot  bool // the complete list, not changes to it
+	complete  bool // no change before this version is missing
+	stored    bool // read from the store
+	entries   []balancer.Endpoint
+	addresses map[balancer.ServerID]string
+	instances []instance // as discovery sent them
 }
 
 // endpointListFailed reports that a requested watch of the endpoint list has ended.
@@ -78,10 +78,10 @@
 	deferred balancer.Commands // to be sent later
 }
 
-// callCompleted reports that the commands up to a barrier are in the relay's channel.
+// callCompleted reports that the accepted commands of a call are in the relay's channel.
 type callCompleted struct {
-	barrier  balancer.BarrierID
-	complete bool // none of the commands was rejected
+	barrier  balancer.BarrierID // barrier of the call
+	complete bool               // all commands up to the barrier were accepted
 }
 
 // routerCall is a function that runs in the router's goroutine to carry out an operator's command.
--- a/internal/node/interleaving_stream_test.go
+++ b/internal/node/interleaving_stream_test.go
@@ -34,7 +34,7 @@
 		t.Fatalf("version %d is held, want 41: the later list was not delivered", got)
 	}
 	go receiver.readWatch(testUpstream(t, address), held)
-	if got := (<-inputs).(endpointList); got.generation != 42 {
+	if got := (<-inputs).(endpointList); got.version != 42 {
 		t.Errorf("list %+v, want version 42", got)
 	}
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// Discovery may send the same malformed list each time the watch is opened. It must not block all later lists for ever, and
+// Discovery may send the same malformed list each time the watch is opened. It must not block all later lists forever, and
 // the version held must not advance past it, because its changes are still missing.
 func TestAMalformedFirstListDoesNotBlockLaterLists(t *testing.T) {
 	malformed := strings.Replace(watchLine(42, false, "s-1"), `"up"`, `"?"`, 1)
@@ -192,7 +192,7 @@
 }
 
 // If the version held is far too high, discovery takes it for a future one: a watch requested after it sends only changes
-// with lower versions, for ever. The manager must then request the list from the beginning.
+// with lower versions, forever. The manager must then request the list from the beginning.
 func TestAListThatStaysBehindIsRequestedFromTheBeginning(t *testing.T) {
 	limits := testLimits
 	limits.MaxWatchGap = 0
--- a/internal/node/line_fields.go
+++ b/internal/node/line_fields.go
@@ -76,12 +76,14 @@
 	return "", true
 }
 
+// fail records that a field is invalid, unless an error was recorded before.
 func (f *fields) fail(name, problem string) {
 	if f.err == nil {
 		f.err = &fieldError{field: name, problem: problem}
 	}
 }
 
+// text returns the value of a field that must not be missing or empty.
 func (f *fields) text(name string) string {
 	value, ok := f.value(name)
 	if !ok || value == "" {
@@ -112,9 +114,9 @@
 	return time.Duration(f.number(name) * float64(time.Millisecond))
 }
 
-// reportCounts returns the interval of a report, the number of requests in it, and how many failed; a failed request may
-// have started in an earlier interval. Counts that are impossible for the interval are rejected: they would distort rates
-// for seconds.
+// reportCounts returns the number of requests in a report, how many failed, and the interval that the report covers. A
+// failed request may have started in an earlier interval. Counts too high for the interval are rejected: they would
+// distort rates for seconds.
 func (f *fields) reportCounts(d *decoder) (count, failed int, interval time.Duration) {
 	count = f.integer("count", maxCount)
 	failed = f.integer("fail", maxCount)
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -67,8 +67,8 @@
 	r.evictExcess(false, r.limits.MaxUnidentifiedConns)
 }
 
-// evictExcess considers either the connections that have named their zone or those that have not; if there are more than
-// limit, it closes one of them. The caller holds mu.
+// evictExcess closes one connection if there are more than limit of its kind. It considers the connections that have
+// named their zone if named is true, otherwise those that have not. The caller holds mu.
 func (r *receiver) evictExcess(named bool, limit int) {
 	var victim *collectorConn
 	count := 0
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,7 +10,7 @@
 	"tamarindshore/balancer"
 )
 
-// counter identifies a counter of a manager. counterNames maps counters to their outer names.
+// counter identifies a counter of a manager. counterNames holds the names under which counters are logged.
 type counter int
 
 const (
--- a/internal/node/moves_test.go
+++ b/internal/node/moves_test.go
@@ -204,14 +204,14 @@
 }
 
 const (
-	// minRounds is the least number of server replacements while connections move.
+	// minRounds is the minimum number of server replacements while connections move.
 	minRounds = 6
-	// minMoves is the least number of connection moves during the replacements; servers are replaced until it is reached.
+	// minMoves is the minimum number of connection moves during the replacements; servers are replaced until it is reached.
 	minMoves = 50
 )
 
 // maxRoundsDuration limits the time for which servers are replaced. Moves are requested one at a time, and one that is not
-// done within the drain timeout is cancelled.
+// done within the drain timeout is canceled.
 var maxRoundsDuration = minMoves * sharding.DefaultSettings(movingShards).DrainTimeout
 
 // Servers drain and restart, relay responses are lost, the configuration is reloaded and event streams break, all while
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -68,7 +68,7 @@
 	if err := n.openStore(); err != nil {
 		return nil, err
 	}
-	n.watchState = newWatchState(n.initialList.generation, n.startedAt)
+	n.watchState = newWatchState(n.initialList.version, n.startedAt)
 	if cfg.TablesAddress != "" {
 		keys, err := readKeys(cfg.KeyFile)
 		if err != nil {
@@ -98,7 +98,8 @@
 	}
 }
 
-// openStore opens the store, if one is configured, and restores the chain of versions from its contents.
+// openStore opens the store, if one is configured, and creates the chain of versions from its contents. Without a store
+// the chain starts empty.
 func (n *Node) openStore() error {
 	epoch := uint64(n.startedAt.UnixMilli())
 	stored := store.Contents{}
@@ -124,7 +125,7 @@
 // useStoredList replaces the configured endpoint list by the stored one if that is newer. An invalid stored list is
 // ignored.
 func (n *Node) useStoredList(list store.ServerList) {
-	if versions.StoredListIsNewer(n.initialList.generation, list.Generation, len(list.Entries)) {
+	if versions.StoredListIsNewer(n.initialList.version, list.Generation, len(list.Entries)) {
 		stored, _, err := n.decoder.checkList(list.Generation, true, fromStoreEntries(list.Entries))
 		if err == nil {
 			n.initialList = stored
--- a/internal/node/proxy_events.go
+++ b/internal/node/proxy_events.go
@@ -13,13 +13,14 @@
 const eventNameLetters = "abcdefghijklmnopqrstuvwxyz_"
 
 // proxyEventReader reads one event stream of the relay until the stream ends. The stream starts with a snapshot of the
-// connected proxies, which counts as complete at the first heartbeat at least ProxySnapshotTimeout after its start.
+// connected proxies. The snapshot counts as complete at the first heartbeat that arrives ProxySnapshotTimeout or later
+// after its start.
 type proxyEventReader struct {
 	receiver     *receiver
 	up           *upstream
 	phase        proxyStreamPhase
 	startedAt    time.Time // of the phase proxyStreamSnapshot
-	eventSkipped bool      // a malformed join or leave event was skipped
+	eventSkipped bool      // a malformed event, which may be a join or a leave, was skipped
 	event        string    // name of the event being read
 	data         string    // of the event being read
 }
@@ -48,7 +49,7 @@
 	return reader.phase >= proxyStreamOpened, err
 }
 
-// open handles the acceptance of the stream by the relay.
+// open is called when the relay has accepted the stream.
 func (p *proxyEventReader) open() error {
 	p.phase = proxyStreamOpened
 	p.receiver.metrics.add(proxyStreamOpens, 1)
@@ -103,7 +104,7 @@
 	}
 	p.phase = proxyStreamLive
 	if p.eventSkipped {
-		return // the skipped event may be the join of a proxy, which a complete snapshot without it would disconnect
+		return // the skipped event may announce a proxy, which would be disconnected if the snapshot counted as complete
 	}
 	p.up.clearDecodeError()
 	p.enqueue(proxySnapshotComplete{})
--- a/internal/node/read_lines.go
+++ b/internal/node/read_lines.go
@@ -13,8 +13,8 @@
 
 var errLineTooLong = errors.New("line too long")
 
-// readLines splits what it reads into lines and passes each to take, until an error or the end of the input. maxLength
-// is called for each line, since the limit may change in between. A partial line at the end is dropped and reported as
+// readLines splits what it reads into lines and passes each to take, until an error or the end of the input. maxLength is
+// called for each line, since the limit may change between lines. A partial line at the end is dropped and reported as
 // io.ErrUnexpectedEOF.
 func readLines(reader io.Reader, maxLength func() int, take func(line []byte) error) error {
 	var partial []byte
@@ -42,8 +42,8 @@
 	}
 }
 
-// cutLines passes each complete line of partial followed by data to take, without its line ending. It returns the partial
-// line that remains, which may reuse the memory of partial.
+// cutLines splits data, which continues the line begun in partial, into lines. It passes each complete line to take,
+// without its line ending, and returns the partial line at the end, which may reuse the memory of partial.
 func cutLines(partial, data []byte, take func(line []byte) error) (rest []byte, err error) {
 	for len(data) > 0 {
 		end := bytes.IndexByte(data, '\n')
--- a/internal/node/read_pace.go
+++ b/internal/node/read_pace.go
@@ -26,5 +26,5 @@
 	p.sleep(p.interval - sinceMultiple)
 }
 
-// afterRead records whether a read filled its buffer: more data may follow, so the next read is not delayed.
+// afterRead records whether a read filled its buffer. If it did, more data may be waiting, so the next read is not delayed.
 func (p *readPace) afterRead(read, size int) { p.delayNext = read < size }
--- a/internal/node/read_pace_test.go
+++ b/internal/node/read_pace_test.go
@@ -24,8 +24,8 @@
 
 func (c *bufferedConn) SetReadDeadline(time.Time) error { return nil }
 
-// pacedConn returns a connection with a read pace whose clock stands at the time at; instead of sleeping, the pace calls
-// arrives.
+// pacedConn returns a connection whose read pace has a clock that is stopped at a time. Instead of sleeping, the pace calls
+// arrives with the duration that it would sleep for.
 func pacedConn(interval time.Duration, at time.Time, arrives func(conn *bufferedConn, waited time.Duration)) (*deadlineConn, *bufferedConn) {
 	peer := &bufferedConn{}
 	pace := newReadPace(interval)
--- a/internal/node/receiver.go
+++ b/internal/node/receiver.go
@@ -22,7 +22,7 @@
 	inputs      chan<- input
 	stop        <-chan struct{} // closed when the manager stops; ends all goroutines of the receiver
 	metrics     *metrics
-	isReady     func() bool  // whether pings are answered
+	isReady     func() bool  // reports whether the manager is ready; until then pings are not answered
 	decoderPool *decoderPool // decodes on several cores; if nil, each connection's goroutine decodes its lines
 
 	mu     sync.Mutex       // guards the fields below
@@ -35,6 +35,7 @@
 // enqueue passes an input to the router; it returns false once the manager is stopping.
 func (r *receiver) enqueue(in input) bool { return enqueue(in, r.inputs, r.stop) }
 
+// enqueue passes an input to the router through inputs; it returns false if stop is closed first.
 func enqueue(in input, inputs chan<- input, stop <-chan struct{}) bool {
 	select {
 	case inputs <- in:
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -10,7 +10,8 @@
 
 // relayClient makes the calls to the relay, one at a time and in order. It handles the outcome of each call: if commands
 // were not sent, or it is unknown whether they were executed, it sends them again before any others. It must never drop a
-// command that was not rejected, nor send a later command before it. Its fields belong to the goroutine that calls run.
+// command that was not rejected, nor send a command ahead of an earlier one. Its fields belong to the goroutine that calls
+// run.
 type relayClient struct {
 	limits      config.Limits
 	address     string
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -10,8 +10,8 @@
 
 // reload applies a reread configuration to the running manager. It returns false and changes nothing if the configuration
 // is invalid; a file is never applied in part. If an address changed, a stream is opened at the new one at once, and the
-// old upstream stays in use until the new one has sent something. Changed settings that take effect only at a restart are
-// named in the log. The balancer's state must never change.
+// old upstream stays in use until the new one has sent its first line. Changed settings that take effect only at a restart
+// are named in the log. A reload must never change the balancer's state.
 func (n *Node) reload(r *receiver, next config.Config, err error) bool {
 	if err == nil {
 		err = n.checkEndpointList(next)
--- a/internal/node/replica_conn.go
+++ b/internal/node/replica_conn.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	helloTimeout    = 1500 * time.Millisecond // within which a replica must prove that it has a key
-	sendTimeout     = 5 * time.Second         // to write one delta
+	helloTimeout    = 1500 * time.Millisecond // time for a new replica to prove that it has a key
+	sendTimeout     = 5 * time.Second         // time to write one delta
 	nonceLength     = 16                      // bytes
 	maxReplicaFrame = 256                     // bytes
 	maxQueuedFrames = 4
@@ -24,7 +24,7 @@
 type replicaConn struct {
 	feed   *feed
 	conn   net.Conn
-	name   string // that the replica reported
+	name   string // as reported by the replica
 	peer   *versions.Peer
 	frames <-chan replicaFrame // closed when no more frames can be read
 }
--- a/internal/node/router.go
+++ b/internal/node/router.go
@@ -40,10 +40,10 @@
 	now          time.Duration // since startedAt
 	nextTimer    time.Duration // time of the balancer's next timer; 0: none
 	proxies      map[balancer.ProxyID]bool
-	unconfirmed  map[balancer.ProxyID]bool    // connected before the event stream was interrupted, not announced since
+	unconfirmed  map[balancer.ProxyID]bool    // proxies connected before the event stream was interrupted and not announced since
 	addresses    map[balancer.ServerID]string // addresses of the servers that the balancer knows
 	sampleBuffer []sharding.Sample            // reused by handleSamples
-	decisions    []balancer.Commands          // decided since the last flush
+	decisions    []balancer.Commands          // commands decided since the last flush
 }
 
 // maxTimerWait is the longest time that the router waits while the balancer has no timer set.
--- a/internal/node/router_inputs.go
+++ b/internal/node/router_inputs.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// handleResendRequest answers which commands of a call may be sent now. All commands decided so far are queued behind
-// them.
+// handleResendRequest answers which commands of a call may be sent now. All commands that are queued or were decided since
+// the last flush are merged behind them and count as part of the call.
 func (r *router) handleResendRequest(in resendRequest) {
 	r.flush()
 	r.advanceClock()
--- a/internal/node/router_test.go
+++ b/internal/node/router_test.go
@@ -43,10 +43,10 @@
 	r := newRouter(cfg, time.Now(), newMetrics(time.Hour, zerolog.Nop()))
 	r.onProxyEventsOpened = func() {}
 	r.handle(endpointList{
-		generation: 1,
-		snapshot:   true,
-		entries:    []balancer.Endpoint{{Server: "s-1", Zone: "a", Weight: 1}, {Server: "s-2", Zone: "b", Weight: 1}},
-		addresses:  map[balancer.ServerID]string{"s-1": "127.0.0.1:1", "s-2": "127.0.0.1:2"},
+		version:   1,
+		snapshot:  true,
+		entries:   []balancer.Endpoint{{Server: "s-1", Zone: "a", Weight: 1}, {Server: "s-2", Zone: "b", Weight: 1}},
+		addresses: map[balancer.ServerID]string{"s-1": "127.0.0.1:1", "s-2": "127.0.0.1:2"},
 	})
 	for i := range balancer.ProxyID(2) {
 		r.handle(proxyConnected{i + 1, "a", 5})
@@ -126,7 +126,7 @@
 	r := testRouter(t)
 	r.pendingCommands()
 	r.now += time.Second
-	r.handle(endpointList{generation: 2, snapshot: true, entries: []balancer.Endpoint{{Server: "s-2", Zone: "b", Weight: 1}}})
+	r.handle(endpointList{version: 2, snapshot: true, entries: []balancer.Endpoint{{Server: "s-2", Zone: "b", Weight: 1}}})
 	if cmds := r.pendingCommands(); !slices.Equal(cmds.Withdraw, []balancer.ServerID{"s-1"}) {
 		t.Errorf("commands %+v, want a withdrawal of s-1", cmds)
 	}
@@ -153,7 +153,7 @@
 	for len(r.healthChecks) > 0 {
 		<-r.healthChecks
 	}
-	r.handle(endpointList{generation: 2, addresses: map[balancer.ServerID]string{"s-1": "127.0.0.1:9"}})
+	r.handle(endpointList{version: 2, addresses: map[balancer.ServerID]string{"s-1": "127.0.0.1:9"}})
 	r.apply(balancer.Commands{HealthCheck: []balancer.ServerID{"s-1"}})
 	if check := <-r.healthChecks; check.address != "127.0.0.1:9" {
 		t.Errorf("health check %+v, want address 127.0.0.1:9", check)
@@ -168,7 +168,7 @@
 func TestAddressesOfForgottenServersAreDropped(t *testing.T) {
 	r := testRouter(t)
 	r.addresses["s-gone"] = "127.0.0.1:3"
-	r.handle(endpointList{generation: 2, addresses: map[balancer.ServerID]string{}})
+	r.handle(endpointList{version: 2, addresses: map[balancer.ServerID]string{}})
 	if len(r.addresses) != 2 {
 		t.Errorf("addresses %v, want those of s-1 and s-2", r.addresses)
 	}
@@ -193,7 +193,7 @@
 // dropped.
 func TestAHealthCheckOfAnOldAddressIsIgnored(t *testing.T) {
 	r := testRouter(t)
-	r.handle(endpointList{generation: 2, entries: []balancer.Endpoint{{Server: "s-1", Zone: "a", Weight: 1}},
+	r.handle(endpointList{version: 2, entries: []balancer.Endpoint{{Server: "s-1", Zone: "a", Weight: 1}},
 		addresses: map[balancer.ServerID]string{"s-1": "127.0.0.1:9"}})
 	before := r.metrics.counts[healthChecksDropped].Load()
 	r.handle(healthCheckResult{server: "s-1", address: "127.0.0.1:1", outcome: balancer.HealthCheckUnreachable})
--- a/internal/node/router_versions.go
+++ b/internal/node/router_versions.go
@@ -49,7 +49,7 @@
 // holdCheckInterval is the time between two checks for an expired hold.
 const holdCheckInterval = time.Second
 
-// checkHold ends the hold of the tables if it has expired.
+// checkHold ends the hold of the tables if it has expired. It checks at most once per holdCheckInterval.
 func (r *router) checkHold() {
 	if r.chain == nil || r.now < r.nextHoldCheck {
 		return
@@ -87,8 +87,8 @@
 
 // ServerStatus implements versions.FleetView.
 func (f fleetView) ServerStatus(id balancer.ServerID) versions.ServerStatus {
-	known, open, warmFraction := f.manager.ServerStatus(id)
-	available := open || !known && f.restored[id]
+	known, usable, warmFraction := f.manager.ServerStatus(id)
+	available := usable || !known && f.restored[id]
 	return versions.ServerStatus{Known: known, Available: available, WarmFraction: warmFraction}
 }
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -41,11 +41,11 @@
 	defer listener.Close()
 	defer n.cancelLifetime()
 	r := n.newReceiver()
-	n.startWorkers(r, listener)
+	n.startGoroutines(r, listener)
 	if err := n.startOperatorListeners(); err != nil {
 		return err
 	}
-	n.metrics.logEvent("start", "name", n.config.Name, "listen", n.config.Listen, "version", n.initialList.generation,
+	n.metrics.logEvent("start", "name", n.config.Name, "listen", n.config.Listen, "version", n.initialList.version,
 		"servers", len(n.initialList.entries), "shards", limits.Shards)
 	n.serveSignals(ctx, r, signals, reread)
 	n.shutDown(r, listener)
@@ -107,8 +107,8 @@
 	loadPath  = "/metrics/load"
 )
 
-// startWorkers starts the goroutines that process messages. The router's first input is the initial endpoint list.
-func (n *Node) startWorkers(r *receiver, listener net.Listener) {
+// startGoroutines starts the goroutines that receive, process and send messages. The router's first input is the initial endpoint list.
+func (n *Node) startGoroutines(r *receiver, listener net.Listener) {
 	limits := n.config.Limits
 	n.router.onProxyEventsOpened = n.readiness.noteRelayOpened
 	if n.decoderPool != nil {
--- a/internal/node/shard_conn.go
+++ b/internal/node/shard_conn.go
@@ -13,17 +13,17 @@
 type shardConn struct {
 	id        sharding.ConnID
 	collector *collectorConn
-	workNanos atomic.Int64  // time spent on it in the current rebalance window
+	workNanos atomic.Int64  // time spent on the connection in the current rebalance window
 	chunkDone chan struct{} // signalled when there may be room for another chunk
 
 	mu               sync.Mutex // guards the fields below
 	phase            connPhase
 	err              error // why reading ended; nil while the phase is connReading
 	owner            sharding.Owner
-	acquired         bool     // the owner has started to process it
-	releaseRequested bool     // the owner must stop and tell the assigner
-	queued           bool     // in the queue of its owner's worker
-	isolateLines     bool     // a worker panicked on it, so a panic is recovered line by line
+	acquired         bool     // the owner has started to process the connection
+	releaseRequested bool     // the owner must stop processing the connection and notify the assigner
+	queued           bool     // the connection is in the queue of its owner's worker
+	isolateLines     bool     // a worker panicked on this connection, so each line is decoded under a recover of its own
 	chunks           [][]byte // read and not delivered yet, oldest first
 	partial          []byte   // the partial line that the first chunk continues
 }
@@ -40,12 +40,12 @@
 // shardTask is the next piece of work for a connection's owner.
 type shardTask struct {
 	epoch        sharding.Epoch
-	acquired     bool // the owner had started before this task
+	acquired     bool // the owner had started to process the connection before this task
 	release      bool // the owner must release the connection
 	isolateLines bool
 	partial      []byte
 	chunk        []byte // nil: none is queued
-	last         bool   // nothing more will come
+	last         bool   // no more chunks will follow
 }
 
 // nextTask returns the next task for the connection; ok is false if the shard does not own the connection, or the
@@ -130,7 +130,7 @@
 	c.chunks = nil
 }
 
-// isolate has lines decoded one by one from now on, so that a panic costs only the line that caused it.
+// isolate has each line decoded under a recover of its own from now on, so that a panic costs only the line that caused it.
 func (c *shardConn) isolate() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/store_writer.go
+++ b/internal/node/store_writer.go
@@ -104,13 +104,13 @@
 	}
 	change := store.ListChange{Complete: in.snapshot, Entries: toStoreEntries(in.instances)}
 	if in.complete {
-		change.Generation = in.generation
+		change.Generation = in.version
 	}
 	w.enqueue(unsavedChanges{lists: []store.ListChange{change}})
 }
 
 // mergeLists merges changes of the list into one, which contains each server once. Its cost is proportional to the number
-// of servers, so it runs in the goroutine that saves, and when a change is enqueued only if there are too many unsaved ones.
+// of servers, so it normally runs in the goroutine that saves; enqueue calls it only if too many changes are unsaved.
 func mergeLists(changes []store.ListChange) []store.ListChange {
 	if len(changes) < 2 {
 		return changes
@@ -213,8 +213,8 @@
 	w.failing = true
 }
 
-// toStoreChange converts unsaved changes to the form of the store. It also returns the digest of the last saved version
-// after the change.
+// toStoreChange converts unsaved changes to the form of the store. It also returns the digest that the newest version in
+// the store will have once the change is saved.
 func (w *storeWriter) toStoreChange(unsaved unsavedChanges) (change store.Change, saved tables.Digest) {
 	if len(unsaved.lists) > 0 {
 		change.ServerList = &unsaved.lists[0]
@@ -233,8 +233,8 @@
 	return change, saved
 }
 
-// toStoredVersion converts a version to the form of the store. It becomes a snapshot if the version before it is not the
-// last saved one.
+// toStoredVersion converts a version to the form of the store. The result is a snapshot if the version before it is not
+// the last saved one.
 func toStoredVersion(version *versions.Version, saved tables.Digest) store.Version {
 	stored := store.Version{
 		ID:         version.ID,
--- a/internal/node/stored_list_test.go
+++ b/internal/node/stored_list_test.go
@@ -42,10 +42,10 @@
 	v := startDeployment(t, fakes.DefaultSite(6, 20))
 	v.assignAllProxies(t)
 	old := v.Discovery.Snapshot()
-	drains := v.Servers[0]
-	leaves := v.Servers[1]
-	v.Discovery.Publish(drains.Entry("draining"))
-	v.Discovery.Publish(leaves.Entry("removed"))
+	draining := v.Servers[0]
+	removed := v.Servers[1]
+	v.Discovery.Publish(draining.Entry("draining"))
+	v.Discovery.Publish(removed.Entry("removed"))
 	held := int64(old.Version + 2)
 	v.awaitList(t, held)
 	if list := v.manager.currentStatus().List; !list.Confirmed {
@@ -58,14 +58,14 @@
 		t.Errorf("without discovery: got %+v, want version %d, unconfirmed", list, held)
 	}
 	v.awaitAssignments(t)
-	for _, server := range []*fakes.Server{drains, leaves} {
+	for _, server := range []*fakes.Server{draining, removed} {
 		if rate := v.Relay.RequestRate(server.ID); rate > 0 {
 			t.Errorf("%s gets %g requests per second, want none", server.ID, rate)
 		}
 	}
 
 	v.Discovery.SetUnresponsive(false)
-	v.Discovery.Publish(drains.Entry("removed"))
+	v.Discovery.Publish(draining.Entry("removed"))
 	v.awaitList(t, held+1)
 	asked := v.Discovery.WatchedVersions()
 	if resumed := asked[len(asked)-1]; int64(resumed) != held || slices.Contains(asked, 0) {
@@ -117,7 +117,7 @@
 	const servers, changes = 10, 5000
 	writer := &storeWriter{wake: make(chan struct{}, 1)}
 	for n := range changes {
-		writer.saveList(endpointList{generation: int64(n + 1), complete: true, snapshot: n == 0,
+		writer.saveList(endpointList{version: int64(n + 1), complete: true, snapshot: n == 0,
 			instances: []instance{{InstanceID: fmt.Sprint("s-", n%servers), Zone: "a", Lifecycle: "up", StartedAtMs: int64(n)}}})
 	}
 	entries := 0
--- a/internal/node/stream.go
+++ b/internal/node/stream.go
@@ -17,13 +17,13 @@
 	path         string
 	idleTimeout  time.Duration
 	maxLength    int           // maximum length of a line in bytes
-	readInterval time.Duration // minimum time between reads of the connection; 0 for none
+	readInterval time.Duration // interval of the read pace; 0: reads are not delayed
 }
 
-// errNoStream is wrapped by the error for a response that is not a successful stream.
+// errNoStream is wrapped by the error for a response whose status is not 200 OK or that has no body to stream.
 var errNoStream = errors.New("not a streaming response")
 
-// stream sends a request and passes each line of the endless response to handleLine, without its line end. It calls opened
+// stream sends a request and passes each line of the endless response to handleLine, without its line ending. It calls opened
 // once the response has begun. The response must begin within limits.StreamOpenTimeout, so that time is left for another
 // attempt if the new connection is as silent as the last one. After that, each line must arrive within the idle timeout.
 // stream returns the reason for its end: the stream ended, ctx is done, or opened or handleLine returned an error.
@@ -61,7 +61,7 @@
 	})
 }
 
-// runStream opens a stream, and reopens it whenever it ends, until its upstream is cancelled or replaced. The first
+// runStream opens a stream, and reopens it whenever it ends, until its upstream is canceled or replaced. The first
 // reopening is immediate, as is that of a stream that was open for longer than MaxBackoff; others wait for a jittered
 // backoff. Each end is counted and logged under the name of the stream.
 func (r *receiver) runStream(up *upstream, name string, breaks counter, open func() (opened bool, err error)) {
--- a/internal/node/subset_harness_test.go
+++ b/internal/node/subset_harness_test.go
@@ -125,7 +125,7 @@
 // sendListIfNewer sends changes of the list, or a snapshot of it, as the watch does: a version older than the one held is
 // not accepted.
 func (h *subsetHarness) sendListIfNewer(version int64, snapshot bool, changes ...balancer.Endpoint) (accepted bool) {
-	in := endpointList{generation: version, snapshot: snapshot, entries: changes, addresses: map[balancer.ServerID]string{}}
+	in := endpointList{version: version, snapshot: snapshot, entries: changes, addresses: map[balancer.ServerID]string{}}
 	for _, e := range changes {
 		in.addresses[e.Server] = "10.0.0.1:80"
 	}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -12,7 +12,7 @@
 	stopRedial   context.CancelFunc // cancels redialCtx
 	done         chan struct{}      // closed when no more inputs come from the upstream
 	previous     *upstream          // upstream that is still read until this one takes over; nil: none
-	decodeFailed bool               // a message could not be decoded, and the stream was not read completely since
+	decodeFailed bool               // a message could not be decoded, and its contents are still missing
 }
 
 func newUpstream(lifetime context.Context, address string) *upstream {
@@ -30,8 +30,8 @@
 	return next
 }
 
-// takeOver cancels the older upstreams and waits until they have ended, which is at once, even during a dial. After that
-// they send no more inputs, so nothing stale can follow the first input of this upstream.
+// takeOver cancels the older upstreams and waits until they have ended. The wait is short, since canceling interrupts even
+// a dial. After that they send no more inputs, so nothing stale can follow the first input of this upstream.
 func (u *upstream) takeOver() {
 	for old := u.previous; old != nil; old = old.previous {
 		old.cancel()
@@ -40,14 +40,14 @@
 	u.previous = nil
 }
 
-// noteDecodeError records that a message could not be decoded, and reports whether to request it again at once. Only the
-// first failure since the last complete read is retried: a malformed message that is sent at each opening would otherwise
-// block all valid messages behind it forever.
+// noteDecodeError records that a message could not be decoded, and reports whether to request it again at once. After the
+// first failure it returns false until clearDecodeError is called: a malformed message that is sent at each opening would
+// otherwise block all valid messages behind it forever.
 func (u *upstream) noteDecodeError() (retry bool) {
 	retry = !u.decodeFailed
 	u.decodeFailed = true
 	return retry
 }
 
-// clearDecodeError records that the stream was read completely.
+// clearDecodeError records that the contents of no message are missing any more.
 func (u *upstream) clearDecodeError() { u.decodeFailed = false }
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -218,6 +218,7 @@
 	}
 }
 
+// allServersReady implements versions.FleetView for a fleet whose servers are all ready and warm.
 type allServersReady struct{}
 
 func (allServersReady) ServerStatus(balancer.ServerID) versions.ServerStatus {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// watchPath is the path at which discovery streams the changes of its list after a version, which is appended.
+// watchPath, with a version appended, is the path at which discovery streams the changes of its list after that version.
 const watchPath = "/discovery/hosts?watch=1&after="
 
 // errStaleList ends a watch whose first list is a snapshot older than the list held.
 var errStaleList = errors.New("the watch started with a snapshot older than the list held")
 
-// errResync ends a watch so that the next one requests the missing changes again.
-var errResync = errors.New("what is missing is asked for again")
+// errResync ends a watch so that the next one requests again what this one missed or rejected as stale.
+var errResync = errors.New("changes are missing or rejected as stale; the next watch requests them again")
 
 // watchReader reads one watch of discovery's list until the watch ends.
 type watchReader struct {
@@ -89,7 +89,7 @@
 	}
 }
 
-// open handles the acceptance of the watch by discovery.
+// open is called when discovery has accepted the watch.
 func (w *watchReader) open() error {
 	w.phase = watchOpened
 	w.receiver.metrics.add(watchOpens, 1)
@@ -133,7 +133,7 @@
 	}
 }
 
-// isOverdue reports whether a fault that began at a time has lasted for MaxWatchGap. Zero means that there is no fault.
+// isOverdue reports whether a fault has lasted for at least MaxWatchGap since the given time; a zero time means no fault.
 func (w *watchReader) isOverdue(since time.Time) bool {
 	return !since.IsZero() && time.Since(since) >= w.receiver.limits.MaxWatchGap
 }
@@ -153,11 +153,11 @@
 // dropStaleList counts a list that is older than the one held. It ends a watch that starts with an older snapshot.
 func (w *watchReader) dropStaleList(list endpointList, isFirst bool) error {
 	w.receiver.metrics.add(staleEndpointLists, 1)
-	w.receiver.metrics.logLimited("stale_endpoint_list", "version", list.generation, "held", w.state.heldVersion())
+	w.receiver.metrics.logLimited("stale_endpoint_list", "version", list.version, "held", w.state.heldVersion())
 	if isFirst && list.snapshot {
 		return errStaleList
 	}
-	if w.staleSince.IsZero() { // if the held version was wrong, every later list would count as stale: isOverdue limits this
+	if w.staleSince.IsZero() { // if the held version is wrong, all later lists count as stale, for MaxWatchGap at most
 		w.staleSince = time.Now()
 	}
 	return nil
--- a/internal/node/watch_state.go
+++ b/internal/node/watch_state.go
@@ -9,8 +9,8 @@
 // safe for concurrent use.
 type watchState struct {
 	mu                 sync.Mutex // guards the fields below
-	version            int64      // held
-	unconfirmedVersion int64      // of the older snapshot that the last watch started with, until a second watch confirms it; else noUnconfirmedVersion
+	version            int64      // version of the list held
+	unconfirmedVersion int64      // version of the last rejected older snapshot, which another watch may confirm, or noUnconfirmedVersion
 	staleWatches       int        // consecutive watches that sent only older lists
 	confirmedAt        time.Time  // when discovery last sent or confirmed the list; until then, when the manager started
 	confirmed          bool       // whether discovery has sent or confirmed the list since the manager started
@@ -44,7 +44,8 @@
 // noUnconfirmedVersion means that no older snapshot awaits confirmation by a second watch.
 const noUnconfirmedVersion = -1
 
-// maxStaleWatches is how many consecutive watches may send only older lists before the complete list is requested.
+// maxStaleWatches is the maximum number of consecutive watches that sent only older lists. After more than these, the
+// complete list is requested.
 const maxStaleWatches = 1
 
 func (s *watchState) heldVersion() int64 {
@@ -72,22 +73,22 @@
 }
 
 // accepts reports whether a list may be used. isFirst is whether it is the first one of its watch. So that an older list
-// doesn't replace a newer one by accident, a snapshot with a lower version is accepted only if two consecutive watches
-// start with one, as after a restart of discovery.
+// doesn't replace a newer one by accident, a snapshot with a lower version is accepted only if another watch started with
+// an older snapshot before, whose version was not higher. This happens after a restart of discovery.
 func (s *watchState) accepts(list endpointList, isFirst bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sameVersionChange := list.generation == s.version && !list.snapshot && len(list.entries) > 0
-	if list.generation >= s.version && !sameVersionChange {
+	sameVersionChange := list.version == s.version && !list.snapshot && len(list.entries) > 0
+	if list.version >= s.version && !sameVersionChange {
 		return true
 	}
 	if !isFirst || !list.snapshot {
 		return false
 	}
-	if s.unconfirmedVersion >= 0 && list.generation >= s.unconfirmedVersion {
+	if s.unconfirmedVersion >= 0 && list.version >= s.unconfirmedVersion {
 		return true
 	}
-	s.unconfirmedVersion = list.generation
+	s.unconfirmedVersion = list.version
 	return false
 }
 
@@ -97,7 +98,7 @@
 	defer s.mu.Unlock()
 	s.confirmedAt = now
 	s.confirmed = true
-	s.version = list.generation
+	s.version = list.version
 	s.unconfirmedVersion = noUnconfirmedVersion
 	s.staleWatches = 0
 }
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -75,7 +75,7 @@
 	if held := state.held(startedAt.Add(time.Hour)); held.age != 59*time.Minute || !held.confirmed {
 		t.Errorf("confirmed after a minute: got %+v, want 59 minutes old, confirmed", held)
 	}
-	state.advance(endpointList{generation: 42}, startedAt.Add(2*time.Minute))
+	state.advance(endpointList{version: 42}, startedAt.Add(2*time.Minute))
 	if held := state.held(startedAt.Add(time.Hour)); held.age != 58*time.Minute || held.version != 42 {
 		t.Errorf("changed after two minutes: got %+v, want version 42, 58 minutes old", held)
 	}
--- a/internal/node/wire_names_test.go
+++ b/internal/node/wire_names_test.go
@@ -61,7 +61,7 @@
 		`"lifecycle":"up","weight":1.5,"startedAtMs":1002500}]}`
 	list, unknown, err := testDecoder().parseList([]byte(text))
 	want := balancer.Endpoint{Server: "s-1", Zone: "a", Weight: 1.5, Started: 2500 * time.Millisecond, RecentlyStarted: true}
-	if err != nil || unknown != 0 || list.generation != 43 || !list.snapshot || !slices.Equal(list.entries, []balancer.Endpoint{want}) {
+	if err != nil || unknown != 0 || list.version != 43 || !list.snapshot || !slices.Equal(list.entries, []balancer.Endpoint{want}) {
 		t.Errorf("decoded to %+v with %d unknown zones, %v", list, unknown, err)
 	}
 	if list.addresses["s-1"] != "10.0.0.1:80" {
@@ -128,7 +128,7 @@
 
 func TestRelayAnswersKeepTheirNamesOnTheWire(t *testing.T) {
 	if n, err := parseAnswer([]byte(`<?xml version="1.0"?><Response><items><item><taken>3</taken></item></items></Response>`), 3); n != 3 || err != nil {
-		t.Errorf("%d commands taken, %v; expected 3", n, err)
+		t.Errorf("%d commands accepted, error %v; expected 3", n, err)
 	}
 	for code, want := range map[string]error{"BUSY": errBusy, "SYNTAX": errSyntax} {
 		body := fmt.Sprintf("<Response><Errors><Error><Code>%s</Code></Error></Errors></Response>", code)
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -21,7 +21,7 @@
 	filled    chan struct{}
 	replaced  chan struct{} // closed when another worker takes over the shard
 
-	mu    sync.Mutex // protects queue
+	mu    sync.Mutex // guards queue
 	queue []*shardConn
 }
 
@@ -123,8 +123,8 @@
 	}
 	startedAt := p.now()
 	w.busySince.Store(int64(startedAt))
-	batch := p.decodeChunk(task)
-	wake := p.deliver(w, conn, batch)
+	chunk := p.decodeChunk(task)
+	wake := p.deliver(w, conn, chunk)
 	w.busySince.Store(0)
 	conn.workNanos.Add(int64(p.now() - startedAt))
 	if wake {
@@ -166,8 +166,9 @@
 	return p.decode(text), true
 }
 
-// deliver commits a decoded chunk exactly once. It waits while the sample queue is full. It reports whether the connection
-// must be scheduled again.
+// deliver commits a decoded chunk, unless the connection has another owner by now. While the sample queue is full, it
+// waits until there is room, the worker is replaced or the receiver stops. It reports whether the connection must be
+// scheduled again.
 func (p *decoderPool) deliver(w *worker, conn *shardConn, chunk decodedChunk) (wake bool) {
 	for {
 		outcome := p.commit(conn, chunk)
@@ -190,10 +191,11 @@
 	}
 }
 
-// finish answers the pings of a committed chunk, and ends the connection if the result says so.
+// finish answers the pings of a committed chunk. It ends the connection if one of the lines requires it or a pong can't
+// be sent.
 func (p *decoderPool) finish(conn *shardConn, outcome commitResult) {
 	end := outcome.end
-	if outcome.pings > 0 { // also if the connection ends, as without a decoder pool
+	if outcome.pings > 0 { // even if the connection must end, so that pongs are sent as without a decoder pool
 		if err := p.receiver.sendPongs(conn.collector, outcome.pings); end == nil {
 			end = err
 		}
@@ -212,8 +214,8 @@
 	end   error           // why the connection must end; nil: it continues
 }
 
-// commit puts a decoded chunk into effect, under the connection's lock and only for its current owner. Nothing that a
-// connection sends takes effect elsewhere.
+// commit puts the lines of a decoded chunk into effect, under the connection's lock and only if the chunk was decoded by
+// the current owner. With a decoder pool, lines take effect nowhere else.
 func (p *decoderPool) commit(conn *shardConn, chunk decodedChunk) commitResult {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
