--- a/internal/node/corrupting_proxy_test.go
+++ b/internal/node/corrupting_proxy_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// corruptFrame flips a bit of a frame's body, truncates it, or returns cut, which means that the connection is to be
-// closed between the delta and its acknowledgement.
+// corruptFrame flips a bit of a frame's body, truncates the body, or returns cut: the proxy must then close the connection
+// instead of forwarding the frame.
 func corruptFrame(body []byte, random *rand.Rand) (corrupted []byte, cut bool) {
 	switch random.IntN(3) {
 	case 0:
--- a/internal/node/decoder_pool_test.go
+++ b/internal/node/decoder_pool_test.go
@@ -39,7 +39,7 @@
 	}
 	t.Cleanup(func() { listener.Close() })
 	if limits.MaxQueuedInputs == testLimits.MaxQueuedInputs {
-		limits.MaxQueuedInputs = 1 << 16 // large enough that nothing is merged, unless the test sets another limit
+		limits.MaxQueuedInputs = 1 << 16 // large enough that nothing is merged; a test may set another limit
 	}
 	limits.ReadChunkBytes = 256
 	limits.MaxQueuedChunks = 4
--- a/internal/node/decoder_test.go
+++ b/internal/node/decoder_test.go
@@ -116,17 +116,17 @@
 		{"instanceId":"s-3","hostPort":"127.0.0.1:3","zone":"z","lifecycle":"up","startedAtMs":0},
 		{"instanceId":"s-4","zone":"b","lifecycle":"removed"}]}`))
 	if err != nil || unknown != 1 || !in.snapshot || in.version != 43 || len(in.entries) != 3 {
-		t.Fatalf("decoded to %+v with %d unknown zones, %v", in, unknown, err)
+		t.Fatalf("decoded to %+v with %d unknown zones, error %v; expected version 43 with 3 entries and 1 unknown zone", in, unknown, err)
 	}
 	if e := in.entries[0]; !e.RecentlyStarted || e.Started != 2500*time.Millisecond || e.Weight != 1.5 || in.addresses["s-1"] != "127.0.0.1:1" {
-		t.Errorf("s-1: %+v at %q", e, in.addresses["s-1"])
+		t.Errorf("s-1: decoded to %+v at %q, expected a start at 2.5s, weight 1.5 and 127.0.0.1:1", e, in.addresses["s-1"])
 	}
 	if e := in.entries[1]; e.RecentlyStarted || e.State != balancer.Draining || e.Weight != 1 {
-		t.Errorf("s-2: %+v", e)
+		t.Errorf("s-2: decoded to %+v, expected a draining server of weight 1 without a start time", e)
 	}
 	_, hasAddress := in.addresses["s-4"]
 	if in.entries[2].State != balancer.Removed || hasAddress {
-		t.Errorf("s-4: %+v, has an address: %v", in.entries[2], hasAddress)
+		t.Errorf("s-4: decoded to %+v, has an address: %v; expected a removed server without an address", in.entries[2], hasAddress)
 	}
 }
 
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -66,7 +66,7 @@
 	}
 	result, err := h.Step(3*time.Second, Message{Kind: EndpointListMessage, Text: testEndpointList(2, false, 1, "draining")})
 	if err != nil || len(result.RelayCalls) != 1 || !slices.Equal(result.RelayCalls[0].Withdraw, []balancer.ServerID{"s-000"}) {
-		t.Errorf("after a drain of s-000: %+v, %v", result, err)
+		t.Errorf("after a drain of s-000: %+v, error %v; want one call that withdraws s-000", result, err)
 	}
 }
 
@@ -95,7 +95,7 @@
 	largeCalls, weightsInLarge := run(60000)
 	smallCalls, weightsInSmall := run(600)
 	if smallCalls <= largeCalls || len(weightsInLarge) == 0 || len(weightsInLarge) != len(weightsInSmall) {
-		t.Errorf("%d large calls with %d weights, %d small calls with %d weights",
+		t.Errorf("%d large calls with %d weights, %d small calls with %d weights; want more small calls with as many weights",
 			largeCalls, len(weightsInLarge), smallCalls, len(weightsInSmall))
 	}
 }
@@ -118,7 +118,7 @@
 		}
 		after := h.Traffic(test.message.Kind)
 		if got := int(after.In - before.In); got != test.in || after.Messages != before.Messages+1 {
-			t.Errorf("kind %d: %d messages with %d bytes, want 1 with %d", test.message.Kind, after.Messages-before.Messages, got, test.in)
+			t.Errorf("kind %d: %d messages with %d received bytes, want 1 with %d", test.message.Kind, after.Messages-before.Messages, got, test.in)
 		}
 	}
 	if calls := h.Traffic(RelayCallMessage); calls.Messages == 0 || calls.Out < calls.Messages*100 {
@@ -131,7 +131,7 @@
 	for _, message := range []Message{{Kind: EndpointListMessage, Text: "{"}, {Kind: LoadReportMessage, Text: "heard site=nowhere"},
 		{Kind: ProxyEventMessage, Event: "joined", Text: "id=x"}, {Kind: RelayCallMessage, Text: "mark"}} {
 		if _, err := h.Step(3*time.Second, message); err == nil || !strings.Contains(err.Error(), message.Text) {
-			t.Errorf("%+v: %v", message, err)
+			t.Errorf("%+v: error %v, want one that quotes the text", message, err)
 		}
 	}
 }
--- a/internal/node/interleaving_test.go
+++ b/internal/node/interleaving_test.go
@@ -106,7 +106,7 @@
 		deployment.Deployment.Manager.Stop(false)
 		for _, c := range collectors {
 			if got := readToEnd(c); got == "still open" {
-				t.Errorf("collector connection after the shutdown: %q", got)
+				t.Errorf("collector connection after the shutdown: %q, want it closed", got)
 			}
 			c.Close()
 		}
@@ -133,7 +133,7 @@
 	ours := testDecoder()
 	for range 3 {
 		if in, err := ours.parseLine(line); err != nil || in.(usageReport).Requests != 1 {
-			t.Errorf("the decoder with the traffic class: %+v, %v", in, err)
+			t.Errorf("the decoder whose settings have the traffic class: decoded to %+v, error %v", in, err)
 		}
 		if _, err := other.parseLine(line); err == nil {
 			t.Error("the other decoder accepts a traffic class that its settings lack")
@@ -181,7 +181,7 @@
 		c := dialManager(t, address, "ping\r\n"+strings.Repeat("x", 1<<18)+"\r\n")
 		c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if line, err := bufio.NewReader(c).ReadString('\n'); line != "pong\r\n" {
-			t.Fatalf("%q %v", line, err)
+			t.Fatalf("read %q, error %v; want a pong", line, err)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 	c := dialManager(t, deployment.ManagerAddress, "ping\r\n")
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if line, err := bufio.NewReader(c).ReadString('\n'); line != "pong\r\n" {
-		t.Errorf("%q %v", line, err)
+		t.Errorf("during the flood: read %q, error %v; want a pong", line, err)
 	}
 	server := deployment.Servers[0]
 	deployment.Discovery.Publish(server.Entry("draining"))
@@ -249,7 +249,7 @@
 		manager.cancel()
 		close(proceed)
 		if got := <-result; got != "[done] <nil>" && got != fmt.Sprint([]string(nil), errStopped) {
-			t.Errorf("result and error of the command: %s", got)
+			t.Errorf("result and error of the command: %s; want [done] without an error, or no lines and errStopped", got)
 		}
 		<-manager.done
 	}
--- a/internal/node/moves_test.go
+++ b/internal/node/moves_test.go
@@ -190,7 +190,7 @@
 	relay.Rules.CheckDrains(time.Now(), func(server string) bool { return relay.RequestRate(server) > 0 })
 	for _, rule := range relay.Rules.Results() {
 		if !rule.OK() {
-			t.Errorf("%+v", rule)
+			t.Errorf("rule violated: %+v", rule)
 		}
 	}
 }
@@ -301,7 +301,7 @@
 	}
 	for _, rule := range deployment.Relay.Rules.Results() {
 		if rule.Name == "queue and messages short" && !rule.OK() {
-			t.Errorf("%+v", rule)
+			t.Errorf("rule violated: %+v", rule)
 		}
 	}
 }
--- a/internal/node/relay_test.go
+++ b/internal/node/relay_test.go
@@ -123,10 +123,10 @@
 	limits.MaxCallBytes = 30
 	r, calls := startTestRelay(t, limits)
 	r.deliver(testWeights(1, 2))
-	expectCalls(t, calls, "share,0,s-1,1", "share,0,s-2,2;mark,2,0") // the rest is sent like a resend, with a barrier of its own
+	expectCalls(t, calls, "share,0,s-1,1", "share,0,s-2,2;mark,2,0") // the rest is sent as a resend, with a barrier of its own
 }
 
-// An answer that does not tell whether the call was executed must count as an unknown outcome: the call is sent again
+// An answer that does not show whether the call was executed must count as an unknown outcome: the call is sent again
 // before any others.
 func TestDeliverRetriesAnUnknownOutcome(t *testing.T) {
 	for _, answer := range []string{
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -129,7 +129,7 @@
 	close(first.done)
 	second := first.successor(t.Context(), "127.0.0.1:1")
 	in, inputs := testReceiverWithInputs(t, testLimits, 64)
-	go in.runProxyEvents(second) // it never opens
+	go in.runProxyEvents(second) // its stream never opens
 	address, _ := startStreamServer(t, "event: joined\ndata: id=17&site=a&rps=21.5&new=1\n\n...")
 	third := second.successor(t.Context(), address)
 	go in.runProxyEvents(third)
--- a/internal/node/subset_process_test.go
+++ b/internal/node/subset_process_test.go
@@ -25,8 +25,9 @@
 	return deployment
 }
 
-// Runs a manager with a subset against fakes over real sockets: all servers of its proxies' zone get requests, a draining
-// server is withdrawn, a restarted manager uses the same servers, and the relay sees no rule violated.
+// A manager with a subset runs against fakes over real sockets. All servers of its proxy's zone must get requests, a
+// draining server must be withdrawn, and a restarted manager must use as few servers of other zones as before. The relay
+// must see no rule violated.
 func TestAManagerWithASubsetOnSockets(t *testing.T) {
 	site := fakes.DefaultSite(60, 2)
 	site.Zones = []string{"a", "b", "c", "d", "e", "f"}
@@ -68,7 +69,7 @@
 	}
 	for _, rule := range deployment.Relay.Rules.Results() {
 		if !rule.OK() {
-			t.Errorf("%+v", rule)
+			t.Errorf("rule violated: %+v", rule)
 		}
 	}
 }
--- a/internal/node/worker.go
+++ b/internal/node/worker.go
@@ -16,10 +16,10 @@
 // another worker.
 type worker struct {
 	shard     sharding.ShardID
-	busySince atomic.Int64 // start of work on the current chunk, in nanoseconds since the pool started; 0: idle
-	current   atomic.Pointer[shardConn]
-	filled    chan struct{}
-	replaced  chan struct{} // closed when another worker takes over the shard
+	busySince atomic.Int64              // start of work on the current chunk, in nanoseconds since the pool started; 0: idle
+	current   atomic.Pointer[shardConn] // connection being served, or served last
+	filled    chan struct{}             // signalled when a connection is queued
+	replaced  chan struct{}             // closed when another worker takes over the shard
 
 	mu    sync.Mutex // guards queue
 	queue []*shardConn
