--- a/internal/config/fixture_test.go
+++ b/internal/config/fixture_test.go
@@ -74,7 +74,7 @@
 		MaxQueuedLogLines:        1024,
 		ReadChunkBytes:           16384,
 		MaxQueuedChunks:          4,
-		MaxEmptyMessages:         64,
+		MaxMessagesWithoutReport: 64,
 		MaxRequestsPerSecond:     10000,
 		IdentifyTimeout:          1500 * time.Millisecond,
 		CollectorIdleTimeout:     20 * time.Second,
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -37,7 +37,7 @@
 	MaxResponseBytes         int           // response of the relay or of a server
 	ReadChunkBytes           int           // size of one read if several cores read connections
 	MaxQueuedChunks          int           // chunks of one connection that wait to be decoded
-	MaxEmptyMessages         int           // consecutive messages of a connection without a report
+	MaxMessagesWithoutReport int           // consecutive messages of a connection without a report
 	MaxRequestsPerSecond     float64       // maximum rate in a report; also the maximum of its in-flight requests
 	MaxReportInterval        time.Duration // longest interval that a report may cover
 
@@ -132,7 +132,7 @@
 	l.MaxResponseBytes = 64 << 10
 	l.ReadChunkBytes = 16 << 10
 	l.MaxQueuedChunks = 4
-	l.MaxEmptyMessages = 64
+	l.MaxMessagesWithoutReport = 64
 	l.MaxRequestsPerSecond = 10000
 	l.MaxReportInterval = time.Minute
 }
--- a/internal/fakes/relay.go
+++ b/internal/fakes/relay.go
@@ -85,7 +85,7 @@
 	queue          []message
 	queuedCommands float64 // total size of the queued messages, in commands
 	credit         float64 // commands that may be sent now
-	speed          float64 // multiple of the site's ChannelLinesPerSecond
+	speed          float64 // multiple of the site's CommandsPerSecond
 
 	calls        int
 	faults       [faultCount]int
@@ -154,7 +154,7 @@
 	}
 }
 
-// SetChannelSpeed sets the speed of the channel as a multiple of the site's ChannelLinesPerSecond.
+// SetChannelSpeed sets the speed of the channel as a multiple of the site's CommandsPerSecond.
 func (r *Relay) SetChannelSpeed(multiple float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/fakes/relay_channel.go
+++ b/internal/fakes/relay_channel.go
@@ -52,7 +52,7 @@
 func (r *Relay) sendQueued(now time.Time, elapsed time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	commandsPerSecond := r.site.ChannelLinesPerSecond
+	commandsPerSecond := r.site.CommandsPerSecond
 	r.credit = min(r.credit+commandsPerSecond*r.speed*elapsed.Seconds(), commandsPerSecond/burstsPerSecond)
 	for len(r.queue) > 0 && r.credit >= r.queue[0].size {
 		m := r.queue[0]
--- a/internal/fakes/rule_checker.go
+++ b/internal/fakes/rule_checker.go
@@ -262,7 +262,7 @@
 func (c *RuleChecker) checkQueue(at time.Time, size float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.record(queueRule, at, size/c.site.ChannelQueueLines, fmt.Sprintf("%.0f lines queued", size))
+	c.record(queueRule, at, size/c.site.QueueCapacity, fmt.Sprintf("%.0f lines queued", size))
 }
 
 // checkMessageCount checks the number of messages to a proxy within the site's window.
--- a/internal/fakes/rule_checker_test.go
+++ b/internal/fakes/rule_checker_test.go
@@ -84,7 +84,7 @@
 		},
 		"queue and messages short": func(r *Relay) {
 			r.SetChannelSpeed(0)
-			r.Rules.site.ChannelQueueLines = 10
+			r.Rules.site.QueueCapacity = 10
 			r.mustExecute(t, "share,0,"+ServerID(2)+",1", "share,0,"+ServerID(3)+",1", "mark,2,0")
 		},
 	} {
--- a/internal/fakes/site.go
+++ b/internal/fakes/site.go
@@ -34,11 +34,11 @@
 	RequestRate    float64 // requests per second at each proxy
 	ServerCapacity float64 // requests per second that a warm server can handle
 
-	ChannelLinesPerSecond float64
-	ChannelQueueLines     float64 // maximum total size of the queued messages, in commands
-	MessageOverhead       float64 // size of a message in addition to its commands, as a number of commands
-	MaxMessages           int     // maximum number of messages to one proxy within MessageWindow; 0 means no limit
-	MessageWindow         time.Duration
+	CommandsPerSecond float64
+	QueueCapacity     float64 // maximum total size of the queued messages, in commands
+	MessageOverhead   float64 // size of a message in addition to its commands, as a number of commands
+	MaxMessages       int     // maximum number of messages to one proxy within MessageWindow; 0 means no limit
+	MessageWindow     time.Duration
 
 	ColdCapacity     float64 // capacity of a server that has just started, as a share of ServerCapacity
 	WarmUpDuration   time.Duration
@@ -66,19 +66,19 @@
 			{"quote", 2 * time.Second, 6 * time.Second, 1, idempotent, 0.8},
 			{"book", time.Second, 4 * time.Second, 3, atMostOnce, 0.2},
 		},
-		Servers:               servers,
-		Proxies:               proxies,
-		RequestRate:           requestRate,
-		ServerCapacity:        requestRate * float64(proxies) / float64(servers) * spareCapacity,
-		ChannelLinesPerSecond: commands,
-		ChannelQueueLines:     commands,
-		MessageOverhead:       4,
-		ColdCapacity:          0.15,
-		WarmUpDuration:        16 * time.Second,
-		OverloadFactor:        3,
-		OverloadDuration:      2 * time.Second,
-		DrainGracePeriod:      1500 * time.Millisecond,
-		EmptyTableLimit:       3 * time.Second,
+		Servers:           servers,
+		Proxies:           proxies,
+		RequestRate:       requestRate,
+		ServerCapacity:    requestRate * float64(proxies) / float64(servers) * spareCapacity,
+		CommandsPerSecond: commands,
+		QueueCapacity:     commands,
+		MessageOverhead:   4,
+		ColdCapacity:      0.15,
+		WarmUpDuration:    16 * time.Second,
+		OverloadFactor:    3,
+		OverloadDuration:  2 * time.Second,
+		DrainGracePeriod:  1500 * time.Millisecond,
+		EmptyTableLimit:   3 * time.Second,
 	}
 }
 
--- a/internal/node/collector_conn.go
+++ b/internal/node/collector_conn.go
@@ -142,7 +142,7 @@
 	switch {
 	case errors.Is(line.err, errUnreadable):
 		return nil, false, line.err
-	case conn.messagesWithoutReport >= r.limits.MaxEmptyMessages && (line.err != nil || isIdentity || isPing):
+	case conn.messagesWithoutReport >= r.limits.MaxMessagesWithoutReport && (line.err != nil || isIdentity || isPing):
 		return nil, false, errors.Join(errUnreadable, errTooManyMessagesWithoutReport)
 	case isPing:
 		conn.messagesWithoutReport++
--- a/internal/node/collector_conn_test.go
+++ b/internal/node/collector_conn_test.go
@@ -69,7 +69,7 @@
 	limits := testLimits
 	limits.IdentifyTimeout = 150 * time.Millisecond
 	limits.CollectorIdleTimeout = 50 * time.Millisecond
-	limits.MaxEmptyMessages = 1000
+	limits.MaxMessagesWithoutReport = 1000
 	for _, start := range []string{"", "ping\r\n", "collector site=a\r\n"} {
 		_, address, _ := startReceiver(t, limits, true)
 		c := dialManager(t, address, start)
@@ -92,7 +92,7 @@
 func TestPingsAreBounded(t *testing.T) {
 	_, address, _ := startReceiver(t, testLimits, true)
 	c := dialManager(t, address, "")
-	for range testLimits.MaxEmptyMessages {
+	for range testLimits.MaxMessagesWithoutReport {
 		io.WriteString(c, "ping\r\n")
 		if n, err := c.Read(make([]byte, 6)); n != 6 || err != nil {
 			t.Fatalf("read %d bytes of a pong: %v", n, err)
--- a/internal/node/decoder_pool_test.go
+++ b/internal/node/decoder_pool_test.go
@@ -45,7 +45,7 @@
 	limits.MaxQueuedChunks = 4
 	limits.MaxCollectorConns = 64
 	limits.MaxUnidentifiedConns = 300
-	limits.MaxEmptyMessages = 64
+	limits.MaxMessagesWithoutReport = 64
 	r := testReceiver(t, limits)
 	r.decoder.maxProxyID = maxProxyNumber
 	r.decoderPool = newDecoderPool(r, newSampleQueue(limits.MaxQueuedInputs, r.metrics), settings)
@@ -293,7 +293,7 @@
 			limits.MaxQueuedInputs = 1 << 16
 			limits.ReadChunkBytes = 16 << 10
 			limits.MaxQueuedChunks = 4
-			limits.MaxEmptyMessages = 1 << 30
+			limits.MaxMessagesWithoutReport = 1 << 30
 			r := testReceiver(b, limits)
 			r.decoderPool = newDecoderPool(r, newSampleQueue(limits.MaxQueuedInputs, r.metrics), sharding.DefaultSettings(n))
 			defer func() { r.decoderPool = nil }()
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -42,8 +42,8 @@
 func TestReadyAfterARestart(t *testing.T) {
 	const proxies = 2400
 	site := fakes.DefaultSite(200, proxies)
-	site.ChannelLinesPerSecond = 60_000
-	site.ChannelQueueLines = 60_000
+	site.CommandsPerSecond = 60_000
+	site.QueueCapacity = 60_000
 	for _, restart := range restarts {
 		t.Run(restart.name, func(t *testing.T) {
 			v := startDeployment(t, site)
--- a/internal/node/router_test.go
+++ b/internal/node/router_test.go
@@ -17,7 +17,7 @@
 	MaxOpenHealthChecks: 2, MaxUnidentifiedConns: 3, MaxCollectorConns: 2,
 	MaxLineFields: 64, MaxUnidentifiedLineBytes: 64, MaxCollectorLineBytes: 1 << 10, MaxWatchEventBytes: 1 << 10,
 	MaxEndpointListBytes: 1 << 12, MaxResponseBytes: 1 << 10,
-	MaxEmptyMessages: 3, MaxRequestsPerSecond: 10000, MaxReportInterval: time.Minute, IdentifyTimeout: time.Minute,
+	MaxMessagesWithoutReport: 3, MaxRequestsPerSecond: 10000, MaxReportInterval: time.Minute, IdentifyTimeout: time.Minute,
 	CollectorIdleTimeout: time.Minute, ProxyWatchIdleTimeout: time.Minute, EndpointWatchIdleTimeout: time.Minute,
 	StreamOpenTimeout: time.Minute, ConnectTimeout: time.Second, WriteTimeout: time.Second, RelayTimeout: time.Minute,
 	HealthCheckTimeout: time.Minute,
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -49,7 +49,7 @@
 	newest := v.versionIDs(t)[0]
 	eventually(t, "all replicas run the version of the rollback", func() bool { return l.allRun(replicas, newest) })
 	v.assertAlreadyCompleted(t, good)
-	if text, err := v.admin(t, AdminRequest{Command: AdminVerify}); err != nil || !strings.Contains(text, "hold") {
+	if text, err := v.admin(t, AdminRequest{Command: AdminVerify}); err != nil || !strings.HasSuffix(text, " versions match") {
 		t.Error(text, err)
 	}
 	v.Manager.Stop(false)
