--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -55,10 +55,10 @@
 	s.lastSeen = m.now
 }
 
-func wantNear(t *testing.T, what string, got, want float64) {
+func wantNear(t *testing.T, description string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-6 {
-		t.Errorf("%s: got %v, want %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", description, got, want)
 	}
 }
 
--- a/balancer/partitioning.go
+++ b/balancer/partitioning.go
@@ -22,10 +22,10 @@
 	zones := float64(len(m.zones))
 	servers := float64(count(m.servers, m.mayServe)) / zones
 	requestsPerIdleTimeout := m.meanAnnouncedRate() * m.idleTimeout.Seconds()
-	wanted := math.Ceil(minConnectionUses * servers / max(requestsPerIdleTimeout, 1e-6))
+	desired := math.Ceil(minConnectionUses * servers / max(requestsPerIdleTimeout, 1e-6))
 	maxByServers := servers / minPartitionServers
 	maxByProxies := m.proxyCount / m.managerCount / zones / minPartitionProxies
-	m.partitionsPerZone = int(max(1, min(wanted, maxByServers, maxByProxies)))
+	m.partitionsPerZone = int(max(1, min(desired, maxByServers, maxByProxies)))
 	if m.partitionsPerZone > 1 {
 		m.log(EventZonesPartitioned,
 			countField("partitions", m.partitionsPerZone),
@@ -129,17 +129,17 @@
 // nearestZones returns, for each zone, the other zones in order of latency.
 func (m *Manager) nearestZones() [][]int {
 	zones := len(m.tables) / m.partitionsPerZone
-	order := make([][]int, zones)
-	for from := range order {
+	nearest := make([][]int, zones)
+	for from := range nearest {
 		latency := make([]float64, zones)
 		for i := 1; i < zones; i++ {
 			to := (from + i) % zones
 			latency[to] = median(m.zonePairs[from][to].latencies)
-			order[from] = append(order[from], to)
+			nearest[from] = append(nearest[from], to)
 		}
-		slices.SortStableFunc(order[from], func(a, b int) int { return cmp.Compare(latency[a], latency[b]) })
+		slices.SortStableFunc(nearest[from], func(a, b int) int { return cmp.Compare(latency[a], latency[b]) })
 	}
-	return order
+	return nearest
 }
 
 // pairClosed reports whether the zone pair from the proxies of one partition to the servers of another is closed.
--- a/balancer/table_figures.go
+++ b/balancer/table_figures.go
@@ -40,7 +40,7 @@
 	if !m.hasZoneLocalClasses() { // early exit, since each withdrawal calls this for all tables
 		return false
 	}
-	wanted := false
+	hasTarget := false
 	for id, share := range t.targetShares {
 		s := m.server(id)
 		if s == nil || !m.isZoneLocal(t.id, s) {
@@ -49,9 +49,9 @@
 		if t.publishedWeights[id] > 0 && !s.withdrawn {
 			return false
 		}
-		wanted = wanted || share > 0
+		hasTarget = hasTarget || share > 0
 	}
-	return wanted
+	return hasTarget
 }
 
 // isEmptyTable reports whether a table has no usable endpoint.
--- a/client/follow/follower.go
+++ b/client/follow/follower.go
@@ -141,10 +141,10 @@
 	return s.handleDelta(body)
 }
 
-// nextRequestTime returns when the next snapshot request is due, or the zero time if none is wanted.
+// nextRequestTime returns when the next snapshot request is due, or the zero time if none is scheduled.
 func (s *session) nextRequestTime() time.Time {
-	at, wanted := s.follower.Replica.NextSnapshotRequest()
-	if !wanted {
+	at, scheduled := s.follower.Replica.NextSnapshotRequest()
+	if !scheduled {
 		return time.Time{}
 	}
 	return s.startedAt.Add(at)
--- a/client/tables/replica.go
+++ b/client/tables/replica.go
@@ -145,42 +145,43 @@
 	return UnknownBase, fmt.Errorf("version %v has base digest %v, but the replica has digest %v", delta.ID, delta.BaseDigest, current.Digest)
 }
 
-// NextSnapshotRequest returns when to request a snapshot, as the time since the replica's start, and whether one is wanted.
-func (r *Replica) NextSnapshotRequest() (at time.Duration, wanted bool) {
-	return r.request.at, r.request.wanted
+// NextSnapshotRequest returns when to request a snapshot, as the time since the replica's start, and whether one is
+// scheduled.
+func (r *Replica) NextSnapshotRequest() (at time.Duration, scheduled bool) {
+	return r.request.at, r.request.scheduled
 }
 
 // SnapshotRequestDue reports whether the caller must request a snapshot now. If so, it also schedules the next request,
 // in case this one is not answered; the intervals grow with each request until a version is applied.
 func (r *Replica) SnapshotRequestDue(now time.Duration) bool {
-	if !r.request.wanted || now < r.request.at {
+	if !r.request.scheduled || now < r.request.at {
 		return false
 	}
-	r.request.wanted = false
+	r.request.scheduled = false
 	r.request.schedule(now)
 	return true
 }
 
 // snapshotRequest schedules the snapshot requests of a replica.
 type snapshotRequest struct {
-	settings RetrySettings
-	rng      *rand.Rand
-	wanted   bool
-	at       time.Duration // since the replica's start; valid while wanted is true
-	attempts int           // requests scheduled since the last applied version
+	settings  RetrySettings
+	rng       *rand.Rand
+	scheduled bool
+	at        time.Duration // since the replica's start; valid while scheduled is true
+	attempts  int           // requests scheduled since the last applied version
 }
 
 // schedule sets the time of the next request unless one is already scheduled.
 func (r *snapshotRequest) schedule(now time.Duration) {
-	if r.wanted {
+	if r.scheduled {
 		return
 	}
-	r.wanted = true
+	r.scheduled = true
 	r.at = now + r.settings.Delay(r.attempts, r.rng.Float64())
 	r.attempts++
 }
 
 func (r *snapshotRequest) cancel() {
-	r.wanted = false
+	r.scheduled = false
 	r.attempts = 0
 }
--- a/client/tables/replica_test.go
+++ b/client/tables/replica_test.go
@@ -94,13 +94,13 @@
 	firstTimes := map[time.Duration]bool{}
 	for seed := range uint64(50) {
 		replica := newTestReplica(t, seed)
-		if _, wanted := replica.NextSnapshotRequest(); wanted {
-			t.Fatal("a snapshot is wanted before any delta was rejected")
+		if _, scheduled := replica.NextSnapshotRequest(); scheduled {
+			t.Fatal("a snapshot request is scheduled before any delta was rejected")
 		}
 		replica.Receive(0, nil)
-		first, wanted := replica.NextSnapshotRequest()
-		if !wanted {
-			t.Fatal("no snapshot is wanted after a rejected delta")
+		first, scheduled := replica.NextSnapshotRequest()
+		if !scheduled {
+			t.Fatal("no snapshot request is scheduled after a rejected delta")
 		}
 		firstTimes[first] = true
 		requests := 0
@@ -123,8 +123,8 @@
 	replica := newTestReplica(t, 1)
 	replica.Receive(0, nil)
 	expectOutcome(t, replica, encodeSnapshot(t, ID{3, 5}, exampleState(t), testKeys(t)), Applied)
-	if _, wanted := replica.NextSnapshotRequest(); wanted || replica.SnapshotRequestDue(time.Hour) {
-		t.Error("a snapshot is still wanted after a version was applied")
+	if _, scheduled := replica.NextSnapshotRequest(); scheduled || replica.SnapshotRequestDue(time.Hour) {
+		t.Error("a snapshot request is still scheduled after a version was applied")
 	}
 }
 
--- a/internal/capacity/budget_test.go
+++ b/internal/capacity/budget_test.go
@@ -9,12 +9,12 @@
 func TestSubsetNeverCostsMore(t *testing.T) {
 	m := NewModel(repositoryPlan(t), exampleSlopes(t))
 	for _, c := range m.Checks() {
-		whole := c.Ratio[WholeList].Value
+		complete := c.Ratio[WholeList].Value
 		subset := c.Ratio[Subset].Value
 		cached := c.Ratio[CachedSubset].Value
-		if subset > whole+1e-9 || cached > subset+1e-9 {
+		if subset > complete+1e-9 || cached > subset+1e-9 {
 			t.Errorf("%s, %s, %s: a smaller scope costs more: %v with the whole list, %v with a subset, %v with a subset at a watch cache",
-				c.Situation, c.Role, c.Resource, whole, subset, cached)
+				c.Situation, c.Role, c.Resource, complete, subset, cached)
 		}
 	}
 }
--- a/internal/capacity/cases_test.go
+++ b/internal/capacity/cases_test.go
@@ -175,7 +175,7 @@
 		constantSlope(scale.CPUPerListRead, scale.OpeningListSize, 0.002))
 	p := smallPlan(t)
 	m := NewModel(p, r)
-	held := p.normalServerCounts(CachedSubset)
+	cached := p.normalServerCounts(CachedSubset)
 	assertNear(t, "difference between a subset and a subset at a watch cache",
-		m.openingCore(p.normalServerCounts(Subset)).Value-m.openingCore(held).Value, 0.02)
+		m.openingCore(p.normalServerCounts(Subset)).Value-m.openingCore(cached).Value, 0.02)
 }
--- a/internal/capacity/load_test.go
+++ b/internal/capacity/load_test.go
@@ -69,17 +69,17 @@
 
 func TestSubsetSizes(t *testing.T) {
 	p := smallPlan(t)
-	whole := p.normalServerCounts(WholeList)
+	complete := p.normalServerCounts(WholeList)
 	subset := p.normalServerCounts(Subset)
 	cached := p.normalServerCounts(CachedSubset)
-	assertNear(t, "held, whole list", whole.held, 100)
+	assertNear(t, "held, whole list", complete.held, 100)
 	assertNear(t, "held, subset", subset.held, 19)                                    // 10 of the home zone and 9 others
 	assertNear(t, "sent, subset", subset.sent, 100)                                   // servers outside the subset are dropped after decoding
 	assertNear(t, "sent, subset at a watch cache", cached.sent, 19)                   // servers outside the subset are not sent
 	assertNear(t, "managers per server", p.managersPerServer(subset), 1.9)            // 19 of 100 servers are held by each of 10 managers
 	assertNear(t, "share of servers outside the home zones", subset.share(true), 0.1) // 9 of 90
 	assertNear(t, "share of all", subset.share(false), 0.19)                          // 19 of 100
-	assertNear(t, "share of a whole list", whole.share(true), 1)                      // every server is held
+	assertNear(t, "share of a whole list", complete.share(true), 1)                   // every server is held
 	assertNear(t, "sent share, subset at a watch cache", cached.sentShare(true), 0.1)
 	assertNear(t, "sent share, subset", subset.sentShare(true), 1)
 }
--- a/internal/capacity/manager.go
+++ b/internal/capacity/manager.go
@@ -134,8 +134,8 @@
 	if counts.sent <= counts.held {
 		return opening
 	}
-	held := m.cost(scale.CPUPerListRead, m.listSizes(scale.CPUPerListRead, counts.held))
-	return opening.plus(m.listReadTime(Subset)).plus(held.times(-1))
+	heldListReadTime := m.cost(scale.CPUPerListRead, m.listSizes(scale.CPUPerListRead, counts.held))
+	return opening.plus(m.listReadTime(Subset)).plus(heldListReadTime.times(-1))
 }
 
 // openingSizes returns the sizes along which the processor time of an opening was measured.
--- a/internal/fakes/address.go
+++ b/internal/fakes/address.go
@@ -19,9 +19,9 @@
 // FreeAddresses returns count distinct loopback addresses with unused ports. It keeps a listener on each until the last
 // is found, because the system may hand out a released port again.
 func FreeAddresses(count int) (addresses []string, err error) {
-	var held []net.Listener
+	var listeners []net.Listener
 	defer func() {
-		for _, listener := range held {
+		for _, listener := range listeners {
 			listener.Close()
 		}
 	}()
@@ -30,7 +30,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("find an unused address: %w", err)
 		}
-		held = append(held, listener)
+		listeners = append(listeners, listener)
 		addresses = append(addresses, listener.Addr().String())
 	}
 	return addresses, nil
--- a/internal/faultsim/rules.go
+++ b/internal/faultsim/rules.go
@@ -144,20 +144,20 @@
 func (r *rules) checkDrains(p *proxy) {
 	s := r.simulation
 	grace := s.scenario.DrainGracePeriod
-	var late balancer.ServerID
+	var lateServer balancer.ServerID
 	for server, weight := range p.weights {
 		listed := s.manager.endpoints[server]
 		if listed.state == balancer.Ready || weight == 0 || p.withdrawn[server] {
 			continue
 		}
 		since := max(listed.notifiedAt, p.connectedAt)
-		if s.now-since > grace && r.durationWithoutOutages(since) > grace && (late == "" || server < late) {
-			late = server
+		if s.now-since > grace && r.durationWithoutOutages(since) > grace && (lateServer == "" || server < lateServer) {
+			lateServer = server
 		}
 	}
-	if late != "" {
-		since := max(s.manager.endpoints[late].notifiedAt, p.connectedAt)
-		r.fail(RuleDrainsKept, proxyName(p), "sends to %s, told to drain or gone %.2fs ago", late, (s.now - since).Seconds())
+	if lateServer != "" {
+		since := max(s.manager.endpoints[lateServer].notifiedAt, p.connectedAt)
+		r.fail(RuleDrainsKept, proxyName(p), "sends to %s, told to drain or gone %.2fs ago", lateServer, (s.now - since).Seconds())
 	}
 }
 
@@ -243,9 +243,9 @@
 	state := r.simulation.manager.chain.State()
 	for _, id := range state.TableIDs() {
 		weights := state.Table(id).Weights
-		held := r.simulation.relay.tables[balancer.TableID(id)]
+		relayWeights := r.simulation.relay.tables[balancer.TableID(id)]
 		for _, server := range slices.Sorted(maps.Keys(weights)) {
-			if got := held[balancer.ServerID(server)]; got != weights[server] {
+			if got := relayWeights[balancer.ServerID(server)]; got != weights[server] {
 				r.fail(RuleProgress, "relay", "table %d has %v for %s, and the chain %v", id, got, server, weights[server])
 			}
 		}
--- a/internal/faultsim/scenario.go
+++ b/internal/faultsim/scenario.go
@@ -1,8 +1,8 @@
 // Package faultsim tests the load balancing decisions by fault injection in a deterministic simulation with a virtual
 // clock, and checks rules that must hold throughout a run. A Scenario describes the fleet and the faults that may occur.
-// A Script holds the faults of one run, drawn from a seed or read from a replay file. Run plays a script and returns the
-// first Violation. SearchSeeds plays many seeds, and Shrink reduces a script that violates a rule. The same scenario and
-// script give the same run. The daemon must not import this package.
+// A Script holds the faults of one run, drawn from a seed or read from a replay file. Run simulates a script and returns
+// the first Violation. SearchSeeds simulates many seeds, and Shrink reduces a script that violates a rule. The same
+// scenario and script give the same run. The daemon must not import this package.
 package faultsim
 
 import (
--- a/internal/faultsim/search.go
+++ b/internal/faultsim/search.go
@@ -12,12 +12,13 @@
 	Violation *Violation
 }
 
-// SearchSeeds plays the seeds from first to last on the given number of goroutines. It returns the failure of the lowest
-// seed that violates a rule, if any. With playAll it plays all seeds and returns all failures in order of their seeds. The
-// failures do not depend on the number of goroutines. progress is called with the number of seeds played so far, by one
-// goroutine at a time.
-func SearchSeeds(s Scenario, first, last uint64, goroutines int, playAll bool, progress func(played int)) (failures []Failure, played int) {
-	search := &seedSearch{scenario: s, next: first, last: last, playAll: playAll, progress: progress}
+// SearchSeeds simulates the seeds from first to last on the given number of goroutines. It returns the failure of the
+// lowest seed that violates a rule, if any. With simulateAll it simulates all seeds and returns all failures in order of
+// their seeds. The failures do not depend on the number of goroutines. progress is called with the number of seeds
+// simulated so far, by one goroutine at a time.
+func SearchSeeds(s Scenario, first, last uint64, goroutines int, simulateAll bool,
+	progress func(simulated int)) (failures []Failure, simulated int) {
+	search := &seedSearch{scenario: s, next: first, last: last, simulateAll: simulateAll, progress: progress}
 	var workers sync.WaitGroup
 	for range goroutines {
 		workers.Go(search.work)
@@ -29,26 +30,26 @@
 		}
 		return 1
 	})
-	if !playAll && len(search.failures) > 1 {
+	if !simulateAll && len(search.failures) > 1 {
 		search.failures = search.failures[:1]
 	}
-	return search.failures, search.played
+	return search.failures, search.simulated
 }
 
 // seedSearch hands out seeds to its workers.
 type seedSearch struct {
-	scenario Scenario
-	playAll  bool
-	progress func(played int)
+	scenario    Scenario
+	simulateAll bool
+	progress    func(simulated int)
 
-	mu       sync.Mutex // guards the fields below
-	next     uint64
-	last     uint64
-	played   int
-	failures []Failure
+	mu        sync.Mutex // guards the fields below
+	next      uint64
+	last      uint64
+	simulated int
+	failures  []Failure
 }
 
-// work plays seeds until none are left.
+// work simulates seeds until none are left.
 func (s *seedSearch) work() {
 	for {
 		seed, more := s.takeSeed()
@@ -70,18 +71,18 @@
 	return seed, seed <= s.last
 }
 
-// recordResult records the result of a seed. Unless all seeds are played, no higher seed is started after a failure. Lower
-// seeds in progress are finished, so that the lowest failing seed is found.
+// recordResult records the result of a seed. Unless all seeds are simulated, no higher seed is started after a failure.
+// Lower seeds in progress are finished, so that the lowest failing seed is found.
 func (s *seedSearch) recordResult(result Failure) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.played++
-	s.progress(s.played)
+	s.simulated++
+	s.progress(s.simulated)
 	if result.Violation == nil {
 		return
 	}
 	s.failures = append(s.failures, result)
-	if !s.playAll {
+	if !s.simulateAll {
 		s.last = min(s.last, result.Script.Seed)
 	}
 }
@@ -90,8 +91,8 @@
 const minShrunkDuration = time.Second
 
 // Shrink reduces a script that violates a rule to a smaller one that still violates the same rule: it drops faults one by
-// one, then halves their durations. It plays at most maxRuns scripts, and returns the smallest failure and the number of
-// scripts played.
+// one, then halves their durations. It runs at most maxRuns scripts, and returns the smallest failure and the number of
+// scripts run.
 func Shrink(s Scenario, f Failure, maxRuns int) (Failure, int) {
 	shrinker := &shrinker{scenario: s, smallest: f, maxRuns: maxRuns}
 	for shrinker.dropFault() {
@@ -99,7 +100,7 @@
 	for i := range shrinker.smallest.Script.Faults {
 		shrinker.shortenFault(i)
 	}
-	return shrinker.smallest, shrinker.played
+	return shrinker.smallest, shrinker.runs
 }
 
 // shrinker holds the state of a call of Shrink.
@@ -107,15 +108,15 @@
 	scenario Scenario
 	smallest Failure
 	maxRuns  int
-	played   int
+	runs     int
 }
 
-// try plays a smaller script and keeps it if it violates the same rule. It reports whether the script was kept.
+// try runs a smaller script and keeps it if it violates the same rule. It reports whether the script was kept.
 func (s *shrinker) try(script Script) bool {
-	if s.played >= s.maxRuns {
+	if s.runs >= s.maxRuns {
 		return false
 	}
-	s.played++
+	s.runs++
 	violation, _ := Run(s.scenario, script, nil)
 	if violation == nil || violation.Rule != s.smallest.Violation.Rule {
 		return false
--- a/internal/faultsim/search_test.go
+++ b/internal/faultsim/search_test.go
@@ -29,24 +29,24 @@
 }
 
 func TestHundredSeedsKeepAllRules(t *testing.T) {
-	found, played := SearchSeeds(DefaultScenario(), 1, 100, 4, true, func(int) {})
+	found, simulated := SearchSeeds(DefaultScenario(), 1, 100, 4, true, func(int) {})
 	for _, f := range found {
 		t.Errorf("got violation %v by the script\n%v", f.Violation, f.Script)
 	}
-	if played != 100 {
-		t.Errorf("%d seeds were played, want 100", played)
+	if simulated != 100 {
+		t.Errorf("%d seeds were simulated, want 100", simulated)
 	}
 }
 
 // The manager must not fill the channel's queue just because the limit allows it: tables then reach the proxies half a
 // minute late.
 func TestLargeFleetKeepsAllRules(t *testing.T) {
-	found, played := SearchSeeds(LargeFleetScenario(), 1, 16, 4, true, func(int) {})
+	found, simulated := SearchSeeds(LargeFleetScenario(), 1, 16, 4, true, func(int) {})
 	for _, f := range found {
 		t.Errorf("got violation %v by the script\n%v", f.Violation, f.Script)
 	}
-	if played != 16 {
-		t.Errorf("%d seeds were played, want 16", played)
+	if simulated != 16 {
+		t.Errorf("%d seeds were simulated, want 16", simulated)
 	}
 }
 
@@ -90,10 +90,10 @@
 		if violation == nil {
 			continue
 		}
-		shrunk, played := Shrink(s, Failure{script, violation}, 60)
-		if shrunk.Violation.Rule != violation.Rule || len(shrunk.Script.Faults) > len(script.Faults) || played > 60 {
+		shrunk, runs := Shrink(s, Failure{script, violation}, 60)
+		if shrunk.Violation.Rule != violation.Rule || len(shrunk.Script.Faults) > len(script.Faults) || runs > 60 {
 			t.Errorf("shrunk to %v after %d runs, want a violation of %q with at most %d faults after at most 60 runs",
-				shrunk, played, violation.Rule, len(script.Faults))
+				shrunk, runs, violation.Rule, len(script.Faults))
 		}
 		return
 	}
--- a/internal/faultsim/simulation.go
+++ b/internal/faultsim/simulation.go
@@ -51,8 +51,8 @@
 	rules   *rules
 }
 
-// Run plays a script against a new manager and returns the first violation of a rule, or nil if all rules were kept. It
-// calls trace, unless it is nil, with each line of the run's trace. The same scenario and script give the same run.
+// Run simulates a script against a new manager and returns the first violation of a rule, or nil if all rules were kept.
+// It calls trace, unless it is nil, with each line of the run's trace. The same scenario and script give the same run.
 func Run(scenario Scenario, script Script, trace func(line string)) (*Violation, *Simulation) {
 	s := newSimulation(scenario, script.Seed, trace)
 	s.startManager()
@@ -120,7 +120,7 @@
 	return hex.EncodeToString(s.digest.Sum(nil)[:digestBytes])
 }
 
-// Steps returns the number of events played so far.
+// Steps returns the number of events simulated so far.
 func (s *Simulation) Steps() int { return s.events }
 
 // record adds a line to the trace. The exact text of trace lines must not change: the digests in testdata/runs.txt depend
--- a/internal/loadtest/run.go
+++ b/internal/loadtest/run.go
@@ -20,7 +20,7 @@
 
 const (
 	assignTimeout      = 60 * time.Second
-	heldFraction       = 0.8 // fraction of the maximum rate that is held
+	heldRateFraction   = 0.8 // fraction of the maximum rate that is held
 	faultStream        = 3   // random number stream of the fault injector
 	firstFaultyCall    = 3   // earlier calls succeed, so that the proxies are assigned
 	idleRate           = 1   // messages per second while the manager catches up
@@ -81,7 +81,7 @@
 		if err := r.searchMaxRate(); err != nil {
 			return r.result, err
 		}
-		r.result.HeldRate = heldFraction * r.result.MaxRate
+		r.result.HeldRate = heldRateFraction * r.result.MaxRate
 	}
 	r.reportProgress("holding %.0f messages/s for %v while servers drain and proxies reconnect", r.result.HeldRate, p.HoldDuration)
 	err = r.hold()
@@ -186,9 +186,9 @@
 	if err != nil {
 		return StepResult{}, err
 	}
-	due := rate * time.Since(startTime).Seconds()
+	expected := rate * time.Since(startTime).Seconds()
 	return StepResult{
-		AcceptedFraction: float64(after-before) / due,
+		AcceptedFraction: float64(after-before) / expected,
 		AcceptLatency:    r.generator.acceptLatency.Load().summary().P99,
 		Rate:             rate,
 	}, nil
--- a/internal/loadtest/run_test.go
+++ b/internal/loadtest/run_test.go
@@ -168,8 +168,8 @@
 		return false
 	}
 	o.expectWithdrawal("s-1")
-	if _, due := o.drainedAt["s-1"]; !called || !due {
-		t.Errorf("isWithdrawn called: %v, drain recorded: %v; want both", called, due)
+	if _, recorded := o.drainedAt["s-1"]; !called || !recorded {
+		t.Errorf("isWithdrawn called: %v, drain recorded: %v; want both", called, recorded)
 	}
 }
 
--- a/internal/node/admin_commands.go
+++ b/internal/node/admin_commands.go
@@ -45,7 +45,7 @@
 // versionLog returns a line for the hold in force, if there is one, and a line for each version, newest first. Versions
 // that the proxies may be using are marked if there are several.
 func (r *router) versionLog() (lines []string) {
-	if hold, held := r.chain.CurrentHold(r.fleet()); held {
+	if hold, inForce := r.chain.CurrentHold(r.fleet()); inForce {
 		lines = append(lines, fmt.Sprintf("held by key %q until %s, %.2f of its weight is on available servers",
 			hold.Key, hold.Until.Format(time.RFC3339), hold.RemainingFraction))
 	}
--- a/internal/node/deployment_test.go
+++ b/internal/node/deployment_test.go
@@ -198,12 +198,12 @@
 // replicaVersions records the version that each replica has applied. It is safe for concurrent use.
 type replicaVersions struct {
 	mu      sync.Mutex                // guards the fields below
-	held    map[int]tables.VersionRef // the current version of each replica
+	current map[int]tables.VersionRef // the current version of each replica
 	applied map[int]map[tables.ID]int // how often each replica applied each version
 }
 
 func newReplicaVersions() *replicaVersions {
-	return &replicaVersions{held: map[int]tables.VersionRef{}, applied: map[int]map[tables.ID]int{}}
+	return &replicaVersions{current: map[int]tables.VersionRef{}, applied: map[int]map[tables.ID]int{}}
 }
 
 // recorder returns a function that records the versions that a replica applies.
@@ -214,7 +214,7 @@
 		if r.applied[i] == nil {
 			r.applied[i] = map[tables.ID]int{}
 		}
-		r.held[i] = version
+		r.current[i] = version
 		r.applied[i][version.ID]++
 	}
 }
@@ -224,7 +224,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range n {
-		if r.held[i].ID.String() != id {
+		if r.current[i].ID.String() != id {
 			return false
 		}
 	}
--- a/internal/node/interleaving_relay_test.go
+++ b/internal/node/interleaving_relay_test.go
@@ -77,18 +77,18 @@
 // A call whose connection breaks within the answer has an unknown outcome, whichever byte of the answer is the last.
 func TestACallCutAtEachByteOfItsAnswer(t *testing.T) {
 	body := acceptedAnswer(2)
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	for cut := 0; cut <= len(whole); cut++ {
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	for cut := 0; cut <= len(response); cut++ {
 		address := startServer(t, func(c net.Conn) {
 			if req, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 				io.Copy(io.Discard, req.Body)
-				io.WriteString(c, whole[:cut])
+				io.WriteString(c, response[:cut])
 			}
 		})
 		r := newRelayClient(testLimits, address, testClasses, nil, testReceiver(t, testLimits))
 		n, outcome := r.send(testWeights(1, 2))
-		if known := cut == len(whole); known != (outcome == callDone) || known != (n == 2) {
-			t.Errorf("%d of %d bytes of the answer: %d commands accepted, outcome %q", cut, len(whole), n, outcome)
+		if known := cut == len(response); known != (outcome == callDone) || known != (n == 2) {
+			t.Errorf("%d of %d bytes of the answer: %d commands accepted, outcome %q", cut, len(response), n, outcome)
 		}
 	}
 }
--- a/internal/node/interleaving_stream_test.go
+++ b/internal/node/interleaving_stream_test.go
@@ -20,20 +20,20 @@
 func TestAChangeThatWasNotDeliveredIsNotCountedAsHeld(t *testing.T) {
 	address, _ := startStreamServer(t, watchLine(42, false, "s-1")+"...", watchLine(42, false, "s-1")+"...")
 	receiver, inputs := testReceiverWithInputs(t, testLimits, 0)
-	held := &watchState{version: 41, unconfirmedVersion: -1}
+	state := &watchState{version: 41, unconfirmedVersion: -1}
 	up := testUpstream(t, address)
 	watchDone := make(chan struct{})
 	go func() {
 		defer close(watchDone)
-		receiver.readWatch(up, held)
+		receiver.readWatch(up, state)
 	}()
 	eventually(t, "a list waits for the router", func() bool { return receiver.metrics.counts[endpointLists].Load() == 1 })
 	up.cancel()
 	<-watchDone
-	if got := held.heldVersion(); got != 41 {
+	if got := state.currentVersion(); got != 41 {
 		t.Fatalf("version %d is held, want 41: the later list was not delivered", got)
 	}
-	go receiver.readWatch(testUpstream(t, address), held)
+	go receiver.readWatch(testUpstream(t, address), state)
 	if got := (<-inputs).(endpointList); got.version != 42 {
 		t.Errorf("list %+v, want version 42", got)
 	}
@@ -99,8 +99,8 @@
 		t.Errorf("event stream: opened %v, error %v", opened, err)
 	}
 	<-requests
-	held := &watchState{version: 41, unconfirmedVersion: -1}
-	if opened, err := receiver.readWatch(next, held); !opened || err == nil {
+	state := &watchState{version: 41, unconfirmedVersion: -1}
+	if opened, err := receiver.readWatch(next, state); !opened || err == nil {
 		t.Errorf("watch: opened %v, error %v", opened, err)
 	}
 	if old.ctx.Err() != nil || len(inputs) > 0 {
@@ -116,18 +116,18 @@
 		malformed+watchLine(43, false, "s-2")+watchLine(44, false, "s-3"),
 		malformed+watchLine(45, false, "s-4"), watchLine(45, true, "s-5")+watchLine(46, false, "s-6"))
 	receiver, inputs := testReceiverWithInputs(t, testLimits, 64)
-	held := &watchState{version: 41, unconfirmedVersion: -1}
+	state := &watchState{version: 41, unconfirmedVersion: -1}
 	up := testUpstream(t, address)
 	want := []string{"[]", "[s-2 s-3]", "[s-4]", "[s-5 s-6]"}
 	for i, version := range []int64{41, 41, 41, 46} {
-		receiver.readWatch(up, held)
+		receiver.readWatch(up, state)
 		var got []balancer.ServerID
 		for _, in := range receivedInputs(inputs) {
 			got = append(got, in.(endpointList).entries[0].Server)
 		}
-		if fmt.Sprint(got) != want[i] || held.heldVersion() != version || !strings.Contains(<-requests, "after=41") {
+		if fmt.Sprint(got) != want[i] || state.currentVersion() != version || !strings.Contains(<-requests, "after=41") {
 			t.Errorf("watch %d: servers %v, want %s; version %d held, want %d; or not requested after version 41",
-				i+1, got, want[i], held.heldVersion(), version)
+				i+1, got, want[i], state.currentVersion(), version)
 		}
 	}
 	if n := receiver.metrics.counts[malformedMessages].Load(); n != 3 {
@@ -151,11 +151,11 @@
 // A discovery that restarted may count versions from the beginning. Its first older snapshot is rejected; the next one must be
 // accepted even if its version has advanced since, and not be rejected like the first.
 func TestOlderSnapshotsThatAdvanceAreAccepted(t *testing.T) {
-	held := &watchState{version: 41, unconfirmedVersion: -1}
-	readWatchText(t, testLimits, held, watchLine(3, true, "s-1"))
-	if ids, _ := readWatchText(t, testLimits, held, watchLine(5, true, "s-2")+watchLine(6, false, "s-3")); fmt.Sprint(ids) != "[s-2 s-3]" ||
-		held.version != 6 {
-		t.Errorf("servers %v, want [s-2 s-3]; version %d held, want 6", ids, held.version)
+	state := &watchState{version: 41, unconfirmedVersion: -1}
+	readWatchText(t, testLimits, state, watchLine(3, true, "s-1"))
+	if ids, _ := readWatchText(t, testLimits, state, watchLine(5, true, "s-2")+watchLine(6, false, "s-3")); fmt.Sprint(ids) != "[s-2 s-3]" ||
+		state.version != 6 {
+		t.Errorf("servers %v, want [s-2 s-3]; version %d held, want 6", ids, state.version)
 	}
 }
 
@@ -179,15 +179,15 @@
 func TestATooHighVersionDoesNotBlockLaterLists(t *testing.T) {
 	limits := testLimits
 	limits.MaxWatchGap = 0
-	held := &watchState{version: 41, unconfirmedVersion: -1}
+	state := &watchState{version: 41, unconfirmedVersion: -1}
 	accepted := ""
 	for _, text := range []string{watchLine(93, false, "s-1") + watchLine(44, false, "s-2") + watchLine(45, false, "s-3") + "...",
 		watchLine(45, true, "s-4") + "...", watchLine(45, true, "s-5") + watchLine(46, false, "s-6")} {
-		ids, _ := readWatchText(t, limits, held, text)
+		ids, _ := readWatchText(t, limits, state, text)
 		accepted += fmt.Sprint(ids)
 	}
-	if accepted != "[s-1][][s-5 s-6]" || held.version != 46 {
-		t.Errorf("servers %s, want [s-1][][s-5 s-6]; version %d held, want 46", accepted, held.version)
+	if accepted != "[s-1][][s-5 s-6]" || state.version != 46 {
+		t.Errorf("servers %s, want [s-1][][s-5 s-6]; version %d held, want 46", accepted, state.version)
 	}
 }
 
@@ -200,10 +200,10 @@
 	address, requests := startStreamServer(t, olderList, olderList, watchLine(46, true, "s-3")+"...",
 		watchLine(46, true, "s-4")+watchLine(47, false, "s-5"), "")
 	receiver, inputs := testReceiverWithInputs(t, limits, 64)
-	held := &watchState{version: 93, unconfirmedVersion: -1}
+	state := &watchState{version: 93, unconfirmedVersion: -1}
 	up := testUpstream(t, address)
 	for _, from := range []string{"=93 ", "=93 ", "=0 ", "=0 ", "=47 "} {
-		receiver.readWatch(up, held)
+		receiver.readWatch(up, state)
 		if got := <-requests; !strings.Contains(got, "after"+from) {
 			t.Errorf("request %q, want one with %q", got, "after"+from)
 		}
--- a/internal/node/moves_test.go
+++ b/internal/node/moves_test.go
@@ -168,19 +168,19 @@
 }
 
 // eventually waits until a condition holds, and fails the test if it does not hold within 8 s.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	eventuallyWithin(t, 8*time.Second, what, holds)
+	eventuallyWithin(t, 8*time.Second, description, condition)
 }
 
-func eventuallyWithin(t *testing.T, timeout time.Duration, what string, holds func() bool) {
+func eventuallyWithin(t *testing.T, timeout time.Duration, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
-	t.Errorf("condition %q does not hold within %v", what, timeout)
+	t.Errorf("condition %q does not hold within %v", description, timeout)
 }
 
 func assertNoViolations(t *testing.T, deployment *fakes.Deployment) {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -113,10 +113,10 @@
 
 // A watch that is reopened at a new address must continue from the version that the manager has.
 func TestAWatchKeepsItsVersionAcrossAReload(t *testing.T) {
-	held := &watchState{version: 41, unconfirmedVersion: -1}
-	ids, _ := readWatchText(t, testLimits, held, watchLine(42, false, "s-1"))
+	state := &watchState{version: 41, unconfirmedVersion: -1}
+	ids, _ := readWatchText(t, testLimits, state, watchLine(42, false, "s-1"))
 	address, requests := startStreamServer(t, "")
-	testReceiver(t, testLimits).readWatch(testUpstream(t, address), held)
+	testReceiver(t, testLimits).readWatch(testUpstream(t, address), state)
 	if got := <-requests; !strings.Contains(got, "after=42 ") || !slices.Equal(ids, []balancer.ServerID{"s-1"}) {
 		t.Errorf("request %s with servers %v, want after=42 and s-1", got, ids)
 	}
--- a/internal/node/router_versions.go
+++ b/internal/node/router_versions.go
@@ -65,8 +65,8 @@
 // applyPin tells the balancer which weights and admission levels the chain holds, or that no hold is in force.
 func (r *router) applyPin() {
 	r.advanceClock()
-	pin, held := r.chain.Pinned()
-	if !held {
+	pin, pinned := r.chain.Pinned()
+	if !pinned {
 		pin = versions.PinnedTables{}
 	}
 	r.apply(r.manager.HandlePin(r.now, pin.Weights, pin.AdmissionLevels))
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -38,12 +38,12 @@
 
 func (n *Node) currentStatus() Status {
 	now := time.Now()
-	held := n.watchState.held(now)
+	list := n.watchState.current(now)
 	status := Status{
 		Name:          n.config.Name,
 		UptimeSeconds: roundedSeconds(now.Sub(n.startedAt)),
 		Ready:         n.readiness.ready(),
-		List:          ListStatus{Version: held.version, AgeSeconds: roundedSeconds(held.age), Confirmed: held.confirmed},
+		List:          ListStatus{Version: list.version, AgeSeconds: roundedSeconds(list.age), Confirmed: list.confirmed},
 		Counters:      n.metrics.values(),
 	}
 	if n.decoderPool != nil {
--- a/internal/node/stored_list_test.go
+++ b/internal/node/stored_list_test.go
@@ -46,16 +46,16 @@
 	removed := v.Servers[1]
 	v.Discovery.Publish(draining.Entry("draining"))
 	v.Discovery.Publish(removed.Entry("removed"))
-	held := int64(old.Version + 2)
-	v.awaitList(t, held)
+	storedVersion := int64(old.Version + 2)
+	v.awaitList(t, storedVersion)
 	if list := v.manager.currentStatus().List; !list.Confirmed {
 		t.Errorf("got %+v, want a confirmed list, as discovery has sent it", list)
 	}
 
 	v.Discovery.SetUnresponsive(true)
 	v.restartWith(t, old)
-	if list := v.manager.currentStatus().List; list.Version != held || list.Confirmed {
-		t.Errorf("without discovery: got %+v, want version %d, unconfirmed", list, held)
+	if list := v.manager.currentStatus().List; list.Version != storedVersion || list.Confirmed {
+		t.Errorf("without discovery: got %+v, want version %d, unconfirmed", list, storedVersion)
 	}
 	v.awaitAssignments(t)
 	for _, server := range []*fakes.Server{draining, removed} {
@@ -66,10 +66,10 @@
 
 	v.Discovery.SetUnresponsive(false)
 	v.Discovery.Publish(draining.Entry("removed"))
-	v.awaitList(t, held+1)
-	asked := v.Discovery.WatchedVersions()
-	if resumed := asked[len(asked)-1]; int64(resumed) != held || slices.Contains(asked, 0) {
-		t.Errorf("watches requested changes after versions %v, want the last after %d and none after 0", asked, held)
+	v.awaitList(t, storedVersion+1)
+	watchedVersions := v.Discovery.WatchedVersions()
+	if resumed := watchedVersions[len(watchedVersions)-1]; int64(resumed) != storedVersion || slices.Contains(watchedVersions, 0) {
+		t.Errorf("watches requested changes after versions %v, want the last after %d and none after 0", watchedVersions, storedVersion)
 	}
 }
 
--- a/internal/node/subset_members_test.go
+++ b/internal/node/subset_members_test.go
@@ -120,15 +120,15 @@
 	if _, inService := subset.endpointsOf(0); inService == 0 {
 		t.Error("subset with a home zone of 400 servers: no endpoint in service")
 	}
-	whole := newSubsetHarness(t, "n8", zones, 100)
-	whole.router.subsetFilter = nil
-	whole.addServers(zones, 40)
-	whole.start(proxies)
-	for _, id := range whole.serversInZone(0) {
-		whole.failed[id] = true
+	complete := newSubsetHarness(t, "n8", zones, 100)
+	complete.router.subsetFilter = nil
+	complete.addServers(zones, 40)
+	complete.start(proxies)
+	for _, id := range complete.serversInZone(0) {
+		complete.failed[id] = true
 	}
-	whole.advance(20, func() {})
-	if _, inService := whole.endpointsOf(0); inService == 0 {
-		t.Error("whole list of 1200 servers, home zone lost for 20 s: no endpoint in service")
+	complete.advance(20, func() {})
+	if _, inService := complete.endpointsOf(0); inService == 0 {
+		t.Error("complete list of 1200 servers, home zone lost for 20 s: no endpoint in service")
 	}
 }
--- a/internal/node/versions_test.go
+++ b/internal/node/versions_test.go
@@ -129,9 +129,9 @@
 		good[strings.Fields(line)[0]] = true
 	}
 	l.mu.Lock()
-	for i, h := range l.held {
-		if !good[h.ID.String()] {
-			t.Errorf("replica %d runs %v, which was never published", i, h.ID)
+	for i, version := range l.current {
+		if !good[version.ID.String()] {
+			t.Errorf("replica %d runs %v, which was never published", i, version.ID)
 		}
 	}
 	l.mu.Unlock()
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -83,9 +83,9 @@
 // logListAge logs the age of the list in use if it exceeds the idle timeout of the watch, so that short interruptions are
 // not logged.
 func (r *receiver) logListAge(state *watchState) {
-	held := state.held(time.Now())
-	if held.age > r.limits.EndpointWatchIdleTimeout {
-		r.metrics.logLimited("endpoint_list_age", "version", held.version, "age", roundedSeconds(held.age), "confirmed", held.confirmed)
+	list := state.current(time.Now())
+	if list.age > r.limits.EndpointWatchIdleTimeout {
+		r.metrics.logLimited("endpoint_list_age", "version", list.version, "age", roundedSeconds(list.age), "confirmed", list.confirmed)
 	}
 }
 
@@ -153,7 +153,7 @@
 // dropStaleList counts a list that is older than the one held. It ends a watch that starts with an older snapshot.
 func (w *watchReader) dropStaleList(list endpointList, isFirst bool) error {
 	w.receiver.metrics.add(staleEndpointLists, 1)
-	w.receiver.metrics.logLimited("stale_endpoint_list", "version", list.version, "held", w.state.heldVersion())
+	w.receiver.metrics.logLimited("stale_endpoint_list", "version", list.version, "held", w.state.currentVersion())
 	if isFirst && list.snapshot {
 		return errStaleList
 	}
--- a/internal/node/watch_state.go
+++ b/internal/node/watch_state.go
@@ -9,15 +9,15 @@
 // safe for concurrent use.
 type watchState struct {
 	mu                 sync.Mutex // guards the fields below
-	version            int64      // version of the list held
+	version            int64      // version of the current list
 	unconfirmedVersion int64      // version of the last rejected older snapshot, which another watch may confirm, or noUnconfirmedVersion
 	staleWatches       int        // consecutive watches that sent only older lists
 	confirmedAt        time.Time  // when discovery last sent or confirmed the list; until then, when the manager started
 	confirmed          bool       // whether discovery has sent or confirmed the list since the manager started
 }
 
-// heldList describes the list that a manager uses, for the log and the status page.
-type heldList struct {
+// currentList describes the list that a manager uses, for the log and the status page.
+type currentList struct {
 	version   int64
 	age       time.Duration // time since discovery last sent or confirmed the list, or since the manager started
 	confirmed bool          // whether discovery has sent or confirmed the list since the manager started
@@ -27,13 +27,13 @@
 	return &watchState{version: version, unconfirmedVersion: noUnconfirmedVersion, confirmedAt: startedAt}
 }
 
-func (s *watchState) held(now time.Time) heldList {
+func (s *watchState) current(now time.Time) currentList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return heldList{version: s.version, age: now.Sub(s.confirmedAt), confirmed: s.confirmed}
+	return currentList{version: s.version, age: now.Sub(s.confirmedAt), confirmed: s.confirmed}
 }
 
-// recordConfirmation records that discovery confirmed the list held.
+// recordConfirmation records that discovery confirmed the current list.
 func (s *watchState) recordConfirmation(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,15 +48,15 @@
 // complete list is requested.
 const maxStaleWatches = 1
 
-func (s *watchState) heldVersion() int64 {
+func (s *watchState) currentVersion() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// resumeVersion returns the version after which the next watch requests changes: the one held, or 0 for the complete list
-// if discovery has been sending only older lists. The held version may be wrong, and discovery may take it for a version
-// that it has not reached yet.
+// resumeVersion returns the version after which the next watch requests changes: the current one, or 0 for the complete
+// list if discovery has been sending only older lists. The current version may be wrong, and discovery may take it for a
+// version that it has not reached yet.
 func (s *watchState) resumeVersion() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +92,7 @@
 	return false
 }
 
-// advance sets the held version to that of a list that was passed to the router.
+// advance sets the current version to that of a list that was passed to the router.
 func (s *watchState) advance(list endpointList, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -18,10 +18,10 @@
 }
 
 // readWatchText reads a watch that sends a text, and returns the servers of the lists passed on and the watch's error.
-func readWatchText(t *testing.T, limits config.Limits, held *watchState, text string) (ids []balancer.ServerID, err error) {
+func readWatchText(t *testing.T, limits config.Limits, state *watchState, text string) (ids []balancer.ServerID, err error) {
 	address, _ := startStreamServer(t, text)
 	receiver, inputs := testReceiverWithInputs(t, limits, 64)
-	_, err = receiver.readWatch(testUpstream(t, address), held)
+	_, err = receiver.readWatch(testUpstream(t, address), state)
 	for _, in := range receivedInputs(inputs) {
 		ids = append(ids, in.(endpointList).entries[0].Server)
 	}
@@ -29,12 +29,12 @@
 }
 
 func TestWatchAcceptsNewLists(t *testing.T) {
-	held := &watchState{version: 41, unconfirmedVersion: -1}
-	ids, err := readWatchText(t, testLimits, held, "\n"+watchLine(42, false, "s-1")+"\r\n"+
+	state := &watchState{version: 41, unconfirmedVersion: -1}
+	ids, err := readWatchText(t, testLimits, state, "\n"+watchLine(42, false, "s-1")+"\r\n"+
 		watchLine(42, false, "old")+watchLine(40, false, "old")+
 		`{"generation":42,"reset":false,"instances":[]}`+"\n"+watchLine(50, true, "s-2")+`{"generation":51`)
-	if fmt.Sprint(ids) != "[s-1 s-2]" || held.version != 50 || !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("accepted lists %v, held version %d, error %v; want s-1 and s-2, version 50, unexpected EOF", ids, held.version, err)
+	if fmt.Sprint(ids) != "[s-1 s-2]" || state.version != 50 || !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("accepted lists %v, held version %d, error %v; want s-1 and s-2, version 50, unexpected EOF", ids, state.version, err)
 	}
 }
 
@@ -56,28 +56,28 @@
 // An older list must not replace a newer one by accident. But after a restart of discovery, whose versions start again from
 // a lower one, the manager must not keep the list from before the restart.
 func TestAnOlderSnapshotNeedsConfirmationByASecondWatch(t *testing.T) {
-	held := &watchState{version: 41, unconfirmedVersion: -1}
-	if ids, err := readWatchText(t, testLimits, held, watchLine(3, true, "s-1")+"..."); len(ids) > 0 || err == nil {
+	state := &watchState{version: 41, unconfirmedVersion: -1}
+	if ids, err := readWatchText(t, testLimits, state, watchLine(3, true, "s-1")+"..."); len(ids) > 0 || err == nil {
 		t.Errorf("first watch: accepted lists %v, error %v; want none and an error", ids, err)
 	}
-	if ids, _ := readWatchText(t, testLimits, held, watchLine(3, true, "s-1")); fmt.Sprint(ids) != "[s-1]" || held.version != 3 {
-		t.Errorf("second watch: accepted lists %v, held version %d; want s-1 and version 3", ids, held.version)
+	if ids, _ := readWatchText(t, testLimits, state, watchLine(3, true, "s-1")); fmt.Sprint(ids) != "[s-1]" || state.version != 3 {
+		t.Errorf("second watch: accepted lists %v, held version %d; want s-1 and version 3", ids, state.version)
 	}
 }
 
 func TestTheAgeOfTheListGrowsUntilDiscoveryConfirmsIt(t *testing.T) {
 	startedAt := time.Unix(1000, 0)
 	state := newWatchState(41, startedAt)
-	if held := state.held(startedAt.Add(time.Hour)); held.age != time.Hour || held.confirmed || held.version != 41 {
-		t.Errorf("never confirmed: got %+v, want version 41, one hour old, unconfirmed", held)
+	if list := state.current(startedAt.Add(time.Hour)); list.age != time.Hour || list.confirmed || list.version != 41 {
+		t.Errorf("never confirmed: got %+v, want version 41, one hour old, unconfirmed", list)
 	}
 	state.recordConfirmation(startedAt.Add(time.Minute))
-	if held := state.held(startedAt.Add(time.Hour)); held.age != 59*time.Minute || !held.confirmed {
-		t.Errorf("confirmed after a minute: got %+v, want 59 minutes old, confirmed", held)
+	if list := state.current(startedAt.Add(time.Hour)); list.age != 59*time.Minute || !list.confirmed {
+		t.Errorf("confirmed after a minute: got %+v, want 59 minutes old, confirmed", list)
 	}
 	state.advance(endpointList{version: 42}, startedAt.Add(2*time.Minute))
-	if held := state.held(startedAt.Add(time.Hour)); held.age != 58*time.Minute || held.version != 42 {
-		t.Errorf("changed after two minutes: got %+v, want version 42, 58 minutes old", held)
+	if list := state.current(startedAt.Add(time.Hour)); list.age != 58*time.Minute || list.version != 42 {
+		t.Errorf("changed after two minutes: got %+v, want version 42, 58 minutes old", list)
 	}
 }
 
@@ -94,8 +94,8 @@
 		for _, line := range strings.SplitAfter(text, "\n") {
 			reader.readLine([]byte(strings.TrimSuffix(line, "\n")))
 		}
-		if held := state.held(time.Now()); held.confirmed != want {
-			t.Errorf("%q: got %+v, want confirmed %v", text, held, want)
+		if list := state.current(time.Now()); list.confirmed != want {
+			t.Errorf("%q: got %+v, want confirmed %v", text, list, want)
 		}
 	}
 }
--- a/internal/scale/limits.go
+++ b/internal/scale/limits.go
@@ -61,9 +61,9 @@
 }
 
 // newCountLimitError returns the LimitError for a count that exceeds a limit.
-func newCountLimitError(what, unit string, count, limit int) *LimitError {
+func newCountLimitError(size, unit string, count, limit int) *LimitError {
 	return &LimitError{
-		Size:     what,
+		Size:     size,
 		Required: fmt.Sprintf("%d %s", count, unit),
 		Limit:    fmt.Sprint(limit),
 		Fits:     fmt.Sprintf("%d fit", limit),
@@ -72,14 +72,14 @@
 
 // checkFits returns a LimitError, which states how many would fit, if count things of bytesEach bytes don't fit into
 // memory.
-func (m Memory) checkFits(what string, bytesEach float64, count int) error {
+func (m Memory) checkFits(size string, bytesEach float64, count int) error {
 	required := gcHeapFactor * bytesEach * float64(count)
 	if required <= m.Bytes {
 		return nil
 	}
 	fitting := int(m.Bytes / (gcHeapFactor * bytesEach))
 	return &LimitError{
-		Size:     what,
+		Size:     size,
 		Required: formatMegabytes(required),
 		Limit:    formatMegabytes(m.Bytes),
 		Fits:     fmt.Sprintf("%d fit", fitting),
--- a/internal/scale/process_fleet.go
+++ b/internal/scale/process_fleet.go
@@ -35,12 +35,12 @@
 
 // checkProcessCount returns a LimitError if the number of processes or their memory exceeds the limits.
 func checkProcessCount(memory Memory, processes int) error {
-	what := fmt.Sprintf("%d real processes", processes)
+	size := fmt.Sprintf("%d real processes", processes)
 	if processes > maxProcesses {
-		return newCountLimitError(what, "processes", processes, maxProcesses)
+		return newCountLimitError(size, "processes", processes, maxProcesses)
 	}
 	// checkFits multiplies by gcHeapFactor, but bytesOfProcess already includes garbage.
-	return memory.checkFits(what, bytesOfProcess/gcHeapFactor, processes)
+	return memory.checkFits(size, bytesOfProcess/gcHeapFactor, processes)
 }
 
 // processFleet is a fleet of managers that read one endpoint list. Each manager is a real process with its own relay and
--- a/internal/scale/propagation_test.go
+++ b/internal/scale/propagation_test.go
@@ -30,8 +30,8 @@
 		t.Fatal(err)
 	}
 	// Each machine writes two lists in 10 ms each, then the change to its first manager in 1 ms.
-	least := 20*time.Millisecond + time.Millisecond + minTransit
-	checkTimes(t, "during openings", opening, managers, least)
+	minimum := 20*time.Millisecond + time.Millisecond + minTransit
+	checkTimes(t, "during openings", opening, managers, minimum)
 	quiet, err := r.drainRunningFleet(ctx, 2*propagationInterval, r.control.quietArrivals(managers))
 	if err != nil {
 		t.Fatal(err)
@@ -43,16 +43,17 @@
 		t.Fatal(err)
 	}
 	checkTimes(t, "machines lost", lost, managers, time.Millisecond+minTransit)
-	late := slices.IndexFunc(lost, func(seconds float64) bool { return seconds > reconnect.watchTimeout.Seconds() })
-	if reopened := managers - late; late < 0 || reopened < 2 || reopened > 4 { // the managers of two machines out of seven
+	firstLate := slices.IndexFunc(lost, func(seconds float64) bool { return seconds > reconnect.watchTimeout.Seconds() })
+	if reopened := managers - firstLate; firstLate < 0 || reopened < 2 || reopened > 4 { // the managers of two machines out of seven
 		t.Errorf("machines lost: got times %v, want 2 to 4 of them above %v", lost, reconnect.watchTimeout)
 	}
 }
 
-func checkTimes(t *testing.T, circumstance string, times []float64, managers int, least time.Duration) {
+func checkTimes(t *testing.T, circumstance string, times []float64, managers int, minimum time.Duration) {
 	t.Helper()
-	if len(times) != managers || !slices.IsSorted(times) || times[0] < least.Seconds() || times[len(times)-1] > propagationTimeout.Seconds() {
-		t.Errorf("%s: got times %v, want %d sorted ones from %v to %v", circumstance, times, managers, least, propagationTimeout)
+	if len(times) != managers || !slices.IsSorted(times) || times[0] < minimum.Seconds() ||
+		times[len(times)-1] > propagationTimeout.Seconds() {
+		t.Errorf("%s: got times %v, want %d sorted ones from %v to %v", circumstance, times, managers, minimum, propagationTimeout)
 	}
 }
 
@@ -113,8 +114,8 @@
 		t.Errorf("got the first list after %v, want it after %v or later", lists[0], first)
 	}
 	// Each of the five remaining machines writes forty lists, one after another.
-	if last, least := lists[len(lists)-1], reconnect.watchTimeout+reconnect.minBackoff+40*control.listWriteInterval(); last < least {
-		t.Errorf("got the last list after %v, want it after %v or later", last, least)
+	if last, minimum := lists[len(lists)-1], reconnect.watchTimeout+reconnect.minBackoff+40*control.listWriteInterval(); last < minimum {
+		t.Errorf("got the last list after %v, want it after %v or later", last, minimum)
 	}
 }
 
--- a/internal/sharding/mailbox_test.go
+++ b/internal/sharding/mailbox_test.go
@@ -13,9 +13,9 @@
 	usage := UsageSample{balancer.UsageReport{Proxy: 1, Class: 2, Requests: 3, Dropped: 1, Interval: time.Second}}
 	report := LoadSample{balancer.LoadReport{
 		Server: "s", Zone: "a", Attempts: 10, Failed: 5, Latency: time.Second, Interval: time.Second, InFlight: 7}}
-	late := LoadSample{balancer.LoadReport{
+	laterReport := LoadSample{balancer.LoadReport{
 		Server: "s", Zone: "a", Attempts: 5, Latency: 2 * time.Second, Interval: time.Second, InFlight: -1}}
-	m.Put([]Sample{usage, report, usage, late})
+	m.Put([]Sample{usage, report, usage, laterReport})
 	if !m.HasRoom() || m.Len() != 2 || m.Merged != 2 {
 		t.Fatalf("%d samples wait after %d merges, want 2 after 2, and room for more", m.Len(), m.Merged)
 	}
--- a/internal/subset/demand.go
+++ b/internal/subset/demand.go
@@ -14,9 +14,9 @@
 
 // demand compares the servers in service outside the home zones with the number needed, as of one tick.
 type demand struct {
-	wanted        float64 // number needed: the configured spill plus the shortfall of the home zones
+	needed        float64 // number needed: the configured spill plus the shortfall of the home zones
 	serving       float64 // servers in service, and new members whose first health check is pending
-	wantedWarm    float64 // like wanted, but home servers in slow start count by their progress
+	neededWarm    float64 // like needed, but home servers in slow start count by their progress
 	warm          float64 // servers in service, each counted by the progress of its slow start
 	spill         float64 // configured number of spill servers
 	available     float64 // listed servers outside the home zones
@@ -25,7 +25,7 @@
 
 // isShort reports whether too few servers are in service.
 func (d demand) isShort() bool {
-	return d.noneInService || d.serving < widenThreshold*min(d.wanted, d.available)
+	return d.noneInService || d.serving < widenThreshold*min(d.needed, d.available)
 }
 
 // zoneService counts the members of one zone.
@@ -40,8 +40,8 @@
 	noneInService := ready == 0 && s.hasCheckedMember(now)
 	spill := float64(s.settings.Spill)
 	d := demand{
-		wanted:        spill,
-		wantedWarm:    spill,
+		needed:        spill,
+		neededWarm:    spill,
 		spill:         spill,
 		available:     float64(s.foreignServers()),
 		noneInService: noneInService,
@@ -55,8 +55,8 @@
 			continue
 		}
 		expected := s.expectedServers(now, zone)
-		d.wanted += shortfall(service.serving, expected)
-		d.wantedWarm += shortfall(service.warm, expected)
+		d.needed += shortfall(service.serving, expected)
+		d.neededWarm += shortfall(service.warm, expected)
 	}
 	return d
 }
--- a/internal/subset/membership.go
+++ b/internal/subset/membership.go
@@ -16,8 +16,8 @@
 
 // computeLimit returns the limit for the current list, home zones and width.
 func (s *Subset) computeLimit() limit {
-	wanted := s.width.factor * float64(s.settings.Spill)
-	return s.ring.limitFor(wanted, s.foreignServers(), func(r *record) bool {
+	desired := s.width.factor * float64(s.settings.Spill)
+	return s.ring.limitFor(desired, s.foreignServers(), func(r *record) bool {
 		return r.server.State != balancer.Removed && !s.zone(r.server.Zone).isHome
 	})
 }
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -103,24 +103,24 @@
 	below uint64 // exclusive upper bound of the distance; ignored if all is set
 }
 
-// Bounds of the number of selected servers relative to the wanted number. The numbers differ because the servers are
+// Bounds of the number of selected servers relative to the desired number. The numbers differ because the servers are
 // unevenly spaced on the ring.
 const (
 	minSizeRatio = 0.8
 	maxSizeRatio = 1.25
 )
 
-// limitFor returns the limit that selects about the wanted number of foreign servers; servers is the number of all
+// limitFor returns the limit that selects about the desired number of foreign servers; servers is the number of all
 // foreign servers. The limit is a fixed fraction of the ring, so that each server is in about the same number of subsets,
 // unless that fraction selects fewer servers than minSizeRatio or more than maxSizeRatio allows.
-func (r *ring) limitFor(wanted float64, servers int, isForeign func(*record) bool) limit {
-	fraction := wanted / max(1, float64(servers))
+func (r *ring) limitFor(desired float64, servers int, isForeign func(*record) bool) limit {
+	fraction := desired / max(1, float64(servers))
 	if fraction >= 1 {
 		return limit{all: true}
 	}
 	below := uint64(fraction * math.MaxUint64)
-	minServers := int(math.Ceil(minSizeRatio * wanted))
-	maxServers := int(maxSizeRatio * wanted)
+	minServers := int(math.Ceil(minSizeRatio * desired))
+	maxServers := int(maxSizeRatio * desired)
 	seen := 0
 	for _, rec := range r.records {
 		if !isForeign(rec) {
--- a/internal/subset/testhelpers_test.go
+++ b/internal/subset/testhelpers_test.go
@@ -64,7 +64,7 @@
 		fleet.entries[server.Server] = server.Endpoint
 		if server.State != balancer.Removed {
 			delete(fleet.removedAt, server.Server)
-		} else if _, gone := fleet.removedAt[server.Server]; !gone {
+		} else if _, removed := fleet.removedAt[server.Server]; !removed {
 			fleet.removedAt[server.Server] = now
 		}
 	}
@@ -72,7 +72,7 @@
 		if update.Complete && !published[id] {
 			entry.State = balancer.Removed
 			fleet.entries[id] = entry
-			if _, gone := fleet.removedAt[id]; !gone {
+			if _, removed := fleet.removedAt[id]; !removed {
 				fleet.removedAt[id] = now
 			}
 		}
--- a/internal/subset/width.go
+++ b/internal/subset/width.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	widenThreshold       = 0.7              // the subset widens if a smaller fraction of the wanted spill servers is in service
+	widenThreshold       = 0.7              // the subset widens if a smaller fraction of the needed spill servers is in service
 	narrowThreshold      = 0.9              // the subset may narrow if at least this fraction of them is in service and warm
 	widenFactor          = 2.0              // factor of one widening step
 	emergencyWidenFactor = 8.0              // factor of one widening step while no server at all is in service
@@ -37,7 +37,7 @@
 	return false
 }
 
-// fraction returns the wanted spill as a fraction of the available servers. At 1 or above, all of them are selected.
+// fraction returns the desired spill as a fraction of the available servers. At 1 or above, all of them are selected.
 func (w *width) fraction(d demand) float64 { return w.factor * d.spill / max(1, d.available) }
 
 // widen raises the factor until the added servers make up the shortfall or all servers are selected. While no server is
@@ -51,7 +51,7 @@
 	for {
 		w.factor *= widenFactor
 		added := min(w.factor*d.spill, d.available) - before
-		if d.serving+added >= widenThreshold*d.wanted || w.fraction(d) >= 1 {
+		if d.serving+added >= widenThreshold*d.needed || w.fraction(d) >= 1 {
 			return
 		}
 	}
@@ -59,5 +59,5 @@
 
 // mayNarrow reports whether enough warm servers would remain after the next narrowing step.
 func (w *width) mayNarrow(d demand) bool {
-	return !d.noneInService && d.warm*narrowFactor >= narrowThreshold*min(d.wantedWarm, d.available)
+	return !d.noneInService && d.warm*narrowFactor >= narrowThreshold*min(d.neededWarm, d.available)
 }
--- a/internal/subset/width_test.go
+++ b/internal/subset/width_test.go
@@ -76,8 +76,9 @@
 	sim.tick()
 	width := sim.subset.Counts().Width
 	sim.runSeconds(10)
-	if later := sim.subset.Counts().Width; width < 1.5 || later != width {
-		t.Errorf("width %.1f after the loss, want at least 1.5; %.1f while new members were being checked, want no change", width, later)
+	if laterWidth := sim.subset.Counts().Width; width < 1.5 || laterWidth != width {
+		t.Errorf("width %.1f after the loss, want at least 1.5; %.1f while new members were being checked, want no change",
+			width, laterWidth)
 	}
 }
 
--- a/internal/versions/hold.go
+++ b/internal/versions/hold.go
@@ -169,8 +169,8 @@
 	fields := []balancer.LogField{logField("key", c.hold.key)}
 	switch {
 	case now >= c.hold.until:
-		held := c.hold.until - c.hold.since
-		fields = append(fields, logField("reason", "expired"), decimalLogField("held_seconds", held.Seconds(), 0))
+		duration := c.hold.until - c.hold.since
+		fields = append(fields, logField("reason", "expired"), decimalLogField("held_seconds", duration.Seconds(), 0))
 	case remaining < c.settings.MinHeldFraction:
 		fields = append(fields, logField("reason", "servers_unavailable"),
 			decimalLogField("remaining_fraction", remaining, 2), decimalLogField("limit", c.settings.MinHeldFraction, 2))
--- a/internal/versions/hold_test.go
+++ b/internal/versions/hold_test.go
@@ -66,9 +66,9 @@
 	if err != nil || !executed || completed.Key != "k1" {
 		t.Fatal(completed, executed, err)
 	}
-	pinned, held := chain.Pinned()
-	if !held || pinned.Weights[0]["a0"] != 100 || pinned.Weights[1]["b0"] != 0 || pinned.Weights[1]["b1"] != 25 {
-		t.Errorf("held %v, pinned weights %v", held, pinned.Weights)
+	pin, pinned := chain.Pinned()
+	if !pinned || pin.Weights[0]["a0"] != 100 || pin.Weights[1]["b0"] != 0 || pin.Weights[1]["b1"] != 25 {
+		t.Errorf("pinned %v, weights %v", pinned, pin.Weights)
 	}
 	chain.Propose(4*time.Second, weights(weight(0, "a0", 100)), "pin", view)
 	if head := chain.Head(); head.CommandKey != "k1" || head.ID.Number != 3 {
@@ -116,20 +116,20 @@
 		`has the table layout "", the current layout is "3 blocks"`: rollBack(renumbered, first, "k", 0, allReady),
 		"no version was sent yet":                                   rollBack(New(DefaultSettings(1)), first, "k", 0, allReady),
 	} {
-		expectRefused(t, err, want)
+		expectErrRefused(t, err, want)
 	}
 	_, _, err := chain.Resume(0, "k")
-	expectRefused(t, err, "no hold is in force")
+	expectErrRefused(t, err, "no hold is in force")
 	_, _, err = New(DefaultSettings(1)).Hold(0, "k", 0)
-	expectRefused(t, err, "no version was sent yet")
+	expectErrRefused(t, err, "no version was sent yet")
 	_, _, err = chain.Hold(0, "k", time.Millisecond)
-	expectRefused(t, err, "a hold must last from 1s")
-	if _, held := chain.Pinned(); held || len(chain.CompletedCommands()) != 0 {
+	expectErrRefused(t, err, "a hold must last from 1s")
+	if _, pinned := chain.Pinned(); pinned || len(chain.CompletedCommands()) != 0 {
 		t.Error("a refused command took effect")
 	}
 }
 
-func expectRefused(t *testing.T, err error, reason string) {
+func expectErrRefused(t *testing.T, err error, reason string) {
 	t.Helper()
 	if !errors.Is(err, ErrRefused) || !strings.Contains(err.Error(), reason) {
 		t.Errorf("error %v, want ErrRefused with %q", err, reason)
@@ -157,7 +157,7 @@
 	if _, executed, err := chain.Resume(0, "r"); !executed || err != nil {
 		t.Errorf("resume: executed %v, error %v", executed, err)
 	}
-	if _, held := chain.Pinned(); held {
+	if _, pinned := chain.Pinned(); pinned {
 		t.Error("the tables are still held after resume")
 	}
 }
--- a/internal/versions/peer_test.go
+++ b/internal/versions/peer_test.go
@@ -62,9 +62,9 @@
 	chain := newTestChain(t)
 	peer := NewPeer(DefaultRetrySettings(), tables.VersionRef{}, 1)
 	peer.NextDelta(0, chain.View())
-	later := tables.VersionRef{ID: tables.ID{Epoch: 9, Number: 1}}
-	peer.HandleRejection(0, tables.OlderEpoch, later)
-	if delta, _ := peer.NextDelta(time.Hour, chain.View()); delta != nil || !peer.Superseded() || peer.Version() != later {
+	newer := tables.VersionRef{ID: tables.ID{Epoch: 9, Number: 1}}
+	peer.HandleRejection(0, tables.OlderEpoch, newer)
+	if delta, _ := peer.NextDelta(time.Hour, chain.View()); delta != nil || !peer.Superseded() || peer.Version() != newer {
 		t.Errorf("sent %+v, superseded %v, version %v", delta, peer.Superseded(), peer.Version())
 	}
 }
--- a/internal/versions/propose.go
+++ b/internal/versions/propose.go
@@ -98,9 +98,9 @@
 func (c *Chain) holdBackViolations(p *proposal, result *Result) {
 	found := c.findViolation(p)
 	c.logCheckTransition(found, result)
-	for heldBack := 0; found != nil; heldBack++ {
+	for violations := 0; found != nil; violations++ {
 		result.Modified = true
-		partial := heldBack < maxSeparateViolations && p.removeAffected(*found)
+		partial := violations < maxSeparateViolations && p.removeAffected(*found)
 		if !partial { // all commands are affected, none could be removed, or there are too many violations
 			p.removeAffected(globalViolation())
 		}
